--- /dev/null
+++ b/tests/stored_data.rs
@@ -0,0 +1,191 @@
+//! What release 5c6b612 stored and handed over stays readable, with the same values. `tests/data/README.md` says how the
+//! data was made.
+
+use cedarbridge::journal::{
+    AttemptStart, Journal, JournaledMessage, Moment, Progress, ReportedEnd, Restored, Unreadable,
+};
+use cedarbridge::membership::{Key, Listing, State};
+use cedarbridge::net::cordons::Cordons;
+use cedarbridge::net::eureka::snapshot::Snapshot;
+use cedarbridge::net::folder::Folder;
+use cedarbridge::net::handover;
+use cedarbridge::net::owner;
+use cedarbridge::{DeliveryPolicy, DestinationId, EndpointId, KindId, MessageId, ZoneId};
+use serde_json::Value;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The moment at which the data was written.
+const WRITTEN: Moment = Moment { boot: 7, clock: 50_000_000, wall: 1_800_000_000_000_000 };
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
+}
+
+/// Opens a copy of a stored journal at a moment.
+fn restored(name: &str, test: &str, now: Moment) -> Restored {
+    let folder = std::env::temp_dir().join(format!("cedarbridge-stored-{test}-{}", std::process::id()));
+    let _ = fs::remove_dir_all(&folder);
+    fs::create_dir_all(&folder).expect("a folder");
+    let segment = "0000000001.journal";
+    fs::copy(data(name).join(segment), folder.join(segment)).expect("copied");
+    let storage = Folder::open(&folder).expect("a folder");
+    let opened = Journal::open(Box::new(storage), 1 << 20, move || now, 1, Unreadable::Fail).expect("opens");
+    let _ = fs::remove_dir_all(&folder);
+    opened.1
+}
+
+fn stored(id: &str, shift: u64, progress: Progress) -> JournaledMessage {
+    JournaledMessage {
+        request_id: id.into(),
+        key: Some(format!("key-{id}")),
+        class: "notice".into(),
+        tenant: Some("north".into()),
+        destination: 7,
+        deadline: 90_000_000 + shift,
+        body: id.repeat(3).into_bytes(),
+        progress,
+    }
+}
+
+fn start(at: u64, zone: &str) -> Option<AttemptStart> {
+    Some(AttemptStart { at, zone: zone.into() })
+}
+
+/// All that the journal holds, its times moved by so many microseconds.
+fn expected(shift: u64) -> Vec<(u64, JournaledMessage)> {
+    let none = Progress::default;
+    let ended = |end| Progress { report: Some(end), ..none() };
+    let plain = JournaledMessage { key: None, tenant: None, ..stored("plain", shift, none()) };
+    let sent = Progress { attempts: 1, out: true, first: start(11_000_000 + shift, "east"), ..none() };
+    let retried = Progress { attempts: 2, ran: true, first: start(13_000_000 + shift, "east"), ..none() };
+    let carried = Progress {
+        attempts: 4,
+        ran: true,
+        out: false,
+        first: start(9_000_000 + shift, "west"),
+        report: Some(ReportedEnd::Returned(Some(20))),
+    };
+    vec![
+        (1, stored("untried", shift, none())),
+        (2, plain),
+        (3, stored("sent", shift, sent)),
+        (4, stored("never-ran", shift, Progress { attempts: 1, ..none() })),
+        (5, stored("retried", shift, retried)),
+        (6, stored("failed", shift, ended(ReportedEnd::Failed))),
+        (7, stored("returned", shift, ended(ReportedEnd::Returned(None)))),
+        (8, stored("returned-after", shift, ended(ReportedEnd::Returned(Some(750))))),
+        (10, stored("carried", shift, carried)),
+    ]
+}
+
+#[test]
+fn a_stored_journal_is_read_with_every_record() {
+    let restored = restored("journal", "whole", Moment { clock: 60_000_000, ..WRITTEN });
+    assert_eq!(restored.messages, expected(0));
+    assert_eq!((restored.last_id, restored.damage), (10, vec![]));
+}
+
+/// After a start of the machine only the wall clock tells how much time has gone by.
+#[test]
+fn a_stored_journal_is_read_on_another_boot_with_its_times_moved() {
+    let now = Moment { boot: 8, clock: 70_000_000, wall: WRITTEN.wall + 5_000_000 };
+    assert_eq!(restored("journal", "boot", now).messages, expected(15_000_000));
+}
+
+#[test]
+fn a_stored_journal_with_a_flipped_bit_loses_that_message_alone() {
+    let restored = restored("journal-flipped", "flipped", Moment { clock: 60_000_000, ..WRITTEN });
+    let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 2).collect();
+    assert_eq!(restored.messages, rest);
+    assert_eq!(restored.damage.len(), 1);
+}
+
+#[test]
+fn a_stored_journal_that_is_cut_loses_its_last_record_alone() {
+    let restored = restored("journal-cut", "cut", Moment { clock: 60_000_000, ..WRITTEN });
+    let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 10).collect();
+    assert_eq!(restored.messages, rest);
+    assert_eq!(restored.damage.len(), 1);
+}
+
+#[test]
+fn a_stored_journal_of_the_form_before_heads_is_read_by_the_wall_clock() {
+    let progress = Progress { attempts: 1, out: true, ..Progress::default() };
+    let restored = restored("journal-headless", "headless", WRITTEN);
+    assert_eq!(restored.messages, vec![(1, stored("headless", 0, progress))]);
+}
+
+#[test]
+fn stored_cordons_are_read() {
+    let cordons = Cordons::new(&data("")).read().expect("read");
+    assert_eq!(cordons, ["e1", "payments/e2"]);
+}
+
+#[test]
+fn the_stored_view_of_the_registry_is_read() {
+    let view = Snapshot::new(&data("")).read().expect("sound").expect("there");
+    let listing = |n: u16, state| Listing {
+        key: Key { group: "PARTNER".into(), id: format!("partner-{n}") },
+        address: ([127, 0, 0, 1], n).into(),
+        destination: DestinationId(u64::from(n)),
+        zone: ZoneId(1),
+        kind: KindId(2),
+        weight: 2.5,
+        state,
+        stamp: 0,
+    };
+    assert_eq!(view.at, 1_800_000_000_000_007);
+    assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Leaving)]);
+}
+
+#[test]
+fn the_stored_owner_is_read_and_written_alike() {
+    let owner = owner::named(&data("")).expect("named");
+    assert_eq!(owner.operator, ([127, 0, 0, 1], 4100).into());
+    assert_eq!(owner.token, "0123456789abcdef");
+    let text = fs::read_to_string(data("owner")).expect("read");
+    assert_eq!(serde_json::to_string(&owner).expect("JSON"), text);
+}
+
+fn json(name: &str) -> Value {
+    serde_json::from_slice(&fs::read(data(name)).expect("read")).expect("JSON")
+}
+
+/// Any name inside that changes without its stored name shows here.
+#[test]
+fn the_state_of_the_decisions_is_read_and_written_alike() {
+    for name in ["policy-1.json", "policy-2.json"] {
+        let stored = json(name);
+        let policy: DeliveryPolicy = serde_json::from_value(stored.clone()).expect("read");
+        assert_eq!(serde_json::to_value(&policy).expect("written"), stored, "{name}");
+    }
+}
+
+/// The frames of a recorded hand-over, each with its body, behind the head of the HTTP message that they follow.
+fn frames(name: &str) -> Vec<(Value, Vec<u8>)> {
+    let bytes = fs::read(data("hand-over").join(name)).expect("read");
+    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("a head");
+    let mut rest = &bytes[end + 4..];
+    let mut frames = Vec::new();
+    while let Some((sizes, more)) = rest.split_first_chunk::<8>() {
+        let size = |at: usize| u32::from_le_bytes(sizes[at..at + 4].try_into().expect("four")) as usize;
+        let (head, more) = more.split_at(size(0));
+        let (body, more) = more.split_at(size(4));
+        frames.push((serde_json::from_slice(head).expect("JSON"), body.to_vec()));
+        rest = more;
+    }
+    frames
+}
+
+#[test]
+fn the_state_that_was_handed_over_is_read_and_written_alike() {
+    let (frame, _) = frames("from-predecessor").remove(0);
+    let state: handover::State = serde_json::from_value(frame["State"].clone()).expect("read");
+    assert_eq!((state.last_id, state.messages.len()), (3, 3));
+    assert_eq!((state.messages[0].id, state.messages[0].out), (MessageId(1), Some((0, EndpointId(1)))));
+    let policy: DeliveryPolicy = serde_json::from_value(state.module.clone()).expect("read");
+    assert_eq!(serde_json::to_value(&policy).expect("written"), frame["State"]["module"]);
+    assert_eq!(serde_json::to_value(&state).expect("written"), frame["State"]);
+    assert_eq!(handover::FORMAT, 4);
+}
