--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use cedarbridge::membership::{HoldDown, Membership, MetadataNames, Policy, Shrink, SourceId};
-use cedarbridge::net::eureka::{held::Held, json};
+use cedarbridge::net::platform::eureka::{held::Held, json};
 use cedarbridge::words::Names;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::fmt::Write;
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -3,9 +3,9 @@
 use super::{lines, print, Failed, Files};
 use crate::membership::Question;
 use crate::membership::{Change, Membership, News, RegistrySettings, SourceId};
-use crate::net::clock::Clock;
-use crate::net::eureka::held::Taken;
-use crate::net::eureka::Registry;
+use crate::net::platform::eureka::held::Taken;
+use crate::net::platform::eureka::Registry;
+use crate::net::runtime::clock::Clock;
 use crate::site::{time, written};
 use crate::words::Names;
 use crate::Lifecycle;
--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -1,6 +1,6 @@
 //! One attempt at an endpoint: a call of one message, or of several that share it.
 
-use super::transaction::Transaction;
+use crate::net::in_flight::Transaction;
 use crate::{EndpointId, LimitReport, MessageId, Micros, Outcome};
 use async_channel::Receiver;
 use serde::{Deserialize, Serialize};
--- a/src/net/front.rs
+++ b/src/net/client/mod.rs
@@ -1,12 +1,12 @@
 //! The platform's protocol towards user agents.
 
-use super::config::BODY_LIMIT;
-use super::decider::{Reply, LATER};
-use super::http::{Asked, Broken, Wire};
-use super::lobby::{Lobby, Stay};
-use super::transaction::Request;
-use super::{Context, ToDecider};
 use crate::invariants::Rejection;
+use crate::net::config::BODY_LIMIT;
+use crate::net::connection_registry::{Lobby, Stay};
+use crate::net::http::{Asked, Broken, Wire};
+use crate::net::in_flight::Request;
+use crate::net::messages::{Reply, ToDecider, LATER};
+use crate::net::Context;
 use crate::words::{index, Names};
 use crate::{ClassId, DestinationId, MessageId, Micros, TenantId};
 use async_io::{Async, Timer};
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,8 +1,8 @@
 //! What the program is told at its start.
 
-use super::eureka::snapshot::Snapshot;
 use crate::invariants::RepeatRules;
 use crate::membership::RegistrySettings;
+use crate::net::platform::eureka::snapshot::Snapshot;
 use crate::words::{field, in_field, micros, own_number, settings, text, whole, Names};
 use crate::{Class, Kind, Micros, Settings};
 use serde_json::Value;
--- a/src/net/decider.rs
+++ b/src/net/delivery/mod.rs
@@ -1,16 +1,15 @@
 //! The module's actor: it brings events to the decisions and carries out what they say.
 
-use super::call::{Call, Came, End, Ended, Part};
-use super::handover::{self, Heir, Speaker, State};
-use super::members::ToMembers;
-use super::notices::Notice;
-use super::operator::{self, No, Operation};
-use super::peer::{self, ToPeer};
-use super::transaction::{Request, Transaction};
-use super::Context;
 use crate::invariants::{may_take_on, AdmissionFacts, Rejection};
 use crate::journal::{JournalError, JournaledMessage, Progress, ReportedEnd};
 use crate::membership::Carried;
+use crate::net::call::{Call, Came, End, Ended, Part};
+use crate::net::endpoint::{self};
+use crate::net::handover::{self, Speaker, State};
+use crate::net::in_flight::{Request, Transaction};
+use crate::net::messages::{Heir, Notice, Reply, ToDecider, ToMembers, ToPeer, LATER};
+use crate::net::operator::{self};
+use crate::net::Context;
 use crate::words::Names;
 use crate::{
     Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, Event, GiveUpReason, KindId, Lifecycle,
@@ -20,7 +19,6 @@
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
-use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use slog::{debug, info, warn, FnValue};
 use std::cmp::Reverse;
@@ -28,65 +26,8 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What the module's actor can be told.
-pub enum ToDecider {
-    /// A message is handed in.
-    Take {
-        /// The message.
-        request: Request,
-        /// Where to say what becomes of it.
-        reply: Sender<Reply>,
-    },
-    /// The user agent of a message went before its answer was written.
-    Withdrawn {
-        /// The message that was taken on from it.
-        id: MessageId,
-    },
-    /// News of the list.
-    List(ListNews),
-    /// Other settings hold from now on.
-    Settings(Box<Settings>),
-    /// A call has come out, here or at the process that this one replaces.
-    CallEnded(Came),
-    /// Another process asks to replace this one.
-    HandOver(Heir),
-    /// An operator wants something while all is being handed over.
-    Operate {
-        /// What.
-        operation: Operation,
-        /// Where to say what becomes of it.
-        reply: Sender<Result<(), No>>,
-    },
-    /// The journal can be written again.
-    JournalWritable,
-    /// The process that this one has replaced is gone.
-    OlderGone,
-    /// Asks how destinations and channels stand, for operators.
-    Show {
-        /// Where to say it.
-        reply: Sender<Value>,
-    },
-    /// The program is about to end: no more steps, but what is out is still noted.
-    Close,
-}
-
-/// What becomes of a message that is handed in.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
-    /// Taken on, under this id.
-    Taken(MessageId),
-    /// Not taken on: another message of that name is not over yet.
-    Held,
-    /// Unavailable; it may come again after a while.
-    Unavailable(Micros),
-    /// It failed at once.
-    Failed,
-}
-
 /// How a message ended that its client may hand in again.
 const RETURNED: &str = "returned";
-/// The advice to come again where the module had no say.
-pub const LATER: Micros = 1_000_000;
 
 struct Held {
     transaction: Rc<Transaction>,
@@ -439,7 +380,7 @@
         // A captured day is made of these lines.
         debug!(self.context.log, "handed in"; "id" => &request.word, "destination" => request.destination.0,
             "channel" => request.tenant.and_then(|t| self.names.tenants.get(t.0)),
-            "wall_ms" => FnValue(|_| super::clock::wall() as f64 / 1e3));
+            "wall_ms" => FnValue(|_| crate::net::runtime::clock::wall() as f64 / 1e3));
         let facts = AdmissionFacts {
             closed: self.closed,
             id_in_use: self.context.word_in_use(&request.word),
@@ -729,7 +670,7 @@
             // All calls at once, all of their connections coming back, and a few words more.
             let room = 2 * context.config().slots + 16;
             let (send, mail) = async_channel::bounded(room);
-            let actor = peer::run(context.clone(), endpoint, mail, send.downgrade());
+            let actor = endpoint::run(context.clone(), endpoint, mail, send.downgrade());
             context.executor.spawn(actor).detach();
             send
         }))
@@ -737,7 +678,7 @@
 
     /// A call that could not even be handed to its peer comes back by the mailbox, as any other.
     fn not_sent(&self, pass: Call) {
-        let ended = Ended::alike(pass.parts.len(), super::call::End::of(Outcome::Moot));
+        let ended = Ended::alike(pass.parts.len(), crate::net::call::End::of(Outcome::Moot));
         let back = self.context.decider.clone();
         let telling = async move {
             let _ = back.send(ToDecider::CallEnded(pass.came(ended))).await;
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -1,8 +1,8 @@
 //! Opens connections. It goes through the C library, as all other socket calls of the program do, so that tests can make each
 //! step fail.
 
-use super::http::Broken;
-use super::in_time;
+use crate::net::http::Broken;
+use crate::net::in_time;
 use async_io::{Async, Timer};
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
--- a/src/net/peer.rs
+++ b/src/net/endpoint/mod.rs
@@ -1,12 +1,15 @@
 //! An endpoint's actor: its pool of connections and the calls on them.
 
-use super::call::{Call, Came, End, Ended};
-use super::dial::connect_within;
-use super::http::{Answered, Broken, Wire};
-use super::{Context, ToDecider};
+pub mod table;
+
 use crate::invariants::connection::idle_until;
 use crate::invariants::{may_reuse, may_send, IdleFacts, SendFacts, SendPermit, SendRefusal, Violation};
 use crate::journal::AttemptStart;
+use crate::net::call::{Call, Came, End, Ended};
+use crate::net::dial::connect_within;
+use crate::net::http::{Answered, Broken, Wire};
+use crate::net::messages::{ToDecider, ToPeer};
+use crate::net::Context;
 use crate::{EndpointId, LimitReport, Micros, Outcome, ZoneId};
 use async_channel::{Receiver, Sender, WeakSender};
 use async_io::Timer;
@@ -17,16 +20,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a peer can be told.
-pub enum ToPeer {
-    /// Make this call.
-    Call(Call),
-    /// Close the connections that carry nothing now.
-    CloseIdle,
-    /// A call has left its connection fit to be used again.
-    Idle(Wire),
-}
-
 const ANSWER_LIMIT: usize = 64 * 1024;
 /// An answer that has begun and does not go on for so long is spoilt: its call must not keep a slot until it is
 /// cut, and its connection is of no more use.
--- a/src/net/board.rs
+++ b/src/net/endpoint/table.rs
@@ -1,7 +1,7 @@
 //! What every call looks at just before its first byte: who is in service, who told a wait.
 
-use super::clock::Clock;
 use crate::invariants::EndpointFacts;
+use crate::net::runtime::clock::Clock;
 use crate::{DestinationId, EndpointId, Lifecycle, Micros, ZoneId};
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
--- a/src/net/handover.rs
+++ b/src/net/handover/mod.rs
@@ -1,17 +1,19 @@
 //! How one process of a forwarder replaces another: the older one passes on all that it holds at one moment, and from
 //! then on only sends on what still comes to it. It decides nothing; `docs/operator.md` tells the steps.
 
-use super::call::Came;
-use super::config::Config;
-use super::decider::{Decider, Reply, ToDecider, LATER};
-use super::dial::connect;
-use super::http::{frame, write_all, Broken, Wire};
-use super::members::ToMembers;
-use super::operator::{self, No, Operation};
-use super::owner::{self, Lock, Owner};
-use super::transaction::Request;
-use super::{within, Context};
+pub mod lock;
+
 use crate::membership::Carried;
+use crate::net::call::Came;
+use crate::net::config::Config;
+use crate::net::delivery::Decider;
+use crate::net::dial::connect;
+use crate::net::handover::lock::{Lock, Owner};
+use crate::net::http::{frame, write_all, Broken, Wire};
+use crate::net::in_flight::Request;
+use crate::net::messages::{Heir, No, Operation, Reply, ToDecider, ToMembers, LATER};
+use crate::net::operator::{self};
+use crate::net::{within, Context};
 use crate::{DeliveryPolicy, EndpointId, MessageId, Micros};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -161,14 +163,6 @@
     }
 }
 
-/// One that asks to take over.
-pub struct Heir {
-    /// Its connection; it waits for the state.
-    pub wire: Wire,
-    /// The list as the membership's actor holds it, which changes nothing from here on.
-    pub list: Carried,
-}
-
 /// Hands all over and then sends on what still comes, without end; comes back if the other did not take it, with
 /// everything as it was before.
 pub async fn give(decider: &mut Decider, heir: Heir, mail: &Receiver<ToDecider>) {
@@ -322,7 +316,7 @@
         if owner.is_some() {
             return Ok(Claim { _next: next, owner, link: None, passed: None });
         }
-        if let Some(named) = owner::named(&config.state).filter(|_| !hopeless) {
+        if let Some(named) = lock::named(&config.state).filter(|_| !hopeless) {
             match within(GIVES, ask(&named, executor)).await.unwrap_or(Err(Broken::Stalled)) {
                 Ok((passed, link)) => {
                     return Ok(Claim { _next: next, owner, link: Some(link), passed: Some(passed) });
--- a/src/net/transaction.rs
+++ b/src/net/in_flight.rs
@@ -1,6 +1,6 @@
 //! A message that was taken on, from its request to its end.
 
-use super::route_stats::RouteStats;
+use crate::net::route_stats::RouteStats;
 use crate::{ClassId, DestinationId, MessageId, Micros, NewMessage, TenantId, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
--- a/src/net/journal_keeper.rs
+++ b/src/net/journal_handle.rs
@@ -3,9 +3,10 @@
 //! While it fails, what is held waits and what comes is refused; what has happened already is owed and written first. The
 //! service comes back by itself.
 
-use super::latch::Latch;
-use super::{Context, ToDecider};
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
+use crate::net::messages::ToDecider;
+use crate::net::runtime::latch::Latch;
+use crate::net::Context;
 use crate::MessageId;
 use async_io::Timer;
 use slog::{info, warn};
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,52 +1,45 @@
 //! The forwarder on sockets: everything that the decisions in [`crate::policy`] need around them.
 
-pub mod board;
 pub mod call;
-pub mod clock;
+pub mod client;
 pub mod config;
-pub mod cordons;
+pub mod connection_registry;
 pub mod counters;
-pub mod decider;
+pub mod delivery;
 pub mod dial;
-pub mod eureka;
-pub mod folder;
-pub mod front;
+pub mod endpoint;
 pub mod handover;
 pub mod http;
-pub mod journal_keeper;
-pub mod latch;
-pub mod lobby;
-pub mod members;
-pub mod notices;
+pub mod in_flight;
+pub mod journal_handle;
+pub mod messages;
 pub mod operator;
-pub mod owner;
-pub mod peer;
-pub mod pulse;
+pub mod platform;
 pub mod route_stats;
-pub mod signals;
-pub mod transaction;
+pub mod runtime;
+pub mod storage;
 
 use crate::invariants::{Ledger, Rejection, Violation};
 use crate::journal::{Journal, Restored, Unreadable};
+use crate::net::messages::{ToDecider, ToMembers};
 use crate::{DeliveryPolicy, EndpointId, Settings};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use board::Board;
-use clock::Clock;
 use config::Config;
 use counters::Counters;
-use decider::{Decider, ToDecider};
-use folder::Folder;
+use delivery::Decider;
+use endpoint::table::Board;
 use futures_lite::future;
 use handover::Claim;
-use journal_keeper::JournalKeeper;
-use latch::Latch;
-use members::{Members, ToMembers};
-use pulse::Pulse;
+use journal_handle::JournalKeeper;
+use platform::endpoint_list::Members;
+use runtime::clock::Clock;
+use runtime::latch::Latch;
+use runtime::signals::{Signal, Signals};
+use runtime::stall_detector::Pulse;
 use rustix::io::Errno;
 use serde_json::Value;
-use signals::{Signal, Signals};
 use slog::{error, info, warn, Logger};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -55,6 +48,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use storage::Folder;
 
 /// How the program ends, from the signal on: connections are still taken for the first span, then the module
 /// still decides up to the second, and what is out may come back up to the last. The platform kills after
@@ -91,7 +85,7 @@
     /// Counts by the entries of the site file.
     pub routes: route_stats::Routes,
     /// Counts of what the registry was asked.
-    pub registry: eureka::Counts,
+    pub registry: platform::eureka::Counts,
     /// What of the list comes from the registry, as far as counters show it.
     pub registry_view: RefCell<Option<Value>>,
     listen: SocketAddr,
@@ -128,7 +122,7 @@
     /// User agents connected to the process that this one has replaced, at most.
     pub older_agents: Cell<usize>,
     /// This process owns the folder.
-    pub owner: RefCell<Option<owner::Lock>>,
+    pub owner: RefCell<Option<handover::lock::Lock>>,
     /// What one that asks to take over must know.
     pub token: RefCell<String>,
     /// The ids of endpoints that operators left out.
@@ -295,7 +289,7 @@
         counters: Counters::default(),
         ledger: RefCell::default(),
         routes: route_stats::Routes::default(),
-        registry: eureka::Counts::default(),
+        registry: platform::eureka::Counts::default(),
         registry_view: RefCell::default(),
         listen: sockets.at,
         calls_out: Cell::new(0),
@@ -320,9 +314,9 @@
     let config = context.config();
     let (notices, notices_mail) = async_channel::bounded(4096);
     let (members_box, members_mail) = async_channel::bounded(16);
-    context.executor.spawn(notices::run(context.clone(), notices_mail)).detach();
-    context.executor.spawn(pulse::run(context.clone())).detach();
-    context.executor.spawn(journal_keeper::run(context.clone())).detach();
+    context.executor.spawn(platform::delivery_reports::run(context.clone(), notices_mail)).detach();
+    context.executor.spawn(runtime::stall_detector::run(context.clone())).detach();
+    context.executor.spawn(journal_handle::run(context.clone())).detach();
     let mut decider = Decider::new(context.clone(), policy, notices, members_box.clone(), restored.last_id);
     let mut members = Members::new(context.clone(), members_box.clone());
     if config.operator.is_some() {
@@ -345,12 +339,12 @@
     let registration = register(&context);
     if let Some(((at, listener), claim)) = sockets.operators.zip(claim) {
         let token = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..));
-        let settled = claim.settle(&context, owner::Owner { operator: at, token }, &members_box);
+        let settled = claim.settle(&context, handover::lock::Owner { operator: at, token }, &members_box);
         settled.map_err(|e| format!("state folder `{}`: {e}", config.state.display()))?;
         info!(context.log, "operators may call"; "operator" => %at);
         context.executor.spawn(operator::serve(context.clone(), members_box.clone(), listener)).detach();
     }
-    let front = context.executor.spawn(front::serve(context.clone(), sockets.listener));
+    let front = context.executor.spawn(client::serve(context.clone(), sockets.listener));
     info!(context.log, "serving"; "name" => &config.name, "listen" => %sockets.at, "restored" => context.open.get());
     drop(config);
     let signalled = async {
@@ -363,7 +357,7 @@
     end(&context, close, front).await;
     if let Some((end, gone)) = registration {
         drop(end);
-        within(eureka::register::LAST_WORD, gone.recv()).await;
+        within(platform::eureka::register::LAST_WORD, gone.recv()).await;
     }
     info!(context.log, "counters"; "report" => %context.report());
     match context.heir_lost.is_set() {
@@ -472,7 +466,7 @@
     fn open(config: &Config) -> Result<Sockets, StartError> {
         let open = |at: SocketAddr, shared: bool, whom: &'static str| {
             // The port may have been left to the system.
-            let opened = front::listen(at, shared).and_then(|l| Ok((l.get_ref().local_addr()?, l)));
+            let opened = client::listen(at, shared).and_then(|l| Ok((l.get_ref().local_addr()?, l)));
             opened.map_err(|e| StartError::Listen(whom, at, e))
         };
         let (at, listener) = open(config.listen, config.operator.is_some(), "")?;
@@ -486,7 +480,7 @@
     let settings = context.config().registry.clone().filter(|r| r.register.is_some())?;
     let (end, ending) = async_channel::bounded(1);
     let (going, gone) = async_channel::bounded(1);
-    let keeping = eureka::register::run(context.clone(), settings, ending, going);
+    let keeping = platform::eureka::register::run(context.clone(), settings, ending, going);
     context.executor.spawn(keeping).detach();
     Some((end, gone))
 }
--- a/src/net/operator.rs
+++ b/src/net/operator/mod.rs
@@ -1,17 +1,18 @@
 //! The operators' calls: one call a connection, each answered within a second. It changes nothing itself: the membership's
 //! actor keeps cordons, a flag tells user agents.
 
-use super::front::{Answer, LINGER};
-use super::handover::{Heir, FORMAT};
-use super::http::{Asked, Broken, Wire};
-use super::lobby::{Lobby, Stay};
-use super::members::ToMembers;
-use super::{config, within, Context, ToDecider};
+pub mod cordons;
+
 use crate::membership::Carried;
+use crate::net::client::{Answer, LINGER};
+use crate::net::connection_registry::{Lobby, Stay};
+use crate::net::handover::FORMAT;
+use crate::net::http::{Asked, Broken, Wire};
+use crate::net::messages::{Heir, No, Operation, ToDecider, ToMembers};
+use crate::net::{config, within, Context};
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use futures_lite::future;
-use serde::{Deserialize, Serialize};
 use slog::{info, warn};
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -26,31 +27,6 @@
 const PREFIX: &str = "/admin/";
 const HAND_OVER: &str = "/admin/handover";
 
-/// Why a call is answered with no.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum No {
-    /// The list knows no such endpoint.
-    Unknown,
-    /// It cannot be kept, so it would not hold.
-    NotKept(String),
-    /// Nobody is there any more to do it.
-    Gone,
-}
-
-/// What an operator wants.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Operation {
-    /// An endpoint left out, or back.
-    Cordon {
-        /// What the list calls it.
-        id: String,
-        /// Left out, or back.
-        out: bool,
-    },
-    /// User agents sent away, or taken.
-    SendAway(bool),
-}
-
 /// Does it; a yes only once it holds.
 pub async fn perform(context: &Context, members: &Sender<ToMembers>, operation: Operation) -> Result<(), No> {
     match operation {
--- a/src/net/notices.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -1,10 +1,10 @@
 //! Notices to the platform: how messages ended that were taken on and not delivered.
 
-use super::dial::connect;
-use super::http::{Broken, Wire};
-use super::Context;
 use crate::journal::ReportedEnd;
-use crate::MessageId;
+use crate::net::dial::connect;
+use crate::net::http::{Broken, Wire};
+use crate::net::messages::Notice;
+use crate::net::Context;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future;
@@ -21,16 +21,6 @@
 const PAUSE: Duration = Duration::from_millis(50);
 const BATCH: usize = 100;
 
-/// An end to be told.
-pub struct Notice {
-    /// The program's id of the message.
-    pub id: MessageId,
-    /// The user agent's.
-    pub word: String,
-    /// How it ended.
-    pub end: ReportedEnd,
-}
-
 impl Notice {
     fn line(&self) -> String {
         match self.end {
--- a/src/net/members.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -1,16 +1,16 @@
 //! The membership's actor: the platform's list of endpoints, watched as long as the program runs.
 
-use super::board::Known;
-use super::clock::wall;
-use super::cordons::Cordons;
-use super::dial::connect;
-use super::eureka::snapshot::Snapshot;
-use super::http::{Broken, Wire};
-use super::operator::No;
-use super::{in_time, within, Context, ToDecider};
 use crate::membership::{
     Approach, Carried, Change, Key, Listing, Membership, News, Policy, RegistrySettings, SourceId, State,
 };
+use crate::net::dial::connect;
+use crate::net::endpoint::table::Known;
+use crate::net::http::{Broken, Wire};
+use crate::net::messages::{No, Over, ToDecider, ToMembers};
+use crate::net::operator::cordons::Cordons;
+use crate::net::platform::eureka::snapshot::Snapshot;
+use crate::net::runtime::clock::wall;
+use crate::net::{in_time, within, Context};
 use crate::words::{in_field, index, text, whole, Names};
 use crate::{DestinationId, EndpointId, Entry, KindId, Lifecycle, ListNews, Micros, ZoneId};
 use async_channel::{Receiver, Sender};
@@ -49,65 +49,6 @@
 const BEFORE_START: Micros = 60_000_000;
 const LINE_LIMIT: usize = 4 * 1024 * 1024;
 
-/// What the membership's actor can be told.
-pub enum ToMembers {
-    /// To watch now, without a pause.
-    Watch,
-    /// To look where the platform's agent and the registry listen: the configuration was read again.
-    Look,
-    /// A watch has a line.
-    Line {
-        /// Which watch.
-        watch: u64,
-        /// The line.
-        line: Vec<u8>,
-    },
-    /// A watch has fallen silent; it is still listened to.
-    Silent {
-        /// Which watch.
-        watch: u64,
-    },
-    /// The watch before has had its moment.
-    Parted {
-        /// Which watch.
-        watch: u64,
-    },
-    /// A watch has ended.
-    Ended {
-        /// Which watch.
-        watch: u64,
-        /// How.
-        over: Over,
-    },
-    /// A new process has waited long enough for its first list.
-    Unheard,
-    /// Another process goes on with the list: nothing changes here any more.
-    HandOver {
-        /// Where to say what the list is.
-        reply: Sender<Carried>,
-    },
-    /// It did not go on with it: changes are taken in again.
-    GoOn,
-    /// Operators want an endpoint left out, or back.
-    Cordon {
-        /// What the list calls it.
-        id: String,
-        /// Left out, or back.
-        out: bool,
-        /// Where to say whether that holds from now on.
-        reply: Sender<Result<(), No>>,
-    },
-    /// The registry has answered.
-    Registry {
-        /// What it says.
-        news: News,
-        /// When that came.
-        learnt: Micros,
-        /// Where to say whether something of it is in doubt.
-        doubt: Sender<bool>,
-    },
-}
-
 /// The sources of the list.
 const PUSHED: SourceId = SourceId(0);
 const REGISTRY: SourceId = SourceId(1);
@@ -566,7 +507,8 @@
             return;
         };
         self.membership.set_policy(REGISTRY, settings.policy());
-        let asking = super::eureka::run(self.context.clone(), settings.clone(), self.own.clone());
+        let asking =
+            crate::net::platform::eureka::run(self.context.clone(), settings.clone(), self.own.clone());
         let heard = self.membership.counts(REGISTRY).heard.is_some();
         let serve_at = (!heard).then(|| self.context.clock.now() + settings.snapshot_after);
         let snapshot = Snapshot::new(&self.context.config().state);
@@ -725,14 +667,6 @@
     Policy { by_address: true, ..Policy::default() }
 }
 
-/// How a watch was over.
-pub enum Over {
-    /// The platform turned it away, maybe with a wait.
-    TurnedAway(u16, Option<Micros>),
-    /// Its connection was of no more use.
-    Broke(Broken),
-}
-
 /// What is heard on a watch. Its silence is told after a first span, and breaks it only long after.
 async fn heard<T>(
     watch: u64,
--- a/src/net/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -1,9 +1,9 @@
 //! One registry address over HTTP: a question, its answer within time and size limits. It decides nothing.
 
-use super::super::dial::connect;
 use super::model::Applications;
 use super::{json, xml};
 use crate::membership::Address;
+use crate::net::dial::connect;
 use crate::net::http::{Broken, Wire};
 use crate::net::{beside, in_time};
 use crate::Micros;
--- a/src/net/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -9,9 +9,9 @@
 pub mod snapshot;
 pub mod xml;
 
-use super::members::ToMembers;
-use super::Context;
 use crate::membership::{Ask, Poller, Question, RegistrySettings};
+use crate::net::messages::ToMembers;
+use crate::net::Context;
 use crate::words::Names;
 use crate::Micros;
 use async_channel::Sender;
--- a/src/net/pulse.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -1,8 +1,8 @@
 //! Whether this process stood still of late: stopped, starved, or on a machine that slept. What came meanwhile lies unread
 //! then, and binds all the same. It looks at nothing but the time that it is told, and reads nothing itself.
 
-use super::clock::Clock;
-use super::Context;
+use crate::net::runtime::clock::Clock;
+use crate::net::Context;
 use crate::Micros;
 use async_io::Timer;
 use slog::warn;
--- a/tests/board.rs
+++ b/tests/board.rs
@@ -1,8 +1,8 @@
 //! The board that binds first bytes, with a clock but no sockets.
 
 use cedarbridge::invariants::{may_send, SendFacts, SendRefusal};
-use cedarbridge::net::board::{Board, Known};
-use cedarbridge::net::clock::Clock;
+use cedarbridge::net::endpoint::table::{Board, Known};
+use cedarbridge::net::runtime::clock::Clock;
 use cedarbridge::{DestinationId, EndpointId, Lifecycle, ZoneId};
 
 #[test]
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,10 +1,10 @@
 //! The readers of a registry's answers, on what real servers write and on what nobody should.
 
 use cedarbridge::membership::{MetadataNames, News, State};
-use cedarbridge::net::eureka::client::path_part;
-use cedarbridge::net::eureka::held::Held;
-use cedarbridge::net::eureka::model::{hash_code, Act, Status};
-use cedarbridge::net::eureka::{json, xml};
+use cedarbridge::net::platform::eureka::client::path_part;
+use cedarbridge::net::platform::eureka::held::Held;
+use cedarbridge::net::platform::eureka::model::{hash_code, Act, Status};
+use cedarbridge::net::platform::eureka::{json, xml};
 use cedarbridge::words::Names;
 use proptest::prelude::*;
 
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -4,7 +4,7 @@
     AttemptStart, Journal, JournalError, JournaledMessage, Moment, Progress, ReportedEnd, Restored,
     Unreadable,
 };
-use cedarbridge::net::folder;
+use cedarbridge::net::storage;
 use std::collections::VecDeque;
 use std::fs;
 use std::path::PathBuf;
@@ -37,7 +37,7 @@
     }
 
     fn open_at(&self, limit: u64, now: Moment) -> (Journal, Restored) {
-        let storage = folder::Folder::open(&self.0).expect("a folder");
+        let storage = storage::Folder::open(&self.0).expect("a folder");
         Journal::open(Box::new(storage), limit, move || now, 99, Unreadable::Fail).expect("opens")
     }
 
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -1,7 +1,7 @@
 //! What a broken connection and a report mean, apart from any socket.
 
+use cedarbridge::net::endpoint::{broke, read_load, AT_ONCE};
 use cedarbridge::net::http::Broken;
-use cedarbridge::net::peer::{broke, read_load, AT_ONCE};
 use cedarbridge::Outcome;
 
 /// Guards against a breaker that opens over connections that were dead already.
--- a/tests/pulse.rs
+++ b/tests/pulse.rs
@@ -1,6 +1,6 @@
 //! Whether a process stood still, by hand-set time.
 
-use cedarbridge::net::pulse::Pulse;
+use cedarbridge::net::runtime::stall_detector::Pulse;
 use cedarbridge::Micros;
 
 const MS: Micros = 1_000;
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -5,11 +5,11 @@
     AttemptStart, Journal, JournaledMessage, Moment, Progress, ReportedEnd, Restored, Unreadable,
 };
 use cedarbridge::membership::{Key, Listing, State};
-use cedarbridge::net::cordons::Cordons;
-use cedarbridge::net::eureka::snapshot::Snapshot;
-use cedarbridge::net::folder::Folder;
 use cedarbridge::net::handover;
-use cedarbridge::net::owner;
+use cedarbridge::net::handover::lock;
+use cedarbridge::net::operator::cordons::Cordons;
+use cedarbridge::net::platform::eureka::snapshot::Snapshot;
+use cedarbridge::net::storage::Folder;
 use cedarbridge::{DeliveryPolicy, DestinationId, EndpointId, KindId, MessageId, ZoneId};
 use serde_json::Value;
 use std::fs;
@@ -141,7 +141,7 @@
 
 #[test]
 fn the_stored_owner_is_read_and_written_alike() {
-    let owner = owner::named(&data("")).expect("named");
+    let owner = lock::named(&data("")).expect("named");
     assert_eq!(owner.operator, ([127, 0, 0, 1], 4100).into());
     assert_eq!(owner.token, "0123456789abcdef");
     let text = fs::read_to_string(data("owner")).expect("read");
