--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -3,7 +3,7 @@
 
 use cedarbridge::membership::{HoldDown, Membership, MetadataNames, Policy, Shrink, SourceId};
 use cedarbridge::net::platform::eureka::{held::Held, json};
-use cedarbridge::words::Names;
+use cedarbridge::settings_json::Names;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::fmt::Write;
 use std::hint::black_box;
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -3,7 +3,7 @@
 //! message. The emulator and live rehearsals are judged by the same code, with slack as the platform's page has it.
 
 use cedarbridge::routes::{Timing, MOST_ATTEMPTS};
-use cedarbridge::{Class, Effect, Lifecycle, Micros, Outcome, Settings};
+use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
 
 /// New work may go to an endpoint for so long after the forwarder was told that it drains.
@@ -209,9 +209,11 @@
         if m.attempts >= timing.most(MOST_ATTEMPTS) {
             found.push((Rule::Attempts, "more attempts than allowed"));
         }
-        match (self.class.effect, m.first_ran) {
-            (Effect::Unsafe, Some(_)) => found.push((Rule::Repeats, "a repeat of what may not run twice")),
-            (Effect::Keyed, Some(ran)) if now >= ran + self.class.memory_span => {
+        match (self.class.idempotency, m.first_ran) {
+            (Idempotency::NonIdempotent, Some(_)) => {
+                found.push((Rule::Repeats, "a repeat of what may not run twice"))
+            }
+            (Idempotency::WithKey, Some(ran)) if now >= ran + self.class.deduplication_window => {
                 found.push((Rule::Repeats, "a repeat after the partner's memory of the first"));
             }
             _ => {}
@@ -239,7 +241,11 @@
         let suspect = m.suspect.take();
         let unsure = matches!(
             outcome,
-            Outcome::TimedOut | Outcome::Reset | Outcome::Stale | Outcome::Cancelled | Outcome::Error
+            Outcome::TimedOut
+                | Outcome::Reset
+                | Outcome::StaleConnection
+                | Outcome::Cancelled
+                | Outcome::Error
         );
         if unsure {
             m.first_ran.get_or_insert(sent);
@@ -248,7 +254,7 @@
         if let Some(since) = suspect.filter(|s| now > s + self.slack.overlap) {
             self.breach(Rule::OneOut, since, message, "a second attempt while one is out");
         }
-        if let Outcome::Full(Some(wait)) = outcome {
+        if let Outcome::Rejected(Some(wait)) = outcome {
             let told = &mut self.waits[forwarder][partner];
             if now + wait > told.1 {
                 *told = (if told.1 > now { told.0 } else { now }, now + wait);
@@ -304,7 +310,7 @@
         if m.end.is_some() {
             return;
         }
-        if end == End::Refused && m.first_ran.is_some() && self.class.effect != Effect::Safe {
+        if end == End::Refused && m.first_ran.is_some() && self.class.idempotency != Idempotency::Idempotent {
             self.breach(Rule::Repeats, now, message, "given back though it may have run");
         }
         // A reload never shortens the time of an attempt that is out; days here have none.
@@ -335,7 +341,7 @@
         let since = &mut self.drains[forwarder][endpoint];
         *since = match lifecycle {
             Lifecycle::Listed => None,
-            Lifecycle::Draining | Lifecycle::Gone => since.or(Some(now)),
+            Lifecycle::Draining | Lifecycle::Removed => since.or(Some(now)),
         };
     }
 
@@ -368,9 +374,9 @@
 mod tests {
     use super::*;
 
-    fn audit(effect: Effect) -> Audit {
+    fn audit(effect: Idempotency) -> Audit {
         let mut settings = crate::world::platform().0;
-        settings.classes[0].effect = effect;
+        settings.classes[0].idempotency = effect;
         let mut audit = Audit::new(&settings, (1, 1, 1), VIRTUAL);
         audit.taken(0, 0, 0, 28_000_000);
         audit
@@ -393,7 +399,7 @@
             ("more attempts than allowed", |a| {
                 (1..5).for_each(|t| {
                     send(a, t * 10);
-                    back(a, t * 10 + 1, Outcome::Full(None));
+                    back(a, t * 10 + 1, Outcome::Rejected(None));
                 });
             }),
             ("memory of the first", |a| {
@@ -403,7 +409,7 @@
             }),
             ("sent within a told wait", |a| {
                 send(a, 1);
-                back(a, 10, Outcome::Full(Some(500_000)));
+                back(a, 10, Outcome::Rejected(Some(500_000)));
                 send(a, 400_000);
             }),
             ("sent to an endpoint that drains", |a| {
@@ -428,11 +434,11 @@
             ("never got a final answer", |a| a.close(1, std::iter::empty())),
         ];
         for (what, break_it) in cases {
-            let mut a = audit(Effect::Keyed);
+            let mut a = audit(Idempotency::WithKey);
             break_it(&mut a);
             assert!(a.broken.len() == 1 && a.broken[0].to_string().contains(what), "{what}: {:?}", a.broken);
         }
-        let mut a = audit(Effect::Unsafe);
+        let mut a = audit(Idempotency::NonIdempotent);
         send(&mut a, 1);
         back(&mut a, 10, Outcome::Error);
         send(&mut a, 20);
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -4,7 +4,7 @@
 use crate::capture::Captured;
 use crate::scenario::{KindOf, PartnerOf, Scenario};
 use crate::world::{plain_fleet, platform, Hand, StopAt, World, START};
-use cedarbridge::{DestinationId, EndpointId, Entry, KindId, Lifecycle, Micros, Tenant, ZoneId};
+use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
 use cedarbridge_partners::Model;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -43,9 +43,9 @@
     settings.forwarders = forwarders;
     let busy: f64 = partners.iter().zip(&traffic).map(|(p, t)| full * t * p.pace as f64 / SECOND).sum();
     let slots = (busy / forwarders as f64 * SLOTS).ceil() as usize;
-    settings.slots = scenario.forwarders.slots.unwrap_or(slots.max(3));
+    settings.max_concurrent_calls = scenario.forwarders.slots.unwrap_or(slots.max(3));
     let held = (full / forwarders as f64 * HELD) as usize;
-    settings.max_open = scenario.forwarders.held.unwrap_or(held.max(8));
+    settings.max_open_messages = scenario.forwarders.held.unwrap_or(held.max(8));
     let channels: Vec<(String, f64, f64)> = if scenario.channels.is_empty() {
         [("lounatv", 0.7), ("emajogi-tv", 0.17), ("valga-kanal", 0.13)].map(|c| (c.0.into(), c.1, 1.0)).into()
     } else {
@@ -57,7 +57,7 @@
     let mut add = |partner: usize, place: usize, rng: &mut ChaCha8Rng| {
         let p = &partners[partner];
         let weight = p.limit.unwrap_or(p.capacity) * rng.random_range(0.67..1.5);
-        let entry = Entry {
+        let entry = EndpointEntry {
             endpoint: EndpointId(list.len() as u32 + 1),
             destination: DestinationId(partner as u64),
             zone: ZoneId(0),
@@ -90,7 +90,7 @@
         changes.extend([
             (at, old, Lifecycle::Draining),
             (at, new, Lifecycle::Listed),
-            (gone, old, Lifecycle::Gone),
+            (gone, old, Lifecycle::Removed),
         ]);
     }
     changes.sort_by_key(|c| c.0);
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -3,8 +3,8 @@
 
 use crate::scenario::TroubleKind;
 use cedarbridge::routes::{Plan, Platform};
+use cedarbridge::settings_json::Names;
 use cedarbridge::site::{time, Site};
-use cedarbridge::words::Names;
 use cedarbridge::{Micros, Settings};
 use cedarbridge_partners::Trouble;
 use serde::de::Error as _;
@@ -218,7 +218,7 @@
         let path = folder.join(site);
         let text = std::fs::read_to_string(&path).map_err(|e| Unfit::Unread(path.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &as_of.0, names: &as_of.1 });
-        let lines = |b: Vec<cedarbridge::breach::Breach>| {
+        let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
             Unfit::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
--- a/crates/lab/src/figures.rs
+++ b/crates/lab/src/figures.rs
@@ -2,7 +2,7 @@
 //! delivery times. It judges nothing.
 
 use crate::world::{World, START};
-use cedarbridge::{Micros, Outcome, Status};
+use cedarbridge::{BreakerState, Micros, Outcome};
 use hdrhistogram::Histogram;
 
 const SECOND: Micros = 1_000_000;
@@ -106,13 +106,13 @@
     match of {
         Outcome::Ok => 0,
         Outcome::Error => 1,
-        Outcome::Full(_) => 2,
+        Outcome::Rejected(_) => 2,
         Outcome::TimedOut => 3,
         Outcome::ConnectFailed => 4,
         Outcome::Reset => 5,
-        Outcome::Stale => 6,
+        Outcome::StaleConnection => 6,
         Outcome::Cancelled => 7,
-        Outcome::Moot | Outcome::Unsent => 8,
+        Outcome::NotSent | Outcome::NotJournaled => 8,
     }
 }
 
@@ -139,7 +139,7 @@
     /// What was held, by time.
     pub samples: Vec<Sample>,
     /// For each partner, when the worst of its breakers changed, and to what.
-    pub breakers: Vec<Vec<(Micros, Status)>>,
+    pub breakers: Vec<Vec<(Micros, BreakerState)>>,
     troubled: Vec<bool>,
     trouble: (Micros, Micros),
     slots: usize,
@@ -200,7 +200,7 @@
             breakers: vec![Vec::new(); world.partners.len()],
             troubled,
             trouble: (from, to),
-            slots: world.settings.slots * world.fleet.len(),
+            slots: world.settings.max_concurrent_calls * world.fleet.len(),
             windows: vec![Worth::default(); windows],
             troubled_worth: Worth::default(),
             other_worth: Worth::default(),
@@ -267,9 +267,9 @@
     }
 
     /// The worst of a partner's breakers is in this state now.
-    pub fn breaker(&mut self, now: Micros, partner: usize, status: Status) {
+    pub fn breaker(&mut self, now: Micros, partner: usize, status: BreakerState) {
         let line = &mut self.breakers[partner];
-        let before = line.last().map_or(Status::Closed, |l| l.1);
+        let before = line.last().map_or(BreakerState::Closed, |l| l.1);
         if before != status {
             line.push((now, status));
         }
--- a/crates/lab/src/live/agent.rs
+++ b/crates/lab/src/live/agent.rs
@@ -4,7 +4,7 @@
 use crate::audit::End;
 use crate::words::entry;
 use async_io::{Async, Timer};
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use cedarbridge::{Lifecycle, Micros};
 use futures_lite::future;
 use serde_json::{json, Value};
@@ -26,7 +26,7 @@
     let stage = stage.clone();
     stage.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            stage.clone().spawn(serve(stage.clone(), forwarder, Wire::new(stream)));
+            stage.clone().spawn(serve(stage.clone(), forwarder, HttpConnection::new(stream)));
         }
     });
     match stage_fault {
@@ -45,7 +45,7 @@
     });
 }
 
-async fn serve(stage: Rc<Stage>, forwarder: usize, mut wire: Wire) {
+async fn serve(stage: Rc<Stage>, forwarder: usize, mut wire: HttpConnection) {
     while let Ok(head) = wire.read_request().await {
         let Ok(body) = wire.request_body(&head, BODY).await else { return };
         let answered = match (head.method.as_str(), head.target.split('?').next().unwrap_or_default()) {
@@ -74,19 +74,19 @@
 fn whole(stage: &Stage, forwarder: usize) -> Value {
     let addresses = stage.addresses.borrow();
     let list = stage.list.borrow();
-    let held = list.iter().enumerate().filter(|(_, l)| **l != Lifecycle::Gone);
+    let held = list.iter().enumerate().filter(|(_, l)| **l != Lifecycle::Removed);
     let all: Vec<Value> = held.map(|(e, l)| entry(&stage.world, e, *l, addresses[forwarder][e])).collect();
     json!({"generation": stage.version.get(), "reset": true, "instances": all})
 }
 
-async fn chunk(wire: &mut Wire, text: &str) -> std::io::Result<()> {
+async fn chunk(wire: &mut HttpConnection, text: &str) -> std::io::Result<()> {
     wire.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
 }
 
 /// The list, and each change of it. What is written counts as told.
-async fn watch(stage: &Rc<Stage>, forwarder: usize, wire: &mut Wire) -> std::io::Result<()> {
+async fn watch(stage: &Rc<Stage>, forwarder: usize, wire: &mut HttpConnection) -> std::io::Result<()> {
     wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-    let mut known: Vec<Lifecycle> = vec![Lifecycle::Gone; stage.world.list.len()];
+    let mut known: Vec<Lifecycle> = vec![Lifecycle::Removed; stage.world.list.len()];
     let mut first = true;
     loop {
         let (sender, changed) = async_channel::bounded::<()>(1);
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -5,7 +5,7 @@
 use crate::audit::End;
 use crate::play::{ELSEWHERE, PATIENCE};
 use async_io::{Async, Timer};
-use cedarbridge::net::http::{Answered, Broken, Wire};
+use cedarbridge::net::http::{HttpConnection, HttpError, ResponseHead};
 use cedarbridge::Micros;
 use futures_lite::future;
 use rand::RngExt;
@@ -144,7 +144,7 @@
                     return (heard, Some(wire).filter(|_| head.keeps));
                 }
                 // It was closed between requests: once more on a new one.
-                Err(Broken::Ended | Broken::Socket(_)) if !fresh => {
+                Err(HttpError::Ended | HttpError::Socket(_)) if !fresh => {
                     fresh = true;
                     match connect(stage, forwarder).await {
                         Some(new) => wire = new,
@@ -162,13 +162,13 @@
     Some((message, heard))
 }
 
-async fn connect(stage: &Stage, forwarder: usize) -> Option<Wire> {
+async fn connect(stage: &Stage, forwarder: usize) -> Option<HttpConnection> {
     let address = stage.daemons.borrow()[forwarder].address();
-    Async::<TcpStream>::connect(address).await.ok().map(Wire::new)
+    Async::<TcpStream>::connect(address).await.ok().map(HttpConnection::new)
 }
 
-async fn exchange(wire: &mut Wire, request: &[u8]) -> Result<Answered, Broken> {
-    wire.write(request).await.map_err(Broken::Socket)?;
+async fn exchange(wire: &mut HttpConnection, request: &[u8]) -> Result<ResponseHead, HttpError> {
+    wire.write(request).await.map_err(HttpError::Socket)?;
     let head = wire.read_answer().await?;
     wire.answer_body(&head, 64 * 1024).await?;
     Ok(head)
--- a/crates/lab/src/live/daemon.rs
+++ b/crates/lab/src/live/daemon.rs
@@ -6,7 +6,7 @@
 use crate::scenario;
 use crate::words::{config, Places};
 use async_io::{Async, Timer};
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use cedarbridge::Micros;
 use rustix::process::{kill_process, Pid, Signal};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -146,7 +146,7 @@
 
 async fn healthy(address: SocketAddr, path: &str) -> bool {
     let asked = async {
-        let mut wire = Wire::new(Async::<TcpStream>::connect(address).await.ok()?);
+        let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
         let request = format!("GET {path} HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n");
         wire.write(request.as_bytes()).await.ok()?;
         Some(wire.read_answer().await.ok()?.status == 200)
--- a/crates/lab/src/live/endpoint.rs
+++ b/crates/lab/src/live/endpoint.rs
@@ -5,7 +5,7 @@
 use crate::audit::End;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
-use cedarbridge::net::http::{Asked, Wire};
+use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::{Lifecycle, Micros, Outcome};
 use cedarbridge_partners::{Answer, Fate, Trouble};
 use futures_lite::future;
@@ -80,7 +80,7 @@
             (partners[partner].model.trouble(), partners[partner].changed.1.clone())
         };
         // An endpoint that has left the list is gone as a process is.
-        let gone = stage.list.borrow()[endpoint] == Lifecycle::Gone && stage.now() > crate::world::START;
+        let gone = stage.list.borrow()[endpoint] == Lifecycle::Removed && stage.now() > crate::world::START;
         match trouble {
             Some(Trouble::Refuse) => (listener, closed_to_all) = (None, None),
             Some(Trouble::Silent) if closed_to_all.is_some() => {}
@@ -131,7 +131,7 @@
 async fn converse(stage: &Rc<Stage>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
     let partner = stage.world.list[endpoint].1;
     let opened = stage.now();
-    let mut wire = Wire::new(stream);
+    let mut wire = HttpConnection::new(stream);
     loop {
         // Idle connections break as the partner goes away.
         let changed = stage.partners.borrow()[partner].changed.1.clone();
@@ -185,7 +185,7 @@
 }
 
 /// Breaks a connection rather than ending it.
-fn reset(wire: &Wire) {
+fn reset(wire: &HttpConnection) {
     let _ = SockRef::from(wire.socket()).set_linger(Some(Duration::ZERO));
 }
 
@@ -196,7 +196,7 @@
     partner: usize,
     opened: Micros,
     carried: &[Carried],
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
     batch: bool,
 ) -> Option<Outcome> {
     let now = stage.now();
@@ -266,11 +266,11 @@
     let (status, extra, outcome) = match answer {
         Answer::Ok => ("200 OK", String::new(), Outcome::Ok),
         Answer::Error => ("500 Failed", String::new(), Outcome::Error),
-        Answer::Full(None) => ("503 Full", String::new(), Outcome::Full(None)),
+        Answer::Full(None) => ("503 Full", String::new(), Outcome::Rejected(None)),
         Answer::Full(Some(wait)) => (
             "429 Full",
             format!("X-RateLimit-Wait-Ms: {:.3}\r\n", wait as f64 / 1e3),
-            Outcome::Full(Some(wait)),
+            Outcome::Rejected(Some(wait)),
         ),
         Answer::Broken | Answer::Refused => {
             back(Outcome::Reset);
@@ -297,7 +297,7 @@
 }
 
 /// The messages of a call, or why it cannot be one.
-fn read(stage: &Stage, head: &Asked, body: &[u8], batch: bool) -> Result<Vec<Carried>, String> {
+fn read(stage: &Stage, head: &RequestHead, body: &[u8], batch: bool) -> Result<Vec<Carried>, String> {
     let number = |id: &str| {
         let found = stage.ids.borrow().get(id).copied();
         found.map(|n| (id.to_owned(), n)).ok_or_else(|| format!("`{id}` was handed in by nobody"))
--- a/crates/lab/src/live/fault.rs
+++ b/crates/lab/src/live/fault.rs
@@ -3,7 +3,7 @@
 
 use super::{Failure, Stage};
 use async_io::{Async, Timer};
-use cedarbridge::net::http::{Asked, Wire};
+use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::Lifecycle;
 use cedarbridge_partners::Trouble;
 use futures_lite::{future, io};
@@ -66,7 +66,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let (count, last, stage) = (count.clone(), last.clone(), stage.clone());
             stage.clone().spawn(async move {
-                let _ = pass(&stage, Wire::new(stream), real, fault, &count, &last).await;
+                let _ = pass(&stage, HttpConnection::new(stream), real, fault, &count, &last).await;
             });
         }
     });
@@ -74,7 +74,7 @@
 }
 
 /// A call as it is sent on.
-fn call(head: &Asked, body: &[u8], fault: Fault) -> Vec<u8> {
+fn call(head: &RequestHead, body: &[u8], fault: Fault) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
         if let Some(value) = head.fields.get(name) {
@@ -89,7 +89,7 @@
 
 /// Sends a call and gives back the answer as it came.
 async fn send(real: SocketAddr, bytes: &[u8]) -> Option<(Vec<u8>, Option<f64>, u16)> {
-    let mut wire = Wire::new(Async::<TcpStream>::connect(real).await.ok()?);
+    let mut wire = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
     wire.write(bytes).await.ok()?;
     let head = wire.read_answer().await.ok()?;
     let body = wire.answer_body(&head, 1 << 20).await.ok()?;
@@ -107,7 +107,7 @@
 
 async fn pass(
     stage: &Rc<Stage>,
-    mut from: Wire,
+    mut from: HttpConnection,
     real: SocketAddr,
     fault: Fault,
     count: &Cell<u32>,
@@ -200,7 +200,7 @@
 }
 
 async fn tell(stream: Async<TcpStream>, real: SocketAddr, fault: Fault) -> Option<()> {
-    let mut from = Wire::new(stream);
+    let mut from = HttpConnection::new(stream);
     loop {
         let head = from.read_request().await.ok()?;
         if head.method == "GET" {
@@ -222,7 +222,7 @@
             };
             let both: Vec<String> = text.lines().flat_map(|l| [l.to_owned(), other(l)]).collect();
             body = both.join("\n").into_bytes();
-            let mut onward = Wire::new(Async::<TcpStream>::connect(real).await.ok()?);
+            let mut onward = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
             let head =
                 format!("POST /reports HTTP/1.1\r\nHost: agent\r\nContent-Length: {}\r\n\r\n", body.len());
             onward.write(head.as_bytes()).await.ok()?;
--- a/crates/lab/src/live/load.rs
+++ b/crates/lab/src/live/load.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -85,7 +85,7 @@
         let (due, dues) = async_channel::unbounded::<(u64, Duration)>();
         let mut wires = Vec::new();
         for _ in 0..load.connections {
-            wires.push(Wire::new(Async::<TcpStream>::connect(load.to).await?));
+            wires.push(HttpConnection::new(Async::<TcpStream>::connect(load.to).await?));
         }
         let total = match &load.day {
             Some(day) => day.lines.len() as u64,
@@ -139,7 +139,7 @@
     )
 }
 
-async fn send(work: Rc<Work>, mut wire: Wire, dues: Receiver<(u64, Duration)>) {
+async fn send(work: Rc<Work>, mut wire: HttpConnection, dues: Receiver<(u64, Duration)>) {
     let micros = |d: Duration| (d.as_micros() as u64).max(1);
     while let Ok((n, planned)) = dues.recv().await {
         let request = request(&work.load, n);
@@ -163,14 +163,14 @@
         }
         if !status.is_some_and(|s| s.1) {
             if let Ok(stream) = Async::<TcpStream>::connect(work.load.to).await {
-                wire = Wire::new(stream);
+                wire = HttpConnection::new(stream);
             }
         }
     }
 }
 
 /// The status, and whether the connection stays.
-async fn exchange(wire: &mut Wire, request: &[u8]) -> Option<(u16, bool)> {
+async fn exchange(wire: &mut HttpConnection, request: &[u8]) -> Option<(u16, bool)> {
     wire.write(request).await.ok()?;
     let head = wire.read_answer().await.ok()?;
     wire.answer_body(&head, 64 * 1024).await.ok()?;
@@ -185,7 +185,7 @@
         let executor = Rc::new(LocalExecutor::new());
         let serve = async {
             while let Ok((stream, _)) = listener.accept().await {
-                executor.spawn(swallow(Wire::new(stream))).detach();
+                executor.spawn(swallow(HttpConnection::new(stream))).detach();
             }
         };
         async_io::block_on(executor.run(serve));
@@ -193,7 +193,7 @@
     Ok(address)
 }
 
-async fn swallow(mut wire: Wire) {
+async fn swallow(mut wire: HttpConnection) {
     while let Ok(head) = wire.read_request().await {
         if wire.request_body(&head, 64 * 1024).await.is_err() {
             return;
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -21,9 +21,9 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::Signals;
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use cedarbridge::routes::{Plan, Timing};
-use cedarbridge::{ClassId, DestinationId, KindId, Lifecycle, Micros, Status};
+use cedarbridge::{BreakerState, ClassId, DestinationId, KindId, Lifecycle, Micros};
 use cedarbridge_partners::{Partner, Trouble};
 use daemon::Daemon;
 use fault::Fault;
@@ -185,7 +185,7 @@
     /// How long forwarders took to tell how they stand, in microseconds.
     tells: RefCell<Histogram<u32>>,
     mishaps: RefCell<Vec<String>>,
-    pools: RefCell<Vec<Vec<Wire>>>,
+    pools: RefCell<Vec<Vec<HttpConnection>>>,
     /// For each forwarder whose process is being replaced, the hand-ins that ended at its door meanwhile.
     door: RefCell<Vec<Option<usize>>>,
     /// Calls out at partners.
@@ -285,8 +285,8 @@
 fn fits(world: &World) -> Result<(), Failure> {
     let couriers = world.fleet.len();
     let listeners = couriers * (world.list.len() + 1);
-    let calls = couriers * world.settings.slots;
-    let clients = couriers * world.settings.max_open.min(2_000);
+    let calls = couriers * world.settings.max_concurrent_calls;
+    let clients = couriers * world.settings.max_open_messages.min(2_000);
     let needed = listeners + 2 * calls + clients + 128;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
@@ -331,7 +331,7 @@
     });
     let couriers = world.fleet.len();
     let list = (0..world.list.len())
-        .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Gone })
+        .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
         .collect();
     let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
     let limit = options.limit;
@@ -541,15 +541,15 @@
             reports.push(report);
         }
         let now = stage.now();
-        let mut worst = vec![Status::Closed; stage.world.partners.len()];
+        let mut worst = vec![BreakerState::Closed; stage.world.partners.len()];
         let mut held = 0;
         for report in reports.iter().flatten() {
             held += report["open"].as_u64().unwrap_or(0) as usize;
             for p in report["partners"].as_array().into_iter().flatten() {
                 let status = match p["breaker"].as_str() {
-                    Some("open") => Status::Open,
-                    Some("half") => Status::Half,
-                    _ => Status::Closed,
+                    Some("open") => BreakerState::Open,
+                    Some("half") => BreakerState::HalfOpen,
+                    _ => BreakerState::Closed,
                 };
                 if let Some(w) = p["destination"].as_u64().and_then(|d| worst.get_mut(d as usize)) {
                     *w = (*w).max(status);
@@ -581,7 +581,7 @@
 /// What a forwarder tells of itself and of each partner; nothing if it does not answer at once.
 pub async fn counters(address: SocketAddr) -> Option<Value> {
     let asked = async {
-        let mut wire = Wire::new(Async::<TcpStream>::connect(address).await.ok()?);
+        let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
         wire.write(b"GET /_counters?by=partner HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n")
             .await
             .ok()?;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -9,8 +9,9 @@
 use crate::world::{World, START};
 use cedarbridge::routes::{Plan, Timing};
 use cedarbridge::{
-    Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, Entry, Event, KindId, Lifecycle, LimitReport,
-    ListNews, MessageId, Micros, NewMessage, Outcome, Status, TenantId,
+    Action, BreakerState, ClassId, DeliveryPolicy, DestinationId, EndpointEntry, EndpointId,
+    EndpointListUpdate, Event, KindId, Lifecycle, LoadReport, MessageId, Micros, NewMessage, Outcome,
+    TenantId,
 };
 use cedarbridge_partners::{Answer, Partner, Taken, Trouble};
 use rand::{RngExt, SeedableRng};
@@ -55,7 +56,7 @@
     Step(usize),
     Timer(usize),
     Arrives(usize, u32),
-    Back { call: usize, version: u32, part: Option<usize>, outcome: Outcome, report: Option<LimitReport> },
+    Back { call: usize, version: u32, part: Option<usize>, outcome: Outcome, report: Option<LoadReport> },
     Trouble,
     List { forwarder: usize, endpoint: usize, lifecycle: Lifecycle },
     Size(usize),
@@ -198,7 +199,7 @@
     let couriers = world.fleet.len();
     let size = world.sizes.first().filter(|s| s.at <= START).map_or(couriers, |s| s.count);
     let list: Vec<Lifecycle> = (0..world.list.len())
-        .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Gone })
+        .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
         .collect();
     settings.forwarders = size;
     let forwarders = (0..couriers)
@@ -331,8 +332,8 @@
                     self.forwarders[forwarder].list[endpoint] = lifecycle;
                     if self.forwarders[forwarder].up {
                         self.audit.lists(time, forwarder, endpoint, lifecycle);
-                        let entry = Entry { lifecycle, ..self.world.list[endpoint].0.clone() };
-                        self.tell(forwarder, Event::List(ListNews::Patch(vec![entry])));
+                        let entry = EndpointEntry { lifecycle, ..self.world.list[endpoint].0.clone() };
+                        self.tell(forwarder, Event::EndpointList(EndpointListUpdate::Patch(vec![entry])));
                     }
                 }
                 What::Size(n) => self.resize(n),
@@ -352,11 +353,11 @@
         let out = self.out.iter().map(Vec::len).sum();
         self.figures.samples.push(Sample { at: self.now, held: self.open, out });
         if self.partners.len() <= SHOWN {
-            let mut worst = vec![Status::Closed; self.partners.len()];
+            let mut worst = vec![BreakerState::Closed; self.partners.len()];
             for f in self.forwarders.iter().filter(|f| f.up) {
                 for s in f.courier.shown(self.now) {
                     let w = &mut worst[s.destination.0 as usize];
-                    *w = (*w).max(s.status);
+                    *w = (*w).max(s.breaker);
                 }
             }
             worst.into_iter().enumerate().for_each(|(p, s)| self.figures.breaker(self.now, p, s));
@@ -415,9 +416,9 @@
 
     fn tell_whole_list(&mut self, forwarder: usize) {
         let list = &self.forwarders[forwarder].list;
-        let entries = self.world.list.iter().zip(list).filter(|(_, l)| **l != Lifecycle::Gone);
-        let all = entries.map(|(e, l)| Entry { lifecycle: *l, ..e.0.clone() }).collect();
-        self.tell(forwarder, Event::List(ListNews::Whole(all)));
+        let entries = self.world.list.iter().zip(list).filter(|(_, l)| **l != Lifecycle::Removed);
+        let all = entries.map(|(e, l)| EndpointEntry { lifecycle: *l, ..e.0.clone() }).collect();
+        self.tell(forwarder, Event::EndpointList(EndpointListUpdate::Complete(all)));
     }
 
     /// A step no later than that, but not sooner after the last one than the settings say.
@@ -426,8 +427,9 @@
         if !f.up {
             return;
         }
-        let at = at.max(f.last_step + self.world.settings.granularity);
-        let at = if self.grid { at.next_multiple_of(self.world.settings.granularity.max(1)) } else { at };
+        let at = at.max(f.last_step + self.world.settings.min_step_interval);
+        let at =
+            if self.grid { at.next_multiple_of(self.world.settings.min_step_interval.max(1)) } else { at };
         if f.due.is_none_or(|due| at < due) {
             f.due = Some(at);
             self.at(at, What::Step(forwarder));
@@ -501,9 +503,9 @@
             key: None,
             time_left: deadline.saturating_sub(self.now),
             destination: DestinationId(hand.partner as u64),
-            orphan,
-            first: None,
-            again,
+            failed_over: orphan,
+            first_attempt: None,
+            client_retry: again,
             // Only what an earlier process had comes with attempts, or marked as an orphan.
             restored: orphan || m.attempts > 0,
             attempts: m.attempts,
@@ -557,7 +559,7 @@
         let f = &mut self.forwarders[forwarder];
         if f.up {
             // The next step may not come sooner after this one.
-            f.last_step = until.saturating_sub(self.world.settings.granularity);
+            f.last_step = until.saturating_sub(self.world.settings.min_step_interval);
             f.due = None;
             self.wake(forwarder, until);
         }
@@ -687,7 +689,7 @@
         let mut open: Option<(u64, usize)> = None;
         for action in work.actions {
             match action {
-                Action::Send { id, endpoint, call, cut_at, last, .. } => {
+                Action::Send { id, endpoint, call, timeout_at: cut_at, final_attempt: last, .. } => {
                     let number = match open.filter(|o| o.0 == call) {
                         Some((_, number)) => number,
                         None => self.begin_call(forwarder, endpoint),
@@ -695,7 +697,7 @@
                     open = Some((call, number));
                     self.add_part(number, id.0 as usize, cut_at.saturating_sub(clock), last);
                 }
-                Action::Refuse { id, retry_after, .. } => self.end(id.0 as usize, Some(retry_after)),
+                Action::Reject { id, retry_after, .. } => self.end(id.0 as usize, Some(retry_after)),
                 Action::Fail { id, .. } => self.end(id.0 as usize, None),
                 Action::Cancel { id, attempt } => self.cancel(id.0 as usize, attempt),
                 Action::Timer { delay, .. } => self.at(now + delay, What::Timer(forwarder)),
@@ -703,7 +705,7 @@
                     let at = forwarder * self.world.list.len() + endpoint.0 as usize - 1;
                     self.links[at].idle.clear();
                 }
-                Action::Probe { .. } | Action::Watch | Action::Log(_) => {}
+                Action::HealthCheck { .. } | Action::Subscribe | Action::Log(_) => {}
             }
         }
     }
@@ -802,13 +804,13 @@
         self.figures.call(self.now, partner);
         let fate = self.partners[partner].call(self.now, place, parts);
         let back = self.network();
-        let report = fate.report.map(|(left, rate)| LimitReport { left, rate });
+        let report = fate.report.map(|(left, rate)| LoadReport { remaining_share: left, rate });
         let answer = match fate.answer {
             Some((_, Answer::Refused)) => Some((self.now + back, Outcome::ConnectFailed)),
             Some((at, Answer::Ok)) => Some((at + back, Outcome::Ok)),
             Some((at, Answer::Broken)) => Some((at + back, Outcome::Reset)),
             Some((at, Answer::Error)) => Some((at + back, Outcome::Error)),
-            Some((at, Answer::Full(wait))) => Some((at + back, Outcome::Full(wait))),
+            Some((at, Answer::Full(wait))) => Some((at + back, Outcome::Rejected(wait))),
             None if fate.unconnected => Some((sent + DIAL, Outcome::ConnectFailed)),
             None => None,
         };
@@ -820,7 +822,7 @@
         &mut self,
         number: usize,
         answer: Option<(Micros, Outcome)>,
-        report: Option<LimitReport>,
+        report: Option<LoadReport>,
         unconnected: bool,
     ) {
         // As on sockets: one whose own time is up is given up alone, or else the first cut ends the call.
@@ -856,7 +858,7 @@
         self.at(end.max(self.now), what);
     }
 
-    fn back(&mut self, number: usize, part: Option<usize>, outcome: Outcome, report: Option<LimitReport>) {
+    fn back(&mut self, number: usize, part: Option<usize>, outcome: Outcome, report: Option<LoadReport>) {
         let call = &mut self.calls[number];
         let (forwarder, endpoint, sent) = (call.forwarder, call.endpoint, call.sent);
         let partner = self.world.list[endpoint].1;
@@ -872,7 +874,7 @@
             .collect();
         if call.parts.iter().all(|p| !p.waited_for) && !due.is_empty() {
             self.figures.slot(self.now, partner, self.now - sent);
-            let answered = matches!(outcome, Outcome::Ok | Outcome::Full(_) | Outcome::Error);
+            let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected(_) | Outcome::Error);
             self.release(number, answered);
         }
         for (message, attempt) in due {
@@ -888,7 +890,7 @@
             }
             self.tell(
                 forwarder,
-                Event::Result {
+                Event::AttemptEnded {
                     id: MessageId(message as u64),
                     attempt,
                     endpoint: EndpointId(endpoint as u32 + 1),
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/lab/src/rehearsal.rs
@@ -74,7 +74,7 @@
         let Some(site) = self.site() else { return Ok(None) };
         let text = std::fs::read_to_string(&site).map_err(|e| Unfit::Unread(site.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &world.settings, names: &world.names });
-        let lines = |b: Vec<cedarbridge::breach::Breach>| {
+        let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = site.display().to_string();
             Unfit::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
--- a/crates/lab/src/verdict.rs
+++ b/crates/lab/src/verdict.rs
@@ -6,7 +6,7 @@
 use crate::report::Drawn;
 use crate::scenario::Scenario;
 use crate::world::{World, START};
-use cedarbridge::{Micros, Status};
+use cedarbridge::{BreakerState, Micros};
 use cedarbridge_partners::Trouble;
 use plotters::prelude::*;
 use quick_junit::{NonSuccessKind, TestCase, TestCaseStatus, TestSuite};
@@ -275,7 +275,7 @@
             "channels": named(&self.world.names.tenants, &f.by_channel),
             "partners": named(&self.world.partner_names, &f.by_partner),
             "breakers": self.world.partner_names.iter().zip(&f.breakers).map(|(name, line)| {
-                let line = line.iter().map(|(at, s)| json!([Self::s(*at), format!("{s:?}").to_lowercase()]));
+                let line = line.iter().map(|(at, s)| json!([Self::s(*at), s.name()]));
                 (name.clone(), line.collect::<Vec<_>>().into())
             }).collect::<serde_json::Map<_, Value>>(),
             "broken": self.broken.iter().map(|b| json!({"rule": b.rule.name(), "at_us": b.at.saturating_sub(START),
@@ -482,11 +482,11 @@
             let ends = line.iter().map(|l| Self::s(l.0)).skip(1).chain([end]);
             let first = line.first().map_or(end, |l| Self::s(l.0));
             let spans = line.iter().zip(ends).map(|(l, to)| (Self::s(l.0), to, l.1));
-            for (from, to, status) in [(0.0, first, Status::Closed)].into_iter().chain(spans) {
+            for (from, to, status) in [(0.0, first, BreakerState::Closed)].into_iter().chain(spans) {
                 let c = match status {
-                    Status::Closed => RGBColor(0x6a, 0xb0, 0x6a),
-                    Status::Half => RGBColor(0xe0, 0xa0, 0x30),
-                    Status::Open => RGBColor(0xcc, 0x33, 0x33),
+                    BreakerState::Closed => RGBColor(0x6a, 0xb0, 0x6a),
+                    BreakerState::HalfOpen => RGBColor(0xe0, 0xa0, 0x30),
+                    BreakerState::Open => RGBColor(0xcc, 0x33, 0x33),
                 };
                 chart.draw_series([Rectangle::new([(from, y + 0.15), (to, y + 0.7)], c.filled())])?;
             }
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -3,10 +3,10 @@
 
 use crate::experiment::Experiment;
 use crate::scenario::Signal;
-use cedarbridge::words::Names;
+use cedarbridge::settings_json::Names;
 use cedarbridge::{
-    Class, Decay, DedupScope, DestinationId, Effect, EndpointId, Entry, Kind, KindId, Lifecycle, Micros,
-    Settings, Tenant, WeightSource, ZoneId,
+    Class, Decay, DedupScope, DestinationId, EndpointEntry, EndpointId, Idempotency, Kind, KindId, Lifecycle,
+    Micros, Settings, Tenant, WeightSource, ZoneId,
 };
 use cedarbridge_partners::{Model, Trouble};
 use rand::{RngExt, SeedableRng};
@@ -96,7 +96,7 @@
     /// What the settings call classes and kinds.
     pub names: Names,
     /// The list of endpoints, and for each its partner and its place there.
-    pub list: Vec<(Entry, usize, usize)>,
+    pub list: Vec<(EndpointEntry, usize, usize)>,
     /// All messages, in the order of time.
     pub hands: Vec<Hand>,
     /// What goes wrong: partner, begin, end, what.
@@ -131,38 +131,41 @@
 /// The settings and names that site files of an experiment are checked against.
 pub fn platform() -> (Settings, Names) {
     let class = Class {
-        effect: Effect::Keyed,
+        idempotency: Idempotency::WithKey,
         dedup_scope: DedupScope::All,
-        memory_span: 30 * SECOND,
-        aim: 2500 * MS,
+        deduplication_window: 30 * SECOND,
+        latency_objective: 2500 * MS,
         deadline: 28 * SECOND,
-        worth: 1.0,
-        late_worth: 0.3,
+        priority_weight: 1.0,
+        weight_at_deadline: 0.3,
         ordered: false,
     };
     let settings = Settings {
         forwarders: 1,
         zone: ZoneId(0),
-        tolls: vec![0.0],
-        handshake_fee: 0.02,
+        zone_costs: vec![0.0],
+        connection_cost: 0.02,
         classes: vec![class],
         tenants: TENANTS.iter().map(|_| Tenant { quota_per_s: 0.0 }).collect(),
-        over_share_worth: OVER_SHARE,
-        kinds: vec![Kind { apart: false, per_call: 10 }, Kind { apart: false, per_call: 1 }],
+        over_quota_weight: OVER_SHARE,
+        kinds: vec![
+            Kind { per_endpoint_breaker: false, messages_per_call: 10 },
+            Kind { per_endpoint_breaker: false, messages_per_call: 1 },
+        ],
         decay: Decay::Halving,
         weights: WeightSource::Rough,
-        slots: 1,
-        max_open: 1,
+        max_concurrent_calls: 1,
+        max_open_messages: 1,
         max_attempts: 12,
-        cancel: true,
-        marks_retry: true,
-        retry_after: true,
+        may_cancel: true,
+        clients_mark_retries: true,
+        may_send_retry_after: true,
         max_retry_after: 3 * SECOND,
-        granularity: 5 * MS,
-        fall_multiple: 2.0,
-        fall: 3 * SECOND,
-        cold: 9400 * MS,
-        cold_from: 0.23,
+        min_step_interval: 5 * MS,
+        overload_multiple: 2.0,
+        overload_window: 3 * SECOND,
+        slow_start: 9400 * MS,
+        slow_start_floor: 0.23,
         ..Settings::default()
     };
     let text = |all: &[&str]| all.iter().map(|n| n.to_string()).collect();
@@ -179,7 +182,7 @@
     /// The settings as one of so many forwarders is told them.
     pub fn told_to(&self, forwarder: usize, count: usize) -> Settings {
         let forwarders = ((count as f64 * self.told).round() as usize).max(1);
-        Settings { forwarders, number: self.fleet[forwarder].number, ..self.settings.clone() }
+        Settings { forwarders, forwarder_index: self.fleet[forwarder].number, ..self.settings.clone() }
     }
 
     /// Draws a day at a load, which is a share of full load.
@@ -206,8 +209,8 @@
         let busy: f64 =
             partners.iter().zip(&traffic).map(|(p, t)| full * t * p.pace as f64 / SECOND as f64).sum();
         let slots = busy / experiment.forwarders as f64 * pick(&mut rng, (1.8, 2.4));
-        settings.slots = (slots.ceil() as usize).max(3);
-        settings.max_open = ((each * pick(&mut rng, (7.1, 11.0))) as usize).max(8);
+        settings.max_concurrent_calls = (slots.ceil() as usize).max(3);
+        settings.max_open_messages = ((each * pick(&mut rng, (7.1, 11.0))) as usize).max(8);
         for (tenant, of) in settings.tenants.iter_mut().zip(TENANTS) {
             tenant.quota_per_s = full * QUOTA * of.1;
         }
@@ -218,7 +221,7 @@
             // The list tells a rough figure for what the partner takes: up to half too high or too low.
             let weight = p.limit.unwrap_or(p.capacity) * pick(&mut rng, (0.67, 1.5));
             for e in 0..p.endpoints {
-                let entry = Entry {
+                let entry = EndpointEntry {
                     endpoint: EndpointId(list.len() as u32 + 1),
                     destination: DestinationId(i as u64),
                     zone: ZoneId(0),
--- a/crates/soak/src/agent.rs
+++ b/crates/soak/src/agent.rs
@@ -3,7 +3,7 @@
 use crate::judge::Report;
 use crate::world::{sleep, World};
 use async_io::Async;
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io;
@@ -24,14 +24,14 @@
         while let Ok((stream, _)) = listener.accept().await {
             let world = serving.clone();
             serving.spawn(async move {
-                let _ = serve(world, forwarder, Wire::new(stream)).await;
+                let _ = serve(world, forwarder, HttpConnection::new(stream)).await;
             });
         }
     });
     Ok(address)
 }
 
-async fn serve(world: Rc<World>, forwarder: usize, mut wire: Wire) -> io::Result<()> {
+async fn serve(world: Rc<World>, forwarder: usize, mut wire: HttpConnection) -> io::Result<()> {
     while let Ok(head) = wire.read_request().await {
         let Ok(body) = wire.request_body(&head, 4 << 20).await else { break };
         if head.method == "POST" {
@@ -55,7 +55,7 @@
     }
 }
 
-async fn watch(world: &Rc<World>, forwarder: usize, wire: &mut Wire) -> io::Result<()> {
+async fn watch(world: &Rc<World>, forwarder: usize, wire: &mut HttpConnection) -> io::Result<()> {
     let discovery = world.discovery.get();
     sleep(discovery.slow).await;
     while world.discovery.get().silent {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -3,7 +3,7 @@
 use crate::forwarder::Forwarder;
 use crate::world::{sleep, World};
 use async_io::{Async, Timer};
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use futures_lite::future;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 
 /// Hands in messages to a forwarder until the run is over.
 pub async fn run(world: Rc<World>, forwarder: Rc<Forwarder>) {
-    let mut kept: Vec<Wire> = Vec::new();
+    let mut kept: Vec<HttpConnection> = Vec::new();
     let mut number = 0;
     while !world.closing.get() {
         let mean = 1.0 / world.size.rate;
@@ -61,15 +61,15 @@
     world: &Rc<World>,
     forwarder: &Forwarder,
     id: &str,
-    used: Option<Wire>,
+    used: Option<HttpConnection>,
     keeps: bool,
-) -> Option<Wire> {
+) -> Option<HttpConnection> {
     let new = used.is_none();
     let since = Instant::now();
     let (process, was_going) = (forwarder.starts.get(), forwarder.going_since.get());
     let mut wire = match used {
         Some(wire) => wire,
-        None => Wire::new(Async::<TcpStream>::connect(forwarder.listen).await.ok()?),
+        None => HttpConnection::new(Async::<TcpStream>::connect(forwarder.listen).await.ok()?),
     };
     let class = &world.classes[world.below(world.classes.len())];
     let destination = world.below(crate::troubles::DESTINATIONS);
@@ -143,7 +143,7 @@
     };
     let process = forwarder.starts.get();
     let Ok(stream) = Async::<TcpStream>::connect(forwarder.listen).await else { return };
-    let mut wire = Wire::new(stream);
+    let mut wire = HttpConnection::new(stream);
     let begun = Instant::now();
     if wire.write(text.as_bytes()).await.is_err() {
         return;
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::judge::CallEnd;
 use crate::world::{sleep, Endpoint, Mood, World};
 use async_io::{Async, Timer};
-use cedarbridge::net::http::{Asked, Wire};
+use cedarbridge::net::http::{HttpConnection, RequestHead};
 use futures_lite::future;
 use socket2::SockRef;
 use std::net::{TcpListener, TcpStream};
@@ -47,7 +47,7 @@
 }
 
 async fn serve(world: Rc<World>, endpoint: Rc<Endpoint>, number: usize, stream: Async<TcpStream>) {
-    let mut wire = Wire::new(stream);
+    let mut wire = HttpConnection::new(stream);
     let forgets = endpoint.forgets.get();
     loop {
         // Between calls the endpoint may forget the connection.
@@ -82,7 +82,7 @@
     }
 }
 
-fn reset(wire: &Wire) {
+fn reset(wire: &HttpConnection) {
     let _ = SockRef::from(wire.socket()).set_linger(Some(Duration::ZERO));
 }
 
@@ -91,7 +91,7 @@
     world: &World,
     endpoint: &Endpoint,
     calls: &[(String, usize)],
-    wire: &mut Wire,
+    wire: &mut HttpConnection,
     batch: bool,
 ) -> (CallEnd, bool) {
     let mood = endpoint.mood.get();
@@ -147,7 +147,7 @@
     (end, true)
 }
 
-fn ids(head: &Asked, mut body: &[u8]) -> Vec<String> {
+fn ids(head: &RequestHead, mut body: &[u8]) -> Vec<String> {
     if let Some(id) = head.fields.get("X-Request-Id") {
         return vec![id.to_owned()];
     }
--- a/crates/soak/src/forwarder.rs
+++ b/crates/soak/src/forwarder.rs
@@ -3,7 +3,7 @@
 use crate::agent;
 use crate::world::{sleep, World};
 use async_io::Async;
-use cedarbridge::net::http::Wire;
+use cedarbridge::net::http::HttpConnection;
 use futures_lite::future;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::{json, Value};
@@ -152,7 +152,7 @@
     /// The body of a 200 to a question; nothing if it does not come at once.
     pub async fn ask(&self, path: &str) -> Option<String> {
         let asked = async {
-            let mut wire = Wire::new(Async::<TcpStream>::connect(self.listen).await.ok()?);
+            let mut wire = HttpConnection::new(Async::<TcpStream>::connect(self.listen).await.ok()?);
             let text = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
             wire.write(text.as_bytes()).await.ok()?;
             let head = wire.read_answer().await.ok().filter(|h| h.status == 200)?;
--- a/src/api.rs
+++ b/src/api.rs
@@ -27,13 +27,16 @@
 
 /// What a repeat of a message may do at its destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Effect {
+pub enum Idempotency {
     /// May be repeated at will.
-    Safe,
+    #[serde(rename = "Safe")]
+    Idempotent,
     /// The destination drops repeats for a while.
-    Keyed,
+    #[serde(rename = "Keyed")]
+    WithKey,
     /// Must never run twice.
-    Unsafe,
+    #[serde(rename = "Unsafe")]
+    NonIdempotent,
 }
 
 /// Which endpoints of a destination drop repeats of a keyed message.
@@ -59,19 +62,24 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
     /// What a repeat may do.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// Where repeats of a keyed message are dropped.
     pub dedup_scope: DedupScope,
     /// For how long, from the send of the first attempt that may have run.
-    pub memory_span: Micros,
+    #[serde(rename = "memory_span")]
+    pub deduplication_window: Micros,
     /// Delivered within this, a message earns its full worth.
-    pub aim: Micros,
+    #[serde(rename = "aim")]
+    pub latency_objective: Micros,
     /// From the time it was first handed in, a message may be delivered for so long.
     pub deadline: Micros,
     /// Worth of a message.
-    pub worth: f64,
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Share of the worth left at the deadline.
-    pub late_worth: f64,
+    #[serde(rename = "late_worth")]
+    pub weight_at_deadline: f64,
     /// Messages with one key go in order, one at a time.
     pub ordered: bool,
 }
@@ -87,9 +95,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Kind {
     /// Endpoints are routes apart, each with its own limit and outages.
-    pub apart: bool,
+    #[serde(rename = "apart")]
+    pub per_endpoint_breaker: bool,
     /// Messages that one call may carry.
-    pub per_call: usize,
+    #[serde(rename = "per_call")]
+    pub messages_per_call: usize,
 }
 
 /// What an endpoint's weight tells.
@@ -110,23 +120,29 @@
     /// Couriers that share the traffic, this one included.
     pub forwarders: usize,
     /// This forwarder's number among them, from 0; without one it takes its turns by chance.
-    pub number: Option<u64>,
+    #[serde(rename = "number")]
+    pub forwarder_index: Option<u64>,
     /// What the clock that all forwarders read showed when this one's own showed 0.
-    pub ahead: Micros,
+    #[serde(rename = "ahead")]
+    pub wall_clock_offset: Micros,
     /// Where this forwarder runs.
     pub zone: ZoneId,
     /// For each zone: points charged if every message went by a route apart there.
-    pub tolls: Vec<f64>,
+    #[serde(rename = "tolls")]
+    pub zone_costs: Vec<f64>,
     /// Points charged if every attempt crossed zones once.
-    pub cross_zone_fee: f64,
+    #[serde(rename = "cross_zone_fee")]
+    pub cross_zone_cost: f64,
     /// Points charged if every message needed a new connection.
-    pub handshake_fee: f64,
+    #[serde(rename = "handshake_fee")]
+    pub connection_cost: f64,
     /// The classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// Share of its worth that traffic beyond a tenant's quota keeps.
-    pub over_share_worth: f64,
+    #[serde(rename = "over_share_worth")]
+    pub over_quota_weight: f64,
     /// The kinds of destination.
     pub kinds: Vec<Kind>,
     /// How worth falls after the aim.
@@ -134,39 +150,54 @@
     /// What weights tell.
     pub weights: WeightSource,
     /// Calls out at once.
-    pub slots: usize,
+    #[serde(rename = "slots")]
+    pub max_concurrent_calls: usize,
     /// Messages held at once, sent or not.
-    pub max_open: usize,
+    #[serde(rename = "max_open")]
+    pub max_open_messages: usize,
     /// Attempts for one message.
     pub max_attempts: u32,
     /// Attempts that are out may be called off.
-    pub cancel: bool,
+    #[serde(rename = "cancel")]
+    pub may_cancel: bool,
     /// Clients mark what they hand in again.
-    pub marks_retry: bool,
+    #[serde(rename = "marks_retry")]
+    pub clients_mark_retries: bool,
     /// Probes are allowed.
-    pub probing: bool,
+    #[serde(rename = "probing")]
+    pub may_health_check: bool,
     /// Clients are given advice on when to come again.
-    pub retry_after: bool,
+    #[serde(rename = "retry_after")]
+    pub may_send_retry_after: bool,
     /// The platform would stand two attempts of a message at once; this program never makes use of it.
-    pub second_copies: bool,
+    #[serde(rename = "second_copies")]
+    pub may_hedge: bool,
     /// The longest such advice a client follows.
     pub max_retry_after: Micros,
     /// The endpoint list must be asked for.
-    pub ask_for_list: bool,
+    #[serde(rename = "ask_for_list")]
+    pub poll_endpoint_list: bool,
     /// Without a subscription, the longest time between two requests for the list.
-    pub must_ask_in: Micros,
+    #[serde(rename = "must_ask_in")]
+    pub max_poll_interval: Micros,
     /// The shortest time between two batches.
-    pub granularity: Micros,
+    #[serde(rename = "granularity")]
+    pub min_step_interval: Micros,
     /// Fail-back: load over this multiple of present capacity ...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ... for this long pushes a cold destination over.
-    pub fall: Micros,
+    #[serde(rename = "fall")]
+    pub overload_window: Micros,
     /// A returning destination has all its capacity after this.
-    pub cold: Micros,
+    #[serde(rename = "cold")]
+    pub slow_start: Micros,
     /// A returning destination has at least this share of its capacity.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub slow_start_floor: f64,
     /// A key's rest after an attempt whose end is not sure.
-    pub key_rest: Micros,
+    #[serde(rename = "key_rest")]
+    pub order_key_pause: Micros,
     /// What our own file says of time-outs and attempts, by route; without one the module has its own way.
     #[serde(skip)]
     pub routes: Option<Arc<Plan>>,
@@ -192,12 +223,13 @@
     /// Send nothing new.
     Draining,
     /// Removed.
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Which endpoint.
     pub endpoint: EndpointId,
     /// Whose.
@@ -214,15 +246,15 @@
 
 /// News of the endpoint list.
 #[derive(Clone, Debug)]
-pub enum ListNews {
+pub enum EndpointListUpdate {
     /// Altered entries only.
-    Patch(Vec<Entry>),
+    Patch(Vec<EndpointEntry>),
     /// The complete list; what is not in it is gone.
-    Whole(Vec<Entry>),
+    Complete(Vec<EndpointEntry>),
     /// The complete list as last held before a restart; possibly old.
-    Stale(Vec<Entry>),
+    Cached(Vec<EndpointEntry>),
     /// A request for the list failed or the subscription broke.
-    Broken,
+    WatchFailed,
 }
 
 /// How an attempt or a probe came out.
@@ -233,7 +265,8 @@
     /// Answered with an error; may have taken effect.
     Error,
     /// Turned away unseen, with the wait told if any; never ran.
-    Full(Option<Micros>),
+    #[serde(rename = "Full")]
+    Rejected(Option<Micros>),
     /// No answer in time; may have taken effect or still do so.
     TimedOut,
     /// No connection; never ran.
@@ -241,20 +274,24 @@
     /// The connection broke; may have taken effect.
     Reset,
     /// The connection had been used before and broke at once, before any answer began; may have taken effect.
-    Stale,
+    #[serde(rename = "Stale")]
+    StaleConnection,
     /// Called off; may have taken effect.
     Cancelled,
     /// Not sent; never ran.
-    Moot,
+    #[serde(rename = "Moot")]
+    NotSent,
     /// Not sent, as nothing could be noted of it; never ran, and counts as no attempt.
-    Unsent,
+    #[serde(rename = "Unsent")]
+    NotJournaled,
 }
 
 /// What an answer tells of the limit: share left, and calls a second (0: no limit).
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitReport {
+pub struct LoadReport {
     /// Share of the allowance that is left.
-    pub left: f64,
+    #[serde(rename = "left")]
+    pub remaining_share: f64,
     /// Calls a second that the limit allows.
     pub rate: f64,
 }
@@ -275,11 +312,11 @@
     /// Where it goes.
     pub destination: DestinationId,
     /// It comes from a forwarder that died and may have sent it.
-    pub orphan: bool,
+    pub failed_over: bool,
     /// When and where the first attempt was sent that may have run, if that is known.
-    pub first: Option<(Micros, ZoneId)>,
+    pub first_attempt: Option<(Micros, ZoneId)>,
     /// Its client says that it was handed in before; see [`Settings::marks_retry`].
-    pub again: bool,
+    pub client_retry: bool,
     /// An earlier process had taken it on, so it is owed.
     pub restored: bool,
     /// Attempts made before this forwarder had it; they count against [`Settings::max_attempts`].
@@ -290,7 +327,7 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// News of the endpoint list.
-    List(ListNews),
+    EndpointList(EndpointListUpdate),
     /// Other settings hold from now on. They list the same classes, tenants, zones and kinds.
     Settings(Box<Settings>),
     /// A new message.
@@ -301,7 +338,7 @@
         id: MessageId,
     },
     /// The result of an attempt; each send gets exactly one.
-    Result {
+    AttemptEnded {
         /// Which message.
         id: MessageId,
         /// Which attempt, from 0.
@@ -315,10 +352,10 @@
         /// Nothing more is owed for the message.
         ended: bool,
         /// What the answer tells of the limit.
-        report: Option<LimitReport>,
+        report: Option<LoadReport>,
     },
     /// The result of a probe.
-    Probed {
+    HealthChecked {
         /// Which endpoint.
         endpoint: EndpointId,
         /// How it came out.
@@ -326,17 +363,17 @@
         /// How long it took.
         elapsed: Micros,
         /// What the answer tells of the limit.
-        report: Option<LimitReport>,
+        report: Option<LoadReport>,
     },
     /// A wait that an answer told without turning a message away.
-    Wait {
+    RetryAfter {
         /// Which endpoint told it.
         endpoint: EndpointId,
         /// How long.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// Whether what outlasts the process can be written: while it cannot, no attempt may begin.
-    Journal {
+    JournalStatus {
         /// It can.
         writable: bool,
     },
@@ -354,58 +391,74 @@
 
 /// The states of a breaker, from well to worst.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Status {
+pub enum BreakerState {
     /// Calls go out.
     #[default]
     Closed,
     /// One trial at a time goes out.
-    Half,
+    #[serde(rename = "Half")]
+    HalfOpen,
     /// Nothing goes out until its next attempt.
     Open,
 }
 
+impl BreakerState {
+    /// Its name in reports.
+    pub fn name(self) -> &'static str {
+        match self {
+            BreakerState::Closed => "closed",
+            BreakerState::HalfOpen => "half",
+            BreakerState::Open => "open",
+        }
+    }
+}
+
 /// What operators are shown of a destination.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct DestinationStatus {
     /// Which.
     pub destination: DestinationId,
     /// Its breaker.
-    pub status: Status,
+    pub breaker: BreakerState,
     /// Messages that wait for it.
-    pub held: usize,
+    pub waiting: usize,
     /// Calls out.
-    pub out: usize,
+    pub in_flight: usize,
     /// What is left of a told wait, or of the pause after a refusal.
-    pub wait: Micros,
+    pub retry_after: Micros,
     /// It is back and sparingly used.
-    pub cold: bool,
+    pub warming_up: bool,
     /// The usual time of its answers, in microseconds.
     pub latency: Option<f64>,
     /// What it told of its limit: the share left last, the rate in the mean.
-    pub limit: Option<LimitReport>,
+    pub limit: Option<LoadReport>,
 }
 
 /// Why a message is given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum GiveUpReason {
+pub enum AbandonReason {
     /// Its time is up, or the time in which it may be repeated.
-    TimeUp,
+    #[serde(rename = "TimeUp")]
+    DeadlineExceeded,
     /// Nothing can go to its destination before that.
-    Blocked,
+    #[serde(rename = "Blocked")]
+    DestinationUnavailable,
     /// It has had all its attempts.
-    AttemptsSpent,
+    #[serde(rename = "AttemptsSpent")]
+    AttemptsExhausted,
     /// More is held than there is room for.
-    NoRoom,
+    #[serde(rename = "NoRoom")]
+    CapacityExceeded,
 }
 
-impl GiveUpReason {
+impl AbandonReason {
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            GiveUpReason::TimeUp => "time-up",
-            GiveUpReason::Blocked => "blocked",
-            GiveUpReason::AttemptsSpent => "attempts-spent",
-            GiveUpReason::NoRoom => "no-room",
+            AbandonReason::DeadlineExceeded => "time-up",
+            AbandonReason::DestinationUnavailable => "blocked",
+            AbandonReason::AttemptsExhausted => "attempts-spent",
+            AbandonReason::CapacityExceeded => "no-room",
         }
     }
 }
@@ -422,27 +475,30 @@
         /// The call that carries it: sends of one number, which all are of one batch, travel together.
         call: u64,
         /// When this attempt is abandoned.
-        cut_at: Micros,
+        #[serde(rename = "cut_at")]
+        timeout_at: Micros,
         /// Its first byte must not be written later: a repeat would run twice, or find no time to run.
         send_by: Micros,
         /// The message's time is up then: it will not be sent again.
-        last: bool,
+        #[serde(rename = "last")]
+        final_attempt: bool,
     },
     /// End a message undelivered; the client may safely come again.
-    Refuse {
+    #[serde(rename = "Refuse")]
+    Reject {
         /// Which message.
         id: MessageId,
         /// Advice on when to come again.
         retry_after: Option<Micros>,
         /// Why.
-        reason: GiveUpReason,
+        reason: AbandonReason,
     },
     /// End a message as failed; it may or may not have taken effect.
     Fail {
         /// Which message.
         id: MessageId,
         /// Why.
-        reason: GiveUpReason,
+        reason: AbandonReason,
     },
     /// Cease waiting for an attempt; its result follows.
     Cancel {
@@ -459,7 +515,8 @@
         token: u64,
     },
     /// Send a check to an endpoint.
-    Probe {
+    #[serde(rename = "Probe")]
+    HealthCheck {
         /// Where to.
         endpoint: EndpointId,
     },
@@ -469,7 +526,8 @@
         endpoint: EndpointId,
     },
     /// Subscribe to the endpoint list.
-    Watch,
+    #[serde(rename = "Watch")]
+    Subscribe,
     /// A line for the on-call log.
     Log(String),
 }
--- a/src/bin/cedarbridge-simhost/wire.rs
+++ b/src/bin/cedarbridge-simhost/wire.rs
@@ -1,9 +1,9 @@
 //! Batches of events to replies of actions.
 
-use cedarbridge::words::{entry, flag, index, micros, number, settings, text, whole, Names};
+use cedarbridge::settings_json::{entry, flag, index, micros, number, settings, text, whole, Names};
 use cedarbridge::{
-    Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, Event, LimitReport, ListNews, MessageId,
-    Micros, NewMessage, OrderKey, Outcome, TenantId,
+    Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, EndpointListUpdate, Event, LoadReport,
+    MessageId, Micros, NewMessage, OrderKey, Outcome, TenantId,
 };
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -104,11 +104,11 @@
                         self.banks.get(&bank).ok_or_else(|| format!("no catalog has number {bank}"))?;
                     entries = held.iter().map(|e| entry(e, &known.names)).collect::<Result<_, _>>()?;
                 }
-                Event::List(match scope.as_str() {
-                    "patch" => ListNews::Patch(entries),
-                    "whole" => ListNews::Whole(entries),
-                    "stale_copy" => ListNews::Stale(entries),
-                    "broken" => ListNews::Broken,
+                Event::EndpointList(match scope.as_str() {
+                    "patch" => EndpointListUpdate::Patch(entries),
+                    "whole" => EndpointListUpdate::Complete(entries),
+                    "stale_copy" => EndpointListUpdate::Cached(entries),
+                    "broken" => EndpointListUpdate::WatchFailed,
                     other => return Err(format!("unknown scope `{other}`")),
                 })
             }
@@ -134,9 +134,9 @@
                     key,
                     time_left: micros(field(5, "time-left")?)?,
                     destination: DestinationId(whole(field(7, "terminates-at")?)?),
-                    orphan: attrs & 16 != 0,
-                    first: None,
-                    again: attrs & 2 != 0,
+                    failed_over: attrs & 16 != 0,
+                    first_attempt: None,
+                    client_retry: attrs & 2 != 0,
                     restored: false,
                     attempts: 0,
                 })
@@ -147,7 +147,7 @@
                 whole(field(4, "round-no")?)?;
                 Event::Started { id: known.name(text(field(1, "corr")?)?) }
             }
-            "result" => Event::Result {
+            "result" => Event::AttemptEnded {
                 id: known.name(text(field(1, "corr")?)?),
                 attempt: whole(field(2, "round-no")?)? as u32,
                 endpoint: EndpointId(whole(field(3, "endpoint")?)? as u32),
@@ -156,7 +156,7 @@
                 ended: flag(field(6, "ended")?)?,
                 report: report(v.get(8))?,
             },
-            "echo" => Event::Probed {
+            "echo" => Event::HealthChecked {
                 endpoint: EndpointId(whole(field(1, "endpoint")?)? as u32),
                 outcome: outcome(field(2, "code")?, None)?,
                 elapsed: micros(field(3, "elapsed")?)?,
@@ -181,21 +181,23 @@
     Ok(match whole(code)? {
         200 => Outcome::Ok,
         500 => Outcome::Error,
-        503 => Outcome::Full((note > 0).then_some(note)),
+        503 => Outcome::Rejected((note > 0).then_some(note)),
         504 => Outcome::TimedOut,
         502 => Outcome::ConnectFailed,
         598 => Outcome::Reset,
         499 => Outcome::Cancelled,
-        410 => Outcome::Moot,
+        410 => Outcome::NotSent,
         other => return Err(format!("unknown outcome code {other}")),
     })
 }
 
-fn report(v: Option<&Value>) -> Result<Option<LimitReport>, String> {
+fn report(v: Option<&Value>) -> Result<Option<LoadReport>, String> {
     let Some(stats) = v.filter(|s| !s.is_null()) else { return Ok(None) };
     let stats = stats.as_object().ok_or_else(|| format!("`stats` is not an object: {stats}"))?;
     match (stats.get("x0"), stats.get("x1")) {
-        (Some(left), Some(rate)) => Ok(Some(LimitReport { left: number(left)?, rate: number(rate)? })),
+        (Some(left), Some(rate)) => {
+            Ok(Some(LoadReport { remaining_share: number(left)?, rate: number(rate)? }))
+        }
         _ => Ok(None),
     }
 }
@@ -229,7 +231,7 @@
         };
         for event in events {
             match event {
-                Event::Result { id, ended, .. } => note(id, false, true, *ended),
+                Event::AttemptEnded { id, ended, .. } => note(id, false, true, *ended),
                 Event::Withdrawn { id } => note(id, false, false, true),
                 _ => {}
             }
@@ -237,7 +239,7 @@
         for action in actions {
             match action {
                 Action::Send { id, .. } => note(id, true, false, false),
-                Action::Refuse { id, .. } | Action::Fail { id, .. } => note(id, false, false, true),
+                Action::Reject { id, .. } | Action::Fail { id, .. } => note(id, false, false, true),
                 _ => {}
             }
         }
@@ -252,18 +254,18 @@
     fn action(&self, action: &Action) -> Value {
         let word = |id: &MessageId| &self.named[id].word;
         match action {
-            Action::Send { id, endpoint, cut_at, .. } => {
+            Action::Send { id, endpoint, timeout_at: cut_at, .. } => {
                 json!(["submit-to", word(id), millis(*cut_at), endpoint.0])
             }
-            Action::Refuse { id, retry_after, .. } => {
+            Action::Reject { id, retry_after, .. } => {
                 json!(["decline", word(id), retry_after.map_or(0.0, millis)])
             }
             Action::Fail { id, .. } => json!(["finish-error", word(id)]),
             Action::Cancel { id, attempt } => json!(["drop-attempt", word(id), attempt]),
             Action::Timer { delay, token } => json!(["arm", millis(*delay), token]),
-            Action::Probe { endpoint } => json!(["ask-load", endpoint.0]),
+            Action::HealthCheck { endpoint } => json!(["ask-load", endpoint.0]),
             Action::CloseIdle { endpoint } => json!(["shut-idle", endpoint.0]),
-            Action::Watch => json!(["observe", true]),
+            Action::Subscribe => json!(["observe", true]),
             Action::Log(line) => json!(["remark", line]),
         }
     }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `check`: whether a site file may be loaded, by the very check that the forwarder makes.
 
 use super::{lines, print, Failed, Files};
-use crate::breach::Breach;
+use crate::config_error::ConfigError;
 use clap::Args;
 use serde_json::{json, Value};
 
@@ -11,7 +11,7 @@
     files: Files,
 }
 
-fn as_json(b: &Breach) -> Value {
+fn as_json(b: &ConfigError) -> Value {
     json!({"line": b.at.line, "column": b.at.column, "code": b.code.word(), "reason": b.reason})
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -5,11 +5,11 @@
 mod registry;
 mod run;
 
-use crate::breach::Breach;
+use crate::config_error::ConfigError;
 use crate::net::config;
 use crate::routes::Platform;
+use crate::settings_json::Names;
 use crate::site::Site;
-use crate::words::Names;
 use crate::Settings;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::ffi::OsString;
@@ -122,14 +122,14 @@
         Ok(Read { settings, names, json })
     }
 
-    fn site(&self, of: &Read) -> Result<Result<Site, Vec<Breach>>, Failed> {
+    fn site(&self, of: &Read) -> Result<Result<Site, Vec<ConfigError>>, Failed> {
         let platform = Platform { settings: &of.settings, names: &of.names };
         Ok(Site::read(&read_text(&self.site)?, platform))
     }
 }
 
 /// Breaches, one a line.
-fn lines(file: &Path, breaches: &[Breach]) -> String {
+fn lines(file: &Path, breaches: &[ConfigError]) -> String {
     let file = file.display().to_string();
     breaches.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
 }
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -2,12 +2,12 @@
 
 use super::{lines, print, Failed, Files};
 use crate::membership::Question;
-use crate::membership::{Change, Membership, News, RegistrySettings, SourceId};
+use crate::membership::{Change, Membership, RegistrySettings, SourceId, SourceUpdate};
 use crate::net::platform::eureka::held::Taken;
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
+use crate::settings_json::Names;
 use crate::site::{time, written};
-use crate::words::Names;
 use crate::Lifecycle;
 use async_io::Timer;
 use clap::{Args, Subcommand};
@@ -64,7 +64,7 @@
     let lifecycle = match change.lifecycle {
         Lifecycle::Listed => "listed",
         Lifecycle::Draining => "draining",
-        Lifecycle::Gone => "gone",
+        Lifecycle::Removed => "gone",
     };
     json!({
         "app": l.key.group, "id": l.key.id, "address": l.address.to_string(), "destination": l.destination.0,
@@ -120,8 +120,8 @@
                         let none = Change {
                             endpoint: Default::default(),
                             listing,
-                            lifecycle: Lifecycle::Gone,
-                            learnt: 0,
+                            lifecycle: Lifecycle::Removed,
+                            observed_at: 0,
                             source: REGISTRY,
                             why,
                         };
@@ -214,9 +214,9 @@
     }
 }
 
-fn listings(news: &News) -> impl Iterator<Item = &crate::membership::Listing> {
+fn listings(news: &SourceUpdate) -> impl Iterator<Item = &crate::membership::Listing> {
     match news {
-        News::Whole { listings, .. } | News::Patch { listings, .. } => listings.iter(),
+        SourceUpdate::Complete { listings, .. } | SourceUpdate::Patch { listings, .. } => listings.iter(),
     }
 }
 
--- a/src/breach.rs
+++ b/src/config_error.rs
@@ -13,7 +13,7 @@
 
 /// A value and where it stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct At<T> {
+pub struct Located<T> {
     /// The value.
     pub value: T,
     /// Where it stands.
@@ -24,12 +24,12 @@
     ($($(#[$doc:meta])* $name:ident = $word:literal),* $(,)?) => {
         /// Why a file is refused, one word a kind of breach; scripts may go by the words.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-        pub enum Code { $($(#[$doc])* $name),* }
+        pub enum ErrorCode { $($(#[$doc])* $name),* }
 
-        impl Code {
+        impl ErrorCode {
             /// The word that stands for it.
             pub fn word(self) -> &'static str {
-                match self { $(Code::$name => $word),* }
+                match self { $(ErrorCode::$name => $word),* }
             }
         }
     };
@@ -88,19 +88,19 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct ConfigError {
     /// Where.
     pub at: Position,
     /// Of which kind.
-    pub code: Code,
+    pub code: ErrorCode,
     /// The figures that collide, and what would be right.
     pub reason: String,
 }
 
-impl Breach {
+impl ConfigError {
     /// A breach at a place.
-    pub fn new(at: Position, code: Code, reason: impl Into<String>) -> Self {
-        Breach { at, code, reason: reason.into() }
+    pub fn new(at: Position, code: ErrorCode, reason: impl Into<String>) -> Self {
+        ConfigError { at, code, reason: reason.into() }
     }
 
     /// As one line, `FILE:LINE:COLUMN: [code] reason`.
@@ -109,9 +109,9 @@
     }
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Breach { at, code, reason } = self;
+        let ConfigError { at, code, reason } = self;
         write!(f, "{}:{}: [{}] {reason}", at.line, at.column, code.word())
     }
 }
--- a/src/invariants/ledger.rs
+++ b/src/invariants/ledger.rs
@@ -1,14 +1,14 @@
 //! The run-time check: a record of what was in fact done for each message, held against the rules as it happens. It neither asks
 //! the policy nor binds it; what breaks a rule is named, counted by the caller and logged with its ids.
 
-use crate::{DedupScope, Effect, MessageId, Micros, Outcome, ZoneId};
+use crate::{DedupScope, Idempotency, MessageId, Micros, Outcome, ZoneId};
 use std::collections::BTreeMap;
 
 /// How a message's class lets it be repeated.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatRules {
     /// What a repeat may do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     /// Where repeats are dropped.
     pub scope: DedupScope,
     /// For how long they are, from the first attempt that may have run.
@@ -111,8 +111,10 @@
             return;
         }
         record.out = None;
-        let never_ran =
-            matches!(outcome, Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Unsent);
+        let never_ran = matches!(
+            outcome,
+            Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotJournaled
+        );
         let last = record.last.take().map(|(at, zone)| (at, Some(zone)));
         if !never_ran {
             record.first = record.first.or(last);
@@ -127,9 +129,9 @@
         }
         let may_have_run = record.first.is_some() || record.out.is_some();
         let forbidden = match record.rules.effect {
-            Effect::Safe => false,
-            Effect::Keyed => record.rules.scope != DedupScope::All,
-            Effect::Unsafe => true,
+            Idempotency::Idempotent => false,
+            Idempotency::WithKey => record.rules.scope != DedupScope::All,
+            Idempotency::NonIdempotent => true,
         };
         (given_back && may_have_run && forbidden).then_some(Violation::ReturnedThoughItMayHaveRun)
     }
@@ -163,15 +165,17 @@
         }
         let (at, first_zone) = self.first?;
         match self.rules.effect {
-            Effect::Safe => None,
-            Effect::Unsafe => Some(Violation::RepeatForbidden),
-            Effect::Keyed if now >= at.saturating_add(self.rules.window) => Some(Violation::RepeatTooLate),
-            Effect::Keyed
+            Idempotency::Idempotent => None,
+            Idempotency::NonIdempotent => Some(Violation::RepeatForbidden),
+            Idempotency::WithKey if now >= at.saturating_add(self.rules.window) => {
+                Some(Violation::RepeatTooLate)
+            }
+            Idempotency::WithKey
                 if self.rules.scope == DedupScope::Zone && first_zone.is_some_and(|z| z != zone) =>
             {
                 Some(Violation::RepeatElsewhere)
             }
-            Effect::Keyed => None,
+            Idempotency::WithKey => None,
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,20 +1,20 @@
 #![doc = include_str!("../README.md")]
 
 pub mod api;
-pub mod breach;
 pub mod cli;
+pub mod config_error;
 pub mod invariants;
 pub mod journal;
 
-pub mod measured;
 pub mod membership;
 pub mod net;
 pub mod policy;
+pub mod rates;
 pub mod routes;
 mod settings;
+pub mod settings_json;
 pub mod site;
-pub mod turns;
-pub mod words;
+pub mod time_slots;
 
 pub use api::*;
 pub use policy::DeliveryPolicy;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -67,9 +67,9 @@
 
 /// What a source has told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum SourceUpdate {
     /// All that it has; what is missing is gone.
-    Whole {
+    Complete {
         /// Its version, where the source counts them.
         version: Option<u64>,
         /// The entries.
@@ -110,7 +110,7 @@
     /// What holds for it now.
     pub lifecycle: Lifecycle,
     /// When it was learnt.
-    pub learnt: Micros,
+    pub observed_at: Micros,
     /// From which source.
     pub source: SourceId,
     /// Why it is what it is.
@@ -128,7 +128,7 @@
 
 /// What one process passes on to the one that replaces it: the numbers of endpoints, and what each source has told.
 #[derive(Serialize, Deserialize)]
-pub struct Carried {
+pub struct MembershipSnapshot {
     ids: Vec<(Slot, EndpointId)>,
     last_id: u32,
     /// By source.
@@ -178,7 +178,7 @@
         if self.cordons.remove(id).is_none() {
             return self.names_id(id).then(Vec::new);
         }
-        let back = |c: Change| Change { learnt: now, ..c };
+        let back = |c: Change| Change { observed_at: now, ..c };
         Some(self.of_id(id, "uncordoned").into_iter().map(back).collect())
     }
 
@@ -204,9 +204,12 @@
     /// What holds for an entry with what operators want laid over it.
     fn laid_over(&self, change: &Change) -> Change {
         match self.cordons.get(&change.listing.key.id) {
-            Some(since) if change.lifecycle == Lifecycle::Listed => {
-                Change { lifecycle: Lifecycle::Draining, learnt: *since, why: "cordoned", ..change.clone() }
-            }
+            Some(since) if change.lifecycle == Lifecycle::Listed => Change {
+                lifecycle: Lifecycle::Draining,
+                observed_at: *since,
+                why: "cordoned",
+                ..change.clone()
+            },
             _ => change.clone(),
         }
     }
@@ -222,20 +225,20 @@
     }
 
     /// What the process that replaces this one goes on with.
-    pub fn carried(&self) -> Carried {
+    pub fn carried(&self) -> MembershipSnapshot {
         let ids = self.ids.iter().map(|(slot, id)| (slot.clone(), *id)).collect();
         let views = self.views.iter().map(|v| v.listings().cloned().collect()).collect();
-        Carried { ids, last_id: self.last_id, views }
+        MembershipSnapshot { ids, last_id: self.last_id, views }
     }
 
     /// Goes on with the numbers of the process that this one replaces; before any entry is told.
-    pub fn adopt(&mut self, carried: &Carried) {
+    pub fn adopt(&mut self, carried: &MembershipSnapshot) {
         self.ids = carried.ids.iter().cloned().collect();
         self.last_id = carried.last_id;
     }
 
     /// Takes in what a source has told and tells what changes by it, in the order in which it was told.
-    pub fn take(&mut self, now: Micros, source: SourceId, news: News) -> Vec<Change> {
+    pub fn take(&mut self, now: Micros, source: SourceId, news: SourceUpdate) -> Vec<Change> {
         let touched = self.views[source.0].take(now, news);
         self.settle(now, source, touched)
     }
@@ -399,7 +402,7 @@
             EndpointId(*last)
         });
         let Effective { lifecycle, learnt, why } = effective;
-        let change = Change { endpoint, listing, lifecycle, learnt, source, why };
+        let change = Change { endpoint, listing, lifecycle, observed_at: learnt, source, why };
         let known = self.told.get(&slot);
         if known.is_some_and(|k| k.listing.address != change.listing.address) {
             let old = known.expect("just seen").listing.address;
@@ -429,7 +432,7 @@
     ) {
         let Some(known) = self.told.remove(slot) else { return };
         leave(&mut self.told_at, known.listing.address, slot);
-        changes.push(Change { lifecycle: Lifecycle::Gone, learnt: now, source, why, ..known });
+        changes.push(Change { lifecycle: Lifecycle::Removed, observed_at: now, source, why, ..known });
     }
 }
 
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,6 +1,6 @@
 //! One source's view: what it has told, what of that is believed, and since when. It knows nothing of the others.
 
-use super::{Key, Listing, News, Policy, State};
+use super::{Key, Listing, Policy, SourceUpdate, State};
 use crate::{Lifecycle, Micros};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -157,12 +157,12 @@
         touched
     }
 
-    pub fn take(&mut self, now: Micros, news: News) -> Touched {
+    pub fn take(&mut self, now: Micros, news: SourceUpdate) -> Touched {
         self.counts.heard = Some(now);
         self.forget(now);
         let mut touched = Vec::new();
         match news {
-            News::Patch { listings, removed } => {
+            SourceUpdate::Patch { listings, removed } => {
                 listings.into_iter().for_each(|l| self.apply(now, l, &mut touched));
                 for (key, stamp) in removed {
                     match self.entries.get(&key).is_some_and(|h| stamp > 0 && stamp < h.listing.stamp) {
@@ -171,7 +171,9 @@
                     }
                 }
             }
-            News::Whole { version, listings } => self.take_whole(now, version, listings, &mut touched),
+            SourceUpdate::Complete { version, listings } => {
+                self.take_whole(now, version, listings, &mut touched)
+            }
         }
         touched
     }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -2,12 +2,12 @@
 
 use crate::invariants::Rejection;
 use crate::net::config::BODY_LIMIT;
-use crate::net::connection_registry::{Lobby, Stay};
-use crate::net::http::{Asked, Broken, Wire};
+use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
+use crate::net::http::{HttpConnection, HttpError, RequestHead};
 use crate::net::in_flight::Request;
-use crate::net::messages::{Reply, ToDecider, LATER};
+use crate::net::messages::{DeliveryMessage, SubmitReply, DEFAULT_RETRY_AFTER};
 use crate::net::Context;
-use crate::words::{index, Names};
+use crate::settings_json::{index, Names};
 use crate::{ClassId, DestinationId, MessageId, Micros, TenantId};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -61,15 +61,15 @@
 
 /// Takes connections until the listener is dropped, or another process takes them.
 pub async fn serve(context: Rc<Context>, listener: Async<TcpListener>) {
-    let lobby = Rc::new(Lobby::default());
-    let room = || context.config().user_agents().saturating_sub(context.older_agents.get());
-    let full = || context.user_agents.get().saturating_sub(lobby.going()) >= room();
+    let lobby = Rc::new(ConnectionRegistry::default());
+    let room = || context.config().user_agents().saturating_sub(context.predecessor_connections.get());
+    let full = || context.client_connections.get().saturating_sub(lobby.evictions_pending()) >= room();
     let mut retry = AcceptRetry::default();
     loop {
         let accepted = async {
             while full() {
                 // Where all are being served, what does not fit waits in the listener's queue.
-                if !lobby.make_room() {
+                if !lobby.evict_one() {
                     Timer::after(LOOK).await;
                 }
             }
@@ -99,7 +99,7 @@
 /// last look and the listener's end but what arrives in that very moment.
 async fn accept_last(
     context: &Rc<Context>,
-    lobby: &Rc<Lobby>,
+    lobby: &Rc<ConnectionRegistry>,
     listener: &Async<TcpListener>,
     full: impl Fn() -> bool,
 ) -> usize {
@@ -107,7 +107,7 @@
     let mut taken = 0;
     // Who ends the program drops this where it takes too long.
     loop {
-        if full() && !lobby.make_room() {
+        if full() && !lobby.evict_one() {
             Timer::after(LOOK).await;
             continue;
         }
@@ -151,15 +151,25 @@
     }
 }
 
-fn welcome(context: &Rc<Context>, lobby: &Rc<Lobby>, stream: Async<TcpStream>, address: SocketAddr) {
+fn welcome(
+    context: &Rc<Context>,
+    lobby: &Rc<ConnectionRegistry>,
+    stream: Async<TcpStream>,
+    address: SocketAddr,
+) {
     context.counters.accepted.add();
-    context.user_agents.set(context.user_agents.get() + 1);
+    context.client_connections.set(context.client_connections.get() + 1);
     context.executor.spawn(attend(context.clone(), lobby.clone(), stream, address)).detach();
 }
 
-async fn attend(context: Rc<Context>, lobby: Rc<Lobby>, stream: Async<TcpStream>, address: SocketAddr) {
+async fn attend(
+    context: Rc<Context>,
+    lobby: Rc<ConnectionRegistry>,
+    stream: Async<TcpStream>,
+    address: SocketAddr,
+) {
     let names = context.config().names.clone();
-    let mut agent = UserAgent { context: context.clone(), names, lobby, wire: Wire::new(stream) };
+    let mut agent = UserAgent { context: context.clone(), names, lobby, wire: HttpConnection::new(stream) };
     let reason = match agent.converse().await {
         Parting::Gone(reason) => reason,
         Parting::Closes(reason) => {
@@ -167,7 +177,7 @@
             reason
         }
     };
-    context.user_agents.set(context.user_agents.get() - 1);
+    context.client_connections.set(context.client_connections.get() - 1);
     info!(context.log, "connection ended"; "side" => "user-agent", "address" => %address, "reason" => reason);
 }
 
@@ -224,8 +234,8 @@
 struct UserAgent {
     context: Rc<Context>,
     names: Arc<Names>,
-    lobby: Rc<Lobby>,
-    wire: Wire,
+    lobby: Rc<ConnectionRegistry>,
+    wire: HttpConnection,
 }
 
 impl UserAgent {
@@ -233,21 +243,21 @@
     async fn converse(&mut self) -> Parting {
         // Silence and slowness of a newcomer count together: it is owed an end soon.
         let newcomer = Instant::now() + SLOW;
-        let (mut stay, mut until) = (Stay::Silent, newcomer);
+        let (mut stay, mut until) = (EvictionPriority::Silent, newcomer);
         loop {
             match self.await_request(stay, until).await {
                 Ok(()) => {}
                 // A request may be on its way and has nowhere else to go: whatever crosses the end has its answer.
-                Err(Parting::Closes(reason)) if stay == Stay::Silent => {
-                    return self.part_with(&Answer::service_unavailable(LATER), reason).await;
+                Err(Parting::Closes(reason)) if stay == EvictionPriority::Silent => {
+                    return self.part_with(&Answer::service_unavailable(DEFAULT_RETRY_AFTER), reason).await;
                 }
                 Err(parting) => return parting,
             }
-            let due = if stay == Stay::Silent { newcomer } else { Instant::now() + SLOW };
+            let due = if stay == EvictionPriority::Silent { newcomer } else { Instant::now() + SLOW };
             let (head, body) = match self.read_in_time(due).await {
                 Some(Ok(request)) => request,
                 Some(Err(broken)) => return self.refuse_broken(broken).await,
-                None if self.context.undecided.is_set() => return self.turn_away().await,
+                None if self.context.decisions_stopped.is_set() => return self.turn_away().await,
                 None => return self.refuse(408, "the request took too long", "slow-request").await,
             };
             let came = self.context.clock.now();
@@ -262,7 +272,7 @@
                 Err(parting) => return parting,
             };
             let context = &self.context;
-            let keeps = head.keeps && !context.closing() && !context.turns_away();
+            let keeps = head.keeps && !context.closing() && !context.closes_after_response();
             if !self.say(&answer, keeps).await {
                 if let Some(id) = answer.taken {
                     self.withdraw(id).await;
@@ -272,26 +282,26 @@
             if !keeps {
                 return Parting::Closes(match () {
                     () if self.context.closing() => "closing",
-                    () if self.context.turns_away() => "sent-away",
+                    () if self.context.closes_after_response() => "sent-away",
                     () => "answered",
                 });
             }
-            (stay, until) = (Stay::Idle, Instant::now() + IDLE);
+            (stay, until) = (EvictionPriority::Idle, Instant::now() + IDLE);
         }
     }
 
     /// Comes back once a request has begun. A connection between requests is closed when the program ends or
     /// has no room for another, but what has come by then is read first.
-    async fn await_request(&mut self, stay: Stay, until: Instant) -> Result<(), Parting> {
-        let guest = self.lobby.enter(stay);
+    async fn await_request(&mut self, stay: EvictionPriority, until: Instant) -> Result<(), Parting> {
+        let guest = self.lobby.register(stay);
         let closing = async {
             self.context.until_closing().await;
             if self.context.handed_over.is_set() {
                 // Another process is there for those who come again; the next answer says so.
                 Timer::after(PASSED_ON).await;
-            } else if stay == Stay::Silent {
+            } else if stay == EvictionPriority::Silent {
                 // Its request is on its way, and has nowhere else to go: nobody may send it a second time unasked.
-                future::or(self.context.undecided.wait(), async {
+                future::or(self.context.decisions_stopped.wait(), async {
                     Timer::after(FIRST_WORD).await;
                 })
                 .await;
@@ -300,14 +310,14 @@
         };
         let late = async {
             Timer::at(until).await;
-            Err(Parting::Closes(if stay == Stay::Silent { "silent" } else { "idle" }))
+            Err(Parting::Closes(if stay == EvictionPriority::Silent { "silent" } else { "idle" }))
         };
         let asked = async {
-            guest.asked_to_go().await;
+            guest.evicted().await;
             Err(Parting::Closes("crowded"))
         };
         let away = async {
-            self.context.sends_away.wait().await;
+            self.context.quiesced.wait().await;
             Timer::after(REST).await;
             Err(Parting::Closes("sent-away"))
         };
@@ -323,14 +333,14 @@
 
     /// The request that has begun; none if it does not come whole in time, or while there is room, or before the program
     /// ends.
-    async fn read_in_time(&mut self, due: Instant) -> Option<Result<(Asked, Vec<u8>), Broken>> {
-        let guest = self.lobby.enter(Stay::Reading);
+    async fn read_in_time(&mut self, due: Instant) -> Option<Result<(RequestHead, Vec<u8>), HttpError>> {
+        let guest = self.lobby.register(EvictionPriority::Reading);
         let late = async {
             Timer::at(due).await;
             None
         };
         let asked = async {
-            future::or(guest.asked_to_go(), self.context.undecided.wait()).await;
+            future::or(guest.evicted(), self.context.decisions_stopped.wait()).await;
             None
         };
         future::or(async { Some(read(&mut self.wire).await) }, future::or(late, asked)).await
@@ -344,12 +354,12 @@
         future::or(self.wire.write(answer.bytes(keeps).as_bytes()), late).await.is_ok()
     }
 
-    async fn refuse_broken(&mut self, broken: Broken) -> Parting {
+    async fn refuse_broken(&mut self, broken: HttpError) -> Parting {
         let (status, code) = match broken {
-            Broken::Malformed(_) => (400, broken.code()),
-            Broken::TooLarge => (413, broken.code()),
-            Broken::Ended | Broken::Torn | Broken::Stalled => (400, "torn-request"),
-            Broken::Socket(_) => return Parting::Gone("torn-request"),
+            HttpError::Malformed(_) => (400, broken.code()),
+            HttpError::TooLarge => (413, broken.code()),
+            HttpError::Ended | HttpError::Torn | HttpError::Stalled => (400, "torn-request"),
+            HttpError::Socket(_) => return Parting::Gone("torn-request"),
         };
         self.refuse(status, &broken.to_string(), code).await
     }
@@ -361,7 +371,7 @@
     /// Turns a request away that is not whole as the program ends.
     async fn turn_away(&mut self) -> Parting {
         self.context.counters.unavailable.add();
-        self.part_with(&Answer::service_unavailable(LATER), "closing").await
+        self.part_with(&Answer::service_unavailable(DEFAULT_RETRY_AFTER), "closing").await
     }
 
     /// Ends the connection with an error.
@@ -381,26 +391,26 @@
 
     /// Ends the sending, then reads away what still comes, up to the other side's end or a bounded time.
     async fn take_leave(&mut self) {
-        let guest = self.lobby.enter(Stay::Leaving);
+        let guest = self.lobby.register(EvictionPriority::Leaving);
         self.wire.end_sending();
         let enough = async {
             Timer::after(LINGER).await;
         };
-        let asked = guest.asked_to_go();
+        let asked = guest.evicted();
         future::or(future::or(enough, asked), self.wire.drain()).await;
     }
 
     /// Answers a request; `gone` if the user agent has ended its sending with it.
     async fn serve(
         &mut self,
-        head: &Asked,
+        head: &RequestHead,
         body: Vec<u8>,
         came: Micros,
         gone: bool,
     ) -> Result<Answer, Parting> {
         let path = head.target.split('?').next().unwrap_or_default();
         match (head.method.as_str(), path) {
-            ("GET", "/_health") if self.context.takes_user_agents() => Ok(Answer::plain(200, "ready\n")),
+            ("GET", "/_health") if self.context.accepts_clients() => Ok(Answer::plain(200, "ready\n")),
             ("GET", "/_health") => Ok(Answer::plain(503, "not ready\n")),
             ("GET", "/_counters") if head.target.ends_with("?by=partner") => {
                 Ok(Answer::plain(200, format!("{}\n", self.by_partner().await)))
@@ -410,12 +420,12 @@
                 // It may have ended its sending only: it is told that this was not taken on.
                 Ok(request) if gone => {
                     self.context.counters.unavailable.add();
-                    self.context.rejected(&request.word, Rejection::ClientGone);
-                    Err(self.part_with(&Answer::service_unavailable(LATER), "agent-gone").await)
+                    self.context.rejected(&request.request_id, Rejection::ClientGone);
+                    Err(self.part_with(&Answer::service_unavailable(DEFAULT_RETRY_AFTER), "agent-gone").await)
                 }
-                Ok(request) if !self.context.board.names(request.destination) => {
+                Ok(request) if !self.context.endpoint_table.names(request.destination) => {
                     self.context.counters.unavailable.add();
-                    self.context.rejected(&request.word, Rejection::UnknownDestination);
+                    self.context.rejected(&request.request_id, Rejection::UnknownDestination);
                     info!(self.context.log, "unknown destination"; "destination" => request.destination.0);
                     Ok(Answer::service_unavailable(UNKNOWN_FOR))
                 }
@@ -435,7 +445,7 @@
     async fn by_partner(&self) -> Value {
         let mut report = self.context.report();
         let (reply, shown) = async_channel::bounded(1);
-        if self.context.decider.send(ToDecider::Show { reply }).await.is_ok() {
+        if self.context.delivery.send(DeliveryMessage::DescribeStatus { reply }).await.is_ok() {
             if let Ok(Value::Object(shown)) = shown.recv().await {
                 report.as_object_mut().expect("a map of counters").extend(shown);
             }
@@ -443,7 +453,7 @@
         report
     }
 
-    fn read_message(&self, head: &Asked, body: Vec<u8>, came: Micros) -> Result<Request, String> {
+    fn read_message(&self, head: &RequestHead, body: Vec<u8>, came: Micros) -> Result<Request, String> {
         let told = |name: &str| head.fields.get(name).filter(|v| !v.is_empty());
         let must = |name: &str| told(name).ok_or(format!("no {name}"));
         if let Some(name) = FIELDS.iter().find(|f| head.fields.count(f) > 1) {
@@ -471,22 +481,22 @@
         let deadline = came + time.min(self.context.config().deadlines[class.0]);
         let retry = told("X-Retry");
         Ok(Request {
-            word: word.to_owned(),
+            request_id: word.to_owned(),
             key,
             class,
             tenant,
             destination,
             deadline,
             body: body.into(),
-            again: retry == Some("1"),
-            orphan: retry == Some("again"),
+            client_retry: retry == Some("1"),
+            failed_over: retry == Some("again"),
         })
     }
 
     /// Hands a message to the module's actor. A user agent that goes meanwhile takes its message with it.
     async fn hand_in(&mut self, request: Request) -> Result<Answer, Parting> {
         let (reply, answer) = async_channel::bounded(1);
-        if self.context.decider.send(ToDecider::Take { request, reply }).await.is_err() {
+        if self.context.delivery.send(DeliveryMessage::Submit { request, reply }).await.is_err() {
             return Ok(Answer::service_unavailable(1_000_000));
         }
         let decided = async { Waited::Decided(answer.recv().await.ok()) };
@@ -511,7 +521,7 @@
             Waited::EndedSending | Waited::Disconnected => answer.try_recv().ok(),
         };
         let taken = match reply {
-            Some(Reply::Taken(id)) => Some(id),
+            Some(SubmitReply::Accepted(id)) => Some(id),
             _ => None,
         };
         if matches!(waited, Waited::Disconnected) || followed.get() {
@@ -525,13 +535,13 @@
             // It may still read: undecided, its message is withdrawn, and it is told that it was not taken on.
             (Waited::EndedSending, None) => {
                 self.context.counters.unavailable.add();
-                Err(self.part_with(&Answer::service_unavailable(LATER), "agent-gone").await)
+                Err(self.part_with(&Answer::service_unavailable(DEFAULT_RETRY_AFTER), "agent-gone").await)
             }
-            (_, None) => Ok(Answer::service_unavailable(LATER)),
-            (_, Some(Reply::Taken(_))) => Ok(Answer { taken, ..Answer::plain(202, "") }),
-            (_, Some(Reply::Unavailable(after))) => Ok(Answer::service_unavailable(after)),
-            (_, Some(Reply::Failed)) => Ok(Answer::plain(500, "failed\n")),
-            (_, Some(Reply::Held)) => {
+            (_, None) => Ok(Answer::service_unavailable(DEFAULT_RETRY_AFTER)),
+            (_, Some(SubmitReply::Accepted(_))) => Ok(Answer { taken, ..Answer::plain(202, "") }),
+            (_, Some(SubmitReply::Unavailable(after))) => Ok(Answer::service_unavailable(after)),
+            (_, Some(SubmitReply::Failed)) => Ok(Answer::plain(500, "failed\n")),
+            (_, Some(SubmitReply::DuplicateId)) => {
                 self.context.counters.bad_requests.add();
                 Ok(Answer::plain(409, "a message of that id is not over yet\n"))
             }
@@ -539,24 +549,24 @@
     }
 
     async fn withdraw(&self, id: MessageId) {
-        let _ = self.context.decider.send(ToDecider::Withdrawn { id }).await;
+        let _ = self.context.delivery.send(DeliveryMessage::Withdrawn { id }).await;
     }
 }
 
 /// What ended the wait for the decision on a message.
 enum Waited {
     /// It came, or nobody is there to make it.
-    Decided(Option<Reply>),
+    Decided(Option<SubmitReply>),
     /// The client has ended its sending; it may still read.
     EndedSending,
     /// The connection broke.
     Disconnected,
 }
 
-async fn read(wire: &mut Wire) -> Result<(Asked, Vec<u8>), Broken> {
+async fn read(wire: &mut HttpConnection) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let head = wire.read_request().await?;
     if head.fields.expects_continue() && !head.longer_than(BODY_LIMIT) {
-        wire.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(Broken::Socket)?;
+        wire.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(HttpError::Socket)?;
     }
     let body = wire.request_body(&head, BODY_LIMIT).await?;
     Ok((head, body))
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -3,7 +3,7 @@
 use crate::invariants::RepeatRules;
 use crate::membership::RegistrySettings;
 use crate::net::platform::eureka::snapshot::Snapshot;
-use crate::words::{field, in_field, micros, own_number, settings, text, whole, Names};
+use crate::settings_json::{field, in_field, micros, own_number, settings, text, whole, Names};
 use crate::{Class, Kind, Micros, Settings};
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -38,21 +38,21 @@
     /// The list as last held, if it is told.
     pub known: Option<Value>,
     /// An idle connection is closed by an endpoint after this.
-    pub conn_idle: Micros,
+    pub endpoint_idle_timeout: Micros,
     /// A connection that is not made by then never comes.
     pub dial_timeout: Micros,
     /// Work may go to an endpoint for so long after it was told to leave.
     pub drain_grace: Micros,
     /// The shortest time between two steps of the module.
-    pub granularity: Micros,
+    pub min_step_interval: Micros,
     /// Messages held at once.
-    pub max_open: usize,
+    pub max_open_messages: usize,
     /// Calls out at once.
-    pub slots: usize,
+    pub max_concurrent_calls: usize,
     /// Forwarders that share the traffic, this one included.
     pub forwarders: usize,
     /// Its number among them, or why it has none.
-    pub number: Result<u64, String>,
+    pub forwarder_index: Result<u64, String>,
     /// The kinds of destination.
     pub kinds: Vec<Kind>,
     /// What classes, tenants, zones and kinds are called.
@@ -60,7 +60,7 @@
     /// Whether each class needs a key, by class.
     pub keyed: Vec<bool>,
     /// Whether a message of each class must never run twice, by class.
-    pub unsafe_twice: Vec<bool>,
+    pub non_idempotent: Vec<bool>,
     /// How messages of each class may be repeated, by class.
     pub repeats: Vec<RepeatRules>,
     /// A registry that the list also comes from.
@@ -75,7 +75,7 @@
 
 /// A number of megabytes as bytes.
 fn megabytes(v: &Value) -> Result<u64, String> {
-    let count = crate::words::number(v)?;
+    let count = crate::settings_json::number(v)?;
     if !(0.0..1e12).contains(&count) {
         return Err(format!("expected megabytes, got {v}"));
     }
@@ -98,7 +98,7 @@
 }
 
 fn repeat_rules(class: &Class, settings: &Settings) -> RepeatRules {
-    let Class { effect, dedup_scope: scope, memory_span: window, .. } = *class;
+    let Class { idempotency: effect, dedup_scope: scope, deduplication_window: window, .. } = *class;
     RepeatRules { effect, scope, window, max_attempts: settings.max_attempts }
 }
 
@@ -125,7 +125,8 @@
             told => Ok(told),
         };
         let operator = operator.map_err(|e| format!("operator: {e}"))?;
-        let of = |want: crate::Effect| settings.classes.iter().map(move |c| c.effect == want).collect();
+        let of =
+            |want: crate::Idempotency| settings.classes.iter().map(move |c| c.idempotency == want).collect();
         let config = Config {
             name: told("ROUTER_NAME", "name")?,
             listen: address(&told("ROUTER_LISTEN", "listen")?, "listen")?,
@@ -136,24 +137,24 @@
             sockets: in_field(limits, "sockets", whole)? as usize,
             disk: in_field(limits, "disk_mb", megabytes)?,
             known: v.get("known").filter(|k| !k.is_null()).cloned(),
-            conn_idle: in_field(allow, "conn-idle", micros)?,
+            endpoint_idle_timeout: in_field(allow, "conn-idle", micros)?,
             dial_timeout: in_field(allow, "dial-timeout", micros)?,
             drain_grace: in_field(field(raw, "rules")?, "drain-grace", micros)?,
-            granularity: settings.granularity,
-            max_open: settings.max_open,
-            slots: settings.slots,
+            min_step_interval: settings.min_step_interval,
+            max_open_messages: settings.max_open_messages,
+            max_concurrent_calls: settings.max_concurrent_calls,
             forwarders: settings.forwarders,
-            number: own_number(raw),
+            forwarder_index: own_number(raw),
             kinds: settings.kinds.clone(),
             names: Arc::new(names),
-            keyed: of(crate::Effect::Keyed),
-            unsafe_twice: of(crate::Effect::Unsafe),
+            keyed: of(crate::Idempotency::WithKey),
+            non_idempotent: of(crate::Idempotency::NonIdempotent),
             repeats: settings.classes.iter().map(|c| repeat_rules(c, &settings)).collect(),
             registry: None,
             deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
         };
-        if config.sockets < 64 + 2 * config.slots {
-            let (sockets, slots) = (config.sockets, config.slots);
+        if config.sockets < 64 + 2 * config.max_concurrent_calls {
+            let (sockets, slots) = (config.sockets, config.max_concurrent_calls);
             return Err(format!("setting `sockets`: {sockets} are too few for {slots} calls"));
         }
         if config.dial_timeout == 0 {
@@ -169,7 +170,7 @@
             return Some("`name`, `listen` and `state` change only at a start");
         }
         let same = self.names == other.names && self.keyed == other.keyed;
-        let same = same && self.unsafe_twice == other.unsafe_twice;
+        let same = same && self.non_idempotent == other.non_idempotent;
         if !same {
             return Some(
                 "names of classes, tenants, zones and kinds, and what repeats do, change only at a start",
@@ -194,6 +195,6 @@
     /// Idle connections to endpoints kept at once, beside those that carry calls.
     pub fn idle_peers(&self) -> usize {
         let operators = if self.operator.is_some() { OPERATORS } else { 0 };
-        (self.sockets / 2).saturating_sub(self.slots + 32 + operators)
+        (self.sockets / 2).saturating_sub(self.max_concurrent_calls + 32 + operators)
     }
 }
--- a/src/net/connection_registry.rs
+++ b/src/net/connection_registry.rs
@@ -7,7 +7,7 @@
 
 /// Where a connection stands that may be let go when there is no room: the first ones go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stay {
+pub enum EvictionPriority {
     /// It has its last answer.
     Leaving,
     /// It never sent a request.
@@ -20,30 +20,30 @@
 
 /// All connections that may be let go, in the order in which they go.
 #[derive(Default)]
-pub struct Lobby {
-    guests: RefCell<BTreeMap<(Stay, u64), Sender<()>>>,
+pub struct ConnectionRegistry {
+    guests: RefCell<BTreeMap<(EvictionPriority, u64), Sender<()>>>,
     entered: Cell<u64>,
     /// Those that were asked to go and have not yet said what becomes of it.
     going: Cell<usize>,
 }
 
-impl Lobby {
+impl ConnectionRegistry {
     /// Takes a place, to be given up when it is dropped.
-    pub fn enter(self: &Rc<Self>, stay: Stay) -> Guest {
+    pub fn register(self: &Rc<Self>, stay: EvictionPriority) -> Registration {
         let (ask, asked) = async_channel::bounded(1);
         self.entered.set(self.entered.get() + 1);
         let place = (stay, self.entered.get());
         self.guests.borrow_mut().insert(place, ask);
-        Guest { lobby: self.clone(), place, asked }
+        Registration { lobby: self.clone(), place, asked }
     }
 
     /// How many were asked to go and have not yet gone.
-    pub fn going(&self) -> usize {
+    pub fn evictions_pending(&self) -> usize {
         self.going.get()
     }
 
     /// Asks the first one to go; false if all are being served.
-    pub fn make_room(&self) -> bool {
+    pub fn evict_one(&self) -> bool {
         let asked = self.guests.borrow_mut().pop_first().is_some();
         self.going.set(self.going.get() + usize::from(asked));
         asked
@@ -51,20 +51,20 @@
 }
 
 /// A place in the lobby.
-pub struct Guest {
-    lobby: Rc<Lobby>,
-    place: (Stay, u64),
+pub struct Registration {
+    lobby: Rc<ConnectionRegistry>,
+    place: (EvictionPriority, u64),
     asked: Receiver<()>,
 }
 
-impl Guest {
+impl Registration {
     /// Comes back once this one is asked to go.
-    pub async fn asked_to_go(&self) {
+    pub async fn evicted(&self) {
         let _ = self.asked.recv().await;
     }
 }
 
-impl Drop for Guest {
+impl Drop for Registration {
     fn drop(&mut self) {
         if self.lobby.guests.borrow_mut().remove(&self.place).is_none() {
             self.lobby.going.set(self.lobby.going.get() - 1);
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -1,7 +1,7 @@
 //! What the program has taken in, sent and answered.
 
 use crate::invariants::{Rejection, SendRefusal, Violation};
-use crate::{GiveUpReason, Outcome};
+use crate::{AbandonReason, Outcome};
 use serde_json::{Map, Value};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -132,7 +132,7 @@
     }
 
     /// Counts a message that was given up.
-    pub fn given_up(&self, why: GiveUpReason) {
+    pub fn given_up(&self, why: AbandonReason) {
         self.reason(GIVEN_UP, why.name());
     }
 
@@ -146,14 +146,14 @@
         match outcome {
             Outcome::Ok => &self.ok,
             Outcome::Error => &self.error,
-            Outcome::Full(_) => &self.full,
+            Outcome::Rejected(_) => &self.full,
             Outcome::TimedOut => &self.timed_out,
             Outcome::ConnectFailed => &self.connect_failed,
             Outcome::Reset => &self.reset,
-            Outcome::Stale => &self.stale,
+            Outcome::StaleConnection => &self.stale,
             Outcome::Cancelled => &self.cancelled,
-            Outcome::Moot => &self.moot,
-            Outcome::Unsent => &self.unsent,
+            Outcome::NotSent => &self.moot,
+            Outcome::NotJournaled => &self.unsent,
         }
         .add();
     }
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -2,20 +2,23 @@
 
 use crate::invariants::{may_take_on, AdmissionFacts, Rejection};
 use crate::journal::{JournalError, JournaledMessage, Progress, ReportedEnd};
-use crate::membership::Carried;
-use crate::net::call::{Call, Came, End, Ended, Part};
+use crate::membership::MembershipSnapshot;
+use crate::net::call::{Attempt, AttemptResult, Call, CallCompletion, CallResult};
 use crate::net::endpoint::{self};
-use crate::net::handover::{self, Speaker, State};
-use crate::net::in_flight::{Request, Transaction};
-use crate::net::messages::{Heir, Notice, Reply, ToDecider, ToMembers, ToPeer, LATER};
+use crate::net::handover::{self, frames::HandOverState, FrameSender};
+use crate::net::in_flight::{InFlightMessage, Request};
+use crate::net::messages::{
+    DeliveryMessage, DeliveryReport, EndpointListMessage, EndpointMessage, SubmitReply, Successor,
+    DEFAULT_RETRY_AFTER,
+};
 use crate::net::operator::{self};
 use crate::net::Context;
-use crate::words::Names;
+use crate::settings_json::Names;
 use crate::{
-    Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, Event, GiveUpReason, KindId, Lifecycle,
-    ListNews, MessageId,
+    AbandonReason, Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, EndpointListUpdate, Event,
+    KindId, Lifecycle, MessageId,
 };
-use crate::{Micros, Outcome, Settings, Shown, Status, TenantId, ZoneId};
+use crate::{DestinationStatus, Micros, Outcome, Settings, TenantId, ZoneId};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::future;
@@ -30,9 +33,9 @@
 const RETURNED: &str = "returned";
 
 struct Held {
-    transaction: Rc<Transaction>,
+    transaction: Rc<InFlightMessage>,
     out: Option<Out>,
-    reply: Option<Sender<Reply>>,
+    reply: Option<Sender<SubmitReply>>,
 }
 
 /// An attempt that is out.
@@ -44,15 +47,15 @@
 }
 
 /// The actor round the module.
-pub struct Decider {
+pub struct DeliveryActor {
     context: Rc<Context>,
     names: Arc<Names>,
     policy: DeliveryPolicy,
-    notices: Sender<Notice>,
-    members: Sender<ToMembers>,
+    notices: Sender<DeliveryReport>,
+    members: Sender<EndpointListMessage>,
     /// Endpoints that may be called, with whose they are, and the actors of those that were.
     listed: BTreeMap<EndpointId, DestinationId>,
-    peers: BTreeMap<EndpointId, Sender<ToPeer>>,
+    peers: BTreeMap<EndpointId, Sender<EndpointMessage>>,
     held: BTreeMap<MessageId, Held>,
     /// The kind of each destination that the list names, and how many endpoints it names for it.
     kinds: BTreeMap<DestinationId, (KindId, usize)>,
@@ -65,7 +68,7 @@
     journal_writable: bool,
     closed: bool,
     /// The process that is to replace this one.
-    heir: Option<Heir>,
+    heir: Option<Successor>,
     /// The attempts that are out at the process that this one has replaced, those of messages that are over too: the
     /// module waits for each.
     older: BTreeMap<(MessageId, u32), EndpointId>,
@@ -73,16 +76,16 @@
     handed_in: Vec<u64>,
 }
 
-impl Decider {
+impl DeliveryActor {
     /// An actor that holds nothing yet; ids go on after the last one used.
     pub fn new(
         context: Rc<Context>,
         policy: DeliveryPolicy,
-        notices: Sender<Notice>,
-        members: Sender<ToMembers>,
+        notices: Sender<DeliveryReport>,
+        members: Sender<EndpointListMessage>,
         last_id: u64,
     ) -> Self {
-        Decider {
+        DeliveryActor {
             handed_in: vec![0; context.config().names.tenants.len()],
             names: context.config().names.clone(),
             context,
@@ -111,7 +114,7 @@
     }
 
     /// The list's mailbox.
-    pub fn members(&self) -> &Sender<ToMembers> {
+    pub fn members(&self) -> &Sender<EndpointListMessage> {
         &self.members
     }
 
@@ -122,7 +125,7 @@
             let may_have_run = kept.progress.may_have_run();
             let class = self.names.classes.iter().position(|c| *c == kept.class);
             let id = MessageId(id);
-            let unrepeatable = |c: usize| may_have_run && self.context.config().unsafe_twice[c];
+            let unrepeatable = |c: usize| may_have_run && self.context.config().non_idempotent[c];
             // The platform may have had the report of an end: the message must not be sent after it. One
             // that may not run twice fails, as does one of a class that is no more.
             let end = match class {
@@ -137,9 +140,9 @@
             }
             let Progress { attempts, first, .. } = kept.progress.clone();
             let request = self.request(kept, class.unwrap_or_default(), may_have_run);
-            let mut transaction = Transaction::new(id, request, attempts);
+            let mut transaction = InFlightMessage::new(id, request, attempts);
             transaction.restored = true;
-            transaction.first = first.map(|sent| {
+            transaction.first_attempt = first.map(|sent| {
                 // A zone that is no more takes no repeat.
                 let zone = self.names.zones.iter().position(|z| *z == sent.zone).unwrap_or(usize::MAX);
                 (sent.at, ZoneId(zone))
@@ -151,39 +154,44 @@
     fn request(&self, kept: JournaledMessage, class: usize, may_have_run: bool) -> Request {
         let tenants = &self.names.tenants;
         Request {
-            word: kept.request_id,
+            request_id: kept.request_id,
             key: kept.key,
             class: ClassId(class),
             tenant: kept.tenant.and_then(|t| tenants.iter().position(|n| *n == t)).map(TenantId),
             destination: DestinationId(kept.destination),
             deadline: kept.deadline,
             body: kept.body.into(),
-            again: !may_have_run,
-            orphan: may_have_run,
+            client_retry: !may_have_run,
+            failed_over: may_have_run,
         }
     }
 
     /// What passes to the process that replaces this one; the module has just made a step.
-    pub fn state(&self, list: Carried) -> State {
-        let messages = self.held.iter().map(|(id, held)| handover::Message {
+    pub fn state(&self, list: MembershipSnapshot) -> HandOverState {
+        let messages = self.held.iter().map(|(id, held)| handover::frames::HandOverMessage {
             id: *id,
             attempts: held.transaction.attempts(),
-            since: held.transaction.since,
-            out: held.out.as_ref().map(|o| (o.attempt, o.endpoint)),
+            received_at: held.transaction.received_at,
+            in_flight: held.out.as_ref().map(|o| (o.attempt, o.endpoint)),
         });
         // What is over and out at a process before this one has no record here any more.
         let over = self.older.iter().filter(|o| !self.held.contains_key(&o.0 .0));
         let over = over.map(|((id, attempt), endpoint)| {
             let out = Some((*attempt, *endpoint));
-            handover::Message { id: *id, attempts: attempt + 1, since: None, out }
+            handover::frames::HandOverMessage {
+                id: *id,
+                attempts: attempt + 1,
+                received_at: None,
+                in_flight: out,
+            }
         });
-        State {
-            module: serde_json::to_value(&self.policy).unwrap_or_default(),
+        HandOverState {
+            policy: serde_json::to_value(&self.policy).unwrap_or_default(),
             last_id: self.next,
             messages: messages.chain(over).collect(),
             timers: self.timers.iter().map(|t| t.0).collect(),
-            handed_in: self.handed_in.clone(),
-            user_agents: self.context.user_agents.get(),
+            received_by_tenant: self.handed_in.clone(),
+            client_connections: self.context.client_connections.get(),
             list,
         }
     }
@@ -191,22 +199,22 @@
     /// Goes on from where the process stopped that this one replaces. What its module held is in the journal, and what
     /// the journal alone holds is owed a notice.
     /// The list that passes with it is for the membership's actor.
-    pub async fn inherit(
+    pub async fn resume_from(
         &mut self,
-        state: State,
+        state: HandOverState,
         kept: Vec<(u64, JournaledMessage)>,
-        older: &Speaker,
+        older: &FrameSender,
         settings: Settings,
-    ) -> Carried {
+    ) -> MembershipSnapshot {
         self.next = self.next.max(state.last_id);
         self.timers = state.timers.iter().map(|t| Reverse(*t)).collect();
-        if state.handed_in.len() == self.handed_in.len() {
-            self.handed_in = state.handed_in;
+        if state.received_by_tenant.len() == self.handed_in.len() {
+            self.handed_in = state.received_by_tenant;
         }
         let mut kept: BTreeMap<u64, JournaledMessage> = kept.into_iter().collect();
         for message in &state.messages {
             let id = message.id;
-            self.older.extend(message.out.map(|(attempt, endpoint)| ((id, attempt), endpoint)));
+            self.older.extend(message.in_flight.map(|(attempt, endpoint)| ((id, attempt), endpoint)));
             let class = |k: &JournaledMessage| self.names.classes.iter().position(|c| *c == k.class);
             let live = kept.remove(&id.0).filter(|k| k.progress.report.is_none());
             let Some((kept, class)) = live.and_then(|k| class(&k).map(|c| (k, c))) else {
@@ -214,9 +222,9 @@
                 continue;
             };
             let request = self.request(kept, class, false);
-            let mut transaction = Transaction::new(id, request, message.attempts);
-            transaction.since = message.since;
-            let out = message.out.map(|(attempt, endpoint)| {
+            let mut transaction = InFlightMessage::new(id, request, message.attempts);
+            transaction.received_at = message.received_at;
+            let out = message.in_flight.map(|(attempt, endpoint)| {
                 let call = older.call_off(&self.context, id, attempt);
                 Out { attempt, endpoint, call }
             });
@@ -230,22 +238,22 @@
 
     /// What was out at the process that this one has replaced, which is gone: it may have run. That process ended, not
     /// the endpoint, so no breaker may count it.
-    pub fn lost_with_older(&mut self) -> Vec<Came> {
+    pub fn lost_with_older(&mut self) -> Vec<CallCompletion> {
         let sent = self.context.clock.now();
         let came = |(part, endpoint)| {
-            let ended = Ended::alike(1, End::of(Outcome::Stale));
-            Came { endpoint, sent, parts: vec![part], ended }
+            let ended = CallResult::same_for_all(1, AttemptResult::of(Outcome::StaleConnection));
+            CallCompletion { endpoint, sent, attempts: vec![part], result: ended }
         };
         std::mem::take(&mut self.older).into_iter().map(came).collect()
     }
 
     /// Another process decides from here on; only the calls that are out are still this one's.
-    pub fn retire(&mut self) {
+    pub fn step_down(&mut self) {
         self.closed = true;
-        self.context.open.set(0);
-        self.context.notices_owed.set(0);
+        self.context.open_messages.set(0);
+        self.context.reports_pending.set(0);
         for peer in self.peers.values() {
-            let _ = peer.try_send(ToPeer::CloseIdle);
+            let _ = peer.try_send(EndpointMessage::CloseIdle);
         }
     }
 
@@ -255,7 +263,7 @@
         out.filter(|o| o.attempt == attempt).map(|o| o.call.close());
     }
 
-    fn hold(&mut self, mut transaction: Transaction, reply: Option<Sender<Reply>>) {
+    fn hold(&mut self, mut transaction: InFlightMessage, reply: Option<Sender<SubmitReply>>) {
         let (to, class) = (transaction.request.destination, transaction.request.class);
         transaction.stats = self.context.routes.of(to, self.kinds.get(&to).map(|k| k.0), class);
         transaction.stats.iter().for_each(|s| s.take());
@@ -264,20 +272,20 @@
         self.events.push(Event::Message(message));
     }
 
-    fn enter(&mut self, transaction: Transaction, out: Option<Out>, reply: Option<Sender<Reply>>) {
-        self.context.keep_word(&transaction.request.word);
+    fn enter(&mut self, transaction: InFlightMessage, out: Option<Out>, reply: Option<Sender<SubmitReply>>) {
+        self.context.keep_request_id(&transaction.request.request_id);
         let rules = self.context.config().repeats[transaction.request.class.0];
-        let first = transaction.first.map(|(at, zone)| (at, Some(zone)));
+        let first = transaction.first_attempt.map(|(at, zone)| (at, Some(zone)));
         let attempt = out.as_ref().map(|o| o.attempt);
         self.context.ledger.borrow_mut().hold(transaction.id, rules, transaction.attempts(), first, attempt);
         let held = Held { transaction: Rc::new(transaction), out, reply };
         self.held.insert(held.transaction.id, held);
         self.open += 1;
-        self.context.open.set(self.open);
+        self.context.open_messages.set(self.open);
     }
 
     /// Serves until all who could tell it something are gone.
-    pub async fn run(mut self, mail: Receiver<ToDecider>) {
+    pub async fn run(mut self, mail: Receiver<DeliveryMessage>) {
         let clock = self.context.clock;
         loop {
             if self.events.is_empty() {
@@ -296,7 +304,7 @@
                     None => {}
                 }
             }
-            let ready = self.last_step + self.context.config().granularity;
+            let ready = self.last_step + self.context.config().min_step_interval;
             if clock.now() < ready {
                 Timer::at(clock.at(ready)).await;
             }
@@ -308,21 +316,21 @@
             } else {
                 self.step().await;
                 if let Some(heir) = self.heir.take() {
-                    handover::give(&mut self, heir, &mail).await;
+                    handover::hand_over(&mut self, heir, &mail).await;
                 }
             }
         }
     }
 
-    async fn take(&mut self, news: ToDecider) {
+    async fn take(&mut self, news: DeliveryMessage) {
         match news {
-            ToDecider::Take { request, reply } => self.take_on(request, reply),
-            ToDecider::Withdrawn { id } => self.withdraw(id),
-            ToDecider::List(news) => self.take_list(news),
-            ToDecider::Settings(settings) => self.events.push(Event::Settings(settings)),
-            ToDecider::CallEnded(came) => self.take_call_ended(came),
-            ToDecider::HandOver(heir) => self.heir = Some(heir),
-            ToDecider::Operate { operation, reply } => {
+            DeliveryMessage::Submit { request, reply } => self.take_on(request, reply),
+            DeliveryMessage::Withdrawn { id } => self.withdraw(id),
+            DeliveryMessage::EndpointList(news) => self.take_list(news),
+            DeliveryMessage::Settings(settings) => self.events.push(Event::Settings(settings)),
+            DeliveryMessage::CallCompleted(came) => self.take_call_ended(came),
+            DeliveryMessage::HandOver(heir) => self.heir = Some(heir),
+            DeliveryMessage::Admin { command: operation, reply } => {
                 // It was meant for the process that did not take over after all.
                 let (context, members) = (self.context.clone(), self.members.clone());
                 let operating = async move {
@@ -330,30 +338,25 @@
                 };
                 self.context.executor.spawn(operating).detach();
             }
-            ToDecider::OlderGone => {
+            DeliveryMessage::PredecessorGone => {
                 self.lost_with_older().into_iter().for_each(|came| self.take_call_ended(came))
             }
             // The next step sees it.
-            ToDecider::JournalWritable => {}
-            ToDecider::Show { reply } => {
+            DeliveryMessage::JournalWritable => {}
+            DeliveryMessage::DescribeStatus { reply } => {
                 let _ = reply.try_send(self.show());
             }
-            ToDecider::Close => self.close(),
+            DeliveryMessage::Stop => self.close(),
         }
     }
 
     /// What operators are shown: each destination with its breaker, and what each channel has handed in.
     fn show(&self) -> Value {
         let ms = |us: f64| us / 1e3;
-        let one = |s: Shown| {
-            let state = match s.status {
-                Status::Closed => "closed",
-                Status::Half => "half",
-                Status::Open => "open",
-            };
-            json!({"destination": s.destination.0, "breaker": state, "held": s.held, "out": s.out,
-                "wait_ms": ms(s.wait as f64), "cold": s.cold, "answer_ms": s.latency.map(ms),
-                "limit_per_s": s.limit.map(|l| l.rate), "limit_left": s.limit.map(|l| l.left)})
+        let one = |s: DestinationStatus| {
+            json!({"destination": s.destination.0, "breaker": s.breaker.name(), "held": s.waiting, "out": s.in_flight,
+                "wait_ms": ms(s.retry_after as f64), "cold": s.warming_up, "answer_ms": s.latency.map(ms),
+                "limit_per_s": s.limit.map(|l| l.rate), "limit_left": s.limit.map(|l| l.remaining_share)})
         };
         let partners: Vec<Value> = self.policy.shown(self.context.clock.now()).map(one).collect();
         let channels = self.names.tenants.iter().zip(&self.handed_in);
@@ -368,59 +371,61 @@
         for (id, held) in &mut self.held {
             if let Some(reply) = held.reply.take() {
                 self.context.counters.taken.add();
-                let _ = reply.try_send(Reply::Taken(*id));
+                let _ = reply.try_send(SubmitReply::Accepted(*id));
             }
         }
     }
 
-    fn take_on(&mut self, request: Request, reply: Sender<Reply>) {
+    fn take_on(&mut self, request: Request, reply: Sender<SubmitReply>) {
         if let Some(n) = request.tenant.and_then(|t| self.handed_in.get_mut(t.0)) {
             *n += 1;
         }
         // A captured day is made of these lines.
-        debug!(self.context.log, "handed in"; "id" => &request.word, "destination" => request.destination.0,
+        debug!(self.context.log, "handed in"; "id" => &request.request_id, "destination" => request.destination.0,
             "channel" => request.tenant.and_then(|t| self.names.tenants.get(t.0)),
             "wall_ms" => FnValue(|_| crate::net::runtime::clock::wall() as f64 / 1e3));
         let facts = AdmissionFacts {
             closed: self.closed,
-            id_in_use: self.context.word_in_use(&request.word),
+            id_in_use: self.context.request_id_in_use(&request.request_id),
             open: self.open,
-            max_open: self.context.config().max_open,
+            max_open: self.context.config().max_open_messages,
             journal_writable: self.context.journal.is_writable(),
         };
         if let Err(why) = may_take_on(&facts) {
-            return self.reject(&request.word, why, &reply);
+            return self.reject(&request.request_id, why, &reply);
         }
         let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
         let message = JournaledMessage {
-            request_id: request.word.clone(),
+            request_id: request.request_id.clone(),
             key: request.key.clone(),
             class: name(&self.names.classes, request.class.0),
             tenant: request.tenant.map(|t| name(&self.names.tenants, t.0)),
             destination: request.destination.0,
             deadline: request.deadline,
             body: request.body.to_vec(),
-            progress: Progress { ran: request.orphan, ..Progress::default() },
+            progress: Progress { ran: request.failed_over, ..Progress::default() },
         };
         self.next += 1;
         match self.context.journal.take(MessageId(self.next), &message) {
             Ok(()) => {}
-            Err(JournalError::Full) => return self.reject(&request.word, Rejection::JournalFull, &reply),
-            Err(_) => return self.reject(&request.word, Rejection::JournalFailing, &reply),
+            Err(JournalError::Full) => {
+                return self.reject(&request.request_id, Rejection::JournalFull, &reply)
+            }
+            Err(_) => return self.reject(&request.request_id, Rejection::JournalFailing, &reply),
         }
-        let mut transaction = Transaction::new(MessageId(self.next), request, 0);
-        transaction.since = Some(self.context.clock.now());
+        let mut transaction = InFlightMessage::new(MessageId(self.next), request, 0);
+        transaction.received_at = Some(self.context.clock.now());
         self.hold(transaction, Some(reply));
     }
 
     /// Does not take a message on, and says why.
-    fn reject(&self, request_id: &str, why: Rejection, reply: &Sender<Reply>) {
+    fn reject(&self, request_id: &str, why: Rejection, reply: &Sender<SubmitReply>) {
         self.context.rejected(request_id, why);
         let answer = match why {
-            Rejection::IdInUse => Reply::Held,
+            Rejection::IdInUse => SubmitReply::DuplicateId,
             _ => {
                 self.context.counters.unavailable.add();
-                Reply::Unavailable(LATER)
+                SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)
             }
         };
         let _ = reply.try_send(answer);
@@ -441,8 +446,8 @@
         held.transaction.finish();
         held.transaction.stats.iter().for_each(|s| s.end(how));
         self.open -= 1;
-        self.context.open.set(self.open);
-        let word = &held.transaction.request.word;
+        self.context.open_messages.set(self.open);
+        let word = &held.transaction.request.request_id;
         info!(self.context.log, "message"; "state" => how, "id" => word, "attempts" => held.transaction.attempts());
         let violation = self.context.ledger.borrow_mut().end(id, how == RETURNED);
         violation.into_iter().for_each(|v| self.context.violated(v, word, None));
@@ -454,15 +459,17 @@
         if self.held.get(&id).is_some_and(|h| h.transaction.is_over() && h.out.is_none()) {
             self.context.ledger.borrow_mut().forget(id);
             if let Some(held) = self.held.remove(&id) {
-                self.context.release_word(&held.transaction.request.word);
+                self.context.release_request_id(&held.transaction.request.request_id);
             }
         }
     }
 
-    fn take_list(&mut self, news: ListNews) {
+    fn take_list(&mut self, news: EndpointListUpdate) {
         match &news {
-            ListNews::Patch(entries) | ListNews::Whole(entries) | ListNews::Stale(entries) => {
-                if !matches!(news, ListNews::Patch(_)) {
+            EndpointListUpdate::Patch(entries)
+            | EndpointListUpdate::Complete(entries)
+            | EndpointListUpdate::Cached(entries) => {
+                if !matches!(news, EndpointListUpdate::Patch(_)) {
                     let named: BTreeSet<EndpointId> = entries.iter().map(|e| e.endpoint).collect();
                     let gone: Vec<_> = self.listed.keys().copied().filter(|e| !named.contains(e)).collect();
                     gone.into_iter().for_each(|e| self.unlist(e));
@@ -470,20 +477,20 @@
                 for entry in entries {
                     // It may have another owner than before.
                     if self.listed.get(&entry.endpoint).is_some_and(|d| *d != entry.destination)
-                        || entry.lifecycle == Lifecycle::Gone
+                        || entry.lifecycle == Lifecycle::Removed
                     {
                         self.unlist(entry.endpoint);
                     }
-                    if entry.lifecycle != Lifecycle::Gone {
+                    if entry.lifecycle != Lifecycle::Removed {
                         let new = self.listed.insert(entry.endpoint, entry.destination).is_none();
                         let kind = self.kinds.entry(entry.destination).or_insert((entry.kind, 0));
                         *kind = (entry.kind, kind.1 + usize::from(new));
                     }
                 }
             }
-            ListNews::Broken => {}
+            EndpointListUpdate::WatchFailed => {}
         }
-        self.events.push(Event::List(news));
+        self.events.push(Event::EndpointList(news));
     }
 
     /// Lets go of an endpoint, and of the kind of a destination that has none left.
@@ -498,11 +505,11 @@
         }
     }
 
-    fn take_call_ended(&mut self, came: Came) {
-        let Came { endpoint, sent, parts, ended } = came;
+    fn take_call_ended(&mut self, came: CallCompletion) {
+        let CallCompletion { endpoint, sent, attempts: parts, result: ended } = came;
         let elapsed = self.context.clock.now().saturating_sub(sent);
-        let told = ended.ends.iter().any(|e| matches!(e.outcome, Outcome::Full(Some(_))));
-        for ((id, attempt), end) in parts.into_iter().zip(&ended.ends) {
+        let told = ended.attempts.iter().any(|e| matches!(e.outcome, Outcome::Rejected(Some(_))));
+        for ((id, attempt), end) in parts.into_iter().zip(&ended.attempts) {
             self.context.counters.outcome(end.outcome);
             self.older.remove(&(id, attempt));
             self.context.ledger.borrow_mut().attempt_ended(id, attempt, end.outcome);
@@ -511,7 +518,7 @@
                 held.transaction.clone()
             });
             if let Some(transaction) = &transaction {
-                info!(self.context.log, "message"; "state" => "attempt-ended", "id" => &transaction.request.word,
+                info!(self.context.log, "message"; "state" => "attempt-ended", "id" => &transaction.request.request_id,
                     "attempt" => attempt, "endpoint" => endpoint.0, "outcome" => ?end.outcome, "ms" => elapsed / 1000);
             }
             let stats = transaction.as_ref().and_then(|t| t.stats.as_ref());
@@ -520,7 +527,7 @@
                 let delivered = end.outcome == Outcome::Ok;
                 if self.finish(id, if delivered { "delivered" } else { "over" }) && delivered {
                     self.context.counters.delivered.add();
-                    let since = transaction.as_ref().and_then(|t| t.since);
+                    let since = transaction.as_ref().and_then(|t| t.received_at);
                     if let Some((since, stats)) = since.zip(stats) {
                         self.context.routes.delivered(stats, self.context.clock.now().saturating_sub(since));
                     }
@@ -528,17 +535,17 @@
                 self.context.journal.end(id);
             } else if matches!(
                 end.outcome,
-                Outcome::Full(_) | Outcome::ConnectFailed | Outcome::Moot | Outcome::Unsent
+                Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotJournaled
             ) {
                 self.context.journal.never_ran(id, attempt);
             }
             self.forget(id);
             let (outcome, ended, report) = (end.outcome, end.ended, ended.report);
-            self.events.push(Event::Result { id, attempt, endpoint, outcome, elapsed, ended, report });
+            self.events.push(Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report });
         }
         // An answer may tell a wait and yet refuse nothing.
-        if let Some(wait) = ended.wait.filter(|_| !told) {
-            self.events.push(Event::Wait { endpoint, wait });
+        if let Some(wait) = ended.retry_after.filter(|_| !told) {
+            self.events.push(Event::RetryAfter { endpoint, retry_after: wait });
         }
     }
 
@@ -552,7 +559,7 @@
         let writable = self.context.journal.is_writable();
         if writable != self.journal_writable {
             self.journal_writable = writable;
-            self.events.push(Event::Journal { writable });
+            self.events.push(Event::JournalStatus { writable });
         }
         if self.events.is_empty() {
             return;
@@ -575,17 +582,22 @@
         let mut actions = Vec::new();
         self.policy.step(now, &events, &mut actions);
         for event in &events {
-            let Event::List(ListNews::Patch(entries) | ListNews::Whole(entries)) = event else { continue };
+            let Event::EndpointList(
+                EndpointListUpdate::Patch(entries) | EndpointListUpdate::Complete(entries),
+            ) = event
+            else {
+                continue;
+            };
             let leave = entries.iter().filter(|e| e.lifecycle != Lifecycle::Listed);
-            leave.for_each(|e| self.context.board.told(e.endpoint, now));
+            leave.for_each(|e| self.context.endpoint_table.drain_observed(e.endpoint, now));
         }
-        let mut passes: Vec<((u64, EndpointId), Vec<Part>)> = Vec::new();
+        let mut passes: Vec<((u64, EndpointId), Vec<Attempt>)> = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, call, cut_at, send_by, last } => {
+                Action::Send { id, endpoint, call, timeout_at: cut_at, send_by, final_attempt: last } => {
                     self.gather(&mut passes, (call, endpoint), id, (cut_at, send_by, last));
                 }
-                Action::Refuse { id, retry_after, reason } => {
+                Action::Reject { id, retry_after, reason } => {
                     self.give_up(id, Some(retry_after), reason).await;
                 }
                 Action::Fail { id, reason } => self.give_up(id, None, reason).await,
@@ -593,10 +605,10 @@
                 Action::Timer { delay, token } => self.timers.push(Reverse((now + delay, token))),
                 Action::CloseIdle { endpoint } => {
                     self.pass_on(now, std::mem::take(&mut passes));
-                    self.peers.get(&endpoint).map(|p| p.try_send(ToPeer::CloseIdle));
+                    self.peers.get(&endpoint).map(|p| p.try_send(EndpointMessage::CloseIdle));
                 }
-                Action::Watch => drop(self.members.try_send(ToMembers::Watch)),
-                Action::Probe { endpoint } => {
+                Action::Subscribe => drop(self.members.try_send(EndpointListMessage::Resubscribe)),
+                Action::HealthCheck { endpoint } => {
                     warn!(self.context.log, "no probes on this platform"; "endpoint" => endpoint.0)
                 }
                 Action::Log(line) => info!(self.context.log, "decision"; "text" => line),
@@ -606,9 +618,9 @@
         for event in &events {
             let Event::Message(m) = event else { continue };
             if let Some(reply) = self.held.get_mut(&m.id).and_then(|h| h.reply.take()) {
-                if reply.try_send(Reply::Taken(m.id)).is_ok() {
+                if reply.try_send(SubmitReply::Accepted(m.id)).is_ok() {
                     self.context.counters.taken.add();
-                    let word = self.held.get(&m.id).map(|h| h.transaction.request.word.as_str());
+                    let word = self.held.get(&m.id).map(|h| h.transaction.request.request_id.as_str());
                     info!(self.context.log, "message"; "state" => "taken-on", "id" => word,
                         "class" => m.class.0, "destination" => m.destination.0, "left_ms" => m.time_left / 1000);
                 } else {
@@ -622,26 +634,32 @@
     /// become one: it would be cut for all when the shorter time-out is over.
     fn gather(
         &self,
-        passes: &mut Vec<((u64, EndpointId), Vec<Part>)>,
+        passes: &mut Vec<((u64, EndpointId), Vec<Attempt>)>,
         to: (u64, EndpointId),
         id: MessageId,
         (cut_at, send_by, last): (Micros, Micros, bool),
     ) {
         let Some(held) = self.held.get(&id) else { return };
         let attempt = held.transaction.next_attempt();
-        let part = Part { transaction: held.transaction.clone(), attempt, cut_at, send_by, last };
+        let part = Attempt {
+            message: held.transaction.clone(),
+            number: attempt,
+            timeout_at: cut_at,
+            send_by,
+            final_attempt: last,
+        };
         match passes.last_mut().filter(|p| p.0 == to) {
             Some(pass) => pass.1.push(part),
             None => passes.push((to, vec![part])),
         }
     }
 
-    fn pass_on(&mut self, now: Micros, passes: Vec<((u64, EndpointId), Vec<Part>)>) {
+    fn pass_on(&mut self, now: Micros, passes: Vec<((u64, EndpointId), Vec<Attempt>)>) {
         for ((_, endpoint), parts) in passes {
             let (call, called_off) = async_channel::bounded(1);
             for part in &parts {
-                if let Some(held) = self.held.get_mut(&part.transaction.id) {
-                    let (attempt, call) = (part.attempt, call.clone());
+                if let Some(held) = self.held.get_mut(&part.message.id) {
+                    let (attempt, call) = (part.number, call.clone());
                     held.out = Some(Out { attempt, endpoint, call });
                 }
             }
@@ -651,9 +669,9 @@
                 self.not_sent(pass);
                 continue;
             };
-            if let Err(e) = peer.try_send(ToPeer::Call(pass)) {
+            if let Err(e) = peer.try_send(EndpointMessage::Call(pass)) {
                 warn!(self.context.log, "mailbox"; "endpoint" => endpoint.0, "error" => %e);
-                if let ToPeer::Call(pass) = e.into_inner() {
+                if let EndpointMessage::Call(pass) = e.into_inner() {
                     self.not_sent(pass);
                 }
             }
@@ -661,14 +679,14 @@
     }
 
     /// The actor of an endpoint; made at its first call, as most of a large list never get one.
-    fn peer(&mut self, endpoint: EndpointId) -> Option<&Sender<ToPeer>> {
+    fn peer(&mut self, endpoint: EndpointId) -> Option<&Sender<EndpointMessage>> {
         if !self.listed.contains_key(&endpoint) {
             return None;
         }
         let context = &self.context;
         Some(self.peers.entry(endpoint).or_insert_with(|| {
             // All calls at once, all of their connections coming back, and a few words more.
-            let room = 2 * context.config().slots + 16;
+            let room = 2 * context.config().max_concurrent_calls + 16;
             let (send, mail) = async_channel::bounded(room);
             let actor = endpoint::run(context.clone(), endpoint, mail, send.downgrade());
             context.executor.spawn(actor).detach();
@@ -678,28 +696,31 @@
 
     /// A call that could not even be handed to its peer comes back by the mailbox, as any other.
     fn not_sent(&self, pass: Call) {
-        let ended = Ended::alike(pass.parts.len(), crate::net::call::End::of(Outcome::Moot));
-        let back = self.context.decider.clone();
+        let ended = CallResult::same_for_all(
+            pass.attempts.len(),
+            crate::net::call::AttemptResult::of(Outcome::NotSent),
+        );
+        let back = self.context.delivery.clone();
         let telling = async move {
-            let _ = back.send(ToDecider::CallEnded(pass.came(ended))).await;
+            let _ = back.send(DeliveryMessage::CallCompleted(pass.completed(ended))).await;
         };
         self.context.executor.spawn(telling).detach();
     }
 
     /// The module's end of a message: as the answer if that is still to be written, or else by notice.
-    async fn give_up(&mut self, id: MessageId, refused: Option<Option<Micros>>, reason: GiveUpReason) {
+    async fn give_up(&mut self, id: MessageId, refused: Option<Option<Micros>>, reason: AbandonReason) {
         if !self.finish(id, if refused.is_some() { RETURNED } else { "failed" }) {
             return;
         }
         self.context.counters.given_up(reason);
         let Some(held) = self.held.get_mut(&id) else { return };
-        let word = held.transaction.request.word.clone();
+        let word = held.transaction.request.request_id.clone();
         info!(self.context.log, "message"; "state" => "given-up", "id" => &word, "reason" => reason.name());
         if let Some(reply) = held.reply.take() {
             self.context.journal.end(id);
             let answer = match refused {
-                Some(after) => Reply::Unavailable(after.unwrap_or(LATER)),
-                None => Reply::Failed,
+                Some(after) => SubmitReply::Unavailable(after.unwrap_or(DEFAULT_RETRY_AFTER)),
+                None => SubmitReply::Failed,
             };
             match refused {
                 Some(_) => self.context.counters.unavailable.add(),
@@ -719,8 +740,8 @@
             ReportedEnd::Failed => self.context.counters.failed.add(),
             ReportedEnd::Returned(_) => self.context.counters.returned.add(),
         }
-        self.context.notices_owed.set(self.context.notices_owed.get() + 1);
-        self.context.keep_word(&word);
-        let _ = self.notices.send(Notice { id, word, end }).await;
+        self.context.reports_pending.set(self.context.reports_pending.get() + 1);
+        self.context.keep_request_id(&word);
+        let _ = self.notices.send(DeliveryReport { id, request_id: word, end }).await;
     }
 }
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -1,8 +1,8 @@
 //! Opens connections. It goes through the C library, as all other socket calls of the program do, so that tests can make each
 //! step fail.
 
-use crate::net::http::Broken;
-use crate::net::in_time;
+use crate::net::http::HttpError;
+use crate::net::within_or_error;
 use async_io::{Async, Timer};
 use rustix::io::Errno;
 use socket2::{Domain, Socket, Type};
@@ -32,7 +32,7 @@
 }
 
 /// The same within a span. What this machine is short of for a moment says nothing of the other side and is tried again.
-pub async fn connect_within(address: SocketAddr, span: Duration) -> Result<Async<TcpStream>, Broken> {
+pub async fn connect_within(address: SocketAddr, span: Duration) -> Result<Async<TcpStream>, HttpError> {
     let opening = async {
         let mut pause = SHORTAGE.0;
         loop {
@@ -41,11 +41,11 @@
                     Timer::after(pause).await;
                     pause = (2 * pause).min(SHORTAGE.1);
                 }
-                result => return result.map_err(Broken::Socket),
+                result => return result.map_err(HttpError::Socket),
             }
         }
     };
-    in_time(opening, span).await
+    within_or_error(opening, span).await
 }
 
 fn is(error: &io::Error, numbers: &[Errno]) -> bool {
--- /dev/null
+++ b/src/net/handover/frames.rs
@@ -0,0 +1,116 @@
+//! What passes between the two processes of a hand-over. Its names on the wire are fixed by [`FORMAT`]: a process of the
+//! release before must be understood, so a new name in the code keeps the old one in `serde`.
+
+use crate::membership::MembershipSnapshot;
+use crate::net::call::CallCompletion;
+use crate::net::in_flight::Request;
+use crate::net::messages::{AdminCommand, AdminError, SubmitReply};
+use crate::{EndpointId, MessageId, Micros};
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+
+/// The version of the frames; a process that speaks another one waits until its predecessor has ended. Version 4 has the
+/// times of the clock that all processes of a machine share; version 3 sent the wall clock beside an own one.
+pub const FORMAT: u32 = 4;
+
+/// A message that is in flight: what the journal does not tell of it.
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
+pub struct HandOverMessage {
+    /// Its id.
+    pub id: MessageId,
+    /// Attempts begun, including those that were not sent in the end.
+    pub attempts: u32,
+    /// When it was received; `None` for a message that came to an earlier process.
+    #[serde(rename = "since")]
+    pub received_at: Option<Micros>,
+    /// The number of the attempt in flight and its endpoint.
+    #[serde(rename = "out")]
+    pub in_flight: Option<(u32, EndpointId)>,
+}
+
+/// The predecessor's state at the moment of the hand-over, but for what the state folder holds.
+#[derive(Serialize, Deserialize)]
+pub struct HandOverState {
+    /// The state of the delivery policy.
+    #[serde(rename = "module")]
+    pub policy: Value,
+    /// The last id that was given to a message.
+    pub last_id: u64,
+    /// The open messages, and those that have ended with an attempt in flight.
+    pub messages: Vec<HandOverMessage>,
+    /// The policy's timers: when each is due, and its token.
+    pub timers: Vec<(Micros, u64)>,
+    /// Messages received of each tenant.
+    #[serde(rename = "handed_in")]
+    pub received_by_tenant: Vec<u64>,
+    /// Clients connected to the predecessor.
+    #[serde(rename = "user_agents")]
+    pub client_connections: usize,
+    /// The endpoint list.
+    pub list: MembershipSnapshot,
+}
+
+/// A frame from the predecessor to its successor.
+#[derive(Serialize, Deserialize)]
+pub enum PredecessorFrame {
+    /// The first frame; events that come later are held back until the successor owns the folder.
+    State(Box<HandOverState>),
+    /// The successor may take the lock of the folder.
+    Granted,
+    /// A client sent a message; its body follows the frame's head.
+    #[serde(rename = "Take")]
+    Submit {
+        /// Numbers the request; the reply names it.
+        number: u64,
+        /// The message without its body.
+        request: Request,
+    },
+    /// The client of an accepted message closed its connection before it was answered.
+    Withdrawn {
+        /// The message.
+        id: MessageId,
+    },
+    /// A call that was in flight at the predecessor is complete.
+    #[serde(rename = "Passed")]
+    CallCompleted(CallCompletion),
+    /// An operator sent a command.
+    #[serde(rename = "Operate")]
+    Admin {
+        /// Numbers the command; the answer names it.
+        number: u64,
+        /// The command.
+        #[serde(rename = "operation")]
+        command: AdminCommand,
+    },
+}
+
+/// A frame from the successor to its predecessor.
+#[derive(Serialize, Deserialize)]
+pub enum SuccessorFrame {
+    /// It has read the folder and listens: it takes over.
+    Owns,
+    /// The answer to [`PredecessorFrame::Submit`].
+    Reply {
+        /// The number of the request.
+        number: u64,
+        /// What became of the message.
+        reply: SubmitReply,
+    },
+    /// An attempt in flight at the predecessor is to be cancelled.
+    #[serde(rename = "CallOff")]
+    Cancel {
+        /// The message.
+        id: MessageId,
+        /// The number of the attempt.
+        attempt: u32,
+    },
+    /// The answer to [`PredecessorFrame::Admin`].
+    #[serde(rename = "Operated")]
+    AdminDone {
+        /// The number of the command.
+        number: u64,
+        /// Whether it took effect.
+        #[serde(rename = "answer")]
+        result: Result<(), AdminError>,
+    },
+}
--- a/src/net/handover/lock.rs
+++ b/src/net/handover/lock.rs
@@ -53,7 +53,7 @@
 }
 
 /// Who owns a folder, as far as that was told.
-pub fn named(folder: &Path) -> Option<Owner> {
+pub fn read_owner(folder: &Path) -> Option<Owner> {
     let mut text = String::new();
     File::open(folder.join("owner")).ok()?.read_to_string(&mut text).ok()?;
     serde_json::from_str(&text).ok()
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -1,26 +1,26 @@
 //! How one process of a forwarder replaces another: the older one passes on all that it holds at one moment, and from
 //! then on only sends on what still comes to it. It decides nothing; `docs/operator.md` tells the steps.
 
+pub mod frames;
 pub mod lock;
 
-use crate::membership::Carried;
-use crate::net::call::Came;
 use crate::net::config::Config;
-use crate::net::delivery::Decider;
+use crate::net::delivery::DeliveryActor;
 use crate::net::dial::connect;
 use crate::net::handover::lock::{Lock, Owner};
-use crate::net::http::{frame, write_all, Broken, Wire};
-use crate::net::in_flight::Request;
-use crate::net::messages::{Heir, No, Operation, Reply, ToDecider, ToMembers, LATER};
+use crate::net::http::{frame, write_all, HttpConnection, HttpError};
+use crate::net::messages::{
+    AdminError, DeliveryMessage, EndpointListMessage, SubmitReply, Successor, DEFAULT_RETRY_AFTER,
+};
 use crate::net::operator::{self};
 use crate::net::{within, Context};
-use crate::{DeliveryPolicy, EndpointId, MessageId, Micros};
+use crate::{DeliveryPolicy, MessageId};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
+use frames::{HandOverState, PredecessorFrame, SuccessorFrame, FORMAT};
 use futures_lite::future;
-use serde::{de::DeserializeOwned, Deserialize, Serialize};
-use serde_json::Value;
+use serde::{de::DeserializeOwned, Serialize};
 use slog::{info, warn, Logger};
 use std::collections::BTreeMap;
 use std::io;
@@ -28,9 +28,6 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// What passes between two processes has this form; one of another form waits for the end of the older process.
-/// Form 4 has the times of one clock that all processes share; form 3 told the wall clock beside an own one.
-pub const FORMAT: u32 = 4;
 /// A frame holds no more than this: the state of many thousand messages, without their bodies.
 const LARGEST: usize = 64 << 20;
 /// The new process must have said that it owns all so long after it was sent the state; user agents wait meanwhile.
@@ -46,77 +43,16 @@
 /// Frames that wait to be written.
 const QUEUE: usize = 1024;
 
-/// A message as it passes: what the journal does not say of it.
-#[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Message {
-    /// Which.
-    pub id: MessageId,
-    /// Attempts begun, those included that were not sent after all.
-    pub attempts: u32,
-    /// When it was handed in; not known of one that an earlier process was handed.
-    pub since: Option<Micros>,
-    /// The attempt that is out, and where.
-    pub out: Option<(u32, EndpointId)>,
-}
-
-/// All that passes at the moment of the hand-over, but for what the folder holds.
-#[derive(Serialize, Deserialize)]
-pub struct State {
-    /// The module's whole record.
-    pub module: Value,
-    /// The last id given to a message.
-    pub last_id: u64,
-    /// The messages held, and those that are over with an attempt out.
-    pub messages: Vec<Message>,
-    /// The module's timers.
-    pub timers: Vec<(Micros, u64)>,
-    /// Messages handed in by each channel.
-    pub handed_in: Vec<u64>,
-    /// User agents that are connected to the older process.
-    pub user_agents: usize,
-    /// The list.
-    pub list: Carried,
-}
-
-#[derive(Serialize, Deserialize)]
-enum FromOld {
-    /// First of all; what comes is held back from here on.
-    State(Box<State>),
-    /// The new process may take the lock.
-    Granted,
-    /// A user agent hands in a message; its body goes beside this.
-    Take { number: u64, request: Request },
-    /// A user agent of a message that was taken on is gone.
-    Withdrawn { id: MessageId },
-    /// A call has come out.
-    #[serde(rename = "Passed")]
-    CallEnded(Came),
-    /// An operator wants something.
-    Operate { number: u64, operation: Operation },
-}
-
-#[derive(Serialize, Deserialize)]
-enum FromNew {
-    /// It has read the folder and listens: it takes over.
-    Owns,
-    /// What becomes of a message that was handed in.
-    Reply { number: u64, reply: Reply },
-    /// An attempt is to be called off.
-    CallOff { id: MessageId, attempt: u32 },
-    /// What becomes of an operator's wish.
-    Operated { number: u64, answer: Result<(), No> },
-}
-
 /// Writes frames; any number may be had of it.
 #[derive(Clone)]
-pub struct Speaker {
+pub struct FrameSender {
     frames: Sender<Vec<u8>>,
 }
 
-impl Speaker {
-    async fn send(&self, head: &impl Serialize, body: &[u8]) -> Result<(), Broken> {
-        let head = serde_json::to_vec(head).map_err(|_| Broken::Malformed("a frame cannot be written"))?;
-        self.frames.send(frame(&head, body)).await.map_err(|_| Broken::Torn)
+impl FrameSender {
+    async fn send(&self, head: &impl Serialize, body: &[u8]) -> Result<(), HttpError> {
+        let head = serde_json::to_vec(head).map_err(|_| HttpError::Malformed("a frame cannot be written"))?;
+        self.frames.send(frame(&head, body)).await.map_err(|_| HttpError::Torn)
     }
 
     /// What is dropped to call off an attempt that is out at the older process.
@@ -126,7 +62,7 @@
         let waiting = async move {
             let _ = called_off.recv().await;
             // One that has come out meanwhile is not known there any more.
-            let _ = speaker.send(&FromNew::CallOff { id, attempt }, &[]).await;
+            let _ = speaker.send(&SuccessorFrame::Cancel { id, attempt }, &[]).await;
         };
         context.executor.spawn(waiting).detach();
         call
@@ -135,21 +71,22 @@
 
 /// One end of the connection between the two.
 struct Link {
-    wire: Wire,
-    speaker: Speaker,
+    wire: HttpConnection,
+    speaker: FrameSender,
 }
 
 impl Link {
-    fn new(wire: Wire, executor: &LocalExecutor<'static>) -> Result<Link, Broken> {
+    fn new(wire: HttpConnection, executor: &LocalExecutor<'static>) -> Result<Link, HttpError> {
         let (frames, mail) = async_channel::bounded(QUEUE);
-        let to = wire.writer().map_err(Broken::Socket)?;
+        let to = wire.writer().map_err(HttpError::Socket)?;
         executor.spawn(write(to, mail)).detach();
-        Ok(Link { wire, speaker: Speaker { frames } })
+        Ok(Link { wire, speaker: FrameSender { frames } })
     }
 
-    async fn read<T: DeserializeOwned>(&mut self) -> Result<(T, Vec<u8>), Broken> {
+    async fn read<T: DeserializeOwned>(&mut self) -> Result<(T, Vec<u8>), HttpError> {
         let (head, body) = self.wire.read_frame(LARGEST).await?;
-        let head = serde_json::from_slice(&head).map_err(|_| Broken::Malformed("a frame cannot be read"))?;
+        let head =
+            serde_json::from_slice(&head).map_err(|_| HttpError::Malformed("a frame cannot be read"))?;
         Ok((head, body))
     }
 }
@@ -165,90 +102,94 @@
 
 /// Hands all over and then sends on what still comes, without end; comes back if the other did not take it, with
 /// everything as it was before.
-pub async fn give(decider: &mut Decider, heir: Heir, mail: &Receiver<ToDecider>) {
+pub async fn hand_over(decider: &mut DeliveryActor, heir: Successor, mail: &Receiver<DeliveryMessage>) {
     let context = decider.context().clone();
     let begun = Instant::now();
     let given = async {
         // What could not be written would not be in the folder that the other one reads.
-        context.journal.pause().map_err(|_| Broken::Malformed("the journal cannot be written"))?;
+        context.journal.pause().map_err(|_| HttpError::Malformed("the journal cannot be written"))?;
         let mut link = Link::new(heir.wire, &context.executor)?;
-        link.speaker.send(&FromOld::State(Box::new(decider.state(heir.list))), &[]).await?;
+        link.speaker.send(&PredecessorFrame::State(Box::new(decider.state(heir.list))), &[]).await?;
         match link.read().await? {
-            (FromNew::Owns, _) => Ok(link),
-            _ => Err(Broken::Malformed("it did not say that it owns")),
+            (SuccessorFrame::Owns, _) => Ok(link),
+            _ => Err(HttpError::Malformed("it did not say that it owns")),
         }
     };
-    let given = within(TAKES, given).await.unwrap_or(Err(Broken::Stalled));
+    let given = within(TAKES, given).await.unwrap_or(Err(HttpError::Stalled));
     let link = match given {
         Ok(link) => link,
         Err(e) => {
             warn!(context.log, "not handed over, serving on"; "reason" => e.code(), "error" => %e);
             context.journal.resume();
-            context.handing.set(false);
-            let _ = decider.members().send(ToMembers::GoOn).await;
+            context.handing_over.set(false);
+            let _ = decider.members().send(EndpointListMessage::HandOverAborted).await;
             return;
         }
     };
     // From here on the other one decides. Its listener is open, so this one's may close.
     context.handed_over.set();
-    drop(context.owner.take());
-    let _ = link.speaker.send(&FromOld::Granted, &[]).await;
-    info!(context.log, "handed over"; "ms" => begun.elapsed().as_millis() as u64, "open" => context.open.get(),
-        "out" => context.calls_out.get());
-    decider.retire();
+    drop(context.folder_lock.take());
+    let _ = link.speaker.send(&PredecessorFrame::Granted, &[]).await;
+    info!(context.log, "handed over"; "ms" => begun.elapsed().as_millis() as u64, "open" => context.open_messages.get(),
+        "out" => context.calls_in_flight.get());
+    decider.step_down();
     relay(decider, link, mail).await;
     warn!(context.log, "the process that took over is gone");
-    context.heir_lost.set();
+    context.successor_lost.set();
     // Whatever still comes is not taken on.
     while let Ok(news) = mail.recv().await {
         match news {
-            ToDecider::Take { reply, .. } => drop(reply.try_send(Reply::Unavailable(LATER))),
-            ToDecider::Operate { reply, .. } => drop(reply.try_send(Err(No::Gone))),
+            DeliveryMessage::Submit { reply, .. } => {
+                let _ = reply.try_send(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER));
+            }
+            DeliveryMessage::Admin { reply, .. } => drop(reply.try_send(Err(AdminError::ShuttingDown))),
             _ => {}
         }
     }
 }
 
 /// Sends on what comes to the older process, up to the end of the connection.
-async fn relay(decider: &mut Decider, mut link: Link, mail: &Receiver<ToDecider>) {
+async fn relay(decider: &mut DeliveryActor, mut link: Link, mail: &Receiver<DeliveryMessage>) {
     enum Word {
-        Mail(ToDecider),
-        Frame(FromNew),
+        Mail(DeliveryMessage),
+        Frame(SuccessorFrame),
     }
     let mut number = 0;
-    let mut replies: BTreeMap<u64, Sender<Reply>> = BTreeMap::new();
-    let mut answers: BTreeMap<u64, Sender<Result<(), No>>> = BTreeMap::new();
+    let mut replies: BTreeMap<u64, Sender<SubmitReply>> = BTreeMap::new();
+    let mut answers: BTreeMap<u64, Sender<Result<(), AdminError>>> = BTreeMap::new();
     loop {
         let framed = async { link.read().await.ok().map(|f| Word::Frame(f.0)) };
         let mailed = async { mail.recv().await.ok().map(Word::Mail) };
         let Some(word) = future::or(framed, mailed).await else { break };
         number += 1;
         let sent = match word {
-            Word::Mail(ToDecider::Take { request, reply }) => {
+            Word::Mail(DeliveryMessage::Submit { request, reply }) => {
                 replies.insert(number, reply);
                 let body = request.body.clone();
-                link.speaker.send(&FromOld::Take { number, request }, &body).await
+                link.speaker.send(&PredecessorFrame::Submit { number, request }, &body).await
             }
-            Word::Mail(ToDecider::Withdrawn { id }) => {
-                link.speaker.send(&FromOld::Withdrawn { id }, &[]).await
+            Word::Mail(DeliveryMessage::Withdrawn { id }) => {
+                link.speaker.send(&PredecessorFrame::Withdrawn { id }, &[]).await
             }
-            Word::Mail(ToDecider::CallEnded(came)) => link.speaker.send(&FromOld::CallEnded(came), &[]).await,
-            Word::Mail(ToDecider::Operate { operation, reply }) => {
+            Word::Mail(DeliveryMessage::CallCompleted(came)) => {
+                link.speaker.send(&PredecessorFrame::CallCompleted(came), &[]).await
+            }
+            Word::Mail(DeliveryMessage::Admin { command: operation, reply }) => {
                 answers.insert(number, reply);
-                link.speaker.send(&FromOld::Operate { number, operation }, &[]).await
+                link.speaker.send(&PredecessorFrame::Admin { number, command: operation }, &[]).await
             }
-            Word::Mail(ToDecider::OlderGone) => {
+            Word::Mail(DeliveryMessage::PredecessorGone) => {
                 let mut sent = Ok(());
                 for came in decider.lost_with_older() {
-                    sent = link.speaker.send(&FromOld::CallEnded(came), &[]).await;
+                    sent = link.speaker.send(&PredecessorFrame::CallCompleted(came), &[]).await;
                 }
                 sent
             }
             // The other one has its own list and settings, and it is asked itself.
             Word::Mail(_) => Ok(()),
-            Word::Frame(FromNew::Reply { number, reply }) => match (replies.remove(&number), reply) {
-                (Some(to), Reply::Taken(id)) if to.try_send(reply).is_err() => {
-                    link.speaker.send(&FromOld::Withdrawn { id }, &[]).await
+            Word::Frame(SuccessorFrame::Reply { number, reply }) => match (replies.remove(&number), reply) {
+                (Some(to), SubmitReply::Accepted(id)) if to.try_send(reply).is_err() => {
+                    link.speaker.send(&PredecessorFrame::Withdrawn { id }, &[]).await
                 }
                 (Some(to), reply) => {
                     let _ = to.try_send(reply);
@@ -256,53 +197,57 @@
                 }
                 (None, _) => Ok(()),
             },
-            Word::Frame(FromNew::CallOff { id, attempt }) => {
+            Word::Frame(SuccessorFrame::Cancel { id, attempt }) => {
                 decider.call_off(id, attempt);
                 Ok(())
             }
-            Word::Frame(FromNew::Operated { number, answer }) => {
+            Word::Frame(SuccessorFrame::AdminDone { number, result: answer }) => {
                 let _ = answers.remove(&number).map(|to| to.try_send(answer));
                 Ok(())
             }
-            Word::Frame(FromNew::Owns) => Ok(()),
+            Word::Frame(SuccessorFrame::Owns) => Ok(()),
         };
         if sent.is_err() {
             break;
         }
     }
     for (_, to) in replies {
-        let _ = to.try_send(Reply::Unavailable(LATER));
+        let _ = to.try_send(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER));
     }
 }
 
 /// Comes back when the older process has nothing more to do here: all is sent on and nothing came for a while, or
 /// nobody is there to send it to.
-pub async fn left_over(context: &Context) {
+pub async fn until_drained(context: &Context) {
     context.handed_over.wait().await;
     let done = async {
         let mut since = Instant::now();
         while since.elapsed() < LEFT_OVER {
             Timer::after(LOOK).await;
-            if context.user_agents.get() + context.calls_out.get() > 0 {
+            if context.client_connections.get() + context.calls_in_flight.get() > 0 {
                 since = Instant::now();
             }
         }
     };
-    future::or(done, context.heir_lost.wait()).await;
+    future::or(done, context.successor_lost.wait()).await;
 }
 
 /// What a starting process has found in the folder.
-pub struct Claim {
+pub struct FolderClaim {
     /// Held until this process has its name in the folder, so that no third one can come between.
     _next: Lock,
     owner: Option<Lock>,
     link: Option<Link>,
     /// What the older process passes on, if there is one, and its module as it goes on here.
-    pub passed: Option<(Box<State>, DeliveryPolicy)>,
+    pub passed: Option<(Box<HandOverState>, DeliveryPolicy)>,
 }
 
 /// Claims the folder: it is free, or its owner hands it over, or its end is waited for.
-pub async fn claim(config: &Config, log: &Logger, executor: &LocalExecutor<'static>) -> io::Result<Claim> {
+pub async fn claim(
+    config: &Config,
+    log: &Logger,
+    executor: &LocalExecutor<'static>,
+) -> io::Result<FolderClaim> {
     std::fs::create_dir_all(&config.state)?;
     let next = loop {
         match Lock::next(&config.state)? {
@@ -314,17 +259,17 @@
     loop {
         let owner = Lock::owner(&config.state)?;
         if owner.is_some() {
-            return Ok(Claim { _next: next, owner, link: None, passed: None });
+            return Ok(FolderClaim { _next: next, owner, link: None, passed: None });
         }
-        if let Some(named) = lock::named(&config.state).filter(|_| !hopeless) {
-            match within(GIVES, ask(&named, executor)).await.unwrap_or(Err(Broken::Stalled)) {
+        if let Some(named) = lock::read_owner(&config.state).filter(|_| !hopeless) {
+            match within(GIVES, ask(&named, executor)).await.unwrap_or(Err(HttpError::Stalled)) {
                 Ok((passed, link)) => {
-                    return Ok(Claim { _next: next, owner, link: Some(link), passed: Some(passed) });
+                    return Ok(FolderClaim { _next: next, owner, link: Some(link), passed: Some(passed) });
                 }
                 Err(e) => {
                     info!(log, "no hand-over yet"; "reason" => e.code(), "error" => %e);
                     // Its words are not understood, and never will be: its end is waited for.
-                    hopeless = matches!(e, Broken::Malformed(_) | Broken::TooLarge);
+                    hopeless = matches!(e, HttpError::Malformed(_) | HttpError::TooLarge);
                 }
             }
         }
@@ -335,31 +280,31 @@
 async fn ask(
     owner: &Owner,
     executor: &LocalExecutor<'static>,
-) -> Result<((Box<State>, DeliveryPolicy), Link), Broken> {
-    let stream = connect(owner.operator).await.map_err(Broken::Socket)?;
-    let mut wire = Wire::new(stream);
+) -> Result<((Box<HandOverState>, DeliveryPolicy), Link), HttpError> {
+    let stream = connect(owner.operator).await.map_err(HttpError::Socket)?;
+    let mut wire = HttpConnection::new(stream);
     let Owner { operator, token } = owner;
     let head = format!("POST /admin/handover HTTP/1.1\r\nHost: {operator}\r\nX-Token: {token}\r\n");
     let rest = format!("X-Format: {FORMAT}\r\nContent-Length: 0\r\n\r\n");
-    wire.write((head + &rest).as_bytes()).await.map_err(Broken::Socket)?;
+    wire.write((head + &rest).as_bytes()).await.map_err(HttpError::Socket)?;
     match wire.read_answer().await?.status {
         200 => {}
-        415 => return Err(Broken::Malformed("the process that serves speaks another form")),
-        _ => return Err(Broken::Torn),
+        415 => return Err(HttpError::Malformed("the process that serves speaks another form")),
+        _ => return Err(HttpError::Torn),
     }
     let mut link = Link::new(wire, executor)?;
-    let (FromOld::State(mut state), _) = link.read().await? else {
-        return Err(Broken::Malformed("the state did not come first"));
+    let (PredecessorFrame::State(mut state), _) = link.read().await? else {
+        return Err(HttpError::Malformed("the state did not come first"));
     };
     // Dropped with the link if it is not understood: the older process serves on.
-    let module = serde_json::from_value(state.module.take());
-    let module = module.map_err(|_| Broken::Malformed("the module's record is of another form"))?;
+    let module = serde_json::from_value(state.policy.take());
+    let module = module.map_err(|_| HttpError::Malformed("the module's record is of another form"))?;
     Ok(((state, module), link))
 }
 
-impl Claim {
+impl FolderClaim {
     /// What speaks to the older process, if there is one.
-    pub fn speaker(&self) -> Option<Speaker> {
+    pub fn speaker(&self) -> Option<FrameSender> {
         self.link.as_ref().map(|l| l.speaker.clone())
     }
 
@@ -368,8 +313,8 @@
     pub async fn take_over(&mut self, config: &Config) -> io::Result<bool> {
         if let Some(link) = &mut self.link {
             let granted = async {
-                link.speaker.send(&FromNew::Owns, &[]).await?;
-                link.read::<FromOld>().await
+                link.speaker.send(&SuccessorFrame::Owns, &[]).await?;
+                link.read::<PredecessorFrame>().await
             };
             // Where it died meanwhile, its lock is free all the same.
             let _ = within(GIVES, granted).await;
@@ -384,10 +329,15 @@
 
     /// Puts this process's name in the folder, gives up the place in line, and attends to what the older process sends
     /// on.
-    pub fn settle(self, context: &Rc<Context>, at: Owner, members: &Sender<ToMembers>) -> io::Result<()> {
+    pub fn start_serving(
+        self,
+        context: &Rc<Context>,
+        at: Owner,
+        members: &Sender<EndpointListMessage>,
+    ) -> io::Result<()> {
         let owner = self.owner.ok_or_else(|| io::Error::other("the folder is not owned"))?;
-        context.token.borrow_mut().clone_from(&at.token);
-        *context.owner.borrow_mut() = Some(owner);
+        context.hand_over_token.borrow_mut().clone_from(&at.token);
+        *context.folder_lock.borrow_mut() = Some(owner);
         context.executor.spawn(tell_owner(context.clone(), at)).detach();
         if let Some(link) = self.link {
             let attending = attend(context.clone(), link, members.clone());
@@ -400,7 +350,7 @@
 /// Writes this process's name into the folder. Until that is done nobody can ask it to hand over, and it serves all the same.
 async fn tell_owner(context: Rc<Context>, at: Owner) {
     loop {
-        let named = context.owner.borrow_mut().as_mut().map_or(Ok(()), |lock| lock.name(&at));
+        let named = context.folder_lock.borrow_mut().as_mut().map_or(Ok(()), |lock| lock.name(&at));
         let Err(e) = named else { return };
         warn!(context.log, "the owner's name is not written yet"; "reason" => "folder", "error" => %e);
         Timer::after(NAME_AGAIN).await;
@@ -408,48 +358,50 @@
 }
 
 /// Attends to what the older process sends on, up to its end.
-async fn attend(context: Rc<Context>, mut link: Link, members: Sender<ToMembers>) {
+async fn attend(context: Rc<Context>, mut link: Link, members: Sender<EndpointListMessage>) {
     let reason = loop {
         let (word, body) = match link.read().await {
             Ok(read) => read,
             Err(e) => break e.code(),
         };
         let sent = match word {
-            FromOld::Take { number, mut request } => {
+            PredecessorFrame::Submit { number, mut request } => {
                 request.body = body.into();
                 let (reply, answer) = async_channel::bounded(1);
                 let speaker = link.speaker.clone();
                 let answering = async move {
-                    let reply = answer.recv().await.unwrap_or(Reply::Unavailable(LATER));
-                    let _ = speaker.send(&FromNew::Reply { number, reply }, &[]).await;
+                    let reply = answer.recv().await.unwrap_or(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER));
+                    let _ = speaker.send(&SuccessorFrame::Reply { number, reply }, &[]).await;
                 };
                 context.executor.spawn(answering).detach();
-                context.decider.send(ToDecider::Take { request, reply }).await
+                context.delivery.send(DeliveryMessage::Submit { request, reply }).await
+            }
+            PredecessorFrame::Withdrawn { id } => {
+                context.delivery.send(DeliveryMessage::Withdrawn { id }).await
             }
-            FromOld::Withdrawn { id } => context.decider.send(ToDecider::Withdrawn { id }).await,
-            FromOld::CallEnded(came) => {
-                if let Some(wait) = came.ended.wait {
-                    context.board.told_wait(came.endpoint, wait);
+            PredecessorFrame::CallCompleted(came) => {
+                if let Some(wait) = came.result.retry_after {
+                    context.endpoint_table.retry_after(came.endpoint, wait);
                 }
-                context.decider.send(ToDecider::CallEnded(came)).await
+                context.delivery.send(DeliveryMessage::CallCompleted(came)).await
             }
-            FromOld::Operate { number, operation } => {
+            PredecessorFrame::Admin { number, command: operation } => {
                 let (context, members, speaker) = (context.clone(), members.clone(), link.speaker.clone());
                 let executor = context.executor.clone();
                 let operating = async move {
                     let answer = operator::perform(&context, &members, operation).await;
-                    let _ = speaker.send(&FromNew::Operated { number, answer }, &[]).await;
+                    let _ = speaker.send(&SuccessorFrame::AdminDone { number, result: answer }, &[]).await;
                 };
                 executor.spawn(operating).detach();
                 Ok(())
             }
-            FromOld::State(_) | FromOld::Granted => Ok(()),
+            PredecessorFrame::State(_) | PredecessorFrame::Granted => Ok(()),
         };
         if sent.is_err() {
             break "ending";
         }
     };
     info!(context.log, "connection ended"; "side" => "older", "reason" => reason);
-    context.older_agents.set(0);
-    let _ = context.decider.send(ToDecider::OlderGone).await;
+    context.predecessor_connections.set(0);
+    let _ = context.delivery.send(DeliveryMessage::PredecessorGone).await;
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -18,7 +18,7 @@
 
 /// Why nothing more can be read from a connection.
 #[derive(Debug)]
-pub enum Broken {
+pub enum HttpError {
     /// It ended between two heads.
     Ended,
     /// It ended in the middle of something.
@@ -33,25 +33,25 @@
     Stalled,
 }
 
-impl Broken {
+impl HttpError {
     /// A code for the log.
     pub fn code(&self) -> &'static str {
         match self {
-            Broken::Ended => "ended",
-            Broken::Torn => "torn",
-            Broken::Socket(_) => "socket",
-            Broken::Malformed(_) => "malformed",
-            Broken::TooLarge => "too-large",
-            Broken::Stalled => "stalled",
+            HttpError::Ended => "ended",
+            HttpError::Torn => "torn",
+            HttpError::Socket(_) => "socket",
+            HttpError::Malformed(_) => "malformed",
+            HttpError::TooLarge => "too-large",
+            HttpError::Stalled => "stalled",
         }
     }
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Broken::Socket(e) => write!(f, "{e}"),
-            Broken::Malformed(what) => f.write_str(what),
+            HttpError::Socket(e) => write!(f, "{e}"),
+            HttpError::Malformed(what) => f.write_str(what),
             other => f.write_str(other.code()),
         }
     }
@@ -99,12 +99,12 @@
 
 /// The header fields of a head.
 #[derive(Debug, Default)]
-pub struct Fields(Vec<(String, String)>);
+pub struct Headers(Vec<(String, String)>);
 
-impl Fields {
+impl Headers {
     fn read(headers: &[httparse::Header<'_>]) -> Self {
         let text = |v: &[u8]| String::from_utf8_lossy(v).trim().to_owned();
-        Fields(headers.iter().map(|h| (h.name.to_owned(), text(h.value))).collect())
+        Headers(headers.iter().map(|h| (h.name.to_owned(), text(h.value))).collect())
     }
 
     /// The first field of that name.
@@ -134,20 +134,24 @@
 
     /// How the body is marked off. Two marks, or one that is read in two ways, are an old trick to smuggle in
     /// a request.
-    fn framing(&self, version: Option<u8>) -> Result<Option<Framing>, Broken> {
+    fn framing(&self, version: Option<u8>) -> Result<Option<Framing>, HttpError> {
         match (self.count("content-length"), self.count("transfer-encoding")) {
             (0, 0) => Ok(None),
             (1, 0) => {
                 let length = self.get("content-length").filter(|l| l.bytes().all(|b| b.is_ascii_digit()));
                 let length = length.and_then(|l| l.parse().ok());
-                Ok(Some(Framing::Length(length.ok_or(Broken::Malformed("the body's length is no number"))?)))
+                Ok(Some(Framing::Length(
+                    length.ok_or(HttpError::Malformed("the body's length is no number"))?,
+                )))
             }
             (0, 1) if version == Some(1) => {
                 let chunked =
                     self.get("transfer-encoding").is_some_and(|c| c.eq_ignore_ascii_case("chunked"));
-                chunked.then_some(Some(Framing::Chunked)).ok_or(Broken::Malformed("unknown transfer coding"))
+                chunked
+                    .then_some(Some(Framing::Chunked))
+                    .ok_or(HttpError::Malformed("unknown transfer coding"))
             }
-            _ => Err(Broken::Malformed("two marks of the body's length")),
+            _ => Err(HttpError::Malformed("two marks of the body's length")),
         }
     }
 }
@@ -161,19 +165,19 @@
 
 /// The head of a request, its body still to be read.
 #[derive(Debug)]
-pub struct Asked {
+pub struct RequestHead {
     /// Its method.
     pub method: String,
     /// Path and query.
     pub target: String,
     /// Its header fields.
-    pub fields: Fields,
+    pub fields: Headers,
     /// The connection may be used again after it.
     pub keeps: bool,
     framing: Framing,
 }
 
-impl Asked {
+impl RequestHead {
     /// The body is said to be longer than that.
     pub fn longer_than(&self, limit: usize) -> bool {
         matches!(self.framing, Framing::Length(length) if length > limit)
@@ -182,11 +186,11 @@
 
 /// The head of an answer, its body still to be read.
 #[derive(Debug)]
-pub struct Answered {
+pub struct ResponseHead {
     /// Its status.
     pub status: u16,
     /// Its header fields.
-    pub fields: Fields,
+    pub fields: Headers,
     /// The connection may be used again after it.
     pub keeps: bool,
     framing: Framing,
@@ -213,7 +217,7 @@
 }
 
 /// A connection with its buffer.
-pub struct Wire {
+pub struct HttpConnection {
     stream: Async<TcpStream>,
     /// What has come and is not yet used.
     pub buffer: Buffer,
@@ -221,12 +225,12 @@
     pub stall: Option<Duration>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// Wraps an open connection.
     pub fn new(stream: Async<TcpStream>) -> Self {
         // Small messages must not wait for the answer to earlier ones.
         let _ = stream.get_ref().set_nodelay(true);
-        Wire { stream, buffer: Buffer::default(), stall: None }
+        HttpConnection { stream, buffer: Buffer::default(), stall: None }
     }
 
     /// Who is at the other end.
@@ -254,32 +258,32 @@
     }
 
     /// More of a head; nothing has begun while the buffer is empty.
-    async fn more(&mut self) -> Result<(), Broken> {
+    async fn more(&mut self) -> Result<(), HttpError> {
         let begun = !self.buffer.bytes().is_empty();
         self.more_within(self.stall.filter(|_| begun)).await.map_err(|e| match e {
-            Broken::Torn if !begun => Broken::Ended,
+            HttpError::Torn if !begun => HttpError::Ended,
             e => e,
         })
     }
 
     /// More of a body: within it every end is a torn one, also with nothing left in the buffer.
-    async fn more_of_it(&mut self) -> Result<(), Broken> {
+    async fn more_of_it(&mut self) -> Result<(), HttpError> {
         self.more_within(self.stall).await
     }
 
-    async fn more_within(&mut self, stall: Option<Duration>) -> Result<(), Broken> {
+    async fn more_within(&mut self, stall: Option<Duration>) -> Result<(), HttpError> {
         let late = async {
             match stall {
                 Some(stall) => Timer::after(stall).await,
                 None => future::pending().await,
             };
-            Err(Broken::Stalled)
+            Err(HttpError::Stalled)
         };
         let filled = async {
             match self.fill().await {
-                Ok(0) => Err(Broken::Torn),
+                Ok(0) => Err(HttpError::Torn),
                 Ok(_) => Ok(()),
-                Err(e) => Err(Broken::Socket(e)),
+                Err(e) => Err(HttpError::Socket(e)),
             }
         };
         future::or(filled, late).await
@@ -287,7 +291,7 @@
 
     /// Reads a head of so many bytes at most and what belongs to it, as [`frame`] writes them. What has come is kept if
     /// this is dropped before it is whole.
-    pub async fn read_frame(&mut self, limit: usize) -> Result<(Vec<u8>, Vec<u8>), Broken> {
+    pub async fn read_frame(&mut self, limit: usize) -> Result<(Vec<u8>, Vec<u8>), HttpError> {
         loop {
             let bytes = self.buffer.bytes();
             if let Some((sizes, rest)) = bytes.split_first_chunk::<8>() {
@@ -295,7 +299,7 @@
                 let size = |s: &[u8]| u32::from_le_bytes(s.try_into().expect("four bytes")) as usize;
                 let (head, body) = (size(head), size(body));
                 if head > limit || body > limit {
-                    return Err(Broken::TooLarge);
+                    return Err(HttpError::TooLarge);
                 }
                 if rest.len() >= head + body {
                     let whole = (rest[..head].to_vec(), rest[head..head + body].to_vec());
@@ -336,32 +340,32 @@
     }
 
     /// Reads the head of a request.
-    pub async fn read_request(&mut self) -> Result<Asked, Broken> {
+    pub async fn read_request(&mut self) -> Result<RequestHead, HttpError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADER_COUNT];
             let mut head = httparse::Request::new(&mut headers);
             match head.parse(self.buffer.bytes()) {
                 Ok(httparse::Status::Complete(used)) => {
-                    let fields = Fields::read(head.headers);
+                    let fields = Headers::read(head.headers);
                     let framing = fields.framing(head.version)?.unwrap_or(Framing::Length(0));
                     let keeps = head.version == Some(1) && !fields.closes();
                     let word = |w: Option<&str>| w.unwrap_or_default().to_owned();
                     let (method, target) = (word(head.method), word(head.path));
                     self.buffer.consume(used);
-                    return Ok(Asked { method, target, fields, keeps, framing });
+                    return Ok(RequestHead { method, target, fields, keeps, framing });
                 }
                 Ok(httparse::Status::Partial) if self.buffer.bytes().len() >= HEAD_LIMIT => {
-                    return Err(Broken::TooLarge)
+                    return Err(HttpError::TooLarge)
                 }
                 Ok(httparse::Status::Partial) => self.more().await?,
-                Err(httparse::Error::TooManyHeaders) => return Err(Broken::TooLarge),
-                Err(_) => return Err(Broken::Malformed("the head is malformed")),
+                Err(httparse::Error::TooManyHeaders) => return Err(HttpError::TooLarge),
+                Err(_) => return Err(HttpError::Malformed("the head is malformed")),
             }
         }
     }
 
     /// Reads the head of an answer; interim ones are passed over.
-    pub async fn read_answer(&mut self) -> Result<Answered, Broken> {
+    pub async fn read_answer(&mut self) -> Result<ResponseHead, HttpError> {
         let mut passed = 0;
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADER_COUNT];
@@ -369,7 +373,7 @@
             match head.parse(self.buffer.bytes()) {
                 Ok(httparse::Status::Complete(used)) => {
                     let status = head.code.unwrap_or_default();
-                    let fields = Fields::read(head.headers);
+                    let fields = Headers::read(head.headers);
                     let bare = matches!(status, 100..=199 | 204 | 304);
                     let marked =
                         if bare { Some(Framing::Length(0)) } else { fields.framing(head.version)? };
@@ -377,35 +381,35 @@
                     self.buffer.consume(used);
                     if !(100..200).contains(&status) {
                         let framing = marked.unwrap_or(Framing::UntilEnd);
-                        return Ok(Answered { status, fields, keeps, framing });
+                        return Ok(ResponseHead { status, fields, keeps, framing });
                     }
                     passed += used;
                     if passed >= HEAD_LIMIT {
-                        return Err(Broken::TooLarge);
+                        return Err(HttpError::TooLarge);
                     }
                 }
                 Ok(httparse::Status::Partial) if self.buffer.bytes().len() >= HEAD_LIMIT => {
-                    return Err(Broken::TooLarge)
+                    return Err(HttpError::TooLarge)
                 }
                 Ok(httparse::Status::Partial) => self.more().await?,
-                Err(_) => return Err(Broken::Malformed("the head is malformed")),
+                Err(_) => return Err(HttpError::Malformed("the head is malformed")),
             }
         }
     }
 
     /// Reads the body of a request.
-    pub async fn request_body(&mut self, head: &Asked, limit: usize) -> Result<Vec<u8>, Broken> {
+    pub async fn request_body(&mut self, head: &RequestHead, limit: usize) -> Result<Vec<u8>, HttpError> {
         self.body(head.framing, limit).await
     }
 
     /// Reads the body of an answer.
-    pub async fn answer_body(&mut self, head: &Answered, limit: usize) -> Result<Vec<u8>, Broken> {
+    pub async fn answer_body(&mut self, head: &ResponseHead, limit: usize) -> Result<Vec<u8>, HttpError> {
         self.body(head.framing, limit).await
     }
 
-    async fn body(&mut self, framing: Framing, limit: usize) -> Result<Vec<u8>, Broken> {
+    async fn body(&mut self, framing: Framing, limit: usize) -> Result<Vec<u8>, HttpError> {
         match framing {
-            Framing::Length(length) if length > limit => Err(Broken::TooLarge),
+            Framing::Length(length) if length > limit => Err(HttpError::TooLarge),
             Framing::Length(length) => {
                 while self.buffer.bytes().len() < length {
                     self.more_of_it().await?;
@@ -423,10 +427,10 @@
             }
             Framing::UntilEnd => loop {
                 if self.buffer.bytes().len() > limit {
-                    return Err(Broken::TooLarge);
+                    return Err(HttpError::TooLarge);
                 }
                 match self.more_of_it().await {
-                    Err(Broken::Torn) => return Ok(self.buffer.bytes().to_vec()),
+                    Err(HttpError::Torn) => return Ok(self.buffer.bytes().to_vec()),
                     more => more?,
                 }
             },
@@ -434,7 +438,7 @@
     }
 
     /// The next chunk of a chunked body of an answer or request; none after the last.
-    pub async fn chunk(&mut self, limit: usize) -> Result<Option<Vec<u8>>, Broken> {
+    pub async fn chunk(&mut self, limit: usize) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
             let parsed = httparse::parse_chunk_size(self.buffer.bytes());
             let (used, size) = match parsed {
@@ -443,16 +447,16 @@
                     self.more_of_it().await?;
                     continue;
                 }
-                Ok(httparse::Status::Partial) => return Err(Broken::TooLarge),
-                Err(_) => return Err(Broken::Malformed("a chunk's size is malformed")),
+                Ok(httparse::Status::Partial) => return Err(HttpError::TooLarge),
+                Err(_) => return Err(HttpError::Malformed("a chunk's size is malformed")),
             };
             // The parser reads a line without a digit as 0, and passes over anything behind a semicolon.
             let line = &self.buffer.bytes()[..used - 2];
             if !line.first().is_some_and(u8::is_ascii_hexdigit) || line.iter().any(|b| b.is_ascii_control()) {
-                return Err(Broken::Malformed("a chunk's size is malformed"));
+                return Err(HttpError::Malformed("a chunk's size is malformed"));
             }
             if size > limit as u64 {
-                return Err(Broken::TooLarge);
+                return Err(HttpError::TooLarge);
             }
             if size == 0 {
                 self.buffer.consume(used);
@@ -464,7 +468,7 @@
             }
             let bytes = &self.buffer.bytes()[used..];
             if &bytes[size..size + 2] != b"\r\n" {
-                return Err(Broken::Malformed("a chunk does not end where it should"));
+                return Err(HttpError::Malformed("a chunk does not end where it should"));
             }
             let part = bytes[..size].to_vec();
             self.buffer.consume(used + size + 2);
@@ -473,7 +477,7 @@
     }
 
     /// Passes over what follows the last chunk, up to an empty line.
-    async fn trailer(&mut self) -> Result<(), Broken> {
+    async fn trailer(&mut self) -> Result<(), HttpError> {
         let mut passed = 0;
         loop {
             match self.buffer.bytes().windows(2).position(|w| w == b"\r\n") {
@@ -485,8 +489,8 @@
                     passed += at + 2;
                     self.buffer.consume(at + 2);
                 }
-                Some(_) => return Err(Broken::TooLarge),
-                None if self.buffer.bytes().len() >= HEAD_LIMIT => return Err(Broken::TooLarge),
+                Some(_) => return Err(HttpError::TooLarge),
+                None if self.buffer.bytes().len() >= HEAD_LIMIT => return Err(HttpError::TooLarge),
                 None => self.more_of_it().await?,
             }
         }
