--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Request {
     /// The user agent's name for it.
-    pub word: String,
+    #[serde(rename = "word")]
+    pub request_id: String,
     /// What marks repeats of it.
     pub key: Option<String>,
     /// Its class.
@@ -25,35 +26,46 @@
     #[serde(skip)]
     pub body: Rc<[u8]>,
     /// It was handed in before and turned away.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub client_retry: bool,
     /// A forwarder had it that died, so it may have run.
-    pub orphan: bool,
+    #[serde(rename = "orphan")]
+    pub failed_over: bool,
 }
 
 /// A request that is held, with what became of it.
 #[derive(Debug)]
-pub struct Transaction {
+pub struct InFlightMessage {
     /// The module's name for it.
     pub id: MessageId,
     /// As it was handed in.
     pub request: Request,
     /// When it was handed in, on the program's clock; none if that was at an earlier process.
-    pub since: Option<Micros>,
+    pub received_at: Option<Micros>,
     /// An earlier process had taken it on.
     pub restored: bool,
     /// When and where the first attempt was sent that may have run, where an earlier process noted it.
-    pub first: Option<(Micros, ZoneId)>,
+    pub first_attempt: Option<(Micros, ZoneId)>,
     /// Where it is counted by route.
     pub stats: Option<Rc<RouteStats>>,
     attempts: Cell<u32>,
     over: Cell<bool>,
 }
 
-impl Transaction {
+impl InFlightMessage {
     /// A transaction that is under way, with the attempts that an earlier process made.
     pub fn new(id: MessageId, request: Request, attempts: u32) -> Self {
         let (attempts, over) = (Cell::new(attempts), Cell::new(false));
-        Transaction { id, request, since: None, restored: false, first: None, stats: None, attempts, over }
+        InFlightMessage {
+            id,
+            request,
+            received_at: None,
+            restored: false,
+            first_attempt: None,
+            stats: None,
+            attempts,
+            over,
+        }
     }
 
     /// The number of its next attempt, from 0; it counts as begun.
@@ -86,9 +98,9 @@
             key: None,
             time_left: self.request.deadline.saturating_sub(now),
             destination: self.request.destination,
-            orphan: self.request.orphan,
-            first: self.first,
-            again: self.request.again,
+            failed_over: self.request.failed_over,
+            first_attempt: self.first_attempt,
+            client_retry: self.request.client_retry,
             restored: self.restored,
             attempts: self.attempts.get(),
         }
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -4,7 +4,7 @@
 //! service comes back by itself.
 
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
-use crate::net::messages::ToDecider;
+use crate::net::messages::DeliveryMessage;
 use crate::net::runtime::latch::Latch;
 use crate::net::Context;
 use crate::MessageId;
@@ -19,15 +19,15 @@
 const RETRY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
 
 /// The journal of this process.
-pub struct JournalKeeper {
+pub struct JournalHandle {
     journal: RefCell<Journal>,
     failing: Latch,
 }
 
-impl JournalKeeper {
+impl JournalHandle {
     /// Keeps a journal.
     pub fn new(journal: Journal) -> Self {
-        let keeper = JournalKeeper { journal: RefCell::new(journal), failing: Latch::default() };
+        let keeper = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
         keeper.with(|_| ());
         keeper
     }
@@ -111,7 +111,7 @@
         let since = Instant::now();
         context.counters.journal_failures.add();
         warn!(context.log, "the journal cannot be written, nothing is taken on and no attempt begins";
-            "reason" => "journal", "open" => context.open.get());
+            "reason" => "journal", "open" => context.open_messages.get());
         let mut pause = RETRY.0;
         loop {
             Timer::after(pause).await;
@@ -122,6 +122,6 @@
         }
         keeper.failing.clear();
         info!(context.log, "the journal can be written again"; "ms" => since.elapsed().as_millis() as u64);
-        let _ = context.decider.send(ToDecider::JournalWritable).await;
+        let _ = context.delivery.send(DeliveryMessage::JournalWritable).await;
     }
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,23 +1,23 @@
 //! What the actors send each other. It imports no actor.
 
-use super::call::{Call, Came};
-use super::http::{Broken, Wire};
+use super::call::{Call, CallCompletion};
+use super::http::{HttpConnection, HttpError};
 use super::in_flight::Request;
 use crate::journal::ReportedEnd;
-use crate::membership::{Carried, News};
-use crate::{ListNews, MessageId, Micros, Settings};
+use crate::membership::{MembershipSnapshot, SourceUpdate};
+use crate::{EndpointListUpdate, MessageId, Micros, Settings};
 use async_channel::Sender;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 /// What the module's actor can be told.
-pub enum ToDecider {
+pub enum DeliveryMessage {
     /// A message is handed in.
-    Take {
+    Submit {
         /// The message.
         request: Request,
         /// Where to say what becomes of it.
-        reply: Sender<Reply>,
+        reply: Sender<SubmitReply>,
     },
     /// The user agent of a message went before its answer was written.
     Withdrawn {
@@ -25,40 +25,42 @@
         id: MessageId,
     },
     /// News of the list.
-    List(ListNews),
+    EndpointList(EndpointListUpdate),
     /// Other settings hold from now on.
     Settings(Box<Settings>),
     /// A call has come out, here or at the process that this one replaces.
-    CallEnded(Came),
+    CallCompleted(CallCompletion),
     /// Another process asks to replace this one.
-    HandOver(Heir),
+    HandOver(Successor),
     /// An operator wants something while all is being handed over.
-    Operate {
+    Admin {
         /// What.
-        operation: Operation,
+        command: AdminCommand,
         /// Where to say what becomes of it.
-        reply: Sender<Result<(), No>>,
+        reply: Sender<Result<(), AdminError>>,
     },
     /// The journal can be written again.
     JournalWritable,
     /// The process that this one has replaced is gone.
-    OlderGone,
+    PredecessorGone,
     /// Asks how destinations and channels stand, for operators.
-    Show {
+    DescribeStatus {
         /// Where to say it.
         reply: Sender<Value>,
     },
     /// The program is about to end: no more steps, but what is out is still noted.
-    Close,
+    Stop,
 }
 
 /// What becomes of a message that is handed in.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum SubmitReply {
     /// Taken on, under this id.
-    Taken(MessageId),
+    #[serde(rename = "Taken")]
+    Accepted(MessageId),
     /// Not taken on: another message of that name is not over yet.
-    Held,
+    #[serde(rename = "Held")]
+    DuplicateId,
     /// Unavailable; it may come again after a while.
     Unavailable(Micros),
     /// It failed at once.
@@ -66,124 +68,129 @@
 }
 
 /// The advice to come again where the module had no say.
-pub const LATER: Micros = 1_000_000;
+pub const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
 
 /// What the membership's actor can be told.
-pub enum ToMembers {
+pub enum EndpointListMessage {
     /// To watch now, without a pause.
-    Watch,
+    Resubscribe,
     /// To look where the platform's agent and the registry listen: the configuration was read again.
-    Look,
+    ConfigReloaded,
     /// A watch has a line.
-    Line {
+    WatchLine {
         /// Which watch.
         watch: u64,
         /// The line.
         line: Vec<u8>,
     },
     /// A watch has fallen silent; it is still listened to.
-    Silent {
+    WatchSilent {
         /// Which watch.
         watch: u64,
     },
     /// The watch before has had its moment.
-    Parted {
+    ReplacedWatchExpired {
         /// Which watch.
         watch: u64,
     },
     /// A watch has ended.
-    Ended {
+    WatchEnded {
         /// Which watch.
         watch: u64,
         /// How.
-        over: Over,
+        end: WatchEnd,
     },
     /// A new process has waited long enough for its first list.
-    Unheard,
+    InitialListTimeout,
     /// Another process goes on with the list: nothing changes here any more.
     HandOver {
         /// Where to say what the list is.
-        reply: Sender<Carried>,
+        reply: Sender<MembershipSnapshot>,
     },
     /// It did not go on with it: changes are taken in again.
-    GoOn,
+    HandOverAborted,
     /// Operators want an endpoint left out, or back.
     Cordon {
         /// What the list calls it.
         id: String,
         /// Left out, or back.
-        out: bool,
+        cordoned: bool,
         /// Where to say whether that holds from now on.
-        reply: Sender<Result<(), No>>,
+        reply: Sender<Result<(), AdminError>>,
     },
     /// The registry has answered.
-    Registry {
+    RegistryUpdate {
         /// What it says.
-        news: News,
+        update: SourceUpdate,
         /// When that came.
-        learnt: Micros,
+        received_at: Micros,
         /// Where to say whether something of it is in doubt.
-        doubt: Sender<bool>,
+        doubted: Sender<bool>,
     },
 }
 
 /// How a watch was over.
-pub enum Over {
+pub enum WatchEnd {
     /// The platform turned it away, maybe with a wait.
     TurnedAway(u16, Option<Micros>),
     /// Its connection was of no more use.
-    Broke(Broken),
+    Broke(HttpError),
 }
 
 /// What a peer can be told.
-pub enum ToPeer {
+pub enum EndpointMessage {
     /// Make this call.
     Call(Call),
     /// Close the connections that carry nothing now.
     CloseIdle,
     /// A call has left its connection fit to be used again.
-    Idle(Wire),
+    ReturnConnection(HttpConnection),
 }
 
 /// An end to be told.
-pub struct Notice {
+pub struct DeliveryReport {
     /// The program's id of the message.
     pub id: MessageId,
     /// The user agent's.
-    pub word: String,
+    pub request_id: String,
     /// How it ended.
     pub end: ReportedEnd,
 }
 
 /// What an operator wants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Operation {
+pub enum AdminCommand {
     /// An endpoint left out, or back.
     Cordon {
         /// What the list calls it.
         id: String,
         /// Left out, or back.
-        out: bool,
+        #[serde(rename = "out")]
+        cordoned: bool,
     },
     /// User agents sent away, or taken.
-    SendAway(bool),
+    #[serde(rename = "SendAway")]
+    Quiesce(bool),
 }
 
 /// Why a call is answered with no.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum No {
+pub enum AdminError {
     /// The list knows no such endpoint.
-    Unknown,
+    #[serde(rename = "Unknown")]
+    UnknownEndpoint,
     /// It cannot be kept, so it would not hold.
-    NotKept(String),
+    #[serde(rename = "NotKept")]
+    NotPersisted(String),
     /// Nobody is there any more to do it.
-    Gone,
+    #[serde(rename = "Gone")]
+    ShuttingDown,
 }
 
 /// One that asks to take over.
-pub struct Heir {
+pub struct Successor {
     /// Its connection; it waits for the state.
-    pub wire: Wire,
+    pub wire: HttpConnection,
     /// The list as the membership's actor holds it, which changes nothing from here on.
-    pub list: Carried,
+    pub list: MembershipSnapshot,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -21,23 +21,23 @@
 
 use crate::invariants::{Ledger, Rejection, Violation};
 use crate::journal::{Journal, Restored, Unreadable};
-use crate::net::messages::{ToDecider, ToMembers};
+use crate::net::messages::{DeliveryMessage, EndpointListMessage};
 use crate::{DeliveryPolicy, EndpointId, Settings};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use config::Config;
 use counters::Counters;
-use delivery::Decider;
-use endpoint::table::Board;
+use delivery::DeliveryActor;
+use endpoint::table::EndpointTable;
 use futures_lite::future;
-use handover::Claim;
-use journal_handle::JournalKeeper;
-use platform::endpoint_list::Members;
+use handover::FolderClaim;
+use journal_handle::JournalHandle;
+use platform::endpoint_list::EndpointListActor;
 use runtime::clock::Clock;
 use runtime::latch::Latch;
 use runtime::signals::{Signal, Signals};
-use runtime::stall_detector::Pulse;
+use runtime::stall_detector::StallDetector;
 use rustix::io::Errno;
 use serde_json::Value;
 use slog::{error, info, warn, Logger};
@@ -73,11 +73,11 @@
     /// Runs the actors.
     pub executor: Rc<LocalExecutor<'static>>,
     /// What binds every first byte.
-    pub board: Board,
+    pub endpoint_table: EndpointTable,
     /// Whether this process stood still.
-    pub pulse: Pulse,
+    pub stall_detector: StallDetector,
     /// What outlasts the process.
-    pub journal: JournalKeeper,
+    pub journal: JournalHandle,
     /// Counts.
     pub counters: Counters,
     /// What was done for each message, held against the rules.
@@ -90,45 +90,45 @@
     pub registry_view: RefCell<Option<Value>>,
     listen: SocketAddr,
     /// The module's mailbox.
-    pub decider: Sender<ToDecider>,
+    pub delivery: Sender<DeliveryMessage>,
     /// Idle connections to endpoints that are kept.
-    pub idle_peers: Cell<usize>,
+    pub idle_endpoint_connections: Cell<usize>,
     /// Connections of calls that were given up, on which a wait may still be told.
-    pub hearing_out: Cell<usize>,
+    pub late_answer_readers: Cell<usize>,
     /// Calls under way.
-    pub calls_out: Cell<usize>,
+    pub calls_in_flight: Cell<usize>,
     /// Messages held and not ended.
-    pub open: Cell<usize>,
+    pub open_messages: Cell<usize>,
     /// Notices not yet confirmed.
-    pub notices_owed: Cell<usize>,
+    pub reports_pending: Cell<usize>,
     /// User agents connected.
-    pub user_agents: Cell<usize>,
+    pub client_connections: Cell<usize>,
     /// The module has a list to go by.
-    pub holds_list: Cell<bool>,
+    pub has_endpoint_list: Cell<bool>,
     /// The platform's agent has told its list to this process, or won't just now: calls may go out.
-    pub list_told: Latch,
+    pub list_received: Latch,
     /// The program is ending and takes no more connections.
     pub listener_closes: Latch,
     /// The program is ending and decides no more: what is not whole by now is turned away.
-    pub undecided: Latch,
+    pub decisions_stopped: Latch,
     /// Operators want user agents sent away.
-    pub sends_away: Latch,
+    pub quiesced: Latch,
     /// Another process is taking over, or has: nothing may change here meanwhile.
-    pub handing: Cell<bool>,
+    pub handing_over: Cell<bool>,
     /// Another process has taken over.
     pub handed_over: Latch,
     /// The process that has taken over is gone.
-    pub heir_lost: Latch,
+    pub successor_lost: Latch,
     /// User agents connected to the process that this one has replaced, at most.
-    pub older_agents: Cell<usize>,
+    pub predecessor_connections: Cell<usize>,
     /// This process owns the folder.
-    pub owner: RefCell<Option<handover::lock::Lock>>,
+    pub folder_lock: RefCell<Option<handover::lock::Lock>>,
     /// What one that asks to take over must know.
-    pub token: RefCell<String>,
+    pub hand_over_token: RefCell<String>,
     /// The ids of endpoints that operators left out.
     pub cordoned: RefCell<Vec<String>>,
     /// The names that user agents gave to messages, each for as long as the message is held or its notice owed.
-    words: RefCell<HashMap<String, usize>>,
+    request_ids: RefCell<HashMap<String, usize>>,
     closing: Receiver<()>,
 }
 
@@ -155,18 +155,18 @@
 
     /// User agents may come.
     pub fn ready(&self) -> bool {
-        self.holds_list.get() && !self.closing()
+        self.has_endpoint_list.get() && !self.closing()
     }
 
     /// User agents may come, and operators have not sent them away; those that come yet are passed on where another
     /// process has taken over.
-    pub fn takes_user_agents(&self) -> bool {
-        (self.ready() || self.handed_over.is_set()) && !self.sends_away.is_set()
+    pub fn accepts_clients(&self) -> bool {
+        (self.ready() || self.handed_over.is_set()) && !self.quiesced.is_set()
     }
 
     /// An answered user agent is to come again by another connection, if at all.
-    pub fn turns_away(&self) -> bool {
-        self.sends_away.is_set() || self.handed_over.is_set()
+    pub fn closes_after_response(&self) -> bool {
+        self.quiesced.is_set() || self.handed_over.is_set()
     }
 
     /// The counters, with what is held just now.
@@ -177,16 +177,16 @@
         }
         if let Some(view) = self.registry_view.borrow().as_ref() {
             report["registry"] = self.registry.report(view, self.clock.now());
-            report["drains"] = self.board.drains();
+            report["drains"] = self.endpoint_table.drains();
         }
         if self.config().operator.is_some() {
             report["cordoned"] = self.cordoned.borrow().clone().into();
             report["handed_over"] = self.handed_over.is_set().into();
-            report["sends_away"] = self.sends_away.is_set().into();
+            report["sends_away"] = self.quiesced.is_set().into();
         }
-        report["user_agents"] = self.user_agents.get().into();
-        report["open"] = self.open.get().into();
-        report["notices_owed"] = self.notices_owed.get().into();
+        report["user_agents"] = self.client_connections.get().into();
+        report["open"] = self.open_messages.get().into();
+        report["notices_owed"] = self.reports_pending.get().into();
         let (bytes, owed) = self.journal.sizes();
         report["journal_bytes"] = bytes.into();
         report["journal_owed"] = owed.into();
@@ -208,18 +208,18 @@
     }
 
     /// A message of that name is not over yet.
-    pub fn word_in_use(&self, word: &str) -> bool {
-        self.words.borrow().contains_key(word)
+    pub fn request_id_in_use(&self, word: &str) -> bool {
+        self.request_ids.borrow().contains_key(word)
     }
 
     /// Keeps a name in use.
-    pub fn keep_word(&self, word: &str) {
-        *self.words.borrow_mut().entry(word.to_owned()).or_default() += 1;
+    pub fn keep_request_id(&self, word: &str) {
+        *self.request_ids.borrow_mut().entry(word.to_owned()).or_default() += 1;
     }
 
     /// Lets go of a name, once for each time that it was kept.
-    pub fn release_word(&self, word: &str) {
-        let mut words = self.words.borrow_mut();
+    pub fn release_request_id(&self, word: &str) {
+        let mut words = self.request_ids.borrow_mut();
         let left = words.get(word).map_or(0, |count| count - 1);
         match left {
             0 => drop(words.remove(word)),
@@ -264,27 +264,27 @@
     for damage in &restored.damage {
         warn!(log, "journal damaged"; "what" => damage);
     }
-    let older = claim.as_ref().and_then(Claim::speaker);
+    let older = claim.as_ref().and_then(FolderClaim::speaker);
     let passed = claim.as_mut().and_then(|c| c.passed.take());
     let routes = settings.routes.clone();
     let (state, passed) = passed.unzip();
-    let settings = Settings { ahead: clock.behind_wall(), ..settings };
+    let settings = Settings { wall_clock_offset: clock.behind_wall(), ..settings };
     let fresh = || DeliveryPolicy::new(settings.clone(), config.seed).map_err(|e| e.to_string());
     let policy = passed.map_or_else(fresh, Ok)?;
     let (decider, mail) = async_channel::bounded(1024);
     let (close, closing) = async_channel::bounded(1);
     let context = Rc::new(Context {
-        board: Board::new(clock, config.drain_grace),
-        pulse: Pulse::new(clock.now()),
-        journal: JournalKeeper::new(journal),
-        idle_peers: Cell::new(0),
-        hearing_out: Cell::new(0),
+        endpoint_table: EndpointTable::new(clock, config.drain_grace),
+        stall_detector: StallDetector::new(clock.now()),
+        journal: JournalHandle::new(journal),
+        idle_endpoint_connections: Cell::new(0),
+        late_answer_readers: Cell::new(0),
         log,
         clock,
         executor,
-        decider,
+        delivery: decider,
         closing,
-        words: RefCell::default(),
+        request_ids: RefCell::default(),
         config: RefCell::new(Rc::new(config)),
         counters: Counters::default(),
         ledger: RefCell::default(),
@@ -292,21 +292,21 @@
         registry: platform::eureka::Counts::default(),
         registry_view: RefCell::default(),
         listen: sockets.at,
-        calls_out: Cell::new(0),
-        open: Cell::new(0),
-        notices_owed: Cell::new(0),
-        user_agents: Cell::new(0),
-        holds_list: Cell::new(false),
-        list_told: Latch::default(),
+        calls_in_flight: Cell::new(0),
+        open_messages: Cell::new(0),
+        reports_pending: Cell::new(0),
+        client_connections: Cell::new(0),
+        has_endpoint_list: Cell::new(false),
+        list_received: Latch::default(),
         listener_closes: Latch::default(),
-        undecided: Latch::default(),
-        sends_away: Latch::default(),
-        handing: Cell::new(false),
+        decisions_stopped: Latch::default(),
+        quiesced: Latch::default(),
+        handing_over: Cell::new(false),
         handed_over: Latch::default(),
-        heir_lost: Latch::default(),
-        older_agents: Cell::new(state.as_ref().map_or(0, |s| s.user_agents)),
-        owner: RefCell::default(),
-        token: RefCell::default(),
+        successor_lost: Latch::default(),
+        predecessor_connections: Cell::new(state.as_ref().map_or(0, |s| s.client_connections)),
+        folder_lock: RefCell::default(),
+        hand_over_token: RefCell::default(),
         cordoned: RefCell::default(),
     });
     context.routes.apply(routes);
@@ -317,14 +317,15 @@
     context.executor.spawn(platform::delivery_reports::run(context.clone(), notices_mail)).detach();
     context.executor.spawn(runtime::stall_detector::run(context.clone())).detach();
     context.executor.spawn(journal_handle::run(context.clone())).detach();
-    let mut decider = Decider::new(context.clone(), policy, notices, members_box.clone(), restored.last_id);
-    let mut members = Members::new(context.clone(), members_box.clone());
+    let mut decider =
+        DeliveryActor::new(context.clone(), policy, notices, members_box.clone(), restored.last_id);
+    let mut members = EndpointListActor::new(context.clone(), members_box.clone());
     if config.operator.is_some() {
         members.take_cordons().await;
     }
     match (state, older) {
         (Some(state), Some(older)) => {
-            let list = decider.inherit(*state, restored.messages, &older, settings).await;
+            let list = decider.resume_from(*state, restored.messages, &older, settings).await;
             members.inherit(list).await;
         }
         _ => {
@@ -339,13 +340,14 @@
     let registration = register(&context);
     if let Some(((at, listener), claim)) = sockets.operators.zip(claim) {
         let token = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..));
-        let settled = claim.settle(&context, handover::lock::Owner { operator: at, token }, &members_box);
+        let settled =
+            claim.start_serving(&context, handover::lock::Owner { operator: at, token }, &members_box);
         settled.map_err(|e| format!("state folder `{}`: {e}", config.state.display()))?;
         info!(context.log, "operators may call"; "operator" => %at);
         context.executor.spawn(operator::serve(context.clone(), members_box.clone(), listener)).detach();
     }
     let front = context.executor.spawn(client::serve(context.clone(), sockets.listener));
-    info!(context.log, "serving"; "name" => &config.name, "listen" => %sockets.at, "restored" => context.open.get());
+    info!(context.log, "serving"; "name" => &config.name, "listen" => %sockets.at, "restored" => context.open_messages.get());
     drop(config);
     let signalled = async {
         if asked_to_reload.get() {
@@ -353,14 +355,14 @@
         }
         attend_signals(&context, &signals, load, &members_box).await;
     };
-    future::or(signalled, handover::left_over(&context)).await;
+    future::or(signalled, handover::until_drained(&context)).await;
     end(&context, close, front).await;
     if let Some((end, gone)) = registration {
         drop(end);
         within(platform::eureka::register::LAST_WORD, gone.recv()).await;
     }
     info!(context.log, "counters"; "report" => %context.report());
-    match context.heir_lost.is_set() {
+    match context.successor_lost.is_set() {
         true => Err("the process that took over is gone".into()),
         false => Ok(()),
     }
@@ -368,7 +370,7 @@
 
 /// What a process holds as it begins.
 struct Opened {
-    claim: Option<Claim>,
+    claim: Option<FolderClaim>,
     sockets: Sockets,
     journal: Journal,
     restored: Restored,
@@ -486,7 +488,7 @@
 }
 
 /// Does what would hold up the actors in a thread beside them; nothing if it does not come to an end.
-pub async fn beside<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
+pub async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
     let (done, result) = async_channel::bounded(1);
     std::thread::spawn(move || drop(done.try_send(work())));
     result.recv().await.ok()
@@ -502,28 +504,33 @@
 }
 
 /// What comes within a span; silence is a broken connection.
-pub async fn in_time<T, E: From<http::Broken>>(
+pub async fn within_or_error<T, E: From<http::HttpError>>(
     what: impl std::future::Future<Output = Result<T, E>>,
     span: Duration,
 ) -> Result<T, E> {
-    within(span, what).await.unwrap_or_else(|| Err(http::Broken::Malformed("silent").into()))
+    within(span, what).await.unwrap_or_else(|| Err(http::HttpError::Malformed("silent").into()))
 }
 
 /// Reads the configuration again on each SIGHUP, up to the signal that ends the program. A SIGHUP that comes
 /// later finds it ending and changes nothing.
-async fn attend_signals(context: &Context, signals: &Signals, load: &Arc<Load>, members: &Sender<ToMembers>) {
+async fn attend_signals(
+    context: &Context,
+    signals: &Signals,
+    load: &Arc<Load>,
+    members: &Sender<EndpointListMessage>,
+) {
     while signals.next().await == Signal::Reload {
         reread(context, load, members).await;
     }
 }
 
-async fn reread(context: &Context, load: &Arc<Load>, members: &Sender<ToMembers>) {
+async fn reread(context: &Context, load: &Arc<Load>, members: &Sender<EndpointListMessage>) {
     match reload(context, load).await {
         Ok(settings) => {
             let discovery = context.config().discovery;
             info!(context.log, "configuration reloaded"; "discovery" => %discovery);
-            let _ = context.decider.send(ToDecider::Settings(Box::new(settings))).await;
-            let _ = members.send(ToMembers::Look).await;
+            let _ = context.delivery.send(DeliveryMessage::Settings(Box::new(settings))).await;
+            let _ = members.send(EndpointListMessage::ConfigReloaded).await;
             context.counters.reloads.add();
         }
         Err(e) => {
@@ -536,30 +543,30 @@
 /// nothing new 250 ms later.
 async fn reload(context: &Context, load: &Arc<Load>) -> Result<Settings, String> {
     let load = load.clone();
-    let loaded = beside(move || load(Reading::Reload)).await;
+    let loaded = run_blocking(move || load(Reading::Reload)).await;
     let (config, settings) = loaded.ok_or("the check did not come to an end")??;
     if let Some(why) = config.needs_restart(&context.config()) {
         return Err(why.into());
     }
     context.journal.set_limit(config.journal_disk());
-    context.board.set_grace(config.drain_grace);
+    context.endpoint_table.set_grace(config.drain_grace);
     context.routes.apply(settings.routes.clone());
     *context.config.borrow_mut() = Rc::new(config);
     tell_number(context);
     // A step of the machine's clock is followed here, and between reloads it moves no place.
-    Ok(Settings { ahead: context.clock.behind_wall(), ..settings })
+    Ok(Settings { wall_clock_offset: context.clock.behind_wall(), ..settings })
 }
 
 /// Tells why the forwarder goes by chance where others take places, if it does.
 fn tell_number(context: &Context) {
-    if let Err(reason) = &context.config().number {
+    if let Err(reason) = &context.config().forwarder_index {
         warn!(context.log, "no place among the forwarders, going by chance"; "reason" => reason);
     }
 }
 
 /// Ends in order.
 async fn end(context: &Context, close: Sender<()>, front: async_executor::Task<()>) {
-    info!(context.log, "ending"; "open" => context.open.get());
+    info!(context.log, "ending"; "open" => context.open_messages.get());
     let since = std::time::Instant::now();
     close.close();
     Timer::after(LINGER).await;
@@ -567,15 +574,16 @@
     context.listener_closes.set();
     // Where taking them fails all the time, the end must not wait for it.
     within(DECIDES.saturating_sub(since.elapsed()), front).await;
-    let idle = || context.calls_out.get() == 0 && context.notices_owed.get() == 0;
-    while since.elapsed() < DECIDES && !(idle() && context.open.get() == 0 && context.user_agents.get() == 0)
+    let idle = || context.calls_in_flight.get() == 0 && context.reports_pending.get() == 0;
+    while since.elapsed() < DECIDES
+        && !(idle() && context.open_messages.get() == 0 && context.client_connections.get() == 0)
     {
         Timer::after(LOOK).await;
     }
-    context.undecided.set();
-    let _ = context.decider.send(ToDecider::Close).await;
+    context.decisions_stopped.set();
+    let _ = context.delivery.send(DeliveryMessage::Stop).await;
     // An answer is not given before it is written, and not safe before its reader has it.
-    let told = || context.decider.is_empty() && context.user_agents.get() == 0;
+    let told = || context.delivery.is_empty() && context.client_connections.get() == 0;
     while since.elapsed() < LEAVES && !(idle() && told()) {
         Timer::after(LOOK).await;
     }
@@ -585,5 +593,5 @@
     if let Some(Err(e)) = owed.then(|| context.journal.retry()) {
         warn!(context.log, "the journal could not be written at the end"; "reason" => "journal", "error" => %e);
     }
-    info!(context.log, "ended"; "left_in_journal" => context.open.get());
+    info!(context.log, "ended"; "left_in_journal" => context.open_messages.get());
 }
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -3,12 +3,12 @@
 
 pub mod cordons;
 
-use crate::membership::Carried;
+use crate::membership::MembershipSnapshot;
 use crate::net::client::{Answer, LINGER};
-use crate::net::connection_registry::{Lobby, Stay};
-use crate::net::handover::FORMAT;
-use crate::net::http::{Asked, Broken, Wire};
-use crate::net::messages::{Heir, No, Operation, ToDecider, ToMembers};
+use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
+use crate::net::handover::frames::FORMAT;
+use crate::net::http::{HttpConnection, HttpError, RequestHead};
+use crate::net::messages::{AdminCommand, AdminError, DeliveryMessage, EndpointListMessage, Successor};
 use crate::net::{config, within, Context};
 use async_channel::Sender;
 use async_io::{Async, Timer};
@@ -28,18 +28,25 @@
 const HAND_OVER: &str = "/admin/handover";
 
 /// Does it; a yes only once it holds.
-pub async fn perform(context: &Context, members: &Sender<ToMembers>, operation: Operation) -> Result<(), No> {
+pub async fn perform(
+    context: &Context,
+    members: &Sender<EndpointListMessage>,
+    operation: AdminCommand,
+) -> Result<(), AdminError> {
     match operation {
-        Operation::Cordon { id, out } => {
+        AdminCommand::Cordon { id, cordoned: out } => {
             let (reply, answer) = async_channel::bounded(1);
-            members.send(ToMembers::Cordon { id, out, reply }).await.map_err(|_| No::Gone)?;
-            answer.recv().await.unwrap_or(Err(No::Gone))
+            members
+                .send(EndpointListMessage::Cordon { id, cordoned: out, reply })
+                .await
+                .map_err(|_| AdminError::ShuttingDown)?;
+            answer.recv().await.unwrap_or(Err(AdminError::ShuttingDown))
         }
-        Operation::SendAway(away) => {
+        AdminCommand::Quiesce(away) => {
             info!(context.log, "user agents"; "sent_away" => away);
             match away {
-                true => context.sends_away.set(),
-                false => context.sends_away.clear(),
+                true => context.quiesced.set(),
+                false => context.quiesced.clear(),
             }
             Ok(())
         }
@@ -47,13 +54,13 @@
 }
 
 /// Takes calls until the listener is dropped.
-pub async fn serve(context: Rc<Context>, members: Sender<ToMembers>, listener: Async<TcpListener>) {
-    let lobby = Rc::new(Lobby::default());
+pub async fn serve(context: Rc<Context>, members: Sender<EndpointListMessage>, listener: Async<TcpListener>) {
+    let lobby = Rc::new(ConnectionRegistry::default());
     let here = Rc::new(());
     loop {
-        while Rc::strong_count(&here) > config::OPERATORS + lobby.going() {
+        while Rc::strong_count(&here) > config::OPERATORS + lobby.evictions_pending() {
             // All of them are being answered, which takes no time.
-            if !lobby.make_room() {
+            if !lobby.evict_one() {
                 Timer::after(Duration::from_millis(5)).await;
             }
         }
@@ -63,7 +70,7 @@
                     context: context.clone(),
                     members: members.clone(),
                     lobby: lobby.clone(),
-                    wire: Wire::new(stream),
+                    wire: HttpConnection::new(stream),
                 };
                 let here = here.clone();
                 let attending = async move {
@@ -90,23 +97,23 @@
 
 struct Call {
     context: Rc<Context>,
-    members: Sender<ToMembers>,
-    lobby: Rc<Lobby>,
-    wire: Wire,
+    members: Sender<EndpointListMessage>,
+    lobby: Rc<ConnectionRegistry>,
+    wire: HttpConnection,
 }
 
 impl Call {
     /// Reads a call and answers it: what it was, and why its connection ends.
     async fn converse(mut self) -> (String, &'static str) {
         let since = Instant::now();
-        let guest = self.lobby.enter(Stay::Reading);
+        let guest = self.lobby.register(EvictionPriority::Reading);
         let reading = async {
             let head = self.wire.read_request().await?;
             let body = self.wire.request_body(&head, LONGEST).await?;
             Ok((head, body))
         };
         let crowded = async {
-            guest.asked_to_go().await;
+            guest.evicted().await;
             None
         };
         let read = future::or(crowded, within(SLOW, reading)).await;
@@ -129,8 +136,8 @@
                 let late = || Answer::plain(503, "it took too long and may yet happen\n");
                 (what, answer.unwrap_or_else(late), "answered")
             }
-            Some(Err(Broken::TooLarge)) => (String::new(), Answer::plain(413, "too long\n"), "too-large"),
-            Some(Err(Broken::Ended)) => return (String::new(), "operator-closed"),
+            Some(Err(HttpError::TooLarge)) => (String::new(), Answer::plain(413, "too long\n"), "too-large"),
+            Some(Err(HttpError::Ended)) => return (String::new(), "operator-closed"),
             Some(Err(e)) => (String::new(), Answer::plain(400, format!("{e}\n")), e.code()),
             None => (String::new(), Answer::plain(408, "the call took too long\n"), "slow-request"),
         };
@@ -139,28 +146,29 @@
         }
         self.wire.end_sending();
         // Closing on what still comes would reset the connection, and the answer could be lost with it.
-        let guest = self.lobby.enter(Stay::Leaving);
+        let guest = self.lobby.register(EvictionPriority::Leaving);
         let drained = async {
             within(LINGER, self.wire.drain()).await;
         };
-        future::or(guest.asked_to_go(), drained).await;
+        future::or(guest.evicted(), drained).await;
         (what, reason)
     }
 
     /// Gives the connection to the module's actor, which hands all over on it.
-    async fn hand_over(self, list: Carried) -> &'static str {
+    async fn hand_over(self, list: MembershipSnapshot) -> &'static str {
         let Call { context, members, mut wire, .. } = self;
         let yes = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         let written = within(SLOW, wire.write(yes)).await.is_some_and(|w| w.is_ok());
-        if written && context.decider.send(ToDecider::HandOver(Heir { wire, list })).await.is_ok() {
+        if written && context.delivery.send(DeliveryMessage::HandOver(Successor { wire, list })).await.is_ok()
+        {
             return "handed-over";
         }
-        context.handing.set(false);
-        let _ = members.send(ToMembers::GoOn).await;
+        context.handing_over.set(false);
+        let _ = members.send(EndpointListMessage::HandOverAborted).await;
         "operator-gone"
     }
 
-    async fn answer(&self, head: &Asked, body: &[u8]) -> Answer {
+    async fn answer(&self, head: &RequestHead, body: &[u8]) -> Answer {
         let path = head.target.split('?').next().unwrap_or_default();
         let Some(what) = path.strip_prefix(PREFIX) else { return Answer::plain(404, "no such call\n") };
         let method = match what {
@@ -175,11 +183,11 @@
             "health" if self.context.handed_over.is_set() => {
                 Answer::plain(503, "another process has taken over\n")
             }
-            "health" if self.context.takes_user_agents() => Answer::plain(200, "takes user agents\n"),
-            "health" if self.context.sends_away.is_set() => Answer::plain(503, "sends user agents away\n"),
+            "health" if self.context.accepts_clients() => Answer::plain(200, "takes user agents\n"),
+            "health" if self.context.quiesced.is_set() => Answer::plain(503, "sends user agents away\n"),
             "health" => Answer::plain(503, "not ready\n"),
             "quiesce" | "resume" => {
-                let operation = Operation::SendAway(what == "quiesce");
+                let operation = AdminCommand::Quiesce(what == "quiesce");
                 self.operate(operation, format!("{what}: it holds\n")).await
             }
             _ => self.cordon(what == "cordon", body).await,
@@ -192,49 +200,50 @@
             return Answer::plain(400, "the body must be the id of an endpoint\n");
         }
         let yes = format!("{id} {}\n", if out { "is left out" } else { "may serve" });
-        self.operate(Operation::Cordon { id: id.to_owned(), out }, yes).await
+        self.operate(AdminCommand::Cordon { id: id.to_owned(), cordoned: out }, yes).await
     }
 
     /// Has it done, by the process that decides.
-    async fn operate(&self, operation: Operation, yes: String) -> Answer {
-        let done = if self.context.handing.get() {
+    async fn operate(&self, operation: AdminCommand, yes: String) -> Answer {
+        let done = if self.context.handing_over.get() {
             let (reply, answer) = async_channel::bounded(1);
-            let _ = self.context.decider.send(ToDecider::Operate { operation, reply }).await;
-            answer.recv().await.unwrap_or(Err(No::Gone))
+            let _ = self.context.delivery.send(DeliveryMessage::Admin { command: operation, reply }).await;
+            answer.recv().await.unwrap_or(Err(AdminError::ShuttingDown))
         } else {
             perform(&self.context, &self.members, operation).await
         };
         match done {
             Ok(()) => Answer::plain(200, yes),
-            Err(No::Unknown) => Answer::plain(404, "the list knows no such endpoint\n"),
-            Err(No::NotKept(why)) => Answer::plain(507, format!("it cannot be kept: {why}\n")),
-            Err(No::Gone) => Answer::plain(503, "the program is ending\n"),
+            Err(AdminError::UnknownEndpoint) => Answer::plain(404, "the list knows no such endpoint\n"),
+            Err(AdminError::NotPersisted(why)) => Answer::plain(507, format!("it cannot be kept: {why}\n")),
+            Err(AdminError::ShuttingDown) => Answer::plain(503, "the program is ending\n"),
         }
     }
 
     /// Whether another process may replace this one; if so, nothing changes any more on its way there.
-    async fn begin_hand_over(&self, head: &Asked) -> Result<Carried, Answer> {
+    async fn begin_hand_over(&self, head: &RequestHead) -> Result<MembershipSnapshot, Answer> {
         let told = |name: &str| head.fields.get(name).unwrap_or_default();
-        if head.method != "POST" || told("X-Token") != *self.context.token.borrow() {
+        if head.method != "POST" || told("X-Token") != *self.context.hand_over_token.borrow() {
             return Err(Answer::plain(404, "no such call\n"));
         }
         if told("X-Format") != FORMAT.to_string() {
             return Err(Answer::plain(415, format!("this process speaks form {FORMAT}\n")));
         }
-        if self.context.handing.get() || self.context.closing() || !self.context.holds_list.get() {
+        if self.context.handing_over.get() || self.context.closing() || !self.context.has_endpoint_list.get()
+        {
             return Err(Answer::plain(409, "not now\n"));
         }
-        self.context.handing.set(true);
+        self.context.handing_over.set(true);
         let (reply, answer) = async_channel::bounded(1);
         let list = async {
-            let _ = self.members.send(ToMembers::HandOver { reply }).await;
+            let _ = self.members.send(EndpointListMessage::HandOver { reply }).await;
             answer.recv().await.ok()
         };
         match within(SLOW, list).await.flatten() {
             Some(list) => Ok(list),
             None => {
-                self.context.handing.set(false);
-                let _ = self.members.try_send(ToMembers::GoOn);
+                self.context.handing_over.set(false);
+                let _ = self.members.try_send(EndpointListMessage::HandOverAborted);
                 Err(Answer::plain(503, "not now\n"))
             }
         }
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -2,8 +2,8 @@
 
 use crate::journal::ReportedEnd;
 use crate::net::dial::connect;
-use crate::net::http::{Broken, Wire};
-use crate::net::messages::Notice;
+use crate::net::http::{HttpConnection, HttpError};
+use crate::net::messages::DeliveryReport;
 use crate::net::Context;
 use async_channel::Receiver;
 use async_io::Timer;
@@ -21,19 +21,21 @@
 const PAUSE: Duration = Duration::from_millis(50);
 const BATCH: usize = 100;
 
-impl Notice {
+impl DeliveryReport {
     fn line(&self) -> String {
         match self.end {
-            ReportedEnd::Failed => json!({"id": self.word, "state": "failed"}),
-            ReportedEnd::Returned(None) => json!({"id": self.word, "state": "returned"}),
-            ReportedEnd::Returned(Some(ms)) => json!({"id": self.word, "state": "returned", "after_ms": ms}),
+            ReportedEnd::Failed => json!({"id": self.request_id, "state": "failed"}),
+            ReportedEnd::Returned(None) => json!({"id": self.request_id, "state": "returned"}),
+            ReportedEnd::Returned(Some(ms)) => {
+                json!({"id": self.request_id, "state": "returned", "after_ms": ms})
+            }
         }
         .to_string()
     }
 }
 
 /// Tells notices until each is confirmed, those that have gathered together.
-pub async fn run(context: Rc<Context>, mail: Receiver<Notice>) {
+pub async fn run(context: Rc<Context>, mail: Receiver<DeliveryReport>) {
     let mut pending = VecDeque::new();
     let mut connection = None;
     let mut most = BATCH;
@@ -54,17 +56,17 @@
         let count = pending.len().min(most);
         let late = async {
             Timer::after(PATIENCE).await;
-            Err(Broken::Malformed("silent"))
+            Err(HttpError::Malformed("silent"))
         };
         let body: String = pending.iter().take(count).map(|n| n.line() + "\n").collect();
         match future::or(post(&context, &mut connection, &body), late).await {
             Ok(204) => {
                 for notice in pending.drain(..count) {
-                    info!(context.log, "message"; "state" => "reported", "id" => &notice.word, "end" => ?notice.end);
+                    info!(context.log, "message"; "state" => "reported", "id" => &notice.request_id, "end" => ?notice.end);
                     context.journal.end(notice.id);
-                    context.release_word(&notice.word);
+                    context.release_request_id(&notice.request_id);
                     context.counters.notices.add();
-                    context.notices_owed.set(context.notices_owed.get().saturating_sub(1));
+                    context.reports_pending.set(context.reports_pending.get().saturating_sub(1));
                 }
                 most = BATCH;
             }
@@ -88,9 +90,9 @@
 
 async fn post(
     context: &Context,
-    connection: &mut Option<(SocketAddr, Wire)>,
+    connection: &mut Option<(SocketAddr, HttpConnection)>,
     body: &str,
-) -> Result<u16, Broken> {
+) -> Result<u16, HttpError> {
     // Read anew each time: what is owed goes to where the platform listens now.
     let address = context.config().discovery;
     if connection.take_if(|c| c.0 != address).is_some() {
@@ -98,11 +100,11 @@
     }
     let mut wire = match connection.take() {
         Some((_, wire)) => wire,
-        None => Wire::new(connect(address).await.map_err(Broken::Socket)?),
+        None => HttpConnection::new(connect(address).await.map_err(HttpError::Socket)?),
     };
     let head = format!("POST /reports HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n");
     let request = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
-    wire.write(request.as_bytes()).await.map_err(Broken::Socket)?;
+    wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
     let answer = wire.read_answer().await?;
     wire.answer_body(&answer, 64 * 1024).await?;
     if answer.keeps {
--- a/src/net/platform/endpoint_list.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -1,18 +1,21 @@
 //! The membership's actor: the platform's list of endpoints, watched as long as the program runs.
 
 use crate::membership::{
-    Approach, Carried, Change, Key, Listing, Membership, News, Policy, RegistrySettings, SourceId, State,
+    Approach, Change, Key, Listing, Membership, MembershipSnapshot, Policy, RegistrySettings, SourceId,
+    SourceUpdate, State,
 };
 use crate::net::dial::connect;
-use crate::net::endpoint::table::Known;
-use crate::net::http::{Broken, Wire};
-use crate::net::messages::{No, Over, ToDecider, ToMembers};
+use crate::net::endpoint::table::EndpointState;
+use crate::net::http::{HttpConnection, HttpError};
+use crate::net::messages::{AdminError, DeliveryMessage, EndpointListMessage, WatchEnd};
 use crate::net::operator::cordons::Cordons;
 use crate::net::platform::eureka::snapshot::Snapshot;
 use crate::net::runtime::clock::wall;
-use crate::net::{in_time, within, Context};
-use crate::words::{in_field, index, text, whole, Names};
-use crate::{DestinationId, EndpointId, Entry, KindId, Lifecycle, ListNews, Micros, ZoneId};
+use crate::net::{within, within_or_error, Context};
+use crate::settings_json::{in_field, index, text, whole, Names};
+use crate::{
+    DestinationId, EndpointEntry, EndpointId, EndpointListUpdate, KindId, Lifecycle, Micros, ZoneId,
+};
 use async_channel::{Receiver, Sender};
 use async_executor::Task;
 use async_io::Timer;
@@ -90,10 +93,10 @@
 }
 
 /// The list as this program holds it.
-pub struct Members {
+pub struct EndpointListActor {
     context: Rc<Context>,
     names: Arc<Names>,
-    own: Sender<ToMembers>,
+    own: Sender<EndpointListMessage>,
     membership: Membership,
     /// The watch that the list comes from.
     held: Option<Watch>,
@@ -118,16 +121,16 @@
     handed_over: bool,
 }
 
-impl Members {
+impl EndpointListActor {
     /// An actor that holds nothing yet; its mailbox is for its watches.
-    pub fn new(context: Rc<Context>, own: Sender<ToMembers>) -> Self {
+    pub fn new(context: Rc<Context>, own: Sender<EndpointListMessage>) -> Self {
         let names = context.config().names.clone();
         let approach = Approach::new(context.config().forwarders);
         let sources = vec![("pushed", Policy::default()), ("registry", by_address())];
         let membership = Membership::new(sources);
         let (held, parting, opening, generation, source, registry, left) = Default::default();
         let heard = context.clock.now().saturating_sub(BEFORE_START);
-        Members {
+        EndpointListActor {
             context,
             names,
             own,
@@ -159,9 +162,9 @@
     }
 
     /// Goes on with the list of the process that this one replaces, under the same numbers.
-    pub async fn inherit(&mut self, carried: Carried) {
+    pub async fn inherit(&mut self, carried: MembershipSnapshot) {
         self.membership.adopt(&carried);
-        self.context.list_told.set();
+        self.context.list_received.set();
         let now = self.context.clock.now();
         for (source, listings) in carried.views.into_iter().enumerate() {
             let how = if SourceId(source) == PUSHED { Telling::Stale } else { Telling::Patch };
@@ -180,12 +183,12 @@
             self.left = rest;
             back.into_iter().for_each(|(learnt, change)| self.settle(learnt, &change));
         }
-        let board = &self.context.board;
+        let board = &self.context.endpoint_table;
         let mut entries = Vec::with_capacity(changes.len());
         let mut write = |change: &Change| entries.push(self.write_on_board(change));
         for change in &changes {
             // What a complete list does not name is gone by that.
-            if how == Telling::Patch || change.lifecycle != Lifecycle::Gone {
+            if how == Telling::Patch || change.lifecycle != Lifecycle::Removed {
                 write(change);
             }
         }
@@ -207,13 +210,13 @@
         if self.registry.is_some() {
             self.note(&changes);
         }
-        self.context.holds_list.set(true);
+        self.context.has_endpoint_list.set(true);
         let news = match how {
-            Telling::Patch => ListNews::Patch(entries),
-            Telling::Whole => ListNews::Whole(entries),
-            Telling::Stale => ListNews::Stale(entries),
+            Telling::Patch => EndpointListUpdate::Patch(entries),
+            Telling::Whole => EndpointListUpdate::Complete(entries),
+            Telling::Stale => EndpointListUpdate::Cached(entries),
         };
-        let _ = self.context.decider.send(ToDecider::List(news)).await;
+        let _ = self.context.delivery.send(DeliveryMessage::EndpointList(news)).await;
     }
 
     /// One line a change, and for what leaves a second look later.
@@ -227,9 +230,9 @@
             let source = self.membership.name(change.source);
             info!(self.context.log, "list changed"; "endpoint" => change.endpoint.0, "id" => &change.listing.key.id,
                 "address" => %change.listing.address, "lifecycle" => ?change.lifecycle, "why" => change.why,
-                "source" => source, "learnt" => change.learnt);
+                "source" => source, "learnt" => change.observed_at);
             if change.lifecycle != Lifecycle::Listed && self.left.len() < LEFT {
-                self.left.push_back((change.learnt, change.clone()));
+                self.left.push_back((change.observed_at, change.clone()));
             }
         }
     }
@@ -243,14 +246,14 @@
     }
 
     fn settle(&self, learnt: Micros, change: &Change) {
-        let known = self.context.board.get(change.endpoint);
+        let known = self.context.endpoint_table.get(change.endpoint);
         // One that drained before it went is told of once.
-        let Some(known) = known.filter(|k| k.leaving_since == Some(learnt)) else { return };
-        self.context.board.count_drain(&known);
+        let Some(known) = known.filter(|k| k.draining_since == Some(learnt)) else { return };
+        self.context.endpoint_table.count_drain(&known);
         let ms = |t: Option<Micros>| t.map(|t| (t as f64 - learnt as f64) / 1e3);
         info!(self.context.log, "endpoint left"; "endpoint" => change.endpoint.0,
             "id" => &change.listing.key.id, "lifecycle" => ?change.lifecycle, "learnt" => learnt,
-            "told_ms" => ms(known.told), "last_byte_ms" => ms(known.last_byte));
+            "told_ms" => ms(known.drain_observed_at), "last_byte_ms" => ms(known.last_first_byte_at));
     }
 
     /// Reads a version of the list.
@@ -289,11 +292,11 @@
     }
 
     /// Keeps the list, by one watch after another and by the registry's answers, without end.
-    pub async fn run(mut self, mail: Receiver<ToMembers>) {
+    pub async fn run(mut self, mail: Receiver<EndpointListMessage>) {
         let own = self.own.clone();
         let unheard = async move {
             Timer::after(FIRST_LIST).await;
-            let _ = own.send(ToMembers::Unheard).await;
+            let _ = own.send(EndpointListMessage::InitialListTimeout).await;
         };
         self.context.executor.spawn(unheard).detach();
         self.look().await;
@@ -328,38 +331,43 @@
     }
 
     /// What another process goes on with is no matter of this one any more.
-    fn ignores(&self, news: &ToMembers) -> bool {
-        self.handed_over && !matches!(news, ToMembers::GoOn | ToMembers::HandOver { .. })
+    fn ignores(&self, news: &EndpointListMessage) -> bool {
+        self.handed_over
+            && !matches!(news, EndpointListMessage::HandOverAborted | EndpointListMessage::HandOver { .. })
     }
 
-    async fn take(&mut self, news: ToMembers) {
+    async fn take(&mut self, news: EndpointListMessage) {
         match news {
-            ToMembers::Look => self.look().await,
+            EndpointListMessage::ConfigReloaded => self.look().await,
             // One that waits its turn is on its way: a fleet that is turned away must not ask all the more.
-            ToMembers::Watch if self.held.is_none() && self.opening.is_empty() => self.open(0),
-            ToMembers::Watch => {}
-            ToMembers::Line { watch, line } => self.take_line(watch, &line).await,
-            ToMembers::Silent { watch } => self.fell_silent(watch),
-            ToMembers::Parted { watch } => drop(self.parting.take_if(|w| w.number == watch)),
-            ToMembers::Ended { watch, over } => self.ended(watch, over),
-            ToMembers::Unheard if !self.context.list_told.is_set() => {
+            EndpointListMessage::Resubscribe if self.held.is_none() && self.opening.is_empty() => {
+                self.open(0)
+            }
+            EndpointListMessage::Resubscribe => {}
+            EndpointListMessage::WatchLine { watch, line } => self.take_line(watch, &line).await,
+            EndpointListMessage::WatchSilent { watch } => self.fell_silent(watch),
+            EndpointListMessage::ReplacedWatchExpired { watch } => {
+                drop(self.parting.take_if(|w| w.number == watch))
+            }
+            EndpointListMessage::WatchEnded { watch, end: over } => self.ended(watch, over),
+            EndpointListMessage::InitialListTimeout if !self.context.list_received.is_set() => {
                 warn!(self.context.log, "no list yet, calling by the one that was known"; "reason" => "unheard");
-                self.context.list_told.set();
+                self.context.list_received.set();
             }
-            ToMembers::Unheard => {}
-            ToMembers::HandOver { reply } => {
+            EndpointListMessage::InitialListTimeout => {}
+            EndpointListMessage::HandOver { reply } => {
                 self.handed_over = true;
                 let _ = reply.try_send(self.membership.carried());
             }
-            ToMembers::GoOn => {
+            EndpointListMessage::HandOverAborted => {
                 // What was told meanwhile was missed: all is asked for anew.
                 self.handed_over = false;
                 (self.held, self.generation) = (None, None);
                 self.opening.clear();
                 self.open(0);
             }
-            ToMembers::Cordon { id, out, reply } => self.cordon(&id, out, &reply).await,
-            ToMembers::Registry { news, learnt, doubt } => {
+            EndpointListMessage::Cordon { id, cordoned: out, reply } => self.cordon(&id, out, &reply).await,
+            EndpointListMessage::RegistryUpdate { update: news, received_at: learnt, doubted: doubt } => {
                 let changes = self.membership.take(learnt, REGISTRY, news);
                 if let Some(asked) = &mut self.registry {
                     if !changes.is_empty() {
@@ -368,7 +376,7 @@
                     (asked.serve_at, asked.stale) = (None, false);
                 }
                 // A registry that has nothing is a list to go by as well; after that only changes are news.
-                if !changes.is_empty() || !self.context.holds_list.get() {
+                if !changes.is_empty() || !self.context.has_endpoint_list.get() {
                     self.tell(Telling::Patch, changes).await;
                 }
                 let _ = doubt.try_send(self.membership.in_doubt(REGISTRY));
@@ -378,7 +386,7 @@
     }
 
     /// Leaves an endpoint out or calls it back, and says yes once that is kept and binds every first byte.
-    async fn cordon(&mut self, id: &str, out: bool, reply: &Sender<Result<(), No>>) {
+    async fn cordon(&mut self, id: &str, out: bool, reply: &Sender<Result<(), AdminError>>) {
         let now = self.context.clock.now();
         let was = self.membership.cordoned().any(|c| c == id);
         let changes = match out {
@@ -386,7 +394,7 @@
             false => self.membership.uncordon(now, id),
         };
         let Some(changes) = changes else {
-            let _ = reply.try_send(Err(No::Unknown));
+            let _ = reply.try_send(Err(AdminError::UnknownEndpoint));
             return;
         };
         if was != out {
@@ -398,7 +406,7 @@
                     true => drop(self.membership.uncordon(now, id)),
                     false => self.membership.restore_cordons(now, [id.to_owned()]),
                 }
-                let _ = reply.try_send(Err(No::NotKept(e.to_string())));
+                let _ = reply.try_send(Err(AdminError::NotPersisted(e.to_string())));
                 return;
             }
         }
@@ -430,14 +438,14 @@
     }
 
     /// Writes a change on the board; what the module is told of it.
-    fn write_on_board(&self, change: &Change) -> Entry {
-        let Change { endpoint, listing: l, lifecycle, learnt, .. } = change;
+    fn write_on_board(&self, change: &Change) -> EndpointEntry {
+        let Change { endpoint, listing: l, lifecycle, observed_at: learnt, .. } = change;
         let (endpoint, lifecycle) = (*endpoint, *lifecycle);
-        let apart = self.context.config().kinds[l.kind.0].apart;
-        let known = Known::new(l.address, l.destination, l.zone, apart);
-        self.context.board.list(endpoint, lifecycle, *learnt, known);
+        let apart = self.context.config().kinds[l.kind.0].per_endpoint_breaker;
+        let known = EndpointState::new(l.address, l.destination, l.zone, apart);
+        self.context.endpoint_table.list(endpoint, lifecycle, *learnt, known);
         let (destination, zone, kind, weight) = (l.destination, l.zone, l.kind, l.weight);
-        Entry { endpoint, destination, zone, kind, lifecycle, weight }
+        EndpointEntry { endpoint, destination, zone, kind, lifecycle, weight }
     }
 
     /// What falls due by time alone.
@@ -499,7 +507,7 @@
         }
         let Some(settings) = wanted else {
             self.membership.set_policy(REGISTRY, by_address());
-            let nothing = News::Whole { version: None, listings: Vec::new() };
+            let nothing = SourceUpdate::Complete { version: None, listings: Vec::new() };
             let changes = self.membership.take(self.context.clock.now(), REGISTRY, nothing);
             self.tell(Telling::Patch, changes).await;
             self.registry = None;
@@ -542,15 +550,15 @@
             Timer::after(pause).await;
             let over = watch(address, after, number, &own).await;
             match &over {
-                Over::TurnedAway(status, _) => {
+                WatchEnd::TurnedAway(status, _) => {
                     info!(context.log, "connection ended"; "side" => "membership", "reason" => "turned-away",
                         "status" => status);
                 }
-                Over::Broke(e) => {
+                WatchEnd::Broke(e) => {
                     info!(context.log, "connection ended"; "side" => "membership", "reason" => e.code());
                 }
             };
-            let _ = own.send(ToMembers::Ended { watch: number, over }).await;
+            let _ = own.send(EndpointListMessage::WatchEnded { watch: number, end: over }).await;
         });
         self.opening.push_back(Watch { number, address, _task: task });
         if self.opening.len() > OPENING {
@@ -568,18 +576,18 @@
     }
 
     /// A watch is over. While another address is wanted than the one that is watched, only a watch there counts.
-    fn ended(&mut self, watch: u64, over: Over) {
+    fn ended(&mut self, watch: u64, over: WatchEnd) {
         let of = |w: &mut Watch| w.number == watch;
         self.parting.take_if(of);
         self.held.take_if(of);
         self.opening.retain_mut(|w| !of(w));
         // The agent is there and tells nothing: that is no reason to hold calls back.
-        self.context.list_told.set();
+        self.context.list_received.set();
         let wanted = self.context.config().discovery;
         if self.opening.is_empty() && self.held.as_ref().is_none_or(|w| w.address != wanted) {
             let pause = match over {
-                Over::TurnedAway(_, asked) => self.approach.turned_away(asked, fastrand::f64()),
-                Over::Broke(_) => self.approach.broke(fastrand::f64()),
+                WatchEnd::TurnedAway(_, asked) => self.approach.turned_away(asked, fastrand::f64()),
+                WatchEnd::Broke(_) => self.approach.broke(fastrand::f64()),
             };
             self.open(pause);
         }
@@ -593,7 +601,7 @@
         self.parting = Some(watch);
         let parting = async move {
             Timer::after(PARTS).await;
-            let _ = own.send(ToMembers::Parted { watch: number }).await;
+            let _ = own.send(EndpointListMessage::ReplacedWatchExpired { watch: number }).await;
         };
         self.context.executor.spawn(parting).detach();
     }
@@ -610,8 +618,8 @@
         let Ok((_, listings)) = self.read(&told) else { return };
         // The other watch goes on from what it has told itself.
         self.generation = known;
-        let news = News::Patch { listings, removed: Vec::new() };
-        let learnt = self.context.pulse.since(self.context.clock.now());
+        let news = SourceUpdate::Patch { listings, removed: Vec::new() };
+        let learnt = self.context.stall_detector.since(self.context.clock.now());
         let changes = self.membership.take(learnt, PUSHED, news);
         info!(self.context.log, "list"; "generation" => told["generation"].as_u64(), "parting" => true);
         self.tell(Telling::Patch, changes).await;
@@ -623,7 +631,7 @@
         }
         let held = self.held.as_ref().is_some_and(|w| w.number == watch);
         let opened = self.opening.iter().position(|w| w.number == watch);
-        let now = self.context.pulse.since(self.context.clock.now());
+        let now = self.context.stall_detector.since(self.context.clock.now());
         let learnt = if opened.is_some() { self.heard } else { now };
         if held {
             self.heard = now;
@@ -636,7 +644,7 @@
             Ok(read) => read,
             Err(e) => {
                 warn!(self.context.log, "the list makes no sense"; "error" => e);
-                return self.ended(watch, Over::Broke(Broken::Malformed("the list makes no sense")));
+                return self.ended(watch, WatchEnd::Broke(HttpError::Malformed("the list makes no sense")));
             }
         };
         if let Some(opened) = opened {
@@ -653,13 +661,13 @@
         info!(self.context.log, "list"; "generation" => self.generation, "complete" => complete, "entries" => listings.len());
         self.context.counters.lists.add();
         let news = match complete {
-            true => News::Whole { version: None, listings },
-            false => News::Patch { listings, removed: Vec::new() },
+            true => SourceUpdate::Complete { version: None, listings },
+            false => SourceUpdate::Patch { listings, removed: Vec::new() },
         };
         let changes = self.membership.take(learnt, PUSHED, news);
         self.tell(if complete { Telling::Whole } else { Telling::Patch }, changes).await;
         // Only now: the board has it.
-        self.context.list_told.set();
+        self.context.list_received.set();
     }
 }
 
@@ -671,24 +679,29 @@
 async fn heard<T>(
     watch: u64,
     patience: Duration,
-    members: &Sender<ToMembers>,
-    what: impl Future<Output = Result<T, Broken>>,
-) -> Result<T, Broken> {
+    members: &Sender<EndpointListMessage>,
+    what: impl Future<Output = Result<T, HttpError>>,
+) -> Result<T, HttpError> {
     let mut what = std::pin::pin!(what);
     if let Some(heard) = within(patience, what.as_mut()).await {
         return heard;
     }
-    let _ = members.send(ToMembers::Silent { watch }).await;
-    in_time(what, GIVEN_UP.saturating_sub(patience)).await
+    let _ = members.send(EndpointListMessage::WatchSilent { watch }).await;
+    within_or_error(what, GIVEN_UP.saturating_sub(patience)).await
 }
 
 /// Hands on line after line until the connection ends; why it did.
-async fn watch(address: SocketAddr, after: Option<u64>, number: u64, members: &Sender<ToMembers>) -> Over {
+async fn watch(
+    address: SocketAddr,
+    after: Option<u64>,
+    number: u64,
+    members: &Sender<EndpointListMessage>,
+) -> WatchEnd {
     let opening = async {
-        let mut wire = Wire::new(connect(address).await.map_err(Broken::Socket)?);
+        let mut wire = HttpConnection::new(connect(address).await.map_err(HttpError::Socket)?);
         let after = after.map_or(String::new(), |g| format!("&after={g}"));
         let request = format!("GET /catalog/members?watch=1{after} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        wire.write(request.as_bytes()).await.map_err(Broken::Socket)?;
+        wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
         let head = wire.read_answer().await?;
         if head.status != 200 {
             let asked = head.fields.get("Retry-After").and_then(|r| r.parse::<f64>().ok());
@@ -701,26 +714,26 @@
     };
     let (mut wire, mut next) = match heard(number, OPENS, members, opening).await {
         Ok(Ok(opened)) => opened,
-        Ok(Err((status, asked))) => return Over::TurnedAway(status, asked),
-        Err(e) => return Over::Broke(e),
+        Ok(Err((status, asked))) => return WatchEnd::TurnedAway(status, asked),
+        Err(e) => return WatchEnd::Broke(e),
     };
     let mut line = Vec::new();
     loop {
-        let Some(part) = next else { return Over::Broke(Broken::Ended) };
+        let Some(part) = next else { return WatchEnd::Broke(HttpError::Ended) };
         line.extend_from_slice(&part);
         while let Some(end) = line.iter().position(|b| *b == b'\n') {
             let rest = line.split_off(end + 1);
             let line = std::mem::replace(&mut line, rest);
-            if members.send(ToMembers::Line { watch: number, line }).await.is_err() {
-                return Over::Broke(Broken::Ended);
+            if members.send(EndpointListMessage::WatchLine { watch: number, line }).await.is_err() {
+                return WatchEnd::Broke(HttpError::Ended);
             }
         }
         if line.len() > LINE_LIMIT {
-            return Over::Broke(Broken::TooLarge);
+            return WatchEnd::Broke(HttpError::TooLarge);
         }
         next = match heard(number, SILENCE, members, wire.chunk(LINE_LIMIT)).await {
             Ok(part) => part,
-            Err(e) => return Over::Broke(e),
+            Err(e) => return WatchEnd::Broke(e),
         };
     }
 }
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -4,8 +4,8 @@
 use super::{json, xml};
 use crate::membership::Address;
 use crate::net::dial::connect;
-use crate::net::http::{Broken, Wire};
-use crate::net::{beside, in_time};
+use crate::net::http::{HttpConnection, HttpError};
+use crate::net::{run_blocking, within_or_error};
 use crate::Micros;
 use std::io::Read;
 use std::net::{IpAddr, SocketAddr, ToSocketAddrs};
@@ -19,7 +19,7 @@
     Name(String),
     /// The connection failed, or what came is no HTTP within the limits.
     #[error("{0}")]
-    Broken(Broken),
+    Broken(HttpError),
     /// Another status than wanted.
     #[error("status {0}")]
     Status(u16),
@@ -31,8 +31,8 @@
     Unread(String),
 }
 
-impl From<Broken> for Failed {
-    fn from(e: Broken) -> Self {
+impl From<HttpError> for Failed {
+    fn from(e: HttpError) -> Self {
         Failed::Broken(e)
     }
 }
@@ -42,7 +42,7 @@
     address: Address,
     timeout: Duration,
     largest: usize,
-    wire: Option<Wire>,
+    wire: Option<HttpConnection>,
 }
 
 async fn resolve(address: &Address) -> Result<SocketAddr, Failed> {
@@ -51,7 +51,8 @@
     }
     let (host, port) = (address.host.clone(), address.port);
     let found =
-        beside(move || (host.as_str(), port).to_socket_addrs().ok().and_then(|mut all| all.next())).await;
+        run_blocking(move || (host.as_str(), port).to_socket_addrs().ok().and_then(|mut all| all.next()))
+            .await;
     found.flatten().ok_or_else(|| Failed::Name(address.host.clone()))
 }
 
@@ -72,9 +73,9 @@
         let kept = self.wire.take();
         let reused = kept.is_some();
         let timeout = self.timeout;
-        match in_time(self.exchange(kept, method, path, body), timeout).await {
-            Err(Failed::Broken(Broken::Ended | Broken::Socket(_))) if reused => {
-                in_time(self.exchange(None, method, path, body), timeout).await
+        match within_or_error(self.exchange(kept, method, path, body), timeout).await {
+            Err(Failed::Broken(HttpError::Ended | HttpError::Socket(_))) if reused => {
+                within_or_error(self.exchange(None, method, path, body), timeout).await
             }
             other => other,
         }
@@ -82,7 +83,7 @@
 
     async fn exchange(
         &mut self,
-        kept: Option<Wire>,
+        kept: Option<HttpConnection>,
         method: &str,
         path: &str,
         body: Option<&str>,
@@ -91,7 +92,7 @@
             Some(wire) => wire,
             None => {
                 let to = resolve(&self.address).await?;
-                Wire::new(connect(to).await.map_err(Broken::Socket)?)
+                HttpConnection::new(connect(to).await.map_err(HttpError::Socket)?)
             }
         };
         let Address { host, port, prefix } = &self.address;
@@ -104,7 +105,7 @@
         }
         request += "\r\n";
         request += body.unwrap_or_default();
-        wire.write(request.as_bytes()).await.map_err(Broken::Socket)?;
+        wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
         let head = wire.read_answer().await?;
         let body = wire.answer_body(&head, self.largest).await?;
         let packed = head.fields.get("content-encoding").is_some_and(|c| c.eq_ignore_ascii_case("gzip"));
--- a/src/net/platform/eureka/held.rs
+++ b/src/net/platform/eureka/held.rs
@@ -2,8 +2,8 @@
 //! delta can be held against it; and what of it is news for the membership. It does no I/O.
 
 use super::model::{hash_code, Act, Applications, Instance, Status};
-use crate::membership::{Key, Listing, MetadataNames, News, State};
-use crate::words::{index, Names};
+use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
+use crate::settings_json::{index, Names};
 use crate::{DestinationId, KindId, ZoneId};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -21,7 +21,7 @@
 /// What an answer came to.
 pub struct Taken {
     /// For the membership.
-    pub news: News,
+    pub news: SourceUpdate,
     /// Entries that cannot be used, with the reason; each is told of once.
     pub passed_over: Vec<(Key, String)>,
     /// What is held hashes to what the answer says.
@@ -99,7 +99,11 @@
         }
         let fits = answer.hash.is_none_or(|h| h == hash_code(self.statuses.values().copied()));
         let version = answer.version;
-        let news = if whole { News::Whole { version, listings } } else { News::Patch { listings, removed } };
+        let news = if whole {
+            SourceUpdate::Complete { version, listings }
+        } else {
+            SourceUpdate::Patch { listings, removed }
+        };
         Taken { news, passed_over, fits }
     }
 
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -10,9 +10,9 @@
 pub mod xml;
 
 use crate::membership::{Ask, Poller, Question, RegistrySettings};
-use crate::net::messages::ToMembers;
+use crate::net::messages::EndpointListMessage;
 use crate::net::Context;
-use crate::words::Names;
+use crate::settings_json::Names;
 use crate::Micros;
 use async_channel::Sender;
 use async_io::Timer;
@@ -123,7 +123,11 @@
 }
 
 /// Asks without end and hands on what comes; ended by being dropped.
-pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, members: Sender<ToMembers>) {
+pub async fn run(
+    context: Rc<Context>,
+    settings: Arc<RegistrySettings>,
+    members: Sender<EndpointListMessage>,
+) {
     let names = context.config().names.clone();
     let clock = context.clock;
     let counts = &context.registry;
@@ -146,7 +150,11 @@
                     info!(context.log, "the registry's hash does not fit"; "address" => registry.address(next.address));
                 }
                 let (told, doubt) = async_channel::bounded(1);
-                let news = ToMembers::Registry { news: taken.news, learnt: clock.now(), doubt: told };
+                let news = EndpointListMessage::RegistryUpdate {
+                    update: taken.news,
+                    received_at: clock.now(),
+                    doubted: told,
+                };
                 if members.send(news).await.is_err() {
                     return;
                 }
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -34,14 +34,14 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full(_) => "full",
+        Outcome::Rejected(_) => "full",
         Outcome::TimedOut => "timed_out",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
-        Outcome::Stale => "stale",
+        Outcome::StaleConnection => "stale",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
-        Outcome::Unsent => "unsent",
+        Outcome::NotSent => "moot",
+        Outcome::NotJournaled => "unsent",
     }
 }
 
--- a/src/net/runtime/stall_detector.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -21,7 +21,7 @@
 
 /// The beats of this process.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct StallDetector {
     /// The last beat.
     beat: Cell<Micros>,
     /// The last beat before it stood still, and until when it reads what came since.
@@ -30,10 +30,10 @@
     untold: Cell<Option<Micros>>,
 }
 
-impl Pulse {
+impl StallDetector {
     /// A process that runs.
     pub fn new(now: Micros) -> Self {
-        Pulse { beat: Cell::new(now), still: Cell::new(None), untold: Cell::new(None) }
+        StallDetector { beat: Cell::new(now), still: Cell::new(None), untold: Cell::new(None) }
     }
 
     /// Sees whether the process has stood still, whoever asks first.
@@ -81,8 +81,8 @@
 pub async fn run(context: Rc<Context>) {
     loop {
         Timer::after(Duration::from_micros(BEAT)).await;
-        context.pulse.beat(context.clock.now());
-        if let Some(stood) = context.pulse.untold.take() {
+        context.stall_detector.beat(context.clock.now());
+        if let Some(stood) = context.stall_detector.untold.take() {
             warn!(context.log, "the process stood still"; "reason" => "stalled", "ms" => stood / 1000);
         }
     }
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -4,8 +4,8 @@
 
 use super::tuning::*;
 use crate::api::*;
-use crate::measured::{Measured, Told};
-use crate::turns::Turn;
+use crate::rates::{DecayingRate, RateLimitEstimate};
+use crate::time_slots::Turn;
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 /// The record kept for a destination, a route apart or an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Breaker {
-    pub(super) status: Status,
+    pub(super) status: BreakerState,
     pub(super) failure_count: u32,
     pub(super) next_attempt: Micros,
     pub(super) trial: bool, // The one trial of a half breaker is out
@@ -29,8 +29,8 @@
     pub(super) gap: Micros,  // From the last opening to NextAttempt
     /// Seconds from one call to the next by which all forwarders' calls at its return fit together
     pub(super) spread: f64,
-    pub(super) delivered: Measured, // Calls that succeeded while all was well
-    pub(super) asked: Measured,     // Messages that came for it
+    pub(super) delivered: DecayingRate, // Calls that succeeded while all was well
+    pub(super) asked: DecayingRate,     // Messages that came for it
     pub(super) weight: f64,
     pub(super) cold_since: Option<Micros>,
     pub(super) wait_until: Micros, // Told wait, or the pause after a refusal without one
@@ -40,14 +40,14 @@
     pub(super) tokens: f64,
     pub(super) refilled: Micros,
     pub(super) trim: f64,
-    pub(super) limit: Told,
+    pub(super) limit: RateLimitEstimate,
     pub(super) latency: Option<f64>,
 }
 
 impl Breaker {
     pub(super) fn new(now: Micros) -> Self {
         let known = Breaker { last_ok: now, refilled: now, backoff: BACKOFF.0, ..Breaker::default() };
-        let asked = Measured { at: now, ..Measured::default() };
+        let asked = DecayingRate { at: now, ..DecayingRate::default() };
         Breaker { tokens: 2.0, trim: 1.0, asked, ..known }
     }
 
@@ -55,14 +55,14 @@
         if now < self.wait_until {
             return Gate::Until(self.wait_until);
         }
-        if self.status == Status::Open && now >= self.next_attempt {
-            (self.status, self.trial) = (Status::Half, false);
+        if self.status == BreakerState::Open && now >= self.next_attempt {
+            (self.status, self.trial) = (BreakerState::HalfOpen, false);
         }
         match self.status {
-            Status::Closed => Gate::Go,
-            Status::Open => Gate::Until(self.next_attempt),
-            Status::Half if self.trial => Gate::Until(NEVER),
-            Status::Half => Gate::Trial,
+            BreakerState::Closed => Gate::Go,
+            BreakerState::Open => Gate::Until(self.next_attempt),
+            BreakerState::HalfOpen if self.trial => Gate::Until(NEVER),
+            BreakerState::HalfOpen => Gate::Trial,
         }
     }
 
@@ -85,7 +85,7 @@
 
     pub(super) fn succeed(&mut self, now: Micros, s: &Settings) {
         let well = self.trouble_since.unwrap_or(now).saturating_sub(self.last_ok);
-        self.delivered.count(1.0, well, s.cold);
+        self.delivered.count(1.0, well, s.slow_start);
         self.failure_count = 0;
         self.last_ok = now;
         self.trouble_since = None;
@@ -99,10 +99,10 @@
             self.tokens = self.tokens.min(0.0); // BURST of the cold pace is saved up, none by a large fleet
             self.refilled = if self.gap > TIMEOUT * 5 / 4 { now } else { self.refilled };
         }
-        if self.status == Status::Open {
+        if self.status == BreakerState::Open {
             self.next_attempt = self.next_attempt.min(now);
-        } else if self.status == Status::Half {
-            self.status = Status::Closed;
+        } else if self.status == BreakerState::HalfOpen {
+            self.status = BreakerState::Closed;
         }
     }
 
@@ -110,17 +110,20 @@
         let since = *self.trouble_since.get_or_insert(now);
         self.failure_count += 1;
         let threshold = FAILURE_THRESHOLD + u32::from(reset);
-        let closed = self.status == Status::Closed && self.failure_count >= threshold;
+        let closed = self.status == BreakerState::Closed && self.failure_count >= threshold;
         // In a large fleet second calls are as many as first ones, and a returning destination has them all
         // at once (i105e10, h5b9e5b, h27bdc7): one that seldom calls takes a turn first. Also against short
         // jams; a stray loss there costs it that turn.
-        if self.status == Status::Closed && !closed && self.share(now, s) * (TIMEOUT as f64) < SECOND as f64 {
+        if self.status == BreakerState::Closed
+            && !closed
+            && self.share(now, s) * (TIMEOUT as f64) < SECOND as f64
+        {
             let rest = turn.again(self.round(now, TIMEOUT, s), 0);
             self.wait_until = self.wait_until.max(now + rest);
             (self.outage, self.gap) = (true, rest);
         }
-        if closed || self.status == Status::Half && trial {
-            self.status = Status::Open;
+        if closed || self.status == BreakerState::HalfOpen && trial {
+            self.status = BreakerState::Open;
             self.outage = true;
             let round = self.round(now, now - since + TIMEOUT, s).max(TIMEOUT as f64);
             self.gap = turn.again(round, SOONEST);
@@ -134,7 +137,7 @@
     pub(super) fn round(&mut self, now: Micros, age: Micros, s: &Settings) -> f64 {
         let age = age as f64 / SECOND as f64;
         self.spread = age.max(self.base(s).map_or(0.0, |b| 1.0 / b)).min(1.0 / self.share(now, s));
-        self.spread / (s.cold_from * s.fall_multiple * COLD_PACE) * SECOND as f64
+        self.spread / (s.slow_start_floor * s.overload_multiple * COLD_PACE) * SECOND as f64
     }
 
     /// Called back: it was out by the list's word and may have been restarted meanwhile.
@@ -184,16 +187,16 @@
     /// Share of its capacity that a returning destination can be counted on to have; None when warm.
     pub(super) fn cold_share(&mut self, now: Micros, s: &Settings) -> Option<f64> {
         if self.outage {
-            return Some(s.cold_from);
+            return Some(s.slow_start_floor);
         }
-        self.cold_since = self.cold_since.filter(|t| now < t + s.cold);
+        self.cold_since = self.cold_since.filter(|t| now < t + s.slow_start);
         let since = self.cold_since?;
-        Some(s.cold_from + (1.0 - s.cold_from) * (now - since) as f64 / s.cold as f64)
+        Some(s.slow_start_floor + (1.0 - s.slow_start_floor) * (now - since) as f64 / s.slow_start as f64)
     }
 
     /// Calls a second that all forwarders together may send, as far as it is told.
     pub(super) fn base(&self, s: &Settings) -> Option<f64> {
-        let told = self.limit.held.map(|l| l.rate).filter(|r| *r > 0.0);
+        let told = self.limit.current.map(|l| l.rate).filter(|r| *r > 0.0);
         told.or(Some(self.weight).filter(|w| *w > 0.0 && s.weights != WeightSource::Off))
     }
 
@@ -212,15 +215,15 @@
 
     /// Calls a second that this forwarder may send.
     pub(super) fn rate(&mut self, now: Micros, s: &Settings) -> f64 {
-        let known = self.limit.held.filter(|l| l.rate > 0.0);
+        let known = self.limit.current.filter(|l| l.rate > 0.0);
         // Refusals trim what a forwarder had beyond its even part of what is told: that part is its own.
         let even = self.base(s).map_or(0.0, |b| b / s.forwarders as f64);
         if let Some(share) = self.cold_share(now, s) {
-            return share * s.fall_multiple * COLD_PACE * (self.trim.min(1.0) / self.spread).max(even);
+            return share * s.overload_multiple * COLD_PACE * (self.trim.min(1.0) / self.spread).max(even);
         }
         let crammed = self.trim < 1.0 && (known.is_some() || now < self.paused_at + CRAMMED * self.backoff);
         let least = if crammed { 0.0 } else { LONE_PACE / self.base(s).map_or(3.0, |_| s.forwarders as f64) };
-        let spread = if known.is_some_and(|l| l.left < LOW_LEFT) { 1.0 } else { SPREAD };
+        let spread = if known.is_some_and(|l| l.remaining_share < LOW_LEFT) { 1.0 } else { SPREAD };
         let wanted = self.asked.count.min(1.0) * self.asked.per_second(now - self.asked.at, TIMEOUT);
         ((self.share(now, s).max(wanted) * spread).max(least) * self.trim).max(even * COLD_PACE)
     }
--- a/src/policy/ending.rs
+++ b/src/policy/ending.rs
@@ -27,13 +27,13 @@
     /// The time up to which a message may still be sent.
     pub(super) fn last_send(&self, m: &Message) -> Micros {
         let class = &self.s.classes[m.class.0];
-        let end = self.end_of(m).saturating_sub(HOPELESS + 2 * self.s.granularity);
-        match (class.effect, m.may_have_run) {
-            (_, None) | (Effect::Safe, _) => end,
-            (Effect::Keyed, Some((t, _))) => {
-                end.min(t + class.memory_span.saturating_sub(self.s.granularity))
+        let end = self.end_of(m).saturating_sub(HOPELESS + 2 * self.s.min_step_interval);
+        match (class.idempotency, m.may_have_run) {
+            (_, None) | (Idempotency::Idempotent, _) => end,
+            (Idempotency::WithKey, Some((t, _))) => {
+                end.min(t + class.deduplication_window.saturating_sub(self.s.min_step_interval))
             }
-            (Effect::Unsafe, Some(_)) => 0,
+            (Idempotency::NonIdempotent, Some(_)) => 0,
         }
     }
 
@@ -62,12 +62,12 @@
 
     /// Gives the final answer to a message that is given up: the one place that refuses or fails (rule 2:
     /// refused only if no attempt may have run, or if it is safe to repeat).
-    pub(super) fn give_up(&mut self, now: Micros, id: MessageId, reason: GiveUpReason) {
+    pub(super) fn give_up(&mut self, now: Micros, id: MessageId, reason: AbandonReason) {
         let Some(m) = self.messages.get(&id).filter(|m| !m.over && m.out.is_none()) else { return };
-        if m.may_have_run.is_none() || self.effect(id) == Effect::Safe {
+        if m.may_have_run.is_none() || self.effect(id) == Idempotency::Idempotent {
             let wait = self.expected_wait(now, m.destination).min(self.s.max_retry_after);
-            let retry_after = (self.s.retry_after && wait > 0).then_some(wait);
-            self.actions.push(Action::Refuse { id, retry_after, reason });
+            let retry_after = (self.s.may_send_retry_after && wait > 0).then_some(wait);
+            self.actions.push(Action::Reject { id, retry_after, reason });
         } else {
             self.actions.push(Action::Fail { id, reason });
         }
@@ -83,9 +83,9 @@
             let blocked = self.destinations.get(&m.destination).map_or(0, |d| self.blocked_until(d));
             let spent = m.attempts - m.unsent >= self.timing(m).most(self.s.max_attempts);
             let reason = match () {
-                () if now >= end => Some(GiveUpReason::TimeUp),
-                () if spent => Some(GiveUpReason::AttemptsSpent),
-                () if blocked >= end => Some(GiveUpReason::Blocked),
+                () if now >= end => Some(AbandonReason::DeadlineExceeded),
+                () if spent => Some(AbandonReason::AttemptsExhausted),
+                () if blocked >= end => Some(AbandonReason::DestinationUnavailable),
                 () => None,
             };
             if let Some(reason) = reason {
@@ -104,7 +104,8 @@
 
     /// Keeps room for what comes in: beyond it, what is expected to earn least is refused at once.
     pub(super) fn shed(&mut self, now: Micros) {
-        let room = self.s.max_open - (self.s.max_open / RESERVE).min(self.s.max_open - 1);
+        let room =
+            self.s.max_open_messages - (self.s.max_open_messages / RESERVE).min(self.s.max_open_messages - 1);
         while self.open > room {
             // What a restart found was taken on long ago: its client does not come again unasked.
             let may_go = |m: &Message| !m.over && m.out.is_none() && !m.restored;
@@ -114,13 +115,14 @@
             let earns = |m: &Message| (self.worth_at(m, now + waits[&m.destination]) * GRAIN) as i64;
             let least = held().map(|(id, m)| (earns(m), Reverse(*id))).min();
             let Some((_, Reverse(id))) = least else { break };
-            self.give_up(now, id, GiveUpReason::NoRoom);
+            self.give_up(now, id, AbandonReason::CapacityExceeded);
         }
     }
 
     /// Until when nothing at all can go to a destination.
     pub(super) fn blocked_until(&self, d: &Destination) -> Micros {
-        let of = |b: &Breaker| b.wait_until.max(if b.status == Status::Open { b.next_attempt } else { 0 });
+        let of =
+            |b: &Breaker| b.wait_until.max(if b.status == BreakerState::Open { b.next_attempt } else { 0 });
         if d.apart {
             let known = d.endpoints.iter().filter_map(|e| self.endpoints.get(e));
             let listed = known.filter(|e| e.entry.lifecycle == Lifecycle::Listed);
@@ -150,15 +152,17 @@
     pub(super) fn worth_at(&self, m: &Message, at: Micros) -> f64 {
         let c = &self.s.classes[m.class.0];
         let age = at.saturating_sub(m.born);
-        if age <= c.aim {
+        if age <= c.latency_objective {
             return m.worth;
         } else if at >= m.deadline {
             return 0.0;
         }
-        let late = (age - c.aim) as f64;
+        let late = (age - c.latency_objective) as f64;
         let left = match self.s.decay {
-            Decay::Linear => 1.0 - (1.0 - c.late_worth) * late / (c.deadline - c.aim).max(1) as f64,
-            Decay::Halving => 0.5f64.powf(late / c.aim.max(1) as f64).max(c.late_worth),
+            Decay::Linear => {
+                1.0 - (1.0 - c.weight_at_deadline) * late / (c.deadline - c.latency_objective).max(1) as f64
+            }
+            Decay::Halving => 0.5f64.powf(late / c.latency_objective.max(1) as f64).max(c.weight_at_deadline),
         };
         m.worth * left
     }
--- a/src/policy/list.rs
+++ b/src/policy/list.rs
@@ -7,26 +7,26 @@
 use crate::api::*;
 
 impl DeliveryPolicy {
-    pub(super) fn take_list(&mut self, now: Micros, news: &ListNews) {
+    pub(super) fn take_list(&mut self, now: Micros, news: &EndpointListUpdate) {
         let (entries, complete) = match news {
-            ListNews::Broken => {
+            EndpointListUpdate::WatchFailed => {
                 self.subscribed = false;
-                self.ask_at = now + self.s.must_ask_in / ASK_AGAIN.1;
+                self.ask_at = now + self.s.max_poll_interval / ASK_AGAIN.1;
                 return;
             }
-            ListNews::Patch(e) => (e, false),
-            ListNews::Whole(e) | ListNews::Stale(e) => (e, true),
+            EndpointListUpdate::Patch(e) => (e, false),
+            EndpointListUpdate::Complete(e) | EndpointListUpdate::Cached(e) => (e, true),
         };
-        self.subscribed |= !matches!(news, ListNews::Stale(_));
+        self.subscribed |= !matches!(news, EndpointListUpdate::Cached(_));
         if complete {
             // What is still there is listed again just below.
-            self.endpoints.values_mut().for_each(|e| e.entry.lifecycle = Lifecycle::Gone);
+            self.endpoints.values_mut().for_each(|e| e.entry.lifecycle = Lifecycle::Removed);
         }
         for e in entries {
             let kind = self.s.kinds.get(e.kind.0);
             let d = destination(&mut self.destinations, now, e.destination);
-            d.apart = kind.is_some_and(|k| k.apart);
-            d.per_call = kind.map_or(1, |k| k.per_call);
+            d.apart = kind.is_some_and(|k| k.per_endpoint_breaker);
+            d.per_call = kind.map_or(1, |k| k.messages_per_call);
             d.kind = Some(e.kind);
             if !d.endpoints.contains(&e.endpoint) {
                 d.endpoints.push(e.endpoint);
@@ -34,7 +34,7 @@
             }
             let new =
                 || Endpoint { entry: e.clone(), breaker: Breaker::new(now), last_used: 0, reusable: false };
-            let at = |o: &EndpointId| self.endpoints.get(o).map_or(Lifecycle::Gone, |o| o.entry.lifecycle);
+            let at = |o: &EndpointId| self.endpoints.get(o).map_or(Lifecycle::Removed, |o| o.entry.lifecycle);
             let alone = !d.endpoints.iter().any(|o| *o != e.endpoint && at(o) == Lifecycle::Listed);
             let back = at(&e.endpoint) == Lifecycle::Draining && e.lifecycle == Lifecycle::Listed;
             let ep = self.endpoints.entry(e.endpoint).or_insert_with(new);
@@ -47,28 +47,28 @@
             }
         }
         // Thousands of endpoints are not gone through at each change.
-        let leaves = entries.iter().any(|e| e.lifecycle == Lifecycle::Gone);
+        let leaves = entries.iter().any(|e| e.lifecycle == Lifecycle::Removed);
         if !(complete || leaves || self.leftovers) {
             return;
         }
         // What is gone is forgotten, but for a told wait (rule 6).
-        let kept = |e: &Endpoint| e.entry.lifecycle != Lifecycle::Gone || now < e.breaker.wait_until;
+        let kept = |e: &Endpoint| e.entry.lifecycle != Lifecycle::Removed || now < e.breaker.wait_until;
         self.endpoints.retain(|_, e| kept(e));
         self.destinations.values_mut().for_each(|d| d.endpoints.retain(|e| self.endpoints.contains_key(e)));
         // A destination without endpoints is kept while it is in trouble or cold (rule 4).
         let idle = |d: &Destination| d.endpoints.is_empty() && d.waiting.is_empty() && !d.breaker.suspect();
         self.destinations.retain(|_, d| !idle(d) || d.breaker.cold_since.is_some());
-        self.leftovers = self.endpoints.values().any(|e| e.entry.lifecycle == Lifecycle::Gone)
+        self.leftovers = self.endpoints.values().any(|e| e.entry.lifecycle == Lifecycle::Removed)
             || self.destinations.values().any(|d| d.endpoints.is_empty());
     }
 
     pub(super) fn ask(&mut self, now: Micros) {
-        if !self.s.ask_for_list || self.subscribed {
+        if !self.s.poll_endpoint_list || self.subscribed {
             return;
         }
         if now >= self.ask_at {
-            self.ask_at = now + self.s.must_ask_in / ASK_AGAIN.0;
-            self.actions.push(Action::Watch);
+            self.ask_at = now + self.s.max_poll_interval / ASK_AGAIN.0;
+            self.actions.push(Action::Subscribe);
         }
         self.wake_at(self.ask_at);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,7 +15,7 @@
 mod tuning;
 
 use crate::api::*;
-use crate::turns::Turns;
+use crate::time_slots::Turns;
 use breaker::Breaker;
 use serde::{Deserialize, Serialize};
 use state::{destination, Call, Destinations, Endpoint, KeyLine, Message};
@@ -83,7 +83,7 @@
     }
 
     /// What operators are shown of each destination; of routes apart, the worst.
-    pub fn shown(&self, now: Micros) -> impl Iterator<Item = Shown> + '_ {
+    pub fn shown(&self, now: Micros) -> impl Iterator<Item = DestinationStatus> + '_ {
         self.destinations.iter().map(move |(id, d)| {
             let apart = d.endpoints.iter().filter(|_| d.apart).filter_map(|e| self.endpoints.get(e));
             let all = apart.map(|e| &e.breaker).chain([&d.breaker]);
@@ -91,8 +91,17 @@
             let out = self.calls.values().filter(|c| c.destination == *id).count();
             let (held, wait, cold) =
                 (d.waiting.len(), b.wait_until.saturating_sub(now), b.cold_since.is_some());
-            let (destination, status, latency, limit) = (*id, b.status, b.latency, b.limit.held);
-            Shown { destination, status, held, out, wait, cold, latency, limit }
+            let (destination, status, latency, limit) = (*id, b.status, b.latency, b.limit.current);
+            DestinationStatus {
+                destination,
+                breaker: status,
+                waiting: held,
+                in_flight: out,
+                retry_after: wait,
+                warming_up: cold,
+                latency,
+                limit,
+            }
         })
     }
 
@@ -102,17 +111,19 @@
 
     fn take(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::List(news) => self.take_list(now, news),
+            Event::EndpointList(news) => self.take_list(now, news),
             Event::Settings(settings) => self.s = (**settings).clone(),
-            Event::Journal { writable } => self.unwritable = !writable,
+            Event::JournalStatus { writable } => self.unwritable = !writable,
             Event::Message(m) => self.take_message(now, m),
-            Event::Result { id, attempt, endpoint, outcome, elapsed, ended, report } => {
+            Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report } => {
                 self.hear(now, *endpoint, *outcome, *report);
                 self.take_result(now, (*id, *attempt), *outcome, *elapsed, *ended);
             }
-            Event::Wait { endpoint, wait } => self.hear(now, *endpoint, Outcome::Full(Some(*wait)), None),
+            Event::RetryAfter { endpoint, retry_after: wait } => {
+                self.hear(now, *endpoint, Outcome::Rejected(Some(*wait)), None)
+            }
             Event::Withdrawn { id } => self.end(*id),
-            Event::Started { .. } | Event::Probed { .. } | Event::Timer { .. } => {}
+            Event::Started { .. } | Event::HealthChecked { .. } | Event::Timer { .. } => {}
         }
     }
 
@@ -123,9 +134,11 @@
         let class = &self.s.classes[m.class.0];
         let deadline = now.saturating_add(m.time_left);
         // Less time left than the aim: wanted only for so long, and no repeat unless it says so.
-        let first = !m.orphan && !m.again && (self.s.marks_retry || m.time_left <= class.aim);
+        let first = !m.failed_over
+            && !m.client_retry
+            && (self.s.clients_mark_retries || m.time_left <= class.latency_objective);
         let born = if first { now } else { deadline.saturating_sub(class.deadline) };
-        let mut worth = class.worth;
+        let mut worth = class.priority_weight;
         if let Some(tenant) = m.tenant.filter(|t| t.0 < self.buckets.len()) {
             let per_us = self.s.tenants[tenant.0].quota_per_s / self.s.forwarders as f64 / SECOND as f64;
             let b = &mut self.buckets[tenant.0];
@@ -133,13 +146,14 @@
             if b.0 >= 1.0 {
                 b.0 -= 1.0;
             } else {
-                worth *= self.s.over_share_worth;
+                worth *= self.s.over_quota_weight;
             }
         }
         // A dead forwarder's keyed message counts as sent when first handed in, unless its journal tells
         // more.
-        let may_have_run = (m.orphan && class.effect == Effect::Keyed).then_some((born, None));
-        let may_have_run = m.first.map(|(at, zone)| (at, Some(zone))).or(may_have_run);
+        let may_have_run =
+            (m.failed_over && class.idempotency == Idempotency::WithKey).then_some((born, None));
+        let may_have_run = m.first_attempt.map(|(at, zone)| (at, Some(zone))).or(may_have_run);
         let key = m.key.filter(|_| class.ordered);
         if let Some(k) = key {
             self.lines.entry(k).or_default().queue.push_back(m.id);
@@ -147,7 +161,7 @@
         let d = destination(&mut self.destinations, now, m.destination);
         d.waiting.push(m.id);
         let part = if d.apart { 1.0 / d.endpoints.len().max(1) as f64 } else { 1.0 };
-        let longest = self.s.cold;
+        let longest = self.s.slow_start;
         let asked = |b: &mut Breaker| {
             b.asked.count(part, now - b.asked.at, longest);
             b.asked.at = now;
@@ -164,17 +178,17 @@
         self.open += 1;
     }
 
-    fn effect(&self, id: MessageId) -> Effect {
-        self.messages.get(&id).map_or(Effect::Safe, |m| self.s.classes[m.class.0].effect)
+    fn effect(&self, id: MessageId) -> Idempotency {
+        self.messages.get(&id).map_or(Idempotency::Idempotent, |m| self.s.classes[m.class.0].idempotency)
     }
 }
 
 /// The longest that an attempt may be out where its route says nothing; an unsafe one is lost when it is cut.
-pub fn longest_cut(effect: Effect) -> Micros {
-    CUT.2 * if effect == Effect::Unsafe { 2 } else { 1 }
+pub fn longest_cut(effect: Idempotency) -> Micros {
+    CUT.2 * if effect == Idempotency::NonIdempotent { 2 } else { 1 }
 }
 
 /// The attempt may still be running.
 fn unsure(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Stale | Outcome::Cancelled)
+    matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::StaleConnection | Outcome::Cancelled)
 }
--- a/src/policy/overdue.rs
+++ b/src/policy/overdue.rs
@@ -9,7 +9,7 @@
     /// All slots are taken and a destination that answers waits: calls off the one call that is overdue by
     /// most where nothing has answered since it was sent.
     pub(super) fn make_room(&mut self, now: Micros) {
-        if !self.s.cancel || self.calls.values().any(|c| c.called_off) {
+        if !self.s.may_cancel || self.calls.values().any(|c| c.called_off) {
             return;
         }
         let late = |c: &Call| self.overdue(now, c).filter(|by| *by > CALL_OFF.0 && !self.answered_since(c));
@@ -23,7 +23,7 @@
     /// Calls off what is long overdue at an endpoint that has answered what was sent later: it hangs on its
     /// connection alone, and would keep a slot and its messages up to the cut.
     pub(super) fn release(&mut self, now: Micros) {
-        let late = |c: &Call| self.overdue(now, c).filter(|_| self.s.cancel && self.answered_since(c));
+        let late = |c: &Call| self.overdue(now, c).filter(|_| self.s.may_cancel && self.answered_since(c));
         let late: Vec<_> = self.calls.iter().filter_map(|(n, c)| Some((late(c)?, *n))).collect();
         if !late.is_empty() {
             self.wake_at(now + SUSPECT.1 / 4);
@@ -45,7 +45,7 @@
     /// For how many times the patience a call is out; long work has more, and so has unsafe work.
     pub(super) fn overdue(&self, now: Micros, c: &Call) -> Option<f64> {
         let ep = self.endpoints.get(&c.endpoint).filter(|_| !c.called_off)?;
-        let risky = c.parts.iter().any(|p| self.effect(p.0) == Effect::Unsafe);
+        let risky = c.parts.iter().any(|p| self.effect(p.0) == Idempotency::NonIdempotent);
         let paces = c.parts.iter().filter_map(|p| Some(self.paces[self.messages.get(&p.0)?.class.0]));
         let allowed = paces.fold(1.0, f64::max) * if risky { SUSPECT.2 } else { 1.0 };
         Some((now - c.sent) as f64 / (self.patience(ep) as f64 * allowed))
--- a/src/policy/results.rs
+++ b/src/policy/results.rs
@@ -9,16 +9,10 @@
 impl DeliveryPolicy {
     /// What any answer tells of its limit and of a wait. Rule 6: a told wait binds in any state, and each
     /// part of a call may tell its own. One millisecond more makes up for what was cut off.
-    pub(super) fn hear(
-        &mut self,
-        now: Micros,
-        id: EndpointId,
-        outcome: Outcome,
-        report: Option<LimitReport>,
-    ) {
+    pub(super) fn hear(&mut self, now: Micros, id: EndpointId, outcome: Outcome, report: Option<LoadReport>) {
         for b in self.records(id) {
-            b.limit.hear(report);
-            if let Outcome::Full(Some(wait)) = outcome {
+            b.limit.observe(report);
+            if let Outcome::Rejected(Some(wait)) = outcome {
                 b.wait_until = b.wait_until.max(now.saturating_add(wait + MS));
             }
         }
@@ -56,7 +50,7 @@
             if call.parts.is_empty() {
                 self.calls.remove(&number);
             }
-            if let (Outcome::Full(Some(wait)), true) = (outcome, gone) {
+            if let (Outcome::Rejected(Some(wait)), true) = (outcome, gone) {
                 // The endpoint has left since; what it told binds its destination, unless routes are apart.
                 let d = destination(&mut self.destinations, now, to);
                 let until = if d.apart { 0 } else { now.saturating_add(wait + MS) };
@@ -76,7 +70,7 @@
             m.may_have_run = Some((sent, Some(m.sent_zone)));
         }
         if let Some(line) = m.key.filter(|_| unsure).and_then(|k| self.lines.get_mut(&k)) {
-            line.rest_until = line.rest_until.max(now + self.s.key_rest);
+            line.rest_until = line.rest_until.max(now + self.s.order_key_pause);
         }
         if m.over {
             self.bury(id);
@@ -86,8 +80,8 @@
             let timing = self.timing(&self.messages[&id]);
             let m = self.messages.get_mut(&id).unwrap();
             m.last_until = m.last_until.filter(|_| outcome == Outcome::TimedOut);
-            m.unsent += u32::from(outcome == Outcome::Unsent);
-            if !matches!(outcome, Outcome::Moot | Outcome::Unsent) {
+            m.unsent += u32::from(outcome == Outcome::NotJournaled);
+            if !matches!(outcome, Outcome::NotSent | Outcome::NotJournaled) {
                 let cut = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
                 m.rest_until = timing.next_attempt(m.attempts, sent, now, cut);
                 m.avoid = endpoint.filter(|_| cut && timing.second_copy.is_some());
@@ -105,7 +99,7 @@
         took: Micros,
     ) {
         let to = self.endpoints.get(&id).map_or(0, |e| e.entry.destination.0);
-        let turn = self.turns.at(now.saturating_add(self.s.ahead), self.s.number, to);
+        let turn = self.turns.at(now.saturating_add(self.s.wall_clock_offset), self.s.forwarder_index, to);
         let (sent, trial) = call;
         let (s, all, took) = (std::mem::take(&mut self.s), self.latency, took as f64);
         let mut log = Vec::new();
@@ -118,16 +112,16 @@
             match outcome {
                 _ if alone => {}
                 Outcome::Ok => b.succeed(now, &s),
-                Outcome::Full(told) => b.refused(now, sent, told.is_some(), trial, &s, turn),
+                Outcome::Rejected(told) => b.refused(now, sent, told.is_some(), trial, &s, turn),
                 // A connection that was dead already says nothing of the destination; the next call does.
-                Outcome::Moot | Outcome::Unsent | Outcome::Stale => {}
+                Outcome::NotSent | Outcome::NotJournaled | Outcome::StaleConnection => {}
                 _ => b.fail(now, trial, &s, turn, outcome == Outcome::Reset),
             };
             let mean = b.latency.unwrap_or(all);
             if outcome == Outcome::Ok || outcome == Outcome::TimedOut && took > mean && !alone {
                 b.latency = Some(mean + LATENCY_GAIN * (took - mean));
             }
-            if before != b.status && b.status != Status::Half {
+            if before != b.status && b.status != BreakerState::HalfOpen {
                 let (state, count) = (b.status, b.failure_count);
                 log.push(format!("breaker {state:?}: at {} failures {count}: {outcome:?}", id.0));
             }
@@ -144,12 +138,12 @@
     /// the idle ones of many forwarders: once one was not made, those of that kind are given back for a
     /// while.
     pub(super) fn learn_connection(&mut self, id: EndpointId, outcome: Outcome, reused: Option<bool>) {
-        if outcome == Outcome::Unsent {
+        if outcome == Outcome::NotJournaled {
             return;
         }
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Full(_) | Outcome::Error);
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected(_) | Outcome::Error);
         // One that breaks at once costs no more than the next call: nothing is to be learnt from it.
-        let reused = reused.filter(|_| outcome != Outcome::Stale);
+        let reused = reused.filter(|_| outcome != Outcome::StaleConnection);
         if let Some(reused) = reused.filter(|_| answered || unsure(outcome)) {
             let share = &mut self.lost[usize::from(reused)];
             *share += STALE.1 * (f64::from(!answered) - *share);
@@ -162,7 +156,7 @@
         let Some((share, level)) = self.crowded.get_mut(e.entry.kind.0) else { return };
         let unmade = outcome == Outcome::ConnectFailed;
         *share += STALE.1 * (f64::from(unmade) - *share);
-        let crowded = unmade && (*share * UNMADE_COSTS > self.s.handshake_fee || *level > CROWDED.1);
+        let crowded = unmade && (*share * UNMADE_COSTS > self.s.connection_cost || *level > CROWDED.1);
         *level = if crowded { 1.0 } else { *level * CROWDED.0 };
         if *level > CROWDED.1 && !self.calls.values().any(|c| c.endpoint == id) {
             e.reusable = false;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -16,7 +16,7 @@
         let mut order: BTreeSet<_> = waiting.map(|d| (self.destinations[&d].last_slot, d)).collect();
         while let Some((_, id)) = order.pop_first() {
             let Some((e, first, trial)) = self.pick(now, id) else { continue };
-            if self.calls.len() >= self.s.slots {
+            if self.calls.len() >= self.s.max_concurrent_calls {
                 self.make_room(now);
                 return;
             }
@@ -75,8 +75,9 @@
                 continue;
             }
             // A trial of the whole destination goes to any endpoint, the least suspect first.
-            let crossing = self.s.cross_zone_fee > 0.0 && ep.entry.zone != self.s.zone;
-            let toll = self.s.tolls.get(ep.entry.zone.0).filter(|_| apart).map_or(0, |t| (t * GRAIN) as i64);
+            let crossing = self.s.cross_zone_cost > 0.0 && ep.entry.zone != self.s.zone;
+            let toll =
+                self.s.zone_costs.get(ep.entry.zone.0).filter(|_| apart).map_or(0, |t| (t * GRAIN) as i64);
             let load = 4 * ep.breaker.failure_count.min(9) as usize + 2 * busy + usize::from(crossing);
             candidates.push(((toll, load, NEVER - ep.last_used, *e), trial, trial || careful || suspect));
         }
@@ -101,7 +102,8 @@
         let horizon = self.drain_time(now, d).clamp(HORIZON.0, HORIZON.1);
         let rank = |w: &&MessageId| {
             let m = &self.messages[w];
-            let effect = if careful { self.s.classes[m.class.0].effect } else { Effect::Safe };
+            let effect =
+                if careful { self.s.classes[m.class.0].idempotency } else { Idempotency::Idempotent };
             let (value, later) = (self.worth_at(m, now), self.worth_at(m, now + horizon));
             (effect, -((value - later + PRESENT * value) * GRAIN) as i64, m.deadline, **w)
         };
@@ -115,7 +117,7 @@
         let (Some(m), Some(ep)) = (self.messages.get(&id), self.endpoints.get(&e)) else { return false };
         let Some(d) = self.destinations.get(&m.destination) else { return false };
         let class = &self.s.classes[m.class.0];
-        let scoped = class.effect == Effect::Keyed && class.dedup_scope == DedupScope::Zone;
+        let scoped = class.idempotency == Idempotency::WithKey && class.dedup_scope == DedupScope::Zone;
         let in_scope = !scoped || m.may_have_run.is_none_or(|(_, z)| z.is_none_or(|z| z == ep.entry.zone));
         let front = |l: &KeyLine| l.queue.front() == Some(&id) && (now >= l.rest_until || m.attempts > 0);
         let due = m.key.and_then(|k| self.lines.get(&k)).is_none_or(front);
@@ -123,7 +125,7 @@
         let open = !m.over && m.out.is_none() && m.attempts - m.unsent < most && now < self.last_send(m);
         // A copy goes elsewhere, if there is an elsewhere.
         let well =
-            |o: &Endpoint| o.entry.lifecycle == Lifecycle::Listed && o.breaker.status == Status::Closed;
+            |o: &Endpoint| o.entry.lifecycle == Lifecycle::Listed && o.breaker.status == BreakerState::Closed;
         let others = || d.endpoints.iter().filter(|o| **o != e).filter_map(|o| self.endpoints.get(o));
         let open = open && now >= m.rest_until && (m.avoid != Some(e) || !others().any(well));
         let listed = ep.entry.destination == m.destination && ep.entry.lifecycle == Lifecycle::Listed;
@@ -162,9 +164,9 @@
             let (timing, end) = (self.timing(&self.messages[&m]), self.end_of(&self.messages[&m]));
             let send_by = self.last_send(&self.messages[&m]);
             let message = self.messages.get_mut(&m).unwrap();
-            let longest = longest_cut(self.s.classes[message.class.0].effect);
+            let longest = longest_cut(self.s.classes[message.class.0].idempotency);
             let adaptive = ((mean * CUT.0) as Micros).clamp(CUT.1, CUT.2) * (longest / CUT.2);
-            let up = end.saturating_sub(self.s.granularity);
+            let up = end.saturating_sub(self.s.min_step_interval);
             let cut_at = (now + timing.cut(adaptive)).min(up);
             let last = cut_at == up;
             message.last_until = last.then_some(end);
@@ -173,7 +175,14 @@
             message.attempts += 1;
             message.sent_zone = zone;
             self.destinations.get_mut(&id).unwrap().waiting.retain(|w| *w != m);
-            self.actions.push(Action::Send { id: m, endpoint: e, call: number, cut_at, send_by, last });
+            self.actions.push(Action::Send {
+                id: m,
+                endpoint: e,
+                call: number,
+                timeout_at: cut_at,
+                send_by,
+                final_attempt: last,
+            });
             let like = Some(timing);
             next = if parts.len() < most { self.choose(now, id, e, false, like) } else { None };
         }
--- a/src/policy/state.rs
+++ b/src/policy/state.rs
@@ -7,7 +7,7 @@
 
 #[derive(Serialize, Deserialize)]
 pub(super) struct Endpoint {
-    pub(super) entry: Entry,
+    pub(super) entry: EndpointEntry,
     pub(super) breaker: Breaker,
     pub(super) last_used: Micros,
     /// The last call here was answered, so an idle connection is there to be used again
--- a/src/measured.rs
+++ b/src/rates.rs
@@ -1,7 +1,7 @@
 //! A rate as it is seen, counts over a time that fades, and a limit as it is told, late and with noise. It decides
 //! nothing, and time is an argument.
 
-use crate::{LimitReport, Micros};
+use crate::{LoadReport, Micros};
 use serde::{Deserialize, Serialize};
 
 /// A second, in microseconds.
@@ -9,7 +9,7 @@
 
 /// How often something happened lately.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Measured {
+pub struct DecayingRate {
     /// How often, faded.
     pub count: f64,
     /// In how long.
@@ -18,7 +18,7 @@
     pub at: Micros,
 }
 
-impl Measured {
+impl DecayingRate {
     /// More of it after so much time; what lies further back than the longest fades.
     pub fn count(&mut self, more: f64, time: Micros, longest: Micros) {
         self.over += time;
@@ -44,23 +44,24 @@
 /// A limit as it is told: the average of noisy readings, which follows a change of the limit at once. A forwarder that
 /// calls seldom would otherwise go for seconds by a single reading that is a third too high or too low.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Told {
+pub struct RateLimitEstimate {
     /// The share left as told last, and the rate in the mean; none before the first reading.
-    pub held: Option<LimitReport>,
-    last: Option<LimitReport>,
+    #[serde(rename = "held")]
+    pub current: Option<LoadReport>,
+    last: Option<LoadReport>,
 }
 
-impl Told {
+impl RateLimitEstimate {
     /// What an answer tells, if it does. The parts of one call all tell the same, which counts once.
-    pub fn hear(&mut self, told: Option<LimitReport>) {
+    pub fn observe(&mut self, told: Option<LoadReport>) {
         let Some(told) = told.filter(|_| told != self.last) else { return };
         self.last = Some(told);
-        let noise = |held: &LimitReport| {
+        let noise = |held: &LoadReport| {
             let (least, most) = (held.rate * NOISE.0, held.rate * NOISE.1);
             held.rate > 0.0 && (least..=most).contains(&told.rate)
         };
-        let rate = self.held.filter(noise).map_or(told.rate, |h| h.rate + GAIN * (told.rate - h.rate));
-        self.held = Some(LimitReport { left: told.left, rate });
+        let rate = self.current.filter(noise).map_or(told.rate, |h| h.rate + GAIN * (told.rate - h.rate));
+        self.current = Some(LoadReport { remaining_share: told.remaining_share, rate });
     }
 }
 
@@ -69,10 +70,10 @@
     use super::*;
 
     fn after(rates: &[f64]) -> f64 {
-        let mut told = Told::default();
-        rates.iter().for_each(|rate| told.hear(Some(LimitReport { left: 0.5, rate: *rate })));
-        told.hear(None);
-        told.held.expect("a reading").rate
+        let mut told = RateLimitEstimate::default();
+        rates.iter().for_each(|rate| told.observe(Some(LoadReport { remaining_share: 0.5, rate: *rate })));
+        told.observe(None);
+        told.current.expect("a reading").rate
     }
 
     #[test]
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -2,10 +2,10 @@
 
 use super::plan::{Plan, Route, Shape};
 use super::{worst_case, Entry, Match, Platform, Timing, MOST_ATTEMPTS};
-use crate::breach::{Breach, Code, Position};
+use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::policy::longest_cut;
 use crate::site::written;
-use crate::{Class, ClassId, DestinationId, Effect, KindId, Micros};
+use crate::{Class, ClassId, DestinationId, Idempotency, KindId, Micros};
 use std::collections::hash_map::{Entry as Place, HashMap};
 
 /// What can be accepted of an entry.
@@ -17,7 +17,7 @@
 }
 
 /// Notes every breach, and lays out the plan of the entries whose `match` can be read.
-pub fn check(entries: &[Entry], platform: Platform<'_>, breaches: &mut Vec<Breach>) -> Plan {
+pub fn check(entries: &[Entry], platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Plan {
     check_names(entries, breaches);
     let mut accepted: Vec<Accepted> = Vec::with_capacity(entries.len());
     for entry in entries {
@@ -43,13 +43,13 @@
                  them",
                 a.route.name
             );
-            breaches.push(Breach::new(a.at, Code::Shadowed, reason));
+            breaches.push(ConfigError::new(a.at, ErrorCode::Shadowed, reason));
         }
     }
     plan
 }
 
-fn check_names(entries: &[Entry], breaches: &mut Vec<Breach>) {
+fn check_names(entries: &[Entry], breaches: &mut Vec<ConfigError>) {
     let mut seen: HashMap<&str, Position> = HashMap::new();
     for entry in entries {
         match seen.entry(&entry.name.value) {
@@ -57,37 +57,38 @@
             Place::Occupied(place) => {
                 let reason =
                     format!("the name `{}` stands in line {} already", place.key(), place.get().line);
-                breaches.push(Breach::new(entry.name.at, Code::RepeatedName, reason));
+                breaches.push(ConfigError::new(entry.name.at, ErrorCode::RepeatedName, reason));
             }
         }
     }
 }
 
-fn resolve(m: &Match, platform: Platform<'_>, breaches: &mut Vec<Breach>) -> Option<Shape> {
+fn resolve(m: &Match, platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Option<Shape> {
     let names = platform.names;
-    let mut find = |given: &Option<crate::breach::At<String>>, all: &[String], what: &str, code| {
-        let Some(given) = given else { return Some(None) };
-        let found = all.iter().position(|n| *n == given.value);
-        if found.is_none() {
-            let reason =
-                format!("the settings list no {what} `{}`; they list {}", given.value, all.join(", "));
-            breaches.push(Breach::new(given.at, code, reason));
-        }
-        found.map(Some)
-    };
-    let kind = find(&m.kind, &names.kinds, "kind", Code::UnknownKind);
-    let class = find(&m.class, &names.classes, "class", Code::UnknownClass);
+    let mut find =
+        |given: &Option<crate::config_error::Located<String>>, all: &[String], what: &str, code| {
+            let Some(given) = given else { return Some(None) };
+            let found = all.iter().position(|n| *n == given.value);
+            if found.is_none() {
+                let reason =
+                    format!("the settings list no {what} `{}`; they list {}", given.value, all.join(", "));
+                breaches.push(ConfigError::new(given.at, code, reason));
+            }
+            found.map(Some)
+        };
+    let kind = find(&m.kind, &names.kinds, "kind", ErrorCode::UnknownKind);
+    let class = find(&m.class, &names.classes, "class", ErrorCode::UnknownClass);
     let (kind, class) = (kind?.map(KindId), class?.map(ClassId));
     Some(Shape { destination: m.destinations.is_some(), kind, class })
 }
 
 /// The figures of an entry, with those that stand on their own checked.
-fn figures(entry: &Entry, breaches: &mut Vec<Breach>) -> Timing {
+fn figures(entry: &Entry, breaches: &mut Vec<ConfigError>) -> Timing {
     if let Some(p) = entry.pause.filter(|p| p.longest.value < p.first.value) {
         let (first, longest) = (written(p.first.value), written(p.longest.value));
         let reason =
             format!("the longest pause {longest} is under the first one {first}; it must be {first} or more");
-        breaches.push(Breach::new(p.longest.at, Code::Pause, reason));
+        breaches.push(ConfigError::new(p.longest.at, ErrorCode::Pause, reason));
     }
     Timing {
         timeout: entry.timeout.map(|t| t.value),
@@ -104,7 +105,7 @@
     shape: Shape,
     timing: &Timing,
     platform: Platform<'_>,
-    breaches: &mut Vec<Breach>,
+    breaches: &mut Vec<ConfigError>,
 ) {
     let allowed = platform.settings.max_attempts.min(MOST_ATTEMPTS);
     let mut countable = true;
@@ -114,15 +115,25 @@
             n if n > u64::from(MOST_ATTEMPTS) => format!("{n} attempts are more than any message may have"),
             n => format!("{n} attempts are more than `max-attempts` of the settings allows"),
         };
-        breaches.push(Breach::new(a.at, Code::Attempts, format!("{why}; 1 to {allowed} are right")));
+        breaches.push(ConfigError::new(
+            a.at,
+            ErrorCode::Attempts,
+            format!("{why}; 1 to {allowed} are right"),
+        ));
         countable = false;
     }
     let classes = platform.settings.classes.iter().zip(&platform.names.classes).enumerate();
     let classes: Vec<Bound<'_>> = classes
         .filter(|(at, _)| shape.class.is_none_or(|c| c.0 == *at))
-        .map(|(_, (class, name))| Bound { entry, timing, class, name, tick: platform.settings.granularity })
+        .map(|(_, (class, name))| Bound {
+            entry,
+            timing,
+            class,
+            name,
+            tick: platform.settings.min_step_interval,
+        })
         .collect();
-    check_second_copy(entry, timing, &classes, platform.settings.second_copies, breaches);
+    check_second_copy(entry, timing, &classes, platform.settings.may_hedge, breaches);
     // Of several classes the one with the least room is told of.
     let by_deadline = classes.iter().min_by_key(|b| b.class.deadline);
     if let Some(b) = by_deadline {
@@ -133,8 +144,8 @@
     }
     let tightest = classes.iter().min_by_key(|b| b.class.deadline.saturating_sub(b.worst_end()));
     tightest.into_iter().for_each(|b| b.check_end(breaches));
-    let keyed = classes.iter().filter(|b| b.class.effect == Effect::Keyed);
-    keyed.min_by_key(|b| b.class.memory_span).into_iter().for_each(|b| b.check_span(breaches));
+    let keyed = classes.iter().filter(|b| b.class.idempotency == Idempotency::WithKey);
+    keyed.min_by_key(|b| b.class.deduplication_window).into_iter().for_each(|b| b.check_span(breaches));
 }
 
 fn check_second_copy(
@@ -142,7 +153,7 @@
     timing: &Timing,
     classes: &[Bound<'_>],
     allowed: bool,
-    breaches: &mut Vec<Breach>,
+    breaches: &mut Vec<ConfigError>,
 ) {
     let Some(after) = entry.second_copy else { return };
     let longest = classes.iter().map(Bound::timeout).max().unwrap_or(0);
@@ -158,15 +169,15 @@
         if allowed {
             reason += " (that the settings allow two at once changes nothing: a message never has two out)";
         }
-        breaches.push(Breach::new(after.at, Code::SecondCopy, reason));
+        breaches.push(ConfigError::new(after.at, ErrorCode::SecondCopy, reason));
     }
-    if let Some(b) = classes.iter().find(|b| b.class.effect == Effect::Unsafe) {
+    if let Some(b) = classes.iter().find(|b| b.class.idempotency == Idempotency::NonIdempotent) {
         let reason = format!(
             "class `{}` allows one attempt that may have run, and a second copy would be another; leave it out, \
              or match other classes only",
             b.name
         );
-        breaches.push(Breach::new(after.at, Code::SideEffect, reason));
+        breaches.push(ConfigError::new(after.at, ErrorCode::SideEffect, reason));
     }
 }
 
@@ -182,7 +193,7 @@
 impl Bound<'_> {
     /// How long an attempt may be out.
     fn timeout(&self) -> Micros {
-        self.timing.cut(longest_cut(self.class.effect))
+        self.timing.cut(longest_cut(self.class.idempotency))
     }
 
     /// The attempts that the entry promises: what it leaves to the module ends in time by itself.
@@ -227,17 +238,17 @@
         }
     }
 
-    fn check_give_up(&self, breaches: &mut Vec<Breach>) {
+    fn check_give_up(&self, breaches: &mut Vec<ConfigError>) {
         let Some(g) = self.entry.give_up.filter(|g| g.value > self.class.deadline) else { return };
         let (given, deadline) = (written(g.value), written(self.class.deadline));
         let reason = format!(
             "give-up after {given} lies beyond the deadline {deadline} of class `{}`; {deadline} at most is right",
             self.name
         );
-        breaches.push(Breach::new(g.at, Code::Deadline, reason));
+        breaches.push(ConfigError::new(g.at, ErrorCode::Deadline, reason));
     }
 
-    fn check_end(&self, breaches: &mut Vec<Breach>) {
+    fn check_end(&self, breaches: &mut Vec<ConfigError>) {
         let end = self.worst_end() + self.tick;
         let (deadline, name) = (self.class.deadline, self.name);
         if end > deadline {
@@ -247,7 +258,7 @@
                 written(deadline),
                 self.fitting(deadline)
             );
-            breaches.push(Breach::new(self.place(), Code::Deadline, reason));
+            breaches.push(ConfigError::new(self.place(), ErrorCode::Deadline, reason));
         }
         if let Some(g) = self.entry.give_up.filter(|g| end > g.value) {
             let reason = format!(
@@ -256,13 +267,13 @@
                 written(g.value),
                 self.fitting(g.value)
             );
-            breaches.push(Breach::new(g.at, Code::GiveUp, reason));
+            breaches.push(ConfigError::new(g.at, ErrorCode::GiveUp, reason));
         }
     }
 
-    fn check_span(&self, breaches: &mut Vec<Breach>) {
+    fn check_span(&self, breaches: &mut Vec<ConfigError>) {
         let steps = worst_case(self.timing, self.timeout(), self.attempts());
-        let span = self.class.memory_span;
+        let span = self.class.deduplication_window;
         let Some(late) = steps.iter().skip(1).find(|s| s.begins + self.tick >= span) else { return };
         let reason = format!(
             "attempt {} could begin {} after the first that may have run, but repeats of class `{}` are dropped \
@@ -273,12 +284,12 @@
             written(span),
             late.attempt - 1
         );
-        breaches.push(Breach::new(self.place(), Code::MemorySpan, reason));
+        breaches.push(ConfigError::new(self.place(), ErrorCode::MemorySpan, reason));
     }
 }
 
 /// Entries of one shape exclude each other but for what their lists of destinations share.
-fn check_overlaps(accepted: &mut [Accepted], breaches: &mut Vec<Breach>) {
+fn check_overlaps(accepted: &mut [Accepted], breaches: &mut Vec<ConfigError>) {
     let mut first: HashMap<(Shape, Option<DestinationId>), usize> = HashMap::new();
     for at in 0..accepted.len() {
         let shape = accepted[at].route.shape;
@@ -312,7 +323,7 @@
                  more specific, or give it to one only",
                 this.route.name, that.route.name, that.route.line
             );
-            breaches.push(Breach::new(this.at, Code::Overlap, reason));
+            breaches.push(ConfigError::new(this.at, ErrorCode::Overlap, reason));
             accepted[at].overlaps = true;
             accepted[other].overlaps = true;
         }
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -8,8 +8,8 @@
 mod plan;
 mod timeline;
 
-use crate::breach::{At, Position};
-use crate::words::Names;
+use crate::config_error::{Located, Position};
+use crate::settings_json::Names;
 use crate::{DestinationId, Micros, Settings};
 
 pub use plan::{Plan, Route, RouteId};
@@ -22,9 +22,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pause {
     /// Before the second attempt; doubled before each further one ...
-    pub first: At<Micros>,
+    pub first: Located<Micros>,
     /// ... up to this.
-    pub longest: At<Micros>,
+    pub longest: Located<Micros>,
 }
 
 /// Which messages an entry is for: all that is given must hold.
@@ -33,11 +33,11 @@
     /// Where it begins.
     pub at: Position,
     /// Any of these destinations.
-    pub destinations: Option<Vec<At<DestinationId>>>,
+    pub destinations: Option<Vec<Located<DestinationId>>>,
     /// The kind of the destination, by its name in the settings.
-    pub kind: Option<At<String>>,
+    pub kind: Option<Located<String>>,
     /// The class of the message, by its name in the settings.
-    pub class: Option<At<String>>,
+    pub class: Option<Located<String>>,
 }
 
 /// An entry as it is written, not yet checked.
@@ -46,19 +46,19 @@
     /// Where it begins.
     pub at: Position,
     /// What operators call it.
-    pub name: At<String>,
+    pub name: Located<String>,
     /// Which messages it is for.
     pub matches: Match,
     /// How long one attempt may be out.
-    pub timeout: Option<At<Micros>>,
+    pub timeout: Option<Located<Micros>>,
     /// Attempts, the first one included.
-    pub attempts: Option<At<u64>>,
+    pub attempts: Option<Located<u64>>,
     /// Before a further attempt.
     pub pause: Option<Pause>,
     /// From the begin of an attempt that was cut to the begin of its copy at another endpoint.
-    pub second_copy: Option<At<Micros>>,
+    pub second_copy: Option<Located<Micros>>,
     /// From the time that a message was handed in to its end.
-    pub give_up: Option<At<Micros>>,
+    pub give_up: Option<Located<Micros>>,
     /// All of it could be read: its figures can be held against each other.
     pub whole: bool,
 }
--- a/src/routes/plan.rs
+++ b/src/routes/plan.rs
@@ -1,7 +1,7 @@
 //! The plan: which entry wins for a message, found in constant time and without allocation.
 
 use super::{Entry, Platform, Timing};
-use crate::breach::Breach;
+use crate::config_error::ConfigError;
 use crate::{ClassId, DestinationId, KindId};
 use rustc_hash::FxHashMap;
 
@@ -45,7 +45,7 @@
     }
 
     /// In words, for people.
-    pub fn words(self, names: &crate::words::Names) -> String {
+    pub fn words(self, names: &crate::settings_json::Names) -> String {
         let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
         let kind = self.kind.map(|k| format!("kind {}", name(&names.kinds, k.0)));
         let class = self.class.map(|c| format!("class {}", name(&names.classes, c.0)));
@@ -79,7 +79,7 @@
 
 impl Plan {
     /// Checks entries and makes a plan of those that stand; it may be used only if no breach was noted.
-    pub fn check(entries: &[Entry], platform: Platform<'_>, breaches: &mut Vec<Breach>) -> Plan {
+    pub fn check(entries: &[Entry], platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Plan {
         super::check::check(entries, platform, breaches)
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -43,30 +43,30 @@
         if self.classes.is_empty() {
             return Err(SettingsError("setting `categories`: there must be one at least".into()));
         }
-        if self.zone.0 >= self.tolls.len() {
+        if self.zone.0 >= self.zone_costs.len() {
             return Err(SettingsError("setting `zone`: it is not among the zones".into()));
         }
         let general = [
-            Figure("call-slots", self.slots as f64, Range::Count),
-            Figure("max-open", self.max_open as f64, Range::Count),
+            Figure("call-slots", self.max_concurrent_calls as f64, Range::Count),
+            Figure("max-open", self.max_open_messages as f64, Range::Count),
             Figure("max-attempts", f64::from(self.max_attempts), Range::Count),
             Figure("balancers", self.forwarders as f64, Range::Count),
-            Figure("cross-zone", self.cross_zone_fee, Range::Fee),
-            Figure("handshake", self.handshake_fee, Range::Fee),
-            Figure("over-share-worth", self.over_share_worth, Range::Fee),
-            Figure("cold-from", self.cold_from, Range::Part),
-            Figure("fall-multiple", self.fall_multiple, Range::Above),
+            Figure("cross-zone", self.cross_zone_cost, Range::Fee),
+            Figure("handshake", self.connection_cost, Range::Fee),
+            Figure("over-share-worth", self.over_quota_weight, Range::Fee),
+            Figure("cold-from", self.slow_start_floor, Range::Part),
+            Figure("fall-multiple", self.overload_multiple, Range::Above),
         ];
-        let kinds = self.kinds.iter().map(|k| Figure("per-call", k.per_call as f64, Range::Count));
-        let tolls = self.tolls.iter().map(|t| Figure("toll", *t, Range::Fee));
+        let kinds = self.kinds.iter().map(|k| Figure("per-call", k.messages_per_call as f64, Range::Count));
+        let tolls = self.zone_costs.iter().map(|t| Figure("toll", *t, Range::Fee));
         let quota = |t: &Tenant| Figure("quota-per-s", t.quota_per_s, Range::Rate);
         let all = general.into_iter().chain(kinds).chain(tolls).chain(self.tenants.iter().map(quota));
         let fault = all.chain(self.classes.iter().flat_map(figures)).find_map(|f| f.refused());
         let late = || {
-            let at = self.classes.iter().find(|c| c.aim > c.deadline)?;
+            let at = self.classes.iter().find(|c| c.latency_objective > c.deadline)?;
             Some(format!(
                 "setting `promise`: {} ms is past the deadline of {} ms",
-                at.aim / 1000,
+                at.latency_objective / 1000,
                 at.deadline / 1000
             ))
         };
@@ -77,7 +77,7 @@
 fn figures(c: &Class) -> [Figure<'static>; 3] {
     [
         Figure("deadline", c.deadline as f64, Range::Above),
-        Figure("gain", c.worth, Range::Rate),
-        Figure("late-worth", c.late_worth, Range::Share),
+        Figure("gain", c.priority_weight, Range::Rate),
+        Figure("late-worth", c.weight_at_deadline, Range::Share),
     ]
 }
--- a/src/words.rs
+++ b/src/settings_json.rs
@@ -2,8 +2,8 @@
 //! forwarder's configuration hold the same object.
 
 use crate::{
-    Class, Decay, DedupScope, DestinationId, Effect, EndpointId, Entry, Kind, KindId, Lifecycle, Micros,
-    Settings, Tenant, WeightSource, ZoneId,
+    Class, Decay, DedupScope, DestinationId, EndpointEntry, EndpointId, Idempotency, Kind, KindId, Lifecycle,
+    Micros, Settings, Tenant, WeightSource, ZoneId,
 };
 use serde_json::Value;
 
@@ -95,9 +95,9 @@
 
 fn class(v: &Value) -> Result<Class, String> {
     let effect = match in_field(v, "semantics", text)?.as_str() {
-        "pure" => Effect::Safe,
-        "token" => Effect::Keyed,
-        "side_effect" => Effect::Unsafe,
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::WithKey,
+        "side_effect" => Idempotency::NonIdempotent,
         other => return Err(format!("setting `semantics`: unknown word `{other}`")),
     };
     let dedup_scope = match maybe(v, "dedup-scope", text)?.as_str() {
@@ -107,15 +107,15 @@
         other => return Err(format!("setting `dedup-scope`: unknown word `{other}`")),
     };
     let memory_span =
-        if effect == Effect::Keyed { in_field(v, "memory-span", micros)? } else { Default::default() };
+        if effect == Idempotency::WithKey { in_field(v, "memory-span", micros)? } else { Default::default() };
     Ok(Class {
-        effect,
+        idempotency: effect,
         dedup_scope,
-        memory_span,
-        aim: in_field(v, "promise", micros)?,
+        deduplication_window: memory_span,
+        latency_objective: in_field(v, "promise", micros)?,
         deadline: in_field(v, "deadline", micros)?,
-        worth: in_field(v, "gain", number)?,
-        late_worth: maybe(v, "late-worth", number)?,
+        priority_weight: in_field(v, "gain", number)?,
+        weight_at_deadline: maybe(v, "late-worth", number)?,
         ordered: maybe(v, "serial-by-key", flag)?,
     })
 }
@@ -144,8 +144,8 @@
     let per_call = each(&maybe_list(special, "per-call")?, "per-call", whole)?;
     // A list that is shorter than the kinds leaves the rest sharing limits, one message a call.
     let kind = |i: usize| Kind {
-        apart: apart.get(i).is_some_and(|a| *a),
-        per_call: per_call.get(i).map_or(1, |n| *n as usize),
+        per_endpoint_breaker: apart.get(i).is_some_and(|a| *a),
+        messages_per_call: per_call.get(i).map_or(1, |n| *n as usize),
     };
     let mut tolls: Vec<f64> = each(&maybe_list(special, "toll")?, "toll", number)?;
     tolls.resize(zones.len(), 0.0);
@@ -153,15 +153,15 @@
     let tenant = |r: &Value| Ok(Tenant { quota_per_s: in_field(r, "quota-per-s", number)? });
     let settings = Settings {
         forwarders: in_field(v, "balancers", whole)? as usize,
-        number: own_number(v).ok(),
-        ahead: 0,
+        forwarder_index: own_number(v).ok(),
+        wall_clock_offset: 0,
         zone: ZoneId(index(&zones, &zone, "zone")?),
-        tolls,
-        cross_zone_fee: maybe(fees, "cross-zone", number)?,
-        handshake_fee: maybe(fees, "handshake", number)?,
+        zone_costs: tolls,
+        cross_zone_cost: maybe(fees, "cross-zone", number)?,
+        connection_cost: maybe(fees, "handshake", number)?,
         classes: categories.iter().map(class).collect::<Result<_, _>>()?,
         tenants: realms.iter().map(tenant).collect::<Result<_, String>>()?,
-        over_share_worth: maybe(v, "over-share-worth", number)?,
+        over_quota_weight: maybe(v, "over-share-worth", number)?,
         kinds: (0..kinds.len()).map(kind).collect(),
         decay: match in_field(special, "late", text)?.as_str() {
             "linear" => Decay::Linear,
@@ -174,27 +174,27 @@
             "rough" => WeightSource::Rough,
             other => return Err(format!("setting `weight-source`: unknown word `{other}`")),
         },
-        slots: in_field(special, "call-slots", whole)? as usize,
-        max_open: in_field(allow, "max-open", whole)? as usize,
+        max_concurrent_calls: in_field(special, "call-slots", whole)? as usize,
+        max_open_messages: in_field(allow, "max-open", whole)? as usize,
         max_attempts: u32::try_from(in_field(allow, "max-attempts", whole)?).unwrap_or(u32::MAX),
-        cancel: maybe(allow, "cancel", flag)?,
-        marks_retry: v.get("callers").map_or(Ok(false), |c| maybe(c, "marks-retry", flag))?,
-        probing: maybe(allow, "probing", flag)?,
-        retry_after: maybe(allow, "retry-after", flag)?,
-        second_copies: maybe(allow, "second-copies", flag)?,
+        may_cancel: maybe(allow, "cancel", flag)?,
+        clients_mark_retries: v.get("callers").map_or(Ok(false), |c| maybe(c, "marks-retry", flag))?,
+        may_health_check: maybe(allow, "probing", flag)?,
+        may_send_retry_after: maybe(allow, "retry-after", flag)?,
+        may_hedge: maybe(allow, "second-copies", flag)?,
         max_retry_after: maybe(allow, "max-retry-after", micros)?,
-        ask_for_list: match in_field(v, "discovery", text)?.as_str() {
+        poll_endpoint_list: match in_field(v, "discovery", text)?.as_str() {
             "pushed" => false,
             "on_request" => true,
             other => return Err(format!("setting `discovery`: unknown word `{other}`")),
         },
-        must_ask_in: maybe(rules, "must-ask-in", micros)?,
-        granularity: in_field(v, "granularity", micros)?,
-        fall_multiple: in_field(rules, "fall-multiple", number)?,
-        fall: in_field(rules, "fall", micros)?,
-        cold: in_field(rules, "cold", micros)?,
-        cold_from: in_field(rules, "cold-from", number)?,
-        key_rest: maybe(rules, "key-rest", micros)?,
+        max_poll_interval: maybe(rules, "must-ask-in", micros)?,
+        min_step_interval: in_field(v, "granularity", micros)?,
+        overload_multiple: in_field(rules, "fall-multiple", number)?,
+        overload_window: in_field(rules, "fall", micros)?,
+        slow_start: in_field(rules, "cold", micros)?,
+        slow_start_floor: in_field(rules, "cold-from", number)?,
+        order_key_pause: maybe(rules, "key-rest", micros)?,
         routes: None,
     };
     let category_names = categories.iter().map(|c| in_field(c, "name", text)).collect::<Result<_, _>>()?;
@@ -203,11 +203,11 @@
 }
 
 /// Reads an entry of a list, by the names of the instance it goes to.
-pub fn entry(v: &Value, names: &Names) -> Result<Entry, String> {
+pub fn entry(v: &Value, names: &Names) -> Result<EndpointEntry, String> {
     let all = v.as_array().ok_or("a list entry is not an array")?;
     let at = |i: usize| all.get(i).unwrap_or(&Value::Null);
     let endpoint = u32::try_from(whole(at(0))?).map_err(|_| "an endpoint is a number below 2^32")?;
-    Ok(Entry {
+    Ok(EndpointEntry {
         endpoint: EndpointId(endpoint),
         destination: DestinationId(whole(at(3))?),
         zone: ZoneId(index(&names.zones, &text(at(1))?, "zone")?),
@@ -215,7 +215,7 @@
         lifecycle: match text(at(4))?.as_str() {
             "IN" => Lifecycle::Listed,
             "LAME" => Lifecycle::Draining,
-            "OUT" => Lifecycle::Gone,
+            "OUT" => Lifecycle::Removed,
             other => return Err(format!("unknown lifecycle `{other}`")),
         },
         weight: number(at(5))?,
--- a/src/site/fields.rs
+++ b/src/site/fields.rs
@@ -1,7 +1,7 @@
 //! Typed reading of the tree: each reader returns the value or notes a breach, so that one pass finds them all.
 
 use super::node::{shortened, Node, Shape};
-use crate::breach::{At, Breach, Code, Position};
+use crate::config_error::{ConfigError, ErrorCode, Located, Position};
 use crate::Micros;
 
 /// No time in a settings file is longer.
@@ -11,12 +11,12 @@
 pub struct Fields<'a> {
     at: Position,
     what: String,
-    all: &'a [(At<String>, Node)],
+    all: &'a [(Located<String>, Node)],
 }
 
 impl<'a> Fields<'a> {
     /// Opens a map; notes keys that do not exist or are given twice.
-    pub fn open(node: &'a Node, what: &str, known: &[&str], breaches: &mut Vec<Breach>) -> Option<Self> {
+    pub fn open(node: &'a Node, what: &str, known: &[&str], breaches: &mut Vec<ConfigError>) -> Option<Self> {
         let Shape::Map(all) = &node.shape else {
             wrong(node, what, "a map", breaches);
             return None;
@@ -25,10 +25,10 @@
             let name = shortened(&key.value);
             if !known.contains(&key.value.as_str()) {
                 let reason = format!("{what} has no key `{name}`; its keys are {}", list(known));
-                breaches.push(Breach::new(key.at, Code::UnknownKey, reason));
+                breaches.push(ConfigError::new(key.at, ErrorCode::UnknownKey, reason));
             } else if let Some((first, _)) = all[..at].iter().find(|f| f.0.value == key.value) {
                 let reason = format!("`{name}` stands in line {} already", first.at.line);
-                breaches.push(Breach::new(key.at, Code::RepeatedKey, reason));
+                breaches.push(ConfigError::new(key.at, ErrorCode::RepeatedKey, reason));
             }
         }
         Some(Fields { at: node.at, what: what.into(), all })
@@ -40,11 +40,11 @@
     }
 
     /// The value of a key that must be there.
-    pub fn needed(&self, key: &str, breaches: &mut Vec<Breach>) -> Option<&'a Node> {
+    pub fn needed(&self, key: &str, breaches: &mut Vec<ConfigError>) -> Option<&'a Node> {
         let found = self.get(key);
         if found.is_none() {
             let reason = format!("{} needs a key `{key}`", self.what);
-            breaches.push(Breach::new(self.at, Code::MissingKey, reason));
+            breaches.push(ConfigError::new(self.at, ErrorCode::MissingKey, reason));
         }
         found
     }
@@ -55,15 +55,15 @@
 }
 
 /// Notes that a value has another type than wanted.
-pub fn wrong(node: &Node, what: &str, wanted: &str, breaches: &mut Vec<Breach>) {
+pub fn wrong(node: &Node, what: &str, wanted: &str, breaches: &mut Vec<ConfigError>) {
     let reason = format!("{what} must be {wanted}, not {}", node.shape.name());
-    breaches.push(Breach::new(node.at, Code::Type, reason));
+    breaches.push(ConfigError::new(node.at, ErrorCode::Type, reason));
 }
 
 /// A text that is not empty.
-pub fn text(node: &Node, what: &str, breaches: &mut Vec<Breach>) -> Option<At<String>> {
+pub fn text(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<Located<String>> {
     match &node.shape {
-        Shape::Text(t) if !t.trim().is_empty() => Some(At { value: t.clone(), at: node.at }),
+        Shape::Text(t) if !t.trim().is_empty() => Some(Located { value: t.clone(), at: node.at }),
         _ => {
             wrong(node, what, "a text", breaches);
             None
@@ -72,7 +72,7 @@
 }
 
 /// A whole number that is not negative.
-pub fn whole(node: &Node, what: &str, breaches: &mut Vec<Breach>) -> Option<u64> {
+pub fn whole(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<u64> {
     match node.shape {
         Shape::Whole(n) => Some(n),
         _ => {
@@ -83,7 +83,7 @@
 }
 
 /// The items of a list.
-pub fn items<'a>(node: &'a Node, what: &str, breaches: &mut Vec<Breach>) -> Option<&'a [Node]> {
+pub fn items<'a>(node: &'a Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<&'a [Node]> {
     match &node.shape {
         Shape::List(all) => Some(all),
         _ => {
@@ -94,11 +94,11 @@
 }
 
 /// A time: a number with `ms`, `s` or `m`, above zero and a day at most.
-pub fn span(node: &Node, what: &str, breaches: &mut Vec<Breach>) -> Option<At<Micros>> {
+pub fn span(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
     let read = match &node.shape {
         Shape::Text(t) => time(t),
         Shape::Whole(_) | Shape::Real(_) => {
-            Err((Code::Unit, "it has no unit; write it with `ms`, `s` or `m`".into()))
+            Err((ErrorCode::Unit, "it has no unit; write it with `ms`, `s` or `m`".into()))
         }
         _ => {
             wrong(node, what, "a time such as 200ms, 6s or 2m", breaches);
@@ -106,16 +106,16 @@
         }
     };
     match read {
-        Ok(value) => Some(At { value, at: node.at }),
+        Ok(value) => Some(Located { value, at: node.at }),
         Err((code, reason)) => {
-            breaches.push(Breach::new(node.at, code, format!("{what}: {reason}")));
+            breaches.push(ConfigError::new(node.at, code, format!("{what}: {reason}")));
             None
         }
     }
 }
 
 /// Reads a time such as `200ms`, `1.5s` or `2m`, in microseconds.
-pub fn time(text: &str) -> Result<Micros, (Code, String)> {
+pub fn time(text: &str) -> Result<Micros, (ErrorCode, String)> {
     let unit_at = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
     let (number, unit) = text.split_at(unit_at);
     let scale = match unit {
@@ -124,20 +124,20 @@
         "m" => 60e6,
         _ => {
             let what = format!("`{}` is not a time; the units are `ms`, `s` and `m`", shortened(text));
-            return Err((Code::Unit, what));
+            return Err((ErrorCode::Unit, what));
         }
     };
     let plain = |c: char| c.is_ascii_digit() || c == '.' || c == '-';
     let number = Some(number).filter(|n| n.chars().all(plain)).and_then(|n| n.parse::<f64>().ok());
     let Some(number) = number else {
-        return Err((Code::Unit, format!("`{}` does not begin with a number", shortened(text))));
+        return Err((ErrorCode::Unit, format!("`{}` does not begin with a number", shortened(text))));
     };
     let micros = (number * scale).round();
     if micros < 1.0 {
-        return Err((Code::Time, format!("`{text}` is no time; it must be above zero")));
+        return Err((ErrorCode::Time, format!("`{text}` is no time; it must be above zero")));
     }
     if micros > DAY as f64 {
-        return Err((Code::Time, format!("`{text}` is over a day; a message lives for seconds")));
+        return Err((ErrorCode::Time, format!("`{text}` is over a day; a message lives for seconds")));
     }
     Ok(micros as Micros)
 }
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -8,7 +8,7 @@
 mod registry;
 mod routes;
 
-use crate::breach::{Breach, Code};
+use crate::config_error::{ConfigError, ErrorCode};
 use crate::membership::RegistrySettings;
 use crate::routes::{Plan, Platform};
 use fields::Fields;
@@ -33,7 +33,7 @@
 impl Site {
     /// Reads and checks the text of a file against the platform's settings. All breaches come in one go, in
     /// the order of the file.
-    pub fn read(text: &str, platform: Platform<'_>) -> Result<Site, Vec<Breach>> {
+    pub fn read(text: &str, platform: Platform<'_>) -> Result<Site, Vec<ConfigError>> {
         let mut breaches = Vec::new();
         let site = read(text, platform, &mut breaches);
         breaches.sort_by_key(|b| (b.at, b.code));
@@ -44,10 +44,10 @@
     }
 }
 
-fn read(text: &str, platform: Platform<'_>, breaches: &mut Vec<Breach>) -> Option<Site> {
+fn read(text: &str, platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Option<Site> {
     if text.len() > LARGEST {
         let reason = format!("the file has {} bytes; {LARGEST} at most are read", text.len());
-        breaches.push(Breach::new(Default::default(), Code::Syntax, reason));
+        breaches.push(ConfigError::new(Default::default(), ErrorCode::Syntax, reason));
         return None;
     }
     let root = node::parse(text).map_err(|b| breaches.push(b)).ok()?;
@@ -57,7 +57,7 @@
             Some(VERSION) | None => {}
             Some(other) => {
                 let reason = format!("version {other} is not known; this program reads version {VERSION}");
-                breaches.push(Breach::new(version.at, Code::Version, reason));
+                breaches.push(ConfigError::new(version.at, ErrorCode::Version, reason));
             }
         }
     }
--- a/src/site/node.rs
+++ b/src/site/node.rs
@@ -1,6 +1,6 @@
 //! A YAML document as a tree in which every value knows its place. It gives no meaning to what it reads.
 
-use crate::breach::{At, Breach, Code, Position};
+use crate::config_error::{ConfigError, ErrorCode, Located, Position};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::{DuplicateKeyPolicy, Location, MergeKeyPolicy, Spanned};
 use std::fmt;
@@ -30,7 +30,7 @@
     /// A list.
     List(Vec<Node>),
     /// Keys and their values, in the order of the file, repeated ones too.
-    Map(Vec<(At<String>, Node)>),
+    Map(Vec<(Located<String>, Node)>),
 }
 
 impl Shape {
@@ -115,7 +115,7 @@
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Shape, A::Error> {
         let mut all = Vec::new();
         while let Some((key, value)) = map.next_entry::<Spanned<String>, Spanned<Shape>>()? {
-            all.push((At { at: position(key.referenced), value: key.value }, value.into()));
+            all.push((Located { at: position(key.referenced), value: key.value }, value.into()));
         }
         Ok(Shape::Map(all))
     }
@@ -134,7 +134,7 @@
 }
 
 /// Reads a document. What is not YAML, is nested too deep or expands too far is a breach.
-pub fn parse(text: &str) -> Result<Node, Breach> {
+pub fn parse(text: &str) -> Result<Node, ConfigError> {
     let options = serde_saphyr::options! {
         duplicate_keys: DuplicateKeyPolicy::PassThrough,
         merge_keys: MergeKeyPolicy::AsOrdinary,
@@ -145,6 +145,6 @@
     read.map(Node::from).map_err(|e| {
         let at = e.location().map(position).unwrap_or(Position { line: 1, column: 1 });
         let plain = e.to_string();
-        Breach::new(at, Code::Syntax, plain.lines().next().unwrap_or("not YAML"))
+        ConfigError::new(at, ErrorCode::Syntax, plain.lines().next().unwrap_or("not YAML"))
     })
 }
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -2,7 +2,7 @@
 
 use super::fields::{items, span, text, whole, written, wrong, Fields};
 use super::node::{Node, Shape};
-use crate::breach::{At, Breach, Code};
+use crate::config_error::{ConfigError, ErrorCode, Located};
 use crate::membership::{Address, Ask, HoldDown, MetadataNames, Registration, RegistrySettings, Shrink};
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 const MB: u64 = 1_000_000;
 
 /// A time, or what holds where none is given.
-fn time(fields: &Fields<'_>, key: &str, otherwise: Micros, breaches: &mut Vec<Breach>) -> Micros {
+fn time(fields: &Fields<'_>, key: &str, otherwise: Micros, breaches: &mut Vec<ConfigError>) -> Micros {
     let read = fields.get(key).and_then(|n| span(n, &format!("`{key}`"), breaches));
     read.map_or(otherwise, |t| t.value)
 }
@@ -38,7 +38,7 @@
     key: &str,
     otherwise: (Micros, Micros),
     more: &[&str],
-    breaches: &mut Vec<Breach>,
+    breaches: &mut Vec<ConfigError>,
 ) -> (Micros, Micros) {
     let Some(node) = section.get(key) else { return otherwise };
     let keys = [&["first", "longest"], more].concat();
@@ -49,12 +49,12 @@
     if b < a {
         let at = longest.or(first).map_or(node.at, |t| t.at);
         let reason = format!("the longest, {}, is under the first, {}", written(b), written(a));
-        breaches.push(Breach::new(at, Code::Pause, reason));
+        breaches.push(ConfigError::new(at, ErrorCode::Pause, reason));
     }
     (a, b)
 }
 
-fn address(node: &Node, breaches: &mut Vec<Breach>) -> Option<At<Address>> {
+fn address(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Located<Address>> {
     let given = text(node, "an address", breaches)?;
     let read = || {
         let rest = given.value.strip_prefix("http://")?;
@@ -74,28 +74,28 @@
              http://10.0.0.5:8761/eureka/v2",
             given.value
         );
-        breaches.push(Breach::new(given.at, Code::Address, reason));
+        breaches.push(ConfigError::new(given.at, ErrorCode::Address, reason));
     }
-    read.map(|value| At { value, at: given.at })
+    read.map(|value| Located { value, at: given.at })
 }
 
-fn addresses(section: &Fields<'_>, breaches: &mut Vec<Breach>) -> Vec<Address> {
+fn addresses(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Vec<Address> {
     let Some(node) = section.needed("addresses", breaches) else { return Vec::new() };
     let Some(all) = items(node, "`addresses`", breaches) else { return Vec::new() };
     if all.is_empty() {
-        breaches.push(Breach::new(node.at, Code::Address, "`addresses` lists no registry"));
+        breaches.push(ConfigError::new(node.at, ErrorCode::Address, "`addresses` lists no registry"));
     }
-    let read: Vec<At<Address>> = all.iter().filter_map(|n| address(n, breaches)).collect();
+    let read: Vec<Located<Address>> = all.iter().filter_map(|n| address(n, breaches)).collect();
     for (n, a) in read.iter().enumerate() {
         if let Some(first) = read[..n].iter().find(|b| b.value == a.value) {
             let reason = format!("this address stands in line {} already", first.at.line);
-            breaches.push(Breach::new(a.at, Code::Address, reason));
+            breaches.push(ConfigError::new(a.at, ErrorCode::Address, reason));
         }
     }
     read.into_iter().map(|a| a.value).collect()
 }
 
-fn ask(section: &Fields<'_>, breaches: &mut Vec<Breach>) -> Ask {
+fn ask(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Ask {
     let apps = section.get("apps").and_then(|n| items(n, "`apps`", breaches));
     let apps: Vec<String> = apps
         .unwrap_or_default()
@@ -106,7 +106,7 @@
     if let Some(vip) = vip {
         if !apps.is_empty() {
             let reason = "`vip` and `apps` cannot both be asked for; leave one out";
-            breaches.push(Breach::new(vip.at, Code::Type, reason));
+            breaches.push(ConfigError::new(vip.at, ErrorCode::Type, reason));
         }
         return Ask::Vip(vip.value);
     }
@@ -117,7 +117,7 @@
     }
 }
 
-fn metadata(section: &Fields<'_>, breaches: &mut Vec<Breach>) -> MetadataNames {
+fn metadata(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> MetadataNames {
     let mut names = MetadataNames {
         destination: "partner".into(),
         kind: "kind".into(),
@@ -135,7 +135,7 @@
     names
 }
 
-fn shrink(section: &Fields<'_>, breaches: &mut Vec<Breach>) -> Shrink {
+fn shrink(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Shrink {
     let mut shrink = Shrink { share: 0.3, confirm: 10_000_000 };
     let Some(node) = section.get("shrink") else { return shrink };
     let Some(fields) = Fields::open(node, "`shrink`", &["share", "confirm"], breaches) else { return shrink };
@@ -149,7 +149,7 @@
     shrink
 }
 
-fn register(section: &Fields<'_>, breaches: &mut Vec<Breach>) -> Option<Registration> {
+fn register(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Option<Registration> {
     let node = section.get("register")?;
     let fields = Fields::open(node, "`register`", &["app", "renew", "lease", "metadata"], breaches)?;
     let app = fields.needed("app", breaches).and_then(|n| text(n, "`app`", breaches));
@@ -159,7 +159,7 @@
         let at = fields.get("lease").or(fields.get("renew")).map_or(node.at, |n| n.at);
         let (a, b) = (written(lease), written(renew));
         let reason = format!("a lease of {a} ends before it is renewed after {b}; it must be longer");
-        breaches.push(Breach::new(at, Code::Lease, reason));
+        breaches.push(ConfigError::new(at, ErrorCode::Lease, reason));
     }
     let mut told = BTreeMap::new();
     if let Some(node) = fields.get("metadata") {
@@ -178,19 +178,19 @@
 }
 
 /// Reads the section; what it leaves out has the figures that Eureka's own clients use, or milder ones.
-pub fn read(node: &Node, breaches: &mut Vec<Breach>) -> Option<RegistrySettings> {
+pub fn read(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<RegistrySettings> {
     let section = Fields::open(node, "`registry`", KEYS, breaches)?;
     let poll = time(&section, "poll", 1_000_000, breaches);
     if poll < LEAST_POLL {
         let at = section.get("poll").map_or(node.at, |n| n.at);
         let reason =
             format!("polls every {} harm a registry; {} at least", written(poll), written(LEAST_POLL));
-        breaches.push(Breach::new(at, Code::Time, reason));
+        breaches.push(ConfigError::new(at, ErrorCode::Time, reason));
     }
     let largest = section.get("largest-mb").and_then(|n| {
         let mb = whole(n, "`largest-mb`", breaches)?;
         if !(1..=1024).contains(&mb) {
-            breaches.push(Breach::new(n.at, Code::Type, "`largest-mb` must be 1 to 1024"));
+            breaches.push(ConfigError::new(n.at, ErrorCode::Type, "`largest-mb` must be 1 to 1024"));
         }
         Some(mb)
     });
--- a/src/site/routes.rs
+++ b/src/site/routes.rs
@@ -2,19 +2,19 @@
 
 use super::fields::{items, span, text, whole, wrong, Fields};
 use super::node::{Node, Shape};
-use crate::breach::{At, Breach, Code};
+use crate::config_error::{ConfigError, ErrorCode, Located};
 use crate::routes::{Entry, Match, Pause};
 use crate::DestinationId;
 
 const ENTRY: &[&str] = &["name", "match", "timeout", "attempts", "pause", "second-copy", "give-up"];
 
 /// Reads the entries. One with a breach is kept, marked, so that the others can be held against it.
-pub fn read(node: &Node, breaches: &mut Vec<Breach>) -> Vec<Entry> {
+pub fn read(node: &Node, breaches: &mut Vec<ConfigError>) -> Vec<Entry> {
     let all = items(node, "`routes`", breaches).unwrap_or_default();
     all.iter().filter_map(|n| entry(n, breaches)).collect()
 }
 
-fn entry(node: &Node, breaches: &mut Vec<Breach>) -> Option<Entry> {
+fn entry(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Entry> {
     let mut before = breaches.len();
     let fields = Fields::open(node, "an entry", ENTRY, breaches)?;
     let keys = breaches.len() - before;
@@ -24,7 +24,7 @@
     let timeout = fields.get("timeout").and_then(|n| span(n, "`timeout`", breaches));
     let attempts = fields.get("attempts").and_then(|n| {
         let value = whole(n, "`attempts`", breaches)?;
-        Some(At { value, at: n.at })
+        Some(Located { value, at: n.at })
     });
     let pause = fields.get("pause").and_then(|n| {
         let fields = Fields::open(n, "`pause`", &["first", "longest"], breaches)?;
@@ -52,7 +52,7 @@
     })
 }
 
-fn match_of(node: &Node, breaches: &mut Vec<Breach>) -> Option<Match> {
+fn match_of(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Match> {
     let before = breaches.len();
     let fields = Fields::open(node, "`match`", &["destination", "kind", "class"], breaches)?;
     if breaches.len() > before {
@@ -68,9 +68,9 @@
     Some(Match { at: node.at, destinations, kind, class })
 }
 
-fn destinations(node: &Node, breaches: &mut Vec<Breach>) -> Vec<At<DestinationId>> {
+fn destinations(node: &Node, breaches: &mut Vec<ConfigError>) -> Vec<Located<DestinationId>> {
     let one = |n: &Node| match n.shape {
-        Shape::Whole(d) => Some(At { value: DestinationId(d), at: n.at }),
+        Shape::Whole(d) => Some(Located { value: DestinationId(d), at: n.at }),
         _ => None,
     };
     if let Some(only) = one(node) {
@@ -83,7 +83,7 @@
     if all.is_empty() {
         let reason =
             "`destination` lists nothing, so the entry would match nothing; leave it out to match all";
-        breaches.push(Breach::new(node.at, Code::NoDestination, reason));
+        breaches.push(ConfigError::new(node.at, ErrorCode::NoDestination, reason));
     }
     let mut seen = std::collections::HashMap::new();
     for item in all {
@@ -92,7 +92,7 @@
             Some(d) => {
                 if let Some(first) = seen.insert(d.value, d.at) {
                     let reason = format!("destination {} stands in line {} already", d.value.0, first.line);
-                    breaches.push(Breach::new(d.at, Code::RepeatedDestination, reason));
+                    breaches.push(ConfigError::new(d.at, ErrorCode::RepeatedDestination, reason));
                 }
             }
         }
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -57,7 +57,7 @@
     let (id, _) = w.sent(SAFE, 1);
     let mut attempt = Some(0);
     for _ in 0..200 {
-        let events = attempt.take().map(|a| result(id, a, EndpointId(7), Outcome::Full(None)));
+        let events = attempt.take().map(|a| result(id, a, EndpointId(7), Outcome::Rejected(None)));
         let actions = w.at(20 * MS, events.into_iter().collect());
         if actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("Open"))) {
             opened_after.get_or_insert(w.now - start);
@@ -117,15 +117,15 @@
 fn after_an_outage_the_even_part_of_a_told_limit_is_not_trimmed() {
     let mut w = World::new(Settings { forwarders: 2, ..settings() }, vec![entry(7, 1, 0)]);
     let told = |event| match event {
-        Event::Result { id, attempt, endpoint, outcome, elapsed, ended, .. } => {
-            let report = Some(LimitReport { left: 0.0, rate: 20.0 });
-            Event::Result { id, attempt, endpoint, outcome, elapsed, ended, report }
+        Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, .. } => {
+            let report = Some(LoadReport { remaining_share: 0.0, rate: 20.0 });
+            Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report }
         }
         other => other,
     };
     for _ in 0..10 {
         let (id, e) = w.sent(SAFE, 1);
-        w.at(10 * MS, vec![told(result(id, 0, e, Outcome::Full(None))), Event::Withdrawn { id }]);
+        w.at(10 * MS, vec![told(result(id, 0, e, Outcome::Rejected(None))), Event::Withdrawn { id }]);
         w.at(2 * SECOND, vec![]);
         let (id, e) = w.sent(SAFE, 1);
         w.at(10 * MS, vec![told(result(id, 0, e, Outcome::Ok))]);
@@ -146,7 +146,7 @@
 /// already says nothing of its endpoint.
 #[test]
 fn it_takes_a_reset_more_to_open_and_dead_connections_never_do() {
-    for (outcome, goes) in [(Outcome::Error, 2), (Outcome::Reset, 3), (Outcome::Stale, 6)] {
+    for (outcome, goes) in [(Outcome::Error, 2), (Outcome::Reset, 3), (Outcome::StaleConnection, 6)] {
         let mut w = one();
         let (id, e) = w.sent(SAFE, 1);
         let mut attempts = 1;
@@ -169,7 +169,7 @@
     }
     let (id, e) = w.sent(SAFE, 1);
     let mut events: Vec<Event> = (0..60).map(|_| Event::Message(w.message(SAFE, 1))).collect();
-    events.push(result(id, 0, e, Outcome::Full(None)));
+    events.push(result(id, 0, e, Outcome::Rejected(None)));
     let mut first = sends(&w.step(events)).len();
     assert_eq!(first, 0, "a pause");
     while first == 0 {
@@ -180,7 +180,7 @@
 
 #[test]
 fn the_slot_goes_to_the_destination_that_waited_longest() {
-    let s = Settings { slots: 1, ..settings() };
+    let s = Settings { max_concurrent_calls: 1, ..settings() };
     let mut w = World::new(s, vec![entry(7, 1, 0), entry(8, 2, 0)]);
     let (first, e) = w.sent(SAFE, 1);
     let (again, other) = (w.message(SAFE, 1), w.message(SAFE, 2));
@@ -191,7 +191,7 @@
 
 #[test]
 fn an_overdue_call_is_called_off_for_another_destination() {
-    let s = Settings { slots: 1, ..settings() };
+    let s = Settings { max_concurrent_calls: 1, ..settings() };
     let mut w = World::new(s, vec![entry(7, 1, 0), entry(8, 2, 0)]);
     let (hung, e) = w.sent(SAFE, 1);
     let other = w.message(SAFE, 2);
@@ -208,13 +208,14 @@
 /// partner takes short and long work, and its mean lies between.
 #[test]
 fn long_work_is_not_called_off_for_being_longer_than_the_mean() {
-    let s = Settings { slots: 1, ..settings() };
+    let s = Settings { max_concurrent_calls: 1, ..settings() };
     let mut w = World::new(s, vec![entry(7, 1, 0), entry(8, 2, 0)]);
     for _ in 0..40 {
         for (class, elapsed) in [(SAFE, 100 * MS), (KEYED, 500 * MS)] {
             let (id, endpoint) = w.sent(class, 1);
             let (outcome, report) = (Outcome::Ok, None);
-            let answer = Event::Result { id, attempt: 0, endpoint, outcome, elapsed, ended: true, report };
+            let answer =
+                Event::AttemptEnded { id, attempt: 0, endpoint, outcome, elapsed, ended: true, report };
             w.at(elapsed, vec![answer]);
         }
     }
@@ -264,7 +265,7 @@
         w.at(50 * MS, vec![result(lone, 1, e, Outcome::Ok)]);
     }
     let shown = w.forwarder.shown(w.now).next().expect("a destination");
-    assert_eq!((shown.status, shown.cold), (Status::Closed, false));
+    assert_eq!((shown.breaker, shown.warming_up), (BreakerState::Closed, false));
 }
 
 #[test]
@@ -304,14 +305,14 @@
     w.open(1);
     let flood: Vec<Event> = (0..150).map(|_| Event::Message(w.message(SAFE, 1))).collect();
     let actions = w.step(flood);
-    let advised = |a: &&Action| matches!(a, Action::Refuse { retry_after: Some(t), .. } if *t <= 2 * SECOND);
+    let advised = |a: &&Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t <= 2 * SECOND);
     let held = 150 - actions.iter().filter(advised).count();
     assert!((80..=100).contains(&held), "{held} held");
 }
 
 #[test]
 fn messages_in_one_call_share_a_slot() {
-    let s = Settings { slots: 1, ..settings() };
+    let s = Settings { max_concurrent_calls: 1, ..settings() };
     let mut w = World::new(s, vec![entry(7, 1, 2)]);
     let five: Vec<Event> = (0..5).map(|_| Event::Message(w.message(SAFE, 1))).collect();
     assert_eq!(sends(&w.step(five)).len(), 3);
@@ -319,17 +320,17 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_for_again_when_it_breaks() {
-    let mut forwarder = DeliveryPolicy::new(Settings { ask_for_list: true, ..settings() }, 1).unwrap();
+    let mut forwarder = DeliveryPolicy::new(Settings { poll_endpoint_list: true, ..settings() }, 1).unwrap();
     let mut actions = Vec::new();
-    forwarder.step(SECOND, &[Event::List(ListNews::Stale(vec![]))], &mut actions);
-    assert!(actions.contains(&Action::Watch));
+    forwarder.step(SECOND, &[Event::EndpointList(EndpointListUpdate::Cached(vec![]))], &mut actions);
+    assert!(actions.contains(&Action::Subscribe));
     actions.clear();
-    forwarder.step(2 * SECOND, &[Event::List(ListNews::Patch(vec![]))], &mut actions);
+    forwarder.step(2 * SECOND, &[Event::EndpointList(EndpointListUpdate::Patch(vec![]))], &mut actions);
     forwarder.step(20 * SECOND, &[], &mut actions);
-    assert!(!actions.contains(&Action::Watch), "subscribed");
-    forwarder.step(21 * SECOND, &[Event::List(ListNews::Broken)], &mut actions);
+    assert!(!actions.contains(&Action::Subscribe), "subscribed");
+    forwarder.step(21 * SECOND, &[Event::EndpointList(EndpointListUpdate::WatchFailed)], &mut actions);
     forwarder.step(22 * SECOND, &[], &mut actions);
-    assert!(actions.contains(&Action::Watch));
+    assert!(actions.contains(&Action::Subscribe));
 }
 
 #[test]
@@ -343,7 +344,7 @@
         Event::Withdrawn { id: unknown },
         Event::Started { id: unknown },
         result(unknown, 3, EndpointId(5), Outcome::Ok),
-        Event::Probed { endpoint: EndpointId(5), outcome: Outcome::Error, elapsed: 0, report: None },
+        Event::HealthChecked { endpoint: EndpointId(5), outcome: Outcome::Error, elapsed: 0, report: None },
         Event::Timer { token: 1 },
     ];
     assert!(sends(&w.step(events)).is_empty());
@@ -354,7 +355,7 @@
 #[test]
 fn settings_that_make_no_sense_are_an_error() {
     assert!(DeliveryPolicy::new(Settings::default(), 1).is_err());
-    assert!(DeliveryPolicy::new(Settings { slots: 0, ..settings() }, 1).is_err());
+    assert!(DeliveryPolicy::new(Settings { max_concurrent_calls: 0, ..settings() }, 1).is_err());
     assert!(DeliveryPolicy::new(Settings { classes: vec![], ..settings() }, 1).is_err());
     assert!(DeliveryPolicy::new(Settings { zone: ZoneId(9), ..settings() }, 1).is_err());
     let error = DeliveryPolicy::new(Settings { forwarders: 0, ..settings() }, 1).err().unwrap();
@@ -404,7 +405,7 @@
 /// dakar-envoi, give_up: first tries that are wanted for a short time only were taken for old ones.
 #[test]
 fn a_first_try_with_little_time_left_goes_before_what_can_wait() {
-    let mut w = World::new(Settings { slots: 1, ..settings() }, vec![entry(7, 1, 0)]);
+    let mut w = World::new(Settings { max_concurrent_calls: 1, ..settings() }, vec![entry(7, 1, 0)]);
     let (first, e) = w.sent(SAFE, 1);
     let (patient, mut hasty) = (w.message(SAFE, 1), w.message(SAFE, 1));
     hasty.time_left = 1500 * MS;
@@ -415,7 +416,10 @@
 
 #[test]
 fn a_first_try_with_little_time_left_is_not_the_least_worth() {
-    let mut w = World::new(Settings { slots: 1, max_open: 32, ..settings() }, vec![entry(7, 1, 0)]);
+    let mut w = World::new(
+        Settings { max_concurrent_calls: 1, max_open_messages: 32, ..settings() },
+        vec![entry(7, 1, 0)],
+    );
     w.sent(SAFE, 1);
     let mut hasty = w.message(SAFE, 1);
     hasty.time_left = 1800 * MS;
@@ -423,7 +427,7 @@
     let mut events = vec![Event::Message(hasty)];
     events.extend((0..31).map(|_| Event::Message(w.message(SAFE, 1))));
     let actions = w.step(events);
-    let ended = |a: &&Action| matches!(a, Action::Refuse { .. });
+    let ended = |a: &&Action| matches!(a, Action::Reject { .. });
     assert!(actions.iter().filter(ended).count() > 0 && !refused(&actions, id));
 }
 
@@ -431,17 +435,25 @@
 /// refused harmlessly: after a restart 5 to 6 of a hundred were.
 #[test]
 fn what_a_restart_found_is_not_given_up_for_what_comes() {
-    let mut w = World::new(Settings { slots: 1, max_open: 32, ..settings() }, vec![entry(7, 1, 0)]);
+    let mut w = World::new(
+        Settings { max_concurrent_calls: 1, max_open_messages: 32, ..settings() },
+        vec![entry(7, 1, 0)],
+    );
     w.sent(SAFE, 1);
     let restored: Vec<NewMessage> = (0..29)
-        .map(|_| NewMessage { restored: true, again: true, time_left: 15 * SECOND, ..w.message(SAFE, 1) })
+        .map(|_| NewMessage {
+            restored: true,
+            client_retry: true,
+            time_left: 15 * SECOND,
+            ..w.message(SAFE, 1)
+        })
         .collect();
     let ids: Vec<MessageId> = restored.iter().map(|m| m.id).collect();
     w.step(restored.into_iter().map(Event::Message).collect());
     let new: Vec<Event> = (0..8).map(|_| Event::Message(w.message(SAFE, 1))).collect();
     let actions = w.at(10 * MS, new);
     let given_up =
-        actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).count();
+        actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })).count();
     assert!(given_up >= 6, "room is kept");
     assert!(ids.iter().all(|id| !refused(&actions, *id) && !failed(&actions, *id)), "{actions:?}");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,15 +10,15 @@
 pub const UNSAFE: usize = 2;
 pub const ORDERED: usize = 3;
 
-pub fn class(effect: Effect, ordered: bool) -> Class {
+pub fn class(effect: Idempotency, ordered: bool) -> Class {
     Class {
-        effect,
+        idempotency: effect,
         dedup_scope: DedupScope::All,
-        memory_span: 4 * SECOND,
-        aim: 2 * SECOND,
+        deduplication_window: 4 * SECOND,
+        latency_objective: 2 * SECOND,
         deadline: 20 * SECOND,
-        worth: 1.0,
-        late_worth: 0.3,
+        priority_weight: 1.0,
+        weight_at_deadline: 0.3,
         ordered,
     }
 }
@@ -26,38 +26,38 @@
 pub fn settings() -> Settings {
     Settings {
         forwarders: 1,
-        tolls: vec![0.0, 0.0],
+        zone_costs: vec![0.0, 0.0],
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Keyed, false),
-            class(Effect::Unsafe, false),
-            class(Effect::Unsafe, true),
+            class(Idempotency::Idempotent, false),
+            class(Idempotency::WithKey, false),
+            class(Idempotency::NonIdempotent, false),
+            class(Idempotency::NonIdempotent, true),
         ],
         kinds: vec![
-            Kind { apart: false, per_call: 1 },
-            Kind { apart: true, per_call: 1 },
-            Kind { apart: false, per_call: 3 },
+            Kind { per_endpoint_breaker: false, messages_per_call: 1 },
+            Kind { per_endpoint_breaker: true, messages_per_call: 1 },
+            Kind { per_endpoint_breaker: false, messages_per_call: 3 },
         ],
         weights: WeightSource::Nominal,
-        slots: 8,
-        max_open: 100,
+        max_concurrent_calls: 8,
+        max_open_messages: 100,
         max_attempts: 6,
-        cancel: true,
-        retry_after: true,
+        may_cancel: true,
+        may_send_retry_after: true,
         max_retry_after: 2 * SECOND,
-        must_ask_in: 10 * SECOND,
-        granularity: 5 * MS,
-        fall_multiple: 2.0,
-        fall: 2 * SECOND,
-        cold: 10 * SECOND,
-        cold_from: 0.2,
-        key_rest: 300 * MS,
+        max_poll_interval: 10 * SECOND,
+        min_step_interval: 5 * MS,
+        overload_multiple: 2.0,
+        overload_window: 2 * SECOND,
+        slow_start: 10 * SECOND,
+        slow_start_floor: 0.2,
+        order_key_pause: 300 * MS,
         ..Settings::default()
     }
 }
 
-pub fn entry(endpoint: u32, destination: u64, kind: usize) -> Entry {
-    Entry {
+pub fn entry(endpoint: u32, destination: u64, kind: usize) -> EndpointEntry {
+    EndpointEntry {
         endpoint: EndpointId(endpoint),
         destination: DestinationId(destination),
         zone: ZoneId(0),
@@ -75,10 +75,10 @@
 }
 
 impl World {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let forwarder = DeliveryPolicy::new(settings, 1).expect("good settings");
         let mut world = World { forwarder, now: 100 * SECOND, next: 0, attempts: Default::default() };
-        world.step(vec![Event::List(ListNews::Whole(entries))]);
+        world.step(vec![Event::EndpointList(EndpointListUpdate::Complete(entries))]);
         world
     }
 
@@ -102,9 +102,9 @@
             key: None,
             time_left: 20 * SECOND,
             destination: DestinationId(destination),
-            orphan: false,
-            first: None,
-            again: false,
+            failed_over: false,
+            first_attempt: None,
+            client_retry: false,
             restored: false,
             attempts: 0,
         }
@@ -147,7 +147,7 @@
 
 pub fn result(id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> Event {
     let ended = outcome == Outcome::Ok;
-    Event::Result { id, attempt, endpoint, outcome, elapsed: 10 * MS, ended, report: None }
+    Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed: 10 * MS, ended, report: None }
 }
 
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId)> {
@@ -159,7 +159,7 @@
 }
 
 pub fn refused(actions: &[Action], id: MessageId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
 pub fn failed(actions: &[Action], id: MessageId) -> bool {
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,11 +1,11 @@
 //! The readers of a registry's answers, on what real servers write and on what nobody should.
 
-use cedarbridge::membership::{MetadataNames, News, State};
+use cedarbridge::membership::{MetadataNames, SourceUpdate, State};
 use cedarbridge::net::platform::eureka::client::path_part;
 use cedarbridge::net::platform::eureka::held::Held;
 use cedarbridge::net::platform::eureka::model::{hash_code, Act, Status};
 use cedarbridge::net::platform::eureka::{json, xml};
-use cedarbridge::words::Names;
+use cedarbridge::settings_json::Names;
 use proptest::prelude::*;
 
 const JSON: &str = r#"{"applications":{"versions__delta":"3","apps__hashcode":"DOWN_1_UP_1_","application":[
@@ -54,7 +54,7 @@
     let mut held = Held::default();
     let read = |from: &str, to: &str| json::read(JSON.replace(from, to).as_bytes()).expect("JSON");
     let taken = held.take(read("\"ADDED\"", "\"\""), true, &by, &names);
-    let News::Whole { version: Some(3), listings } = taken.news else { panic!("whole") };
+    let SourceUpdate::Complete { version: Some(3), listings } = taken.news else { panic!("whole") };
     assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, State::Up));
     assert_eq!((listings[0].weight, listings[0].address.to_string()), (2.5, "10.0.0.1:8080".into()));
     assert!(taken.fits);
@@ -73,7 +73,7 @@
         let mut held = Held::default();
         let taken = held.take(read(from, to), false, &by, &names);
         assert!(taken.passed_over.iter().any(|p| p.1 == why), "{why}: {:?}", taken.passed_over);
-        let News::Patch { listings, removed } = taken.news else { panic!("a patch") };
+        let SourceUpdate::Patch { listings, removed } = taken.news else { panic!("a patch") };
         assert_eq!((listings.len(), removed.len()), (0, 2), "what was held under its name goes");
         assert!(held.take(read(from, to), false, &by, &names).passed_over.is_empty(), "told of once");
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,8 +11,8 @@
     Settings { forwarders: COUNT, ..settings() }
 }
 
-fn weighing(weight: f64) -> Entry {
-    Entry { weight, ..entry(7, 1, 0) }
+fn weighing(weight: f64) -> EndpointEntry {
+    EndpointEntry { weight, ..entry(7, 1, 0) }
 }
 
 /// What a fleet did to one destination that is down from second 5 to second 15 and then cold for 10.
@@ -33,7 +33,7 @@
         })
         .collect();
     for w in &mut fleet {
-        w.step(vec![Event::List(ListNews::Whole(vec![weighing(weight)]))]);
+        w.step(vec![Event::EndpointList(EndpointListUpdate::Complete(vec![weighing(weight)]))]);
     }
     let mut played = Played { calls: vec![], delivered_late: 0, handed_in: 0, delivered: 0 };
     let mut due: Vec<VecDeque<Event>> = (0..COUNT).map(|_| VecDeque::new()).collect();
@@ -68,12 +68,12 @@
 fn keeps_the_budget(s: Settings) {
     let (weight, per_s) = (60.0, 50);
     let played = play(&s, weight, per_s);
-    let window = (s.fall / (100 * MS)) as usize;
+    let window = (s.overload_window / (100 * MS)) as usize;
     for end in 150 + window..250 {
-        let share = s.cold_from + (1.0 - s.cold_from) * (end - 150) as f64 / 100.0;
+        let share = s.slow_start_floor + (1.0 - s.slow_start_floor) * (end - 150) as f64 / 100.0;
         let sent: usize = played.calls[end - window..end].iter().sum();
         // With two standard deviations for chance.
-        let budget = s.fall_multiple * share * weight * window as f64 / 10.0;
+        let budget = s.overload_multiple * share * weight * window as f64 / 10.0;
         let most = budget + 2.0 * budget.sqrt();
         assert!(sent as f64 <= most, "{sent} of {most} in the window before tick {end}");
     }
@@ -91,7 +91,12 @@
 #[test]
 fn a_fleet_that_is_told_nothing_keeps_the_budget_too() {
     for (fall_multiple, fall) in [(1.5, 3000 * MS), (2.0, 1500 * MS)] {
-        keeps_the_budget(Settings { weights: WeightSource::Off, fall_multiple, fall, ..large() });
+        keeps_the_budget(Settings {
+            weights: WeightSource::Off,
+            overload_multiple: fall_multiple,
+            overload_window: fall,
+            ..large()
+        });
     }
 }
 
@@ -119,7 +124,7 @@
     let first_trial = |seed: u64| {
         let mut w =
             World { forwarder: DeliveryPolicy::new(large(), seed).unwrap(), ..World::new(large(), vec![]) };
-        w.step(vec![Event::List(ListNews::Whole(vec![weighing(60.0)]))]);
+        w.step(vec![Event::EndpointList(EndpointListUpdate::Complete(vec![weighing(60.0)]))]);
         w.open(1);
         let m = w.message(SAFE, 1);
         let mut actions = w.step(vec![Event::Message(m)]);
@@ -143,7 +148,7 @@
     for seed in 0..30 {
         let forwarder = DeliveryPolicy::new(large(), seed).unwrap();
         let mut w = World { forwarder, ..World::new(large(), vec![]) };
-        w.step(vec![Event::List(ListNews::Whole(vec![weighing(5.0)]))]);
+        w.step(vec![Event::EndpointList(EndpointListUpdate::Complete(vec![weighing(5.0)]))]);
         w.at(30 * SECOND, vec![]);
         let (id, e) = w.sent(SAFE, 1);
         let held = w.message(SAFE, 1);
@@ -179,21 +184,28 @@
 /// Calls in the seconds after a refusal, all answered, with so many messages in each tenth of a second.
 fn calls_after_a_refusal(
     s: Settings,
-    report: Option<LimitReport>,
+    report: Option<LoadReport>,
     messages: impl Fn(u64) -> u64,
 ) -> Vec<usize> {
     let mut w = World::new(s, vec![weighing(25.0)]);
     let (id, e) = w.sent(SAFE, 1);
-    let full = Outcome::Full(None);
-    let mut events =
-        vec![Event::Result { id, attempt: 0, endpoint: e, outcome: full, elapsed: 0, ended: false, report }];
+    let full = Outcome::Rejected(None);
+    let mut events = vec![Event::AttemptEnded {
+        id,
+        attempt: 0,
+        endpoint: e,
+        outcome: full,
+        elapsed: 0,
+        ended: false,
+        report,
+    }];
     let mut attempts = std::collections::BTreeMap::from([(id, 1u32)]);
     let mut calls = vec![0; 18];
     for tick in 0..180 {
         events.extend((0..messages(tick)).map(|_| Event::Message(w.message(SAFE, 1))));
         for (id, endpoint) in sends(&w.at(100 * MS, std::mem::take(&mut events))) {
             let n = attempts.entry(id).or_insert(0);
-            events.push(Event::Result {
+            events.push(Event::AttemptEnded {
                 id,
                 attempt: *n,
                 endpoint,
@@ -212,7 +224,7 @@
 /// dakar-envoi: few forwarders have most of the traffic, and an even share of a limit that had room held them.
 #[test]
 fn after_a_refusal_a_busy_courier_is_not_held_to_an_even_share_of_a_limit_with_room() {
-    let report = Some(LimitReport { left: 0.1, rate: 25.0 });
+    let report = Some(LoadReport { remaining_share: 0.1, rate: 25.0 });
     let medium = Settings { forwarders: 48, ..large() };
     let calls = calls_after_a_refusal(medium, report, |tick| u64::from(tick % 3 == 0));
     assert!(
@@ -227,7 +239,7 @@
 fn one_refusal_takes_a_courier_of_a_large_fleet_to_its_even_part_and_no_further() {
     for (forwarders, rate) in [(100, 50.0), (300, 60.0)] {
         let s = Settings { forwarders, ..settings() };
-        let report = Some(LimitReport { left: 0.1, rate });
+        let report = Some(LoadReport { remaining_share: 0.1, rate });
         let calls = calls_after_a_refusal(s, report, |tick| u64::from(tick % 10 == 0));
         let (sum, even) = (calls[4..].iter().sum::<usize>() as f64, 14.0 * rate / forwarders as f64);
         assert!((even * 0.8 - 1.0..=even * 1.2).contains(&sum), "{calls:?} of an even part of {even}");
@@ -236,7 +248,7 @@
 
 #[test]
 fn after_a_refusal_a_clump_goes_at_a_pace() {
-    let report = Some(LimitReport { left: 0.1, rate: 25.0 });
+    let report = Some(LoadReport { remaining_share: 0.1, rate: 25.0 });
     let medium = Settings { forwarders: 48, ..large() };
     let calls = calls_after_a_refusal(medium, report, |tick| if tick == 100 { 30 } else { 0 });
     assert!(calls.iter().all(|c| *c <= 8), "{calls:?}");
@@ -245,7 +257,7 @@
 
 #[test]
 fn a_connection_that_was_not_made_has_idle_ones_of_its_kind_given_back_for_a_while() {
-    let list = vec![entry(7, 1, 0), Entry { destination: DestinationId(2), ..entry(8, 2, 0) }];
+    let list = vec![entry(7, 1, 0), EndpointEntry { destination: DestinationId(2), ..entry(8, 2, 0) }];
     let mut w = World::new(settings(), list);
     let close = |actions: &[Action], e: EndpointId| actions.contains(&Action::CloseIdle { endpoint: e });
     let (id, e) = w.sent(SAFE, 2);
@@ -265,15 +277,19 @@
 
 #[test]
 fn what_is_gone_is_forgotten_and_comes_back_new_but_for_a_told_wait() {
-    let gone =
-        |e: &Entry| Event::List(ListNews::Patch(vec![Entry { lifecycle: Lifecycle::Gone, ..e.clone() }]));
+    let gone = |e: &EndpointEntry| {
+        Event::EndpointList(EndpointListUpdate::Patch(vec![EndpointEntry {
+            lifecycle: Lifecycle::Removed,
+            ..e.clone()
+        }]))
+    };
     let route = entry(7, 1, 1);
     let mut w = World::new(settings(), vec![route.clone()]);
     w.open(1);
-    w.step(vec![gone(&route), Event::List(ListNews::Patch(vec![route.clone()]))]);
+    w.step(vec![gone(&route), Event::EndpointList(EndpointListUpdate::Patch(vec![route.clone()]))]);
     let (id, e) = w.sent(SAFE, 1);
-    w.at(10 * MS, vec![result(id, 0, e, Outcome::Full(Some(SECOND)))]);
-    w.step(vec![gone(&route), Event::List(ListNews::Patch(vec![route]))]);
+    w.at(10 * MS, vec![result(id, 0, e, Outcome::Rejected(Some(SECOND)))]);
+    w.step(vec![gone(&route), Event::EndpointList(EndpointListUpdate::Patch(vec![route]))]);
     let m = w.message(SAFE, 1);
     assert!(sends(&w.at(500 * MS, vec![Event::Message(m)])).is_empty(), "told to wait");
 }
@@ -282,10 +298,10 @@
 fn a_destination_whose_endpoints_were_replaced_in_an_outage_is_still_cold() {
     let mut w = World::new(large(), vec![weighing(25.0)]);
     w.open(1);
-    let old = Entry { lifecycle: Lifecycle::Gone, ..weighing(25.0) };
-    w.step(vec![Event::List(ListNews::Patch(vec![old]))]);
-    let new = Entry { endpoint: EndpointId(8), ..weighing(25.0) };
-    w.step(vec![Event::List(ListNews::Patch(vec![new]))]);
+    let old = EndpointEntry { lifecycle: Lifecycle::Removed, ..weighing(25.0) };
+    w.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![old]))]);
+    let new = EndpointEntry { endpoint: EndpointId(8), ..weighing(25.0) };
+    w.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![new]))]);
     let many: Vec<Event> = (0..5).map(|_| Event::Message(w.message(SAFE, 1))).collect();
     assert!(sends(&w.step(many)).is_empty());
 }
@@ -295,7 +311,7 @@
     for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         let mut w = World::new(large(), vec![weighing(weight), weighing(weight)]);
         let (id, e) = w.sent(SAFE, 1);
-        w.at(10 * MS, vec![result(id, 0, e, Outcome::Full(None))]);
+        w.at(10 * MS, vec![result(id, 0, e, Outcome::Rejected(None))]);
         let mut sent = 0;
         for _ in 0..190 {
             sent += sends(&w.at(100 * MS, vec![])).len();
@@ -306,11 +322,11 @@
     let mut w = World::new(large(), vec![weighing(f64::MIN_POSITIVE)]);
     let two: Vec<Event> = (0..2).map(|_| Event::Message(w.message(SAFE, 1))).collect();
     let (id, e) = sends(&w.step(two))[0];
-    w.at(10 * MS, vec![result(id, 0, e, Outcome::Full(None))]);
+    w.at(10 * MS, vec![result(id, 0, e, Outcome::Rejected(None))]);
     w.at(4 * SECOND, vec![]);
     // An endpoint that moves to another destination takes calls for that one only.
     let mut w = World::new(settings(), vec![entry(7, 1, 0)]);
-    w.step(vec![Event::List(ListNews::Patch(vec![entry(7, 2, 0)]))]);
+    w.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![entry(7, 2, 0)]))]);
     let m = w.message(SAFE, 1);
     assert!(sends(&w.step(vec![Event::Message(m)])).is_empty());
     w.sent(SAFE, 2);
@@ -322,7 +338,7 @@
         let s = Settings { forwarders, ..settings() };
         let mut w = World::new(s, vec![weighing(25.0)]);
         let (id, e) = w.sent(SAFE, 1);
-        w.at(10 * MS, vec![result(id, 0, e, Outcome::Full(Some(500 * MS)))]);
+        w.at(10 * MS, vec![result(id, 0, e, Outcome::Rejected(Some(500 * MS)))]);
         assert_eq!(!sends(&w.at(510 * MS, vec![])).is_empty(), at_once, "{forwarders}");
     }
 }
@@ -331,7 +347,7 @@
 #[test]
 fn an_outage_of_one_destination_does_not_give_back_the_others_connections_where_they_are_dear() {
     let list = (0..4).map(|i| entry(i, u64::from(i), 0)).collect();
-    let mut w = World::new(Settings { handshake_fee: 0.06, ..settings() }, list);
+    let mut w = World::new(Settings { connection_cost: 0.06, ..settings() }, list);
     for _ in 0..10 {
         for d in 1..4 {
             let (id, e) = w.sent(SAFE, d);
@@ -351,7 +367,7 @@
 #[test]
 fn refusals_leave_a_courier_its_even_part_of_a_told_limit() {
     let mut w = World::new(Settings { forwarders: 2, ..settings() }, vec![entry(7, 1, 0)]);
-    let report = Some(LimitReport { left: 0.1, rate: 10.0 });
+    let report = Some(LoadReport { remaining_share: 0.1, rate: 10.0 });
     let (mut calls, mut later, mut actions) = (0, 0, vec![]);
     // 10 calls a second are told, so 5 are its own, and 4 a second come. Of the first 60 calls every other one is
     // refused; then all is well.
@@ -361,10 +377,10 @@
         for (id, endpoint) in sends(&actions) {
             calls += 1;
             later += usize::from(since.is_some());
-            let outcome = if calls < 60 && calls % 2 == 0 { Outcome::Full(None) } else { Outcome::Ok };
+            let outcome = if calls < 60 && calls % 2 == 0 { Outcome::Rejected(None) } else { Outcome::Ok };
             let (ended, attempt) = (outcome == Outcome::Ok, w.attempt(id));
             let elapsed = 10 * MS;
-            news.push(Event::Result { id, attempt, endpoint, outcome, elapsed, ended, report });
+            news.push(Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report });
         }
         if turn % 25 == 0 {
             news.push(Event::Message(w.message(SAFE, 1)));
@@ -394,7 +410,7 @@
     forwarders: usize,
     rate: usize,
     load: f64,
-    report: impl Fn(Micros) -> Option<LimitReport>,
+    report: impl Fn(Micros) -> Option<LoadReport>,
 ) -> Limited {
     const STEP: Micros = 20 * MS;
     let s = Settings { forwarders, ..settings() };
@@ -402,7 +418,7 @@
         .map(|seed| {
             let forwarder = DeliveryPolicy::new(s.clone(), seed).unwrap();
             let mut w = World { forwarder, ..World::new(s.clone(), vec![]) };
-            w.step(vec![Event::List(ListNews::Whole(vec![weighing(rate as f64)]))]);
+            w.step(vec![Event::EndpointList(EndpointListUpdate::Complete(vec![weighing(rate as f64)]))]);
             w
         })
         .collect();
@@ -434,13 +450,13 @@
                 taken += 1;
                 let ended = taken <= rate;
                 let wait = SECOND - now % SECOND;
-                let outcome = if ended { Outcome::Ok } else { Outcome::Full(Some(wait)) };
+                let outcome = if ended { Outcome::Ok } else { Outcome::Rejected(Some(wait)) };
                 played.delivered += usize::from(ended);
                 played.refused += usize::from(!ended);
                 let (attempt, elapsed) = (w.attempt(id), 5 * STEP);
                 due[i].push_back((
                     tick + 5,
-                    Event::Result { id, attempt, endpoint, outcome, elapsed, ended, report },
+                    Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report },
                 ));
             }
         }
@@ -457,7 +473,7 @@
     let told = |noise: [f64; 8]| {
         move |now| {
             let part = noise[(now / (330 * MS)) as usize % noise.len()];
-            Some(LimitReport { left: 0.5, rate: 50.0 * part })
+            Some(LoadReport { remaining_share: 0.5, rate: 50.0 * part })
         }
     };
     let (exact, noisy) = (limited(100, 50, 0.7, told([1.0; 8])), limited(100, 50, 0.7, told(noise)));
@@ -473,8 +489,8 @@
 fn odd_reports_neither_stop_a_fleet_nor_let_it_storm() {
     let reports = [
         ("none", None),
-        ("no limit", Some(LimitReport { left: 0.0, rate: 0.0 })),
-        ("all left", Some(LimitReport { left: 1.0, rate: 50.0 })),
+        ("no limit", Some(LoadReport { remaining_share: 0.0, rate: 0.0 })),
+        ("all left", Some(LoadReport { remaining_share: 1.0, rate: 50.0 })),
     ];
     for forwarders in [3, 48, 100, 300] {
         for (what, report) in reports {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,12 +1,12 @@
 //! Heads and bodies as they are read from a connection, cut at every place and malformed in many ways.
 
 use async_io::Async;
-use cedarbridge::net::http::{Asked, Broken, Wire};
+use cedarbridge::net::http::{HttpConnection, HttpError, RequestHead};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
 /// What a request of those bytes, sent in two parts at every place, is read as.
-fn read(bytes: &[u8], cut: usize) -> Result<(Asked, Vec<u8>), Broken> {
+fn read(bytes: &[u8], cut: usize) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut there = TcpStream::connect(listener.local_addr().expect("bound")).expect("connects");
     let here = listener.accept().expect("accepts").0;
@@ -17,7 +17,7 @@
         }
     });
     let got = async_io::block_on(async {
-        let mut wire = Wire::new(Async::new(here).expect("not blocking"));
+        let mut wire = HttpConnection::new(Async::new(here).expect("not blocking"));
         let head = wire.read_request().await?;
         let body = wire.request_body(&head, 64).await?;
         Ok((head, body))
