--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -102,6 +102,7 @@
             }
             Ok((config, settings))
         };
-        net::run(Arc::new(load), logger(self.log_format, self.log_level)).map_err(Failed::Refused)
+        net::run(Arc::new(load), logger(self.log_format, self.log_level))
+            .map_err(|error| Failed::Refused(error.to_string()))
     }
 }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -62,8 +62,8 @@
 /// Takes connections until the listener is dropped, or another process takes them.
 pub async fn serve(context: Rc<Context>, listener: Async<TcpListener>) {
     let lobby = Rc::new(ConnectionRegistry::default());
-    let room = || context.config().user_agents().saturating_sub(context.predecessor_connections.get());
-    let full = || context.client_connections.get().saturating_sub(lobby.evictions_pending()) >= room();
+    let room = || context.config().user_agents().saturating_sub(context.gauges.predecessor_connections.get());
+    let full = || context.gauges.client_connections.get().saturating_sub(lobby.evictions_pending()) >= room();
     let mut retry = AcceptRetry::default();
     loop {
         let accepted = async {
@@ -76,7 +76,7 @@
             Some(listener.accept().await)
         };
         let closes = async {
-            future::or(context.handed_over.wait(), context.listener_closes.wait()).await;
+            context.lifecycle.until_listener_closes().await;
             None
         };
         match future::or(closes, accepted).await {
@@ -158,7 +158,7 @@
     address: SocketAddr,
 ) {
     context.counters.accepted.add();
-    context.client_connections.set(context.client_connections.get() + 1);
+    context.gauges.client_connections.increment();
     context.executor.spawn(attend(context.clone(), lobby.clone(), stream, address)).detach();
 }
 
@@ -177,7 +177,7 @@
             reason
         }
     };
-    context.client_connections.set(context.client_connections.get() - 1);
+    context.gauges.client_connections.decrement();
     info!(context.log, "connection ended"; "side" => "user-agent", "address" => %address, "reason" => reason);
 }
 
@@ -257,7 +257,7 @@
             let (head, body) = match self.read_in_time(due).await {
                 Some(Ok(request)) => request,
                 Some(Err(broken)) => return self.refuse_broken(broken).await,
-                None if self.context.decisions_stopped.is_set() => return self.turn_away().await,
+                None if self.context.lifecycle.is_stopped() => return self.turn_away().await,
                 None => return self.refuse(408, "the request took too long", "slow-request").await,
             };
             let came = self.context.clock.now();
@@ -272,7 +272,7 @@
                 Err(parting) => return parting,
             };
             let context = &self.context;
-            let keeps = head.keeps && !context.closing() && !context.closes_after_response();
+            let keeps = head.keeps && !context.lifecycle.is_closing() && !context.closes_after_response();
             if !self.say(&answer, keeps).await {
                 if let Some(id) = answer.taken {
                     self.withdraw(id).await;
@@ -281,7 +281,7 @@
             }
             if !keeps {
                 return Parting::Closes(match () {
-                    () if self.context.closing() => "closing",
+                    () if self.context.lifecycle.is_closing() => "closing",
                     () if self.context.closes_after_response() => "sent-away",
                     () => "answered",
                 });
@@ -295,13 +295,13 @@
     async fn await_request(&mut self, stay: EvictionPriority, until: Instant) -> Result<(), Parting> {
         let guest = self.lobby.register(stay);
         let closing = async {
-            self.context.until_closing().await;
-            if self.context.handed_over.is_set() {
+            self.context.lifecycle.until_closing().await;
+            if self.context.lifecycle.is_handed_over() {
                 // Another process is there for those who come again; the next answer says so.
                 Timer::after(PASSED_ON).await;
             } else if stay == EvictionPriority::Silent {
                 // Its request is on its way, and has nowhere else to go: nobody may send it a second time unasked.
-                future::or(self.context.decisions_stopped.wait(), async {
+                future::or(self.context.lifecycle.until_stopped(), async {
                     Timer::after(FIRST_WORD).await;
                 })
                 .await;
@@ -317,7 +317,7 @@
             Err(Parting::Closes("crowded"))
         };
         let away = async {
-            self.context.quiesced.wait().await;
+            self.context.lifecycle.until_quiesced().await;
             Timer::after(REST).await;
             Err(Parting::Closes("sent-away"))
         };
@@ -340,7 +340,7 @@
             None
         };
         let asked = async {
-            future::or(guest.evicted(), self.context.decisions_stopped.wait()).await;
+            future::or(guest.evicted(), self.context.lifecycle.until_stopped()).await;
             None
         };
         future::or(async { Some(read(&mut self.wire).await) }, future::or(late, asked)).await
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -191,7 +191,7 @@
             messages: messages.chain(over).collect(),
             timers: self.timers.iter().map(|t| t.0).collect(),
             received_by_tenant: self.handed_in.clone(),
-            client_connections: self.context.client_connections.get(),
+            client_connections: self.context.gauges.client_connections.get(),
             list,
         }
     }
@@ -250,8 +250,8 @@
     /// Another process decides from here on; only the calls that are out are still this one's.
     pub fn step_down(&mut self) {
         self.closed = true;
-        self.context.open_messages.set(0);
-        self.context.reports_pending.set(0);
+        self.context.gauges.open_messages.set(0);
+        self.context.gauges.reports_pending.set(0);
         for peer in self.peers.values() {
             let _ = peer.try_send(EndpointMessage::CloseIdle);
         }
@@ -273,7 +273,7 @@
     }
 
     fn enter(&mut self, transaction: InFlightMessage, out: Option<Out>, reply: Option<Sender<SubmitReply>>) {
-        self.context.keep_request_id(&transaction.request.request_id);
+        self.context.request_ids.acquire(&transaction.request.request_id);
         let rules = self.context.config().repeats[transaction.request.class.0];
         let first = transaction.first_attempt.map(|(at, zone)| (at, Some(zone)));
         let attempt = out.as_ref().map(|o| o.attempt);
@@ -281,7 +281,7 @@
         let held = Held { transaction: Rc::new(transaction), out, reply };
         self.held.insert(held.transaction.id, held);
         self.open += 1;
-        self.context.open_messages.set(self.open);
+        self.context.gauges.open_messages.set(self.open);
     }
 
     /// Serves until all who could tell it something are gone.
@@ -386,7 +386,7 @@
             "wall_ms" => FnValue(|_| crate::net::runtime::clock::wall() as f64 / 1e3));
         let facts = AdmissionFacts {
             closed: self.closed,
-            id_in_use: self.context.request_id_in_use(&request.request_id),
+            id_in_use: self.context.request_ids.in_use(&request.request_id),
             open: self.open,
             max_open: self.context.config().max_open_messages,
             journal_writable: self.context.journal.is_writable(),
@@ -446,7 +446,7 @@
         held.transaction.finish();
         held.transaction.stats.iter().for_each(|s| s.end(how));
         self.open -= 1;
-        self.context.open_messages.set(self.open);
+        self.context.gauges.open_messages.set(self.open);
         let word = &held.transaction.request.request_id;
         info!(self.context.log, "message"; "state" => how, "id" => word, "attempts" => held.transaction.attempts());
         let violation = self.context.ledger.borrow_mut().end(id, how == RETURNED);
@@ -459,7 +459,7 @@
         if self.held.get(&id).is_some_and(|h| h.transaction.is_over() && h.out.is_none()) {
             self.context.ledger.borrow_mut().forget(id);
             if let Some(held) = self.held.remove(&id) {
-                self.context.release_request_id(&held.transaction.request.request_id);
+                self.context.request_ids.release(&held.transaction.request.request_id);
             }
         }
     }
@@ -740,8 +740,8 @@
             ReportedEnd::Failed => self.context.counters.failed.add(),
             ReportedEnd::Returned(_) => self.context.counters.returned.add(),
         }
-        self.context.reports_pending.set(self.context.reports_pending.get() + 1);
-        self.context.keep_request_id(&word);
+        self.context.gauges.reports_pending.increment();
+        self.context.request_ids.acquire(&word);
         let _ = self.notices.send(DeliveryReport { id, request_id: word, end }).await;
     }
 }
--- a/src/net/endpoint/mod.rs
+++ b/src/net/endpoint/mod.rs
@@ -48,7 +48,7 @@
 
 impl Pool {
     fn keep(&mut self, wire: HttpConnection) {
-        let kept = &self.context.idle_endpoint_connections;
+        let kept = &self.context.gauges.idle_endpoint_connections;
         if kept.get() >= self.context.config().idle_peers() {
             return self.closed("no-room");
         }
@@ -60,7 +60,7 @@
     }
 
     fn remove(&mut self, at: usize) -> HttpConnection {
-        self.context.idle_endpoint_connections.set(self.context.idle_endpoint_connections.get() - 1);
+        self.context.gauges.idle_endpoint_connections.decrement();
         self.idle.remove(at).wire
     }
 
@@ -157,7 +157,7 @@
     used: Option<HttpConnection>,
     back: Option<Sender<EndpointMessage>>,
 ) {
-    context.calls_in_flight.set(context.calls_in_flight.get() + 1);
+    let _in_flight = context.gauges.calls_in_flight.count();
     let mut waited_for = vec![true; pass.attempts.len()];
     let mut ended = attend(&context, &pass, used, back, &mut waited_for).await;
     if let Some(wait) = ended.retry_after {
@@ -169,7 +169,6 @@
     // Only now, with the connection dropped or idle, may the module know: its next attempt must not find this
     // one still out.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(pass.completed(ended))).await;
-    context.calls_in_flight.set(context.calls_in_flight.get() - 1);
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -279,13 +278,13 @@
 /// Listens a little longer on the connection of a call that was given up: what the endpoint had answered by then
 /// may tell a wait, which binds from the moment it was written. Guards against calls during a wait that nobody read.
 fn hear_out(context: &Rc<Context>, endpoint: EndpointId, mut wire: HttpConnection) {
-    let hearing = context.late_answer_readers.get();
+    let hearing = context.gauges.late_answer_readers.get();
     // The calls of half a second, all given up, are no more than that.
     if hearing >= context.config().max_concurrent_calls {
         return;
     }
     wire.end_sending();
-    context.late_answer_readers.set(hearing + 1);
+    context.gauges.late_answer_readers.increment();
     let executor = context.executor.clone();
     let context = context.clone();
     let listening = async move {
@@ -305,7 +304,7 @@
                 CallCompletion { endpoint, sent: context.clock.now(), attempts: Vec::new(), result: ended };
             let _ = context.delivery.send(DeliveryMessage::CallCompleted(came)).await;
         }
-        context.late_answer_readers.set(context.late_answer_readers.get() - 1);
+        context.gauges.late_answer_readers.decrement();
     };
     executor.spawn(listening).detach();
 }
@@ -347,7 +346,7 @@
     }
     let wire = slot.as_mut().expect("just made");
     wire.stall = Some(STALL);
-    context.list_received.wait().await;
+    context.endpoint_list.until_received().await;
     context.stall_detector.until_caught_up(&context.clock).await;
     if let Err(refusal) = may_send(&send_facts(context, pass)) {
         return not_sent(context, pass, stage, refusal);
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod frames;
 pub mod lock;
+pub mod ownership;
 
 use crate::net::config::Config;
 use crate::net::delivery::DeliveryActor;
@@ -13,6 +14,7 @@
     AdminError, DeliveryMessage, EndpointListMessage, SubmitReply, Successor, DEFAULT_RETRY_AFTER,
 };
 use crate::net::operator::{self};
+use crate::net::runtime::lifecycle::HandOverPhase;
 use crate::net::{within, Context};
 use crate::{DeliveryPolicy, MessageId};
 use async_channel::{Receiver, Sender};
@@ -121,21 +123,21 @@
         Err(e) => {
             warn!(context.log, "not handed over, serving on"; "reason" => e.code(), "error" => %e);
             context.journal.resume();
-            context.handing_over.set(false);
+            context.lifecycle.enter_hand_over(HandOverPhase::Owner);
             let _ = decider.members().send(EndpointListMessage::HandOverAborted).await;
             return;
         }
     };
     // From here on the other one decides. Its listener is open, so this one's may close.
-    context.handed_over.set();
-    drop(context.folder_lock.take());
+    context.lifecycle.enter_hand_over(HandOverPhase::HandedOver);
+    context.folder.release();
     let _ = link.speaker.send(&PredecessorFrame::Granted, &[]).await;
-    info!(context.log, "handed over"; "ms" => begun.elapsed().as_millis() as u64, "open" => context.open_messages.get(),
-        "out" => context.calls_in_flight.get());
+    info!(context.log, "handed over"; "ms" => begun.elapsed().as_millis() as u64, "open" => context.gauges.open_messages.get(),
+        "out" => context.gauges.calls_in_flight.get());
     decider.step_down();
     relay(decider, link, mail).await;
     warn!(context.log, "the process that took over is gone");
-    context.successor_lost.set();
+    context.lifecycle.enter_hand_over(HandOverPhase::SuccessorLost);
     // Whatever still comes is not taken on.
     while let Ok(news) = mail.recv().await {
         match news {
@@ -219,17 +221,17 @@
 /// Comes back when the older process has nothing more to do here: all is sent on and nothing came for a while, or
 /// nobody is there to send it to.
 pub async fn until_drained(context: &Context) {
-    context.handed_over.wait().await;
+    context.lifecycle.until_handed_over().await;
     let done = async {
         let mut since = Instant::now();
         while since.elapsed() < LEFT_OVER {
             Timer::after(LOOK).await;
-            if context.client_connections.get() + context.calls_in_flight.get() > 0 {
+            if context.gauges.client_connections.get() + context.gauges.calls_in_flight.get() > 0 {
                 since = Instant::now();
             }
         }
     };
-    future::or(done, context.successor_lost.wait()).await;
+    future::or(done, context.lifecycle.until_successor_lost()).await;
 }
 
 /// What a starting process has found in the folder.
@@ -336,8 +338,7 @@
         members: &Sender<EndpointListMessage>,
     ) -> io::Result<()> {
         let owner = self.owner.ok_or_else(|| io::Error::other("the folder is not owned"))?;
-        context.hand_over_token.borrow_mut().clone_from(&at.token);
-        *context.folder_lock.borrow_mut() = Some(owner);
+        context.folder.acquire(owner, &at.token);
         context.executor.spawn(tell_owner(context.clone(), at)).detach();
         if let Some(link) = self.link {
             let attending = attend(context.clone(), link, members.clone());
@@ -350,7 +351,7 @@
 /// Writes this process's name into the folder. Until that is done nobody can ask it to hand over, and it serves all the same.
 async fn tell_owner(context: Rc<Context>, at: Owner) {
     loop {
-        let named = context.folder_lock.borrow_mut().as_mut().map_or(Ok(()), |lock| lock.name(&at));
+        let named = context.folder.write_owner(&at);
         let Err(e) = named else { return };
         warn!(context.log, "the owner's name is not written yet"; "reason" => "folder", "error" => %e);
         Timer::after(NAME_AGAIN).await;
@@ -402,6 +403,6 @@
         }
     };
     info!(context.log, "connection ended"; "side" => "older", "reason" => reason);
-    context.predecessor_connections.set(0);
+    context.gauges.predecessor_connections.set(0);
     let _ = context.delivery.send(DeliveryMessage::PredecessorGone).await;
 }
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -4,19 +4,9 @@
 //! service comes back by itself.
 
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
-use crate::net::messages::DeliveryMessage;
 use crate::net::runtime::latch::Latch;
-use crate::net::Context;
 use crate::MessageId;
-use async_io::Timer;
-use slog::{info, warn};
 use std::cell::RefCell;
-use std::rc::Rc;
-use std::time::{Duration, Instant};
-
-/// The first and the longest pause between two tries: a storage that is full for a moment is soon used again, and one that
-/// stays so is not kept busy.
-const RETRY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
 
 /// The journal of this process.
 pub struct JournalHandle {
@@ -96,32 +86,19 @@
         self.with(Journal::retry)
     }
 
+    /// Returns once the journal cannot be written.
+    pub async fn until_failing(&self) {
+        self.failing.wait().await;
+    }
+
+    /// The journal was written again.
+    pub fn clear_failing(&self) {
+        self.failing.clear();
+    }
+
     /// Bytes that the folder holds, and what has happened and is not written yet.
     pub fn sizes(&self) -> (u64, usize) {
         let journal = self.journal.borrow();
         (journal.disk(), journal.owed())
     }
 }
-
-/// Tries again whenever the journal could not be written, for as long as the process runs.
-pub async fn run(context: Rc<Context>) {
-    let keeper = &context.journal;
-    loop {
-        keeper.failing.wait().await;
-        let since = Instant::now();
-        context.counters.journal_failures.add();
-        warn!(context.log, "the journal cannot be written, nothing is taken on and no attempt begins";
-            "reason" => "journal", "open" => context.open_messages.get());
-        let mut pause = RETRY.0;
-        loop {
-            Timer::after(pause).await;
-            match keeper.retry() {
-                Ok(()) | Err(JournalError::HandedOver) => break,
-                Err(_) => pause = (2 * pause).min(RETRY.1),
-            }
-        }
-        keeper.failing.clear();
-        info!(context.log, "the journal can be written again"; "ms" => since.elapsed().as_millis() as u64);
-        let _ = context.delivery.send(DeliveryMessage::JournalWritable).await;
-    }
-}
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -9,6 +9,7 @@
 use crate::net::handover::frames::FORMAT;
 use crate::net::http::{HttpConnection, HttpError, RequestHead};
 use crate::net::messages::{AdminCommand, AdminError, DeliveryMessage, EndpointListMessage, Successor};
+use crate::net::runtime::lifecycle::HandOverPhase;
 use crate::net::{config, within, Context};
 use async_channel::Sender;
 use async_io::{Async, Timer};
@@ -44,10 +45,7 @@
         }
         AdminCommand::Quiesce(away) => {
             info!(context.log, "user agents"; "sent_away" => away);
-            match away {
-                true => context.quiesced.set(),
-                false => context.quiesced.clear(),
-            }
+            context.lifecycle.set_quiesced(away);
             Ok(())
         }
     }
@@ -163,7 +161,7 @@
         {
             return "handed-over";
         }
-        context.handing_over.set(false);
+        context.lifecycle.enter_hand_over(HandOverPhase::Owner);
         let _ = members.send(EndpointListMessage::HandOverAborted).await;
         "operator-gone"
     }
@@ -180,11 +178,13 @@
             return Answer::plain(405, format!("only with {method}\n"));
         }
         match what {
-            "health" if self.context.handed_over.is_set() => {
+            "health" if self.context.lifecycle.is_handed_over() => {
                 Answer::plain(503, "another process has taken over\n")
             }
             "health" if self.context.accepts_clients() => Answer::plain(200, "takes user agents\n"),
-            "health" if self.context.quiesced.is_set() => Answer::plain(503, "sends user agents away\n"),
+            "health" if self.context.lifecycle.is_quiesced() => {
+                Answer::plain(503, "sends user agents away\n")
+            }
             "health" => Answer::plain(503, "not ready\n"),
             "quiesce" | "resume" => {
                 let operation = AdminCommand::Quiesce(what == "quiesce");
@@ -205,7 +205,7 @@
 
     /// Has it done, by the process that decides.
     async fn operate(&self, operation: AdminCommand, yes: String) -> Answer {
-        let done = if self.context.handing_over.get() {
+        let done = if self.context.lifecycle.is_handing_over() {
             let (reply, answer) = async_channel::bounded(1);
             let _ = self.context.delivery.send(DeliveryMessage::Admin { command: operation, reply }).await;
             answer.recv().await.unwrap_or(Err(AdminError::ShuttingDown))
@@ -223,17 +223,19 @@
     /// Whether another process may replace this one; if so, nothing changes any more on its way there.
     async fn begin_hand_over(&self, head: &RequestHead) -> Result<MembershipSnapshot, Answer> {
         let told = |name: &str| head.fields.get(name).unwrap_or_default();
-        if head.method != "POST" || told("X-Token") != *self.context.hand_over_token.borrow() {
+        if head.method != "POST" || !self.context.folder.is_token(told("X-Token")) {
             return Err(Answer::plain(404, "no such call\n"));
         }
         if told("X-Format") != FORMAT.to_string() {
             return Err(Answer::plain(415, format!("this process speaks form {FORMAT}\n")));
         }
-        if self.context.handing_over.get() || self.context.closing() || !self.context.has_endpoint_list.get()
+        if self.context.lifecycle.is_handing_over()
+            || self.context.lifecycle.is_closing()
+            || !self.context.endpoint_list.is_known()
         {
             return Err(Answer::plain(409, "not now\n"));
         }
-        self.context.handing_over.set(true);
+        self.context.lifecycle.enter_hand_over(HandOverPhase::HandingOver);
         let (reply, answer) = async_channel::bounded(1);
         let list = async {
             let _ = self.members.send(EndpointListMessage::HandOver { reply }).await;
@@ -242,7 +244,7 @@
         match within(SLOW, list).await.flatten() {
             Some(list) => Ok(list),
             None => {
-                self.context.handing_over.set(false);
+                self.context.lifecycle.enter_hand_over(HandOverPhase::Owner);
                 let _ = self.members.try_send(EndpointListMessage::HandOverAborted);
                 Err(Answer::plain(503, "not now\n"))
             }
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -49,7 +49,7 @@
         while let Ok(notice) = mail.try_recv() {
             pending.push_back(notice);
         }
-        if context.handed_over.is_set() {
+        if context.lifecycle.is_handed_over() {
             // They are in the journal, and another process tells them.
             return;
         }
@@ -64,9 +64,9 @@
                 for notice in pending.drain(..count) {
                     info!(context.log, "message"; "state" => "reported", "id" => &notice.request_id, "end" => ?notice.end);
                     context.journal.end(notice.id);
-                    context.release_request_id(&notice.request_id);
+                    context.request_ids.release(&notice.request_id);
                     context.counters.notices.add();
-                    context.reports_pending.set(context.reports_pending.get().saturating_sub(1));
+                    context.gauges.reports_pending.decrement();
                 }
                 most = BATCH;
             }
--- a/src/net/platform/endpoint_list.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -164,7 +164,7 @@
     /// Goes on with the list of the process that this one replaces, under the same numbers.
     pub async fn inherit(&mut self, carried: MembershipSnapshot) {
         self.membership.adopt(&carried);
-        self.context.list_received.set();
+        self.context.endpoint_list.set_received();
         let now = self.context.clock.now();
         for (source, listings) in carried.views.into_iter().enumerate() {
             let how = if SourceId(source) == PUSHED { Telling::Stale } else { Telling::Patch };
@@ -210,7 +210,7 @@
         if self.registry.is_some() {
             self.note(&changes);
         }
-        self.context.has_endpoint_list.set(true);
+        self.context.endpoint_list.set_known();
         let news = match how {
             Telling::Patch => EndpointListUpdate::Patch(entries),
             Telling::Whole => EndpointListUpdate::Complete(entries),
@@ -350,9 +350,9 @@
                 drop(self.parting.take_if(|w| w.number == watch))
             }
             EndpointListMessage::WatchEnded { watch, end: over } => self.ended(watch, over),
-            EndpointListMessage::InitialListTimeout if !self.context.list_received.is_set() => {
+            EndpointListMessage::InitialListTimeout if !self.context.endpoint_list.is_received() => {
                 warn!(self.context.log, "no list yet, calling by the one that was known"; "reason" => "unheard");
-                self.context.list_received.set();
+                self.context.endpoint_list.set_received();
             }
             EndpointListMessage::InitialListTimeout => {}
             EndpointListMessage::HandOver { reply } => {
@@ -376,7 +376,7 @@
                     (asked.serve_at, asked.stale) = (None, false);
                 }
                 // A registry that has nothing is a list to go by as well; after that only changes are news.
-                if !changes.is_empty() || !self.context.has_endpoint_list.get() {
+                if !changes.is_empty() || !self.context.endpoint_list.is_known() {
                     self.tell(Telling::Patch, changes).await;
                 }
                 let _ = doubt.try_send(self.membership.in_doubt(REGISTRY));
@@ -411,7 +411,7 @@
             }
         }
         info!(self.context.log, "cordon"; "id" => id, "out" => out, "entries" => changes.len());
-        *self.context.cordoned.borrow_mut() = self.membership.cordoned().map(str::to_owned).collect();
+        self.context.endpoint_list.set_cordoned(self.membership.cordoned().map(str::to_owned).collect());
         for change in &changes {
             self.write_on_board(change);
         }
@@ -434,7 +434,7 @@
         }
         let ids = kept.unwrap_or_default();
         self.membership.restore_cordons(self.context.clock.now(), ids);
-        *self.context.cordoned.borrow_mut() = self.membership.cordoned().map(str::to_owned).collect();
+        self.context.endpoint_list.set_cordoned(self.membership.cordoned().map(str::to_owned).collect());
     }
 
     /// Writes a change on the board; what the module is told of it.
@@ -494,7 +494,7 @@
             "held_down": counts.held_down, "shrinks_not_believed": counts.doubted, "heard": counts.heard,
             "serves_kept_view": stale,
         });
-        *self.context.registry_view.borrow_mut() = Some(view);
+        self.context.endpoint_list.set_registry_view(Some(view));
     }
 
     /// Asks the registry that the site file names; what it has told stands while another is asked. With none named
@@ -511,7 +511,7 @@
             let changes = self.membership.take(self.context.clock.now(), REGISTRY, nothing);
             self.tell(Telling::Patch, changes).await;
             self.registry = None;
-            *self.context.registry_view.borrow_mut() = None;
+            self.context.endpoint_list.set_registry_view(None);
             return;
         };
         self.membership.set_policy(REGISTRY, settings.policy());
@@ -582,7 +582,7 @@
         self.held.take_if(of);
         self.opening.retain_mut(|w| !of(w));
         // The agent is there and tells nothing: that is no reason to hold calls back.
-        self.context.list_received.set();
+        self.context.endpoint_list.set_received();
         let wanted = self.context.config().discovery;
         if self.opening.is_empty() && self.held.as_ref().is_none_or(|w| w.address != wanted) {
             let pause = match over {
@@ -619,7 +619,7 @@
         // The other watch goes on from what it has told itself.
         self.generation = known;
         let news = SourceUpdate::Patch { listings, removed: Vec::new() };
-        let learnt = self.context.stall_detector.since(self.context.clock.now());
+        let learnt = self.context.stall_detector.arrived_since(self.context.clock.now());
         let changes = self.membership.take(learnt, PUSHED, news);
         info!(self.context.log, "list"; "generation" => told["generation"].as_u64(), "parting" => true);
         self.tell(Telling::Patch, changes).await;
@@ -631,7 +631,7 @@
         }
         let held = self.held.as_ref().is_some_and(|w| w.number == watch);
         let opened = self.opening.iter().position(|w| w.number == watch);
-        let now = self.context.stall_detector.since(self.context.clock.now());
+        let now = self.context.stall_detector.arrived_since(self.context.clock.now());
         let learnt = if opened.is_some() { self.heard } else { now };
         if held {
             self.heard = now;
@@ -667,7 +667,7 @@
         let changes = self.membership.take(learnt, PUSHED, news);
         self.tell(if complete { Telling::Whole } else { Telling::Patch }, changes).await;
         // Only now: the board has it.
-        self.context.list_received.set();
+        self.context.endpoint_list.set_received();
     }
 }
 
--- /dev/null
+++ b/src/net/platform/eureka/counts.rs
@@ -0,0 +1,45 @@
+//! Counts of what the registry was asked.
+
+use crate::Micros;
+use serde_json::{json, Value};
+use std::cell::Cell;
+
+/// Counts of polls and of their answers.
+#[derive(Debug, Default)]
+pub struct RegistryCounts {
+    /// Polls that were answered.
+    pub polls: Cell<u64>,
+    /// Of these, polls for changes.
+    pub deltas: Cell<u64>,
+    /// Of these, polls for the complete registry.
+    pub complete: Cell<u64>,
+    /// Answers whose hash did not match the cached registry.
+    pub mismatches: Cell<u64>,
+    /// Polls that failed.
+    pub failures: Cell<u64>,
+    /// Entries that could not be used.
+    pub unusable_entries: Cell<usize>,
+    /// The index of the address that answered last.
+    pub address: Cell<usize>,
+}
+
+impl RegistryCounts {
+    /// The report of all counts, with what the endpoint list actor shows of the registry's view.
+    pub fn report(&self, view: &Value, now: Micros) -> Value {
+        let mut report = json!({
+            "polls": self.polls.get(), "deltas": self.deltas.get(), "wholes": self.complete.get(),
+            "hash_mismatches": self.mismatches.get(), "failures": self.failures.get(),
+            "passed_over": self.unusable_entries.get(), "address": self.address.get(),
+        });
+        let all = report.as_object_mut().expect("an object");
+        all.extend(view.as_object().into_iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
+        let heard = all.remove("heard").and_then(|h| h.as_u64());
+        all.insert("age_ms".into(), heard.map(|h| now.saturating_sub(h) / 1000).into());
+        report
+    }
+}
+
+/// Counts one more.
+pub(super) fn increment(cell: &Cell<u64>) {
+    cell.set(cell.get() + 1);
+}
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -2,6 +2,7 @@
 //! them is decided in [`crate::membership`]. Source of the protocol: Eureka's published REST operations.
 
 pub mod client;
+pub mod counts;
 pub mod held;
 pub mod json;
 pub mod model;
@@ -17,54 +18,14 @@
 use async_channel::Sender;
 use async_io::Timer;
 use client::{path_part, Client, Failed};
+use counts::increment;
 use held::{Held, Taken};
 use model::Applications;
-use serde_json::{json, Value};
+use serde_json::json;
 use slog::{info, warn};
-use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// What the questions have come to.
-#[derive(Debug, Default)]
-pub struct Counts {
-    /// Questions that were answered.
-    pub polls: Cell<u64>,
-    /// Of these, for changes.
-    pub deltas: Cell<u64>,
-    /// Of these, for everything.
-    pub wholes: Cell<u64>,
-    /// Answers that did not fit what was held.
-    pub mismatches: Cell<u64>,
-    /// Questions that failed.
-    pub failures: Cell<u64>,
-    /// Entries that could not be used.
-    pub passed_over: Cell<usize>,
-    /// Which address answered last.
-    pub address: Cell<usize>,
-}
-
-impl Counts {
-    /// All of them, with what the membership's actor shows of the view.
-    pub fn report(&self, view: &Value, now: Micros) -> Value {
-        let mut report = json!({
-            "polls": self.polls.get(), "deltas": self.deltas.get(), "wholes": self.wholes.get(),
-            "hash_mismatches": self.mismatches.get(), "failures": self.failures.get(),
-            "passed_over": self.passed_over.get(), "address": self.address.get(),
-        });
-        let all = report.as_object_mut().expect("an object");
-        all.extend(view.as_object().into_iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
-        let heard = all.remove("heard").and_then(|h| h.as_u64());
-        all.insert("age_ms".into(), heard.map(|h| now.saturating_sub(h) / 1000).into());
-        report
-    }
-}
-
-/// One more.
-fn more(cell: &Cell<u64>) {
-    cell.set(cell.get() + 1);
-}
-
 /// A registry, asked as the poller says. It is used by the forwarder and by the commands alike.
 pub struct Registry {
     settings: Arc<RegistrySettings>,
@@ -138,15 +99,15 @@
         Timer::at(clock.at(next.at)).await;
         match registry.ask(next.address, next.question).await {
             Ok(taken) => {
-                more(&counts.polls);
-                more(if next.question == Question::Delta { &counts.deltas } else { &counts.wholes });
+                increment(&counts.polls);
+                increment(if next.question == Question::Delta { &counts.deltas } else { &counts.complete });
                 counts.address.set(next.address);
                 for (key, reason) in &taken.passed_over {
                     info!(context.log, "entry passed over"; "app" => &key.group, "id" => &key.id, "reason" => reason);
                 }
-                counts.passed_over.set(registry.passed_over());
+                counts.unusable_entries.set(registry.passed_over());
                 if !taken.fits {
-                    more(&counts.mismatches);
+                    increment(&counts.mismatches);
                     info!(context.log, "the registry's hash does not fit"; "address" => registry.address(next.address));
                 }
                 let (told, doubt) = async_channel::bounded(1);
@@ -162,7 +123,7 @@
                 registry.poller.answered(clock.now(), next.question, taken.fits, in_doubt);
             }
             Err(e) => {
-                more(&counts.failures);
+                increment(&counts.failures);
                 let address = registry.address(next.address);
                 warn!(context.log, "the registry did not answer"; "address" => address, "error" => %e);
                 registry.poller.failed(clock.now(), draws.f64());
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -101,7 +101,7 @@
             held = if held { entry.renew(&context).await } else { entry.register(&context).await };
         }
     };
-    future::or(keeping, context.until_closing()).await;
+    future::or(keeping, context.lifecycle.until_closing()).await;
     // A question may have been cut short: its connection is of no more use.
     entry.clients = clients();
     let path = entry.path();
--- /dev/null
+++ b/src/net/runtime/background.rs
@@ -0,0 +1,49 @@
+//! Tasks that run for as long as the process does.
+
+use super::stall_detector::HEARTBEAT;
+use crate::journal::JournalError;
+use crate::net::messages::DeliveryMessage;
+use crate::net::Context;
+use async_io::Timer;
+use slog::{info, warn};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// The pause after the first failed write of the journal: a disk that is full for a moment is soon used again.
+const JOURNAL_RETRY_FIRST: Duration = Duration::from_millis(10);
+/// The pause doubles up to this: a disk that stays full is not kept busy.
+const JOURNAL_RETRY_LONGEST: Duration = Duration::from_millis(100);
+
+/// Feeds the stall detector, and logs each stall.
+pub async fn watch_for_stalls(context: Rc<Context>) {
+    loop {
+        Timer::after(HEARTBEAT).await;
+        context.stall_detector.heartbeat(context.clock.now());
+        if let Some(stalled) = context.stall_detector.take_unlogged() {
+            warn!(context.log, "process was stalled"; "reason" => "stalled", "ms" => stalled / 1000);
+        }
+    }
+}
+
+/// Writes the journal again after each failure, for as long as the process runs.
+pub async fn retry_journal(context: Rc<Context>) {
+    let journal = &context.journal;
+    loop {
+        journal.until_failing().await;
+        let since = Instant::now();
+        context.counters.journal_failures.add();
+        warn!(context.log, "the journal cannot be written, nothing is taken on and no attempt begins";
+            "reason" => "journal", "open" => context.gauges.open_messages.get());
+        let mut pause = JOURNAL_RETRY_FIRST;
+        loop {
+            Timer::after(pause).await;
+            match journal.retry() {
+                Ok(()) | Err(JournalError::HandedOver) => break,
+                Err(_) => pause = (2 * pause).min(JOURNAL_RETRY_LONGEST),
+            }
+        }
+        journal.clear_failing();
+        info!(context.log, "the journal can be written again"; "ms" => since.elapsed().as_millis() as u64);
+        let _ = context.delivery.send(DeliveryMessage::JournalWritable).await;
+    }
+}
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -1,6 +1,13 @@
-//! The process itself: its clock, its signals, and whether it was stopped.
+//! The process: its start, reload and shutdown, its clock and signals, and whether it was stalled.
 
+pub mod background;
 pub mod clock;
+pub mod deadline;
 pub mod latch;
+pub mod lifecycle;
+pub mod phase;
+pub mod reload;
+pub mod shutdown;
 pub mod signals;
 pub mod stall_detector;
+pub mod start;
--- a/src/net/runtime/stall_detector.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -1,89 +1,97 @@
-//! Whether this process stood still of late: stopped, starved, or on a machine that slept. What came meanwhile lies unread
-//! then, and binds all the same. It looks at nothing but the time that it is told, and reads nothing itself.
+//! Whether this process was stalled of late: stopped by a signal, starved, or on a machine that slept. What arrived meanwhile
+//! lies unread in the sockets' buffers, and is binding all the same. It reads no clock itself.
 
-use crate::net::runtime::clock::Clock;
-use crate::net::Context;
+use super::clock::Clock;
 use crate::Micros;
 use async_io::Timer;
-use slog::warn;
 use std::cell::Cell;
-use std::rc::Rc;
 use std::time::Duration;
 
-/// How often it beats; a stand-still shorter than the grace of a drain less this goes unseen and does no harm.
-const BEAT: Micros = 100_000;
-/// A beat that is later than this tells that the process stood still.
-const LATE: Micros = 100_000;
-/// After that, so long goes to reading what came before anything new is sent.
-const READS: Micros = 30_000;
-/// How often a call that waits for that looks again.
-const LOOK: Duration = Duration::from_millis(5);
+/// Time between two heartbeats. A stall shorter than the grace of a drain less this goes undetected and does no harm.
+pub const HEARTBEAT: Duration = Duration::from_millis(100);
+/// The same in the clock's unit.
+const HEARTBEAT_MICROS: Micros = HEARTBEAT.as_micros() as Micros;
+/// A heartbeat that is later than this shows that the process was stalled.
+const STALL_THRESHOLD: Micros = 100_000;
+/// After a stall nothing new is sent for so long: what arrived during the stall is read first.
+const CATCH_UP: Micros = 30_000;
+/// Time between two looks of a call that waits until the process has caught up.
+const CATCH_UP_POLL: Duration = Duration::from_millis(5);
 
-/// The beats of this process.
+/// A stall, and the time after it in which the process catches up.
+#[derive(Clone, Copy, Debug)]
+struct Stall {
+    /// The last heartbeat before it.
+    since: Micros,
+    /// What arrived meanwhile has been read by then.
+    caught_up_at: Micros,
+}
+
+/// Detects stalls by heartbeats that come late.
 #[derive(Debug)]
 pub struct StallDetector {
-    /// The last beat.
-    beat: Cell<Micros>,
-    /// The last beat before it stood still, and until when it reads what came since.
-    still: Cell<Option<(Micros, Micros)>>,
-    /// For how long it stood still, not yet in the log.
-    untold: Cell<Option<Micros>>,
+    last_heartbeat: Cell<Micros>,
+    last_stall: Cell<Option<Stall>>,
+    /// The length of a stall that is not logged yet.
+    unlogged: Cell<Option<Micros>>,
 }
 
 impl StallDetector {
-    /// A process that runs.
+    /// A detector of a process that runs at this time.
     pub fn new(now: Micros) -> Self {
-        StallDetector { beat: Cell::new(now), still: Cell::new(None), untold: Cell::new(None) }
+        StallDetector {
+            last_heartbeat: Cell::new(now),
+            last_stall: Cell::new(None),
+            unlogged: Cell::new(None),
+        }
     }
 
-    /// Sees whether the process has stood still, whoever asks first.
-    fn look(&self, now: Micros) {
-        let before = self.beat.get();
-        let stood = now.saturating_sub(before);
-        if stood <= BEAT + LATE {
+    /// Detects a stall, whoever asks first after it.
+    fn detect(&self, now: Micros) {
+        let last_heartbeat = self.last_heartbeat.get();
+        let silence = now.saturating_sub(last_heartbeat);
+        if silence <= HEARTBEAT_MICROS + STALL_THRESHOLD {
             return;
         }
-        self.beat.set(now);
-        self.untold.set(Some(stood));
-        // Still reading from the time before that: what came then may not have been read either.
-        let since = self.still.get().filter(|s| before < s.1).map_or(before, |s| s.0);
-        self.still.set(Some((since, now + READS)));
+        self.last_heartbeat.set(now);
+        self.unlogged.set(Some(silence));
+        // A second stall before the process had caught up with the first: what arrived in the first may be unread too.
+        let unfinished = self.last_stall.get().filter(|stall| last_heartbeat < stall.caught_up_at);
+        let since = unfinished.map_or(last_heartbeat, |stall| stall.since);
+        self.last_stall.set(Some(Stall { since, caught_up_at: now + CATCH_UP }));
     }
 
-    /// What is read now was there at the latest at this time.
-    pub fn since(&self, now: Micros) -> Micros {
-        self.look(now);
-        self.still.get().filter(|s| now < s.1).map_or(now, |s| s.0)
+    fn ongoing(&self, now: Micros) -> Option<Stall> {
+        self.detect(now);
+        self.last_stall.get().filter(|stall| now < stall.caught_up_at)
     }
 
-    /// A beat: all that came before it has been read.
-    pub fn beat(&self, now: Micros) {
-        self.look(now);
-        self.beat.set(now);
+    /// The earliest time at which something that is read now may have arrived.
+    pub fn arrived_since(&self, now: Micros) -> Micros {
+        self.ongoing(now).map_or(now, |stall| stall.since)
     }
 
-    /// What came while the process stood still has been read, or it did not stand still.
-    pub fn caught_up(&self, now: Micros) -> bool {
-        self.look(now);
-        self.still.get().is_none_or(|s| now >= s.1)
+    /// All that arrived before this time has been read.
+    pub fn heartbeat(&self, now: Micros) {
+        self.detect(now);
+        self.last_heartbeat.set(now);
     }
 
-    /// Comes back once nothing that came while the process stood still binds unread. Guards against a call into a drain or
-    /// a told wait that lies in a socket's buffer, as after SIGSTOP and SIGCONT.
+    /// Whether what arrived during a stall has been read, or there was none.
+    pub fn is_caught_up(&self, now: Micros) -> bool {
+        self.ongoing(now).is_none()
+    }
+
+    /// Returns once the process has caught up. Guards against a call to an endpoint whose drain or `retry_after` lies unread in
+    /// a socket's buffer, as after SIGSTOP and SIGCONT.
     pub async fn until_caught_up(&self, clock: &Clock) {
-        while !self.caught_up(clock.now()) {
-            Timer::after(LOOK).await;
+        while !self.is_caught_up(clock.now()) {
+            Timer::after(CATCH_UP_POLL).await;
         }
     }
-}
 
-/// Beats, for as long as the process runs.
-pub async fn run(context: Rc<Context>) {
-    loop {
-        Timer::after(Duration::from_micros(BEAT)).await;
-        context.stall_detector.beat(context.clock.now());
-        if let Some(stood) = context.stall_detector.untold.take() {
-            warn!(context.log, "the process stood still"; "reason" => "stalled", "ms" => stood / 1000);
-        }
+    /// The length of a stall that was not taken before, to be logged.
+    pub fn take_unlogged(&self) -> Option<Micros> {
+        self.unlogged.take()
     }
 }
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -666,7 +666,7 @@
         script += &format!("\n{to} serves m{round}1 m{round}2 m{round}3 m{round}4");
         script += &format!("\nwait delivered={0} attempts={0}", 5 + 4 * round);
     }
-    play(&(script + "\nlog the process stood still"));
+    play(&(script + "\nlog process was stalled"));
 }
 
 /// Guards against a number that is no number ending a forwarder, or being taken for one without a word.
@@ -678,7 +678,7 @@
         play(&format!(
             "with e1=1 me={me}
              start
-             log no place among the forwarders, going by chance
+             log no index among the forwarders, time slots are drawn at random
              log {why}
              u1 send m1 dest=1
              e1 expect m1
