--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,408 @@
+//! What leaves the process stays byte for byte what release 5c6b612 sent: responses to clients, calls to endpoints, requests to
+//! the platform, delivery reports, admin answers, the keys of the counters, and the JSON of the commands.
+//!
+//! `tests/data/golden/` was written by 5c6b612 itself: this file was put into a checkout of it and run with `WRITE_GOLDEN=1`.
+
+use serde_json::{json, Value};
+use std::fs;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::{channel, Receiver};
+use std::thread;
+use std::time::Duration;
+
+/// Nothing here takes longer unless it never comes.
+const PATIENCE: Duration = Duration::from_secs(15);
+
+fn golden(name: &str, seen: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
+    if std::env::var_os("WRITE_GOLDEN").is_some() {
+        fs::create_dir_all(path.parent().expect("a folder")).expect("made");
+        fs::write(path, seen).expect("written");
+        return;
+    }
+    let wanted = fs::read_to_string(path).expect("read");
+    for (number, (seen, wanted)) in seen.lines().zip(wanted.lines()).enumerate() {
+        assert_eq!(seen, wanted, "line {} of {name}", number + 1);
+    }
+    assert_eq!(seen.lines().count(), wanted.lines().count(), "lines of {name}");
+}
+
+/// A command of the program, shut off from the surroundings' variables.
+fn program() -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge"));
+    for name in ["NAME", "LISTEN", "DISCOVERY", "STATE", "CONFIG", "OPERATOR"] {
+        command.env_remove(format!("ROUTER_{name}"));
+    }
+    command.env_remove("CEDARBRIDGE_SITE");
+    command.current_dir(env!("CARGO_MANIFEST_DIR"));
+    command
+}
+
+struct Folder(PathBuf);
+
+impl Folder {
+    fn new(test: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("cedarbridge-golden-{test}-{}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        fs::create_dir_all(&path).expect("a folder");
+        Folder(path)
+    }
+}
+
+impl Drop for Folder {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// One HTTP message as it came: its head, and its body by its length.
+fn read_message(stream: &mut impl BufRead) -> Option<String> {
+    let mut text = String::new();
+    loop {
+        let before = text.len();
+        if stream.read_line(&mut text).ok()? == 0 {
+            return (!text.is_empty()).then_some(text);
+        }
+        if &text[before..] == "\r\n" {
+            break;
+        }
+    }
+    let length = text.lines().find_map(|l| l.strip_prefix("Content-Length: ")?.parse().ok()).unwrap_or(0);
+    let mut body = vec![0; length];
+    stream.read_exact(&mut body).ok()?;
+    Some(text + &String::from_utf8(body).expect("text"))
+}
+
+/// A listener whose connections hand each request on, with the stream to answer on.
+fn listen() -> (SocketAddr, Receiver<(String, TcpStream)>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
+    let address = listener.local_addr().expect("bound");
+    let (sender, requests) = channel();
+    thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            let sender = sender.clone();
+            thread::spawn(move || {
+                let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+                while let Some(request) = read_message(&mut reader) {
+                    let answering = stream.try_clone().expect("a handle");
+                    if sender.send((request, answering)).is_err() {
+                        return;
+                    }
+                }
+            });
+        }
+    });
+    (address, requests)
+}
+
+/// All that was seen, with what changes from run to run put in words.
+#[derive(Default)]
+struct Transcript {
+    text: String,
+    names: Vec<(String, &'static str)>,
+}
+
+impl Transcript {
+    fn add(&mut self, title: &str, seen: &str) {
+        let named =
+            |text: &str| self.names.iter().fold(text.to_owned(), |text, (from, to)| text.replace(from, to));
+        let (title, seen) = (named(title), named(seen));
+        let lines = seen.split('\n').map(|line| {
+            let line = line.replace('\r', "\\r");
+            let Some((head, value)) = line.split_once("X-Deadline: ") else { return line };
+            let unit = value.trim_start_matches(|c: char| c.is_ascii_digit());
+            format!("{head}X-Deadline: N{unit}")
+        });
+        self.text += &format!("== {title}\n{}\n", lines.collect::<Vec<_>>().join("\n"));
+    }
+}
+
+struct Forwarder {
+    program: Child,
+    client: SocketAddr,
+    operator: SocketAddr,
+}
+
+impl Forwarder {
+    fn start(config: &Path) -> Self {
+        let mut program = program().arg(config).stderr(Stdio::piped()).spawn().expect("it starts");
+        let lines = BufReader::new(program.stderr.take().expect("a pipe")).lines();
+        let (sender, log) = channel();
+        thread::spawn(move || {
+            lines.map_while(Result::ok).for_each(|line| {
+                eprintln!("  {line}");
+                let _ = sender.send(line);
+            });
+        });
+        let address = |line: &str, what: &str| {
+            line.split_once(what).and_then(|l| l.1.split(',').next()?.trim().parse().ok())
+        };
+        let (mut client, mut operator) = (None, None);
+        while client.is_none() || operator.is_none() {
+            let line = log.recv_timeout(PATIENCE).expect("its addresses");
+            client = client.or_else(|| address(&line, "listen: ").filter(|_| line.contains("serving")));
+            operator = operator.or_else(|| address(&line, "operator: "));
+        }
+        Forwarder { program, client: client.expect("just seen"), operator: operator.expect("just seen") }
+    }
+}
+
+impl Drop for Forwarder {
+    fn drop(&mut self) {
+        let _ = self.program.kill();
+        let _ = self.program.wait();
+    }
+}
+
+/// Sends a request on a connection of its own and returns the response.
+fn exchange(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).expect("it listens");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.write_all(request.as_bytes()).expect("written");
+    read_message(&mut BufReader::new(stream)).expect("a response")
+}
+
+fn post(id: &str, class: &str, destination: u32) -> String {
+    format!(
+        "POST /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: {class}\r\nX-Tenant: acme\r\nX-Deadline: 9000m\r\n\
+         Idempotency-Key: key-{id}\r\nX-Addressing: dest={destination}\r\nContent-Length: 3\r\n\r\nxxx"
+    )
+}
+
+fn class(name: &str, semantics: &str) -> Value {
+    json!({"name": name, "semantics": semantics, "promise": 2000.0, "deadline": 20000.0, "gain": 1.0,
+        "late-worth": 0.3, "memory-span": 30000.0, "dedup-scope": "all"})
+}
+
+fn configuration(state: &Path, platform: SocketAddr) -> Value {
+    json!({
+        "name": "n0", "listen": "127.0.0.1:0", "operator": "127.0.0.1:0", "discovery": platform.to_string(),
+        "state": state, "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, "disk_mb": 1.0},
+        "settings": {
+            "azs": ["east", "west"], "zone": "east", "balancers": 1, "me": 0, "kinds": ["one", "many"],
+            "discovery": "pushed",
+            "categories": [class("notice", "token"), class("once", "side_effect"), class("free", "pure")],
+            "realms": [{"name": "acme", "portion": 1.0, "quota-per-s": 1000.0}],
+            "granularity": 5.0, "weight-source": "rough", "fees": {}, "callers": {"marks-retry": true},
+            "permissions": {"max-open": 8, "max-attempts": 3, "cancel": true, "retry-after": true,
+                "max-retry-after": 3000.0, "conn-idle": 5000.0, "dial-timeout": 12000.0},
+            "rules": {"fall-multiple": 2.0, "fall": 2000.0, "cold": 9000.0, "cold-from": 0.2, "drain-grace": 250.0},
+            "specifics": {"call-slots": 4, "late": "linear", "own-limits": [false, false], "per-call": [1, 3]},
+        },
+    })
+}
+
+fn entry(id: &str, address: SocketAddr, kind: &str, destination: u32) -> Value {
+    json!({"instanceId": id, "hostPort": address.to_string(), "zone": "east", "machineType": kind,
+        "cell": destination, "lifecycle": "active", "weight": 50.0, "startedAtMs": 0})
+}
+
+fn wait_for(forwarder: &Forwarder, counter: &str, wanted: u64) {
+    for _ in 0..1500 {
+        if counters(forwarder)[counter] == wanted {
+            return;
+        }
+        thread::sleep(Duration::from_millis(10));
+    }
+    panic!("{counter} never was {wanted}");
+}
+
+fn counters(forwarder: &Forwarder) -> Value {
+    let response = exchange(forwarder.client, "GET /_counters HTTP/1.1\r\nConnection: close\r\n\r\n");
+    serde_json::from_str(response.split_once("\r\n\r\n").expect("a body").1).expect("JSON")
+}
+
+/// Each key with the kind of its value, in order.
+fn keys(value: &Value, path: &str) -> Vec<String> {
+    match value {
+        Value::Object(all) => all.iter().flat_map(|(k, v)| keys(v, &format!("{path}/{k}"))).collect(),
+        Value::Array(_) => vec![format!("{path} list")],
+        Value::Bool(_) => vec![format!("{path} bool")],
+        Value::Number(_) => vec![format!("{path} number")],
+        Value::String(_) => vec![format!("{path} text")],
+        Value::Null => vec![format!("{path} null")],
+    }
+}
+
+#[test]
+fn everything_on_the_wire_is_as_the_release_in_service_sends_it() {
+    let folder = Folder::new("wire");
+    let (platform, requests) = listen();
+    let (first, first_calls) = listen();
+    let (second, second_calls) = listen();
+    let config = folder.0.join("config.json");
+    fs::write(&config, configuration(&folder.0.join("state"), platform).to_string()).expect("written");
+    let forwarder = Forwarder::start(&config);
+    let mut seen = Transcript::default();
+    seen.names = vec![
+        (platform.to_string(), "PLATFORM"),
+        (first.to_string(), "E1"),
+        (second.to_string(), "E2"),
+        (forwarder.client.to_string(), "CLIENT"),
+        (forwarder.operator.to_string(), "OPERATOR"),
+    ];
+
+    let (request, mut watch) = requests.recv_timeout(PATIENCE).expect("a watch");
+    seen.add("watch", &request);
+    let list = json!({"generation": 7, "reset": true,
+        "instances": [entry("e1", first, "one", 1), entry("e2", second, "many", 2)]});
+    let line = list.to_string() + "\n";
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    watch.write_all(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes()).expect("written");
+    wait_for(&forwarder, "lists", 1);
+
+    seen.add("accepted", &exchange(forwarder.client, &post("m1", "notice", 1)));
+    let (call, mut answering) = first_calls.recv_timeout(PATIENCE).expect("a call");
+    seen.add("call of one message", &call);
+    seen.add("duplicate", &exchange(forwarder.client, &post("m1", "notice", 1)));
+    answering.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+    wait_for(&forwarder, "delivered", 1);
+    // With all four call slots taken, what comes next waits and shares a call.
+    let mut answering: Vec<TcpStream> = Vec::new();
+    for id in ["b1", "b2", "b3", "b4"] {
+        exchange(forwarder.client, &post(id, "notice", 2));
+        let (call, stream) = second_calls.recv_timeout(PATIENCE).expect("a call");
+        assert!(call.contains(id), "{call}");
+        answering.push(stream);
+    }
+    exchange(forwarder.client, &post("b5", "notice", 2));
+    exchange(forwarder.client, &post("b6", "free", 2));
+    for mut stream in answering {
+        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+    }
+    let (call, mut stream) = second_calls.recv_timeout(PATIENCE).expect("a call");
+    seen.add("call of a batch", &call);
+    let body = "b5 delivered\r\nb6 delivered\r\n";
+    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    stream.write_all(answer.as_bytes()).expect("written");
+    wait_for(&forwarder, "delivered", 7);
+    seen.add("no retry mark", &exchange(forwarder.client, &post("m3", "once", 1)));
+    let (call, answering) = first_calls.recv_timeout(PATIENCE).expect("a call");
+    seen.add("call that must not be repeated", &call);
+    answering.shutdown(std::net::Shutdown::Both).expect("open");
+    let (report, mut answering) = requests.recv_timeout(PATIENCE).expect("a report");
+    seen.add("report of a failure", &report);
+    answering.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").expect("written");
+    wait_for(&forwarder, "notices", 1);
+
+    let good = post("m9", "notice", 1);
+    for (title, request) in [
+        ("health", "GET /_health HTTP/1.1\r\n\r\n".to_owned()),
+        ("unknown path", "GET /nothing HTTP/1.1\r\n\r\n".to_owned()),
+        ("wrong method", "GET /api HTTP/1.1\r\n\r\n".to_owned()),
+        ("no HTTP", "nonsense\r\n\r\n".to_owned()),
+        ("unknown class", good.replace("notice", "nothing")),
+        ("unknown tenant", good.replace("acme", "nobody")),
+        ("unknown destination", good.replace("dest=1", "dest=77")),
+        ("no destination", good.replace("X-Addressing: dest=1\r\n", "")),
+        ("odd destination", good.replace("dest=1", "to=1")),
+        ("no id", good.replace("X-Request-Id: m9\r\n", "")),
+        ("empty id", good.replace("X-Request-Id: m9", "X-Request-Id: ")),
+        ("no class", good.replace("X-Class: notice\r\n", "")),
+        ("no tenant", good.replace("X-Tenant: acme\r\n", "")),
+        ("no key", good.replace("Idempotency-Key: key-m9\r\n", "")),
+        ("no deadline", good.replace("X-Deadline: 9000m\r\n", "")),
+        ("odd deadline", good.replace("9000m", "soon")),
+        ("no time left", good.replace("9000m", "0m")),
+        ("a header twice", good.replace("X-Class: notice\r\n", "X-Class: notice\r\nX-Class: notice\r\n")),
+        ("no length", good.replace("Content-Length: 3\r\n", "")),
+        ("odd length", good.replace("Content-Length: 3", "Content-Length: three")),
+        ("too large", good.replace("Content-Length: 3", "Content-Length: 99999999")),
+        ("chunked", good.replace("Content-Length: 3", "Transfer-Encoding: chunked")),
+        ("odd retry mark", good.replace("X-Class:", "X-Retry: maybe\r\nX-Class:")),
+        ("HTTP/1.0", "GET /_health HTTP/1.0\r\n\r\n".to_owned()),
+        ("asks to close", "GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n".to_owned()),
+    ] {
+        seen.add(title, &exchange(forwarder.client, &request));
+    }
+
+    let owner = fs::read_to_string(folder.0.join("state/owner")).expect("an owner");
+    let owner: Value = serde_json::from_str(&owner).expect("JSON");
+    let token = owner["token"].as_str().expect("a token");
+    let command = |what: &str, body: &str| {
+        format!("POST /admin/{what} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    };
+    let hand_over = |token: &str, format: u32| {
+        format!("POST /admin/handover HTTP/1.1\r\nX-Token: {token}\r\nX-Format: {format}\r\nContent-Length: 0\r\n\r\n")
+    };
+    for (title, request) in [
+        ("admin health", "GET /admin/health HTTP/1.1\r\n\r\n".to_owned()),
+        ("cordon", command("cordon", "e1")),
+        ("cordon once more", command("cordon", "e1")),
+        ("uncordon", command("uncordon", "e1")),
+        ("cordon of an unknown one", command("cordon", "nobody")),
+        ("uncordon of an unknown one", command("uncordon", "nobody")),
+        ("cordon of nothing", command("cordon", "")),
+        ("cordon of an odd id", command("cordon", "two words")),
+        ("cordon, too long", command("cordon", &"x".repeat(2000))),
+        ("cordon by GET", "GET /admin/cordon HTTP/1.1\r\n\r\n".to_owned()),
+        ("unknown admin call", command("nothing", "")),
+        ("no admin call", "GET /nothing HTTP/1.1\r\n\r\n".to_owned()),
+        ("no HTTP to admin", "nonsense\r\n\r\n".to_owned()),
+        ("quiesce", command("quiesce", "")),
+        ("admin health when quiesced", "GET /admin/health HTTP/1.1\r\n\r\n".to_owned()),
+        ("resume", command("resume", "")),
+        ("hand-over with a wrong token", hand_over("guessed", 4)),
+        ("hand-over in another format", hand_over(token, 3)),
+    ] {
+        seen.add(title, &exchange(forwarder.operator, &request));
+    }
+    seen.add("counters", &keys(&counters(&forwarder), "").join("\n"));
+    golden("wire.txt", &seen.text);
+}
+
+#[test]
+fn what_the_commands_print_is_as_the_release_in_service_prints_it() {
+    let folder = Folder::new("commands");
+    let mut seen = Transcript::default();
+    seen.names = vec![(folder.0.display().to_string(), "FOLDER")];
+    let good = folder.0.join("good.yaml");
+    fs::copy(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden/site.yaml"), &good)
+        .expect("copied");
+    let bad = folder.0.join("bad.yaml");
+    let text = "version: 1\nroutes:\n  - name: a\n    match: {kind: nothing, class: notice}\n    timeout: 6\n  - name: a\n    \
+                match: {class: notice}\n    timeout: 20s\n    attempts: 9\n    give-up: 99s\n    typo: 1\n";
+    fs::write(&bad, text).expect("written");
+    let config = "tests/data/golden/config.json";
+    let (good, bad) = (good.display().to_string(), bad.display().to_string());
+    let (mut good_calls, mut bad_calls) = (Vec::new(), Vec::new());
+    good_calls.push(vec!["check", "--config", config, "--json", &good]);
+    good_calls.push(vec!["check", "--config", config, &good]);
+    for more in [
+        &["--kind", "cable-operator", "--class", "notice"][..],
+        &["--kind", "small-partner", "--class", "notice"],
+        &[],
+    ] {
+        good_calls.push([&["explain", "--config", config, "--json", &good][..], more].concat());
+        good_calls.push([&["explain", "--config", config, &good][..], more].concat());
+    }
+    bad_calls.push(vec!["check", "--config", config, "--json", &bad]);
+    bad_calls.push(vec!["check", "--config", config, &bad]);
+    bad_calls.push(vec![
+        "explain",
+        "--config",
+        config,
+        &bad,
+        "--kind",
+        "cable-operator",
+        "--class",
+        "notice",
+    ]);
+    bad_calls.push(vec!["check", "--config", "tests/data/golden/missing.json", &good]);
+    bad_calls.push(vec!["run", "tests/data/golden/site.yaml"]);
+    bad_calls.push(vec!["run"]);
+    for call in good_calls.into_iter().chain(bad_calls) {
+        let output = program().args(&call).output().expect("it runs");
+        seen.add(&call.join(" "), &format!("exit {:?}", output.status.code()));
+        seen.add("standard output", &String::from_utf8(output.stdout).expect("text"));
+        let errors = String::from_utf8(output.stderr).expect("text");
+        // A log line begins with the time.
+        let errors: Vec<_> = errors.lines().filter(|l| !l.contains(" INFO ")).collect();
+        seen.add("standard error", &errors.join("\n"));
+    }
+    golden("commands.txt", &seen.text);
+}
