--- a/crates/standin/src/main.rs
+++ b/crates/registry-standin/src/main.rs
@@ -2,7 +2,7 @@
 //! changes the registry's entries, and prints the timings of each change. It is bounded in time and ends what it
 //! started.
 
-use cedarbridge_standin::{request, Instance, StandIn};
+use cedarbridge_registry_standin::{request, Instance, StandIn};
 use clap::Parser;
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
--- a/crates/lab/benches/emulator.rs
+++ b/crates/rehearsal/benches/emulator.rs
@@ -1,9 +1,9 @@
 //! How many messages the emulator plays in a second of real time, on one core.
 #![allow(missing_docs)]
 
-use cedarbridge_lab::experiment::Experiment;
-use cedarbridge_lab::play::play;
-use cedarbridge_lab::world::World;
+use cedarbridge_rehearsal::experiment::Experiment;
+use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::world::World;
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 use std::path::Path;
 
--- a/crates/lab/src/bin/cedarbridge-top.rs
+++ b/crates/rehearsal/src/bin/cedarbridge-top.rs
@@ -1,6 +1,6 @@
 //! `cedarbridge-top`: watches a running forwarder in the terminal, by what its `/_counters` tell.
 
-use cedarbridge_lab::view::top;
+use cedarbridge_rehearsal::view::top;
 use clap::Parser;
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/lab/src/draw.rs
+++ b/crates/rehearsal/src/draw.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{KindOf, PartnerOf, Scenario};
 use crate::world::{plain_fleet, platform, Hand, StopAt, World, START};
 use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
-use cedarbridge_partners::Model;
+use cedarbridge_endpoint_model::Model;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
--- a/crates/lab/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -6,7 +6,7 @@
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::{time, Site};
 use cedarbridge::{Micros, Settings};
-use cedarbridge_partners::Trouble;
+use cedarbridge_endpoint_model::Trouble;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -7,7 +7,7 @@
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::{Lifecycle, Micros, Outcome};
-use cedarbridge_partners::{Answer, Fate, Trouble};
+use cedarbridge_endpoint_model::{Answer, Fate, Trouble};
 use futures_lite::future;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/lab/src/live/fault.rs
+++ b/crates/rehearsal/src/live/fault.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::Lifecycle;
-use cedarbridge_partners::Trouble;
+use cedarbridge_endpoint_model::Trouble;
 use futures_lite::{future, io};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/lab/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -24,7 +24,7 @@
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::routes::{Plan, Timing};
 use cedarbridge::{BreakerState, ClassId, DestinationId, KindId, Lifecycle, Micros};
-use cedarbridge_partners::{Partner, Trouble};
+use cedarbridge_endpoint_model::{Partner, Trouble};
 use daemon::Daemon;
 use fault::Fault;
 use futures_lite::{future, FutureExt, StreamExt};
@@ -272,7 +272,7 @@
         p.model.set_troubles(now, all);
         if let Some(taken) = begun.and_then(Trouble::takes_under_way) {
             p.taken += 1;
-            p.breaks = taken == cedarbridge_partners::Taken::Broken;
+            p.breaks = taken == cedarbridge_endpoint_model::Taken::Broken;
         }
         // All who wait are woken by the channel's end.
         let (sender, receiver) = async_channel::bounded(1);
--- a/crates/lab/src/load.rs
+++ b/crates/rehearsal/src/load.rs
@@ -1,8 +1,8 @@
 //! The command `load`.
 
-use cedarbridge_lab::capture::Captured;
-use cedarbridge_lab::experiment::Unfit;
-use cedarbridge_lab::live::load::{self, Load, Loaded, LATE};
+use cedarbridge_rehearsal::capture::Captured;
+use cedarbridge_rehearsal::experiment::Unfit;
+use cedarbridge_rehearsal::live::load::{self, Load, Loaded, LATE};
 use clap::Args;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/lab/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -1,15 +1,15 @@
-//! `cedarbridge-lab`: rehearses scenarios on sockets and in virtual time, and plays experiments.
+//! `cedarbridge-rehearsal`: rehearses scenarios on sockets and in virtual time, and plays experiments.
 
 mod load;
 mod rehearsal;
 
 use cedarbridge::routes::Plan;
-use cedarbridge_lab::capture::Captured;
-use cedarbridge_lab::experiment::{Experiment, Unfit, Variant};
-use cedarbridge_lab::play::play;
-use cedarbridge_lab::report::{page, table, Row};
-use cedarbridge_lab::verdict::Verdict;
-use cedarbridge_lab::world::{platform, World};
+use cedarbridge_rehearsal::capture::Captured;
+use cedarbridge_rehearsal::experiment::{Experiment, Unfit, Variant};
+use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::report::{page, table, Row};
+use cedarbridge_rehearsal::verdict::Verdict;
+use cedarbridge_rehearsal::world::{platform, World};
 use clap::{Args, Parser, Subcommand};
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -19,20 +19,20 @@
 
 const EXAMPLES: &str = "\
 Examples:
-  cedarbridge-lab run crates/lab/experiments/slow-partner.yaml --out report.html
-  cedarbridge-lab compare old-site.yaml new-site.yaml --scenario scenarios/overrun-120.yaml --seeds 20
-  cedarbridge-lab sweep scenarios/overrun-110.yaml --vary headroom --from 0.8 --to 1.4 --steps 5
-  cedarbridge-lab rehearse scenarios/overrun-110.yaml
-  cedarbridge-lab simulate scenarios/large.yaml --html large.html
-  cedarbridge-lab fleet scenarios/fleet-growth.yaml --html fleet.html
-  cedarbridge-lab check scenarios/*.yaml crates/lab/experiments/slow-partner.yaml
+  cedarbridge-rehearsal run crates/rehearsal/experiments/slow-partner.yaml --out report.html
+  cedarbridge-rehearsal compare old-site.yaml new-site.yaml --scenario scenarios/overrun-120.yaml --seeds 20
+  cedarbridge-rehearsal sweep scenarios/overrun-110.yaml --vary headroom --from 0.8 --to 1.4 --steps 5
+  cedarbridge-rehearsal rehearse scenarios/overrun-110.yaml
+  cedarbridge-rehearsal simulate scenarios/large.yaml --html large.html
+  cedarbridge-rehearsal fleet scenarios/fleet-growth.yaml --html fleet.html
+  cedarbridge-rehearsal check scenarios/*.yaml crates/rehearsal/experiments/slow-partner.yaml
 
 Exit codes: 0 as expected, 1 a file was refused or the run was not as expected, 2 the call was wrong, 3 the machine
 was too loaded for the run to tell anything.";
 
 #[derive(Parser)]
 #[command(
-    name = "cedarbridge-lab",
+    name = "cedarbridge-rehearsal",
     version,
     about = "Rehearses the forwarder's bad days, on sockets and in virtual time."
 )]
@@ -302,7 +302,7 @@
     println!("{}: {} messages; {odd} lines of the log are none", out.display(), day.lines.len());
     if day.lines.is_empty() {
         eprintln!(
-            "cedarbridge-lab: the log has no `handed in`: write it with --log-format json --log-level debug"
+            "cedarbridge-rehearsal: the log has no `handed in`: write it with --log-format json --log-level debug"
         );
     }
     Ok(!day.lines.is_empty())
@@ -336,7 +336,7 @@
     match run(Cli::parse().command) {
         Ok(code) => code,
         Err(e) => {
-            eprintln!("cedarbridge-lab: {e}");
+            eprintln!("cedarbridge-rehearsal: {e}");
             ExitCode::from(if matches!(e, Unfit::Unread(..)) { 2 } else { 1 })
         }
     }
--- a/crates/lab/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -13,7 +13,7 @@
     EndpointListUpdate, Event, KindId, Lifecycle, LoadReport, MessageId, Micros, NewMessage, Outcome,
     TenantId,
 };
-use cedarbridge_partners::{Answer, Partner, Taken, Trouble};
+use cedarbridge_endpoint_model::{Answer, Partner, Taken, Trouble};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
--- a/crates/lab/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -2,20 +2,20 @@
 
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::site::Site;
-use cedarbridge_lab::audit::Breach;
-use cedarbridge_lab::capture::Captured;
-use cedarbridge_lab::draw::day;
-use cedarbridge_lab::experiment::Unfit;
-use cedarbridge_lab::figures::Figures;
-use cedarbridge_lab::fleet::{self, Row, Way};
-use cedarbridge_lab::live::fault::Fault;
-use cedarbridge_lab::live::{self, Options};
-use cedarbridge_lab::play::{play, play_telling};
-use cedarbridge_lab::report::mean;
-use cedarbridge_lab::scenario::Scenario;
-use cedarbridge_lab::verdict::{self, Run, Verdict};
-use cedarbridge_lab::view;
-use cedarbridge_lab::world::{World, START};
+use cedarbridge_rehearsal::audit::Breach;
+use cedarbridge_rehearsal::capture::Captured;
+use cedarbridge_rehearsal::draw::day;
+use cedarbridge_rehearsal::experiment::Unfit;
+use cedarbridge_rehearsal::figures::Figures;
+use cedarbridge_rehearsal::fleet::{self, Row, Way};
+use cedarbridge_rehearsal::live::fault::Fault;
+use cedarbridge_rehearsal::live::{self, Options};
+use cedarbridge_rehearsal::play::{play, play_telling};
+use cedarbridge_rehearsal::report::mean;
+use cedarbridge_rehearsal::scenario::Scenario;
+use cedarbridge_rehearsal::verdict::{self, Run, Verdict};
+use cedarbridge_rehearsal::view;
+use cedarbridge_rehearsal::world::{World, START};
 use clap::Args;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -154,7 +154,7 @@
     }
 
     fn of_run() -> Result<Self, Unfit> {
-        let path = std::env::temp_dir().join(format!("cedarbridge-lab-{}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("cedarbridge-rehearsal-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(system)?;
         Ok(Folder(path, false))
     }
--- a/crates/lab/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use crate::experiment::Span;
 use cedarbridge::Micros;
-use cedarbridge_partners::Trouble;
+use cedarbridge_endpoint_model::Trouble;
 use serde::Deserialize;
 use serde_saphyr::{Location, Spanned};
 use std::collections::BTreeSet;
@@ -62,7 +62,7 @@
     /// Endpoints that are drained and replaced by others.
     #[serde(default)]
     pub replacements: Vec<Replacement>,
-    /// The fleets that `cedarbridge-lab fleet` plays the day with.
+    /// The fleets that `cedarbridge-rehearsal fleet` plays the day with.
     #[serde(default)]
     pub fleet: Option<Spanned<Fleet>>,
     /// What must come of it.
--- a/crates/lab/src/verdict.rs
+++ b/crates/rehearsal/src/verdict.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use crate::world::{World, START};
 use cedarbridge::{BreakerState, Micros};
-use cedarbridge_partners::Trouble;
+use cedarbridge_endpoint_model::Trouble;
 use plotters::prelude::*;
 use quick_junit::{NonSuccessKind, TestCase, TestCaseStatus, TestSuite};
 use serde_json::{json, Value};
@@ -285,7 +285,7 @@
 
     /// For a CI: a case for each expectation and one for each rule.
     pub fn junit(&self) -> String {
-        let mut report = quick_junit::Report::new("cedarbridge-lab");
+        let mut report = quick_junit::Report::new("cedarbridge-rehearsal");
         let mut suite = TestSuite::new(self.scenario.title.clone());
         let loaded = match self.verdict() {
             Verdict::NotJudged(why) => Some(why),
--- a/crates/lab/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -4,7 +4,7 @@
 use crate::live::{Ask, Progress, Told};
 use crate::table::{Row, Sorted, Table};
 use async_channel::{Receiver, Sender};
-use cedarbridge_partners::Trouble;
+use cedarbridge_endpoint_model::Trouble;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
 use std::io::IsTerminal;
 use std::thread::JoinHandle;
--- a/crates/lab/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -8,7 +8,7 @@
     Class, Decay, DedupScope, DestinationId, EndpointEntry, EndpointId, Idempotency, Kind, KindId, Lifecycle,
     Micros, Settings, Tenant, WeightSource, ZoneId,
 };
-use cedarbridge_partners::{Model, Trouble};
+use cedarbridge_endpoint_model::{Model, Trouble};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/crates/lab/tests/experiments.rs
+++ b/crates/rehearsal/tests/experiments.rs
@@ -1,9 +1,9 @@
 //! The shipped experiments, on few days: they can be read, repeat themselves, and break no rule.
 
-use cedarbridge_lab::experiment::{Experiment, Unfit};
-use cedarbridge_lab::play::play;
-use cedarbridge_lab::report::{page, Row};
-use cedarbridge_lab::world::{platform, World};
+use cedarbridge_rehearsal::experiment::{Experiment, Unfit};
+use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::report::{page, Row};
+use cedarbridge_rehearsal::world::{platform, World};
 use std::path::{Path, PathBuf};
 
 fn folder() -> PathBuf {
@@ -50,7 +50,7 @@
 #[test]
 fn an_experiment_that_makes_no_sense_is_refused_with_its_place() {
     let good = std::fs::read_to_string(folder().join("slow-partner.yaml")).expect("shipped");
-    let path = std::env::temp_dir().join(format!("cedarbridge-lab-{}.yaml", std::process::id()));
+    let path = std::env::temp_dir().join(format!("cedarbridge-rehearsal-{}.yaml", std::process::id()));
     for (from, to, wanted) in [
         ("forwarders: 2", "forwarder: 2", ":5:"),
         ("for: 20s", "for: 20", "unit"),
@@ -72,7 +72,7 @@
 fn the_commands_compare_sweep_and_check() {
     let lab = |arguments: &[&str]| {
         let program =
-            std::process::Command::new(env!("CARGO_BIN_EXE_cedarbridge-lab")).args(arguments).output();
+            std::process::Command::new(env!("CARGO_BIN_EXE_cedarbridge-rehearsal")).args(arguments).output();
         let output = program.expect("it runs");
         (output.status.code(), String::from_utf8(output.stdout).expect("text"))
     };
@@ -82,7 +82,7 @@
         lab(&["check", shipped]),
         (Some(0), format!("{shipped}: 4 variants, 2 loads, nothing against it\n"))
     );
-    let path = std::env::temp_dir().join(format!("cedarbridge-lab-short-{}.yaml", std::process::id()));
+    let path = std::env::temp_dir().join(format!("cedarbridge-rehearsal-short-{}.yaml", std::process::id()));
     let short =
         "title: Short\nlength: 4s\nforwarders: 2\nseeds: 2\nloads: [[0.8, 0.8]]\nvariants: [{name: bare}]\n";
     std::fs::write(&path, short).expect("written");
--- a/crates/lab/tests/fleet.rs
+++ b/crates/rehearsal/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Whole fleets in virtual time: the hard cases, each at 3, 48, 100 and 300 forwarders with its counts.
 
-use cedarbridge_lab::fleet::{as_json, draw, page, play_one, table, unmet, Day, Row, Way};
-use cedarbridge_lab::scenario::Scenario;
+use cedarbridge_rehearsal::fleet::{as_json, draw, page, play_one, table, unmet, Day, Row, Way};
+use cedarbridge_rehearsal::scenario::Scenario;
 
 const SIZES: [usize; 4] = [3, 48, 100, 300];
 
--- a/crates/lab/tests/rehearsal.rs
+++ b/crates/rehearsal/tests/rehearsal.rs
@@ -1,19 +1,19 @@
 //! The kit itself: what it refuses, that live and virtual agree, that it catches each fault, and that nothing of it
 //! stays behind.
 
-use cedarbridge_lab::audit::Rule;
-use cedarbridge_lab::capture::Captured;
-use cedarbridge_lab::draw::day;
-use cedarbridge_lab::play::play;
-use cedarbridge_lab::scenario::Scenario;
-use cedarbridge_lab::verdict::{How, Lateness, Run, Verdict};
+use cedarbridge_rehearsal::audit::Rule;
+use cedarbridge_rehearsal::capture::Captured;
+use cedarbridge_rehearsal::draw::day;
+use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::scenario::Scenario;
+use cedarbridge_rehearsal::verdict::{How, Lateness, Run, Verdict};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_cedarbridge-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_cedarbridge-rehearsal");
 
 fn shipped(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
--- a/crates/soak/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -95,7 +95,7 @@
 
 /// Plays a seed; how many invariants did not hold.
 fn play(seed: u64, size: Size, keep: Option<&PathBuf>) -> usize {
-    let own = std::env::temp_dir().join(format!("cedarbridge-soak-{}-{seed}", std::process::id()));
+    let own = std::env::temp_dir().join(format!("cedarbridge-soak-test-{}-{seed}", std::process::id()));
     let folder = keep.map_or(own, |k| k.join(format!("seed-{seed}")));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
--- a/crates/soak/tests/soak.rs
+++ b/crates/soak-test/tests/soak.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn ten_forwarders_keep_every_invariant_under_overlapping_troubles() {
-    let folder = std::env::temp_dir().join(format!("cedarbridge-soak-test-{}", std::process::id()));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge-soak"));
+    let folder = std::env::temp_dir().join(format!("cedarbridge-soak-test-test-{}", std::process::id()));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge-soak-test"));
     command.args(["run", "--seed", "11", "--forwarders", "10", "--seconds", "8", "--rate", "8", "--keep"]);
     // A request that lies unread for over 0.3 s ends late, which KNOWN-RED.txt lists: clients here do not wait that long.
     let folder_of_run = command.arg(&folder).args(["--patience", "250"]);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -2,7 +2,7 @@
 
 mod scenario;
 
-use cedarbridge_standin::{Instance, StandIn};
+use cedarbridge_registry_standin::{Instance, StandIn};
 use scenario::{play, program};
 use std::process::Output;
 
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -47,7 +47,7 @@
 //! | `e1 serves m*20`, `p expect-all m*20 returned` | the same as m1 to m20; notices for all of these in any order |
 //! | `state-under N`, `state-holds FILE`, `state-folder NAME`, `damage cut N`, `damage flip N`, `damage-view` | the folder that lasts |
 
-use cedarbridge_standin::{Instance, Mode, StandIn};
+use cedarbridge_registry_standin::{Instance, Mode, StandIn};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 use std::collections::BTreeMap;
