--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -15,14 +15,14 @@
          u1 send m1 class=zoned
          u1 expect 202
          e1 expect m1
-         p send e1=leaving e2=active
+         platform send e1=leaving e2=active
          kill
          start
          u2 send m2 class=zoned
          u2 expect 202
          e2 expect m2
          e2 send m2 200
-         p send e1=active
+         platform send e1=active
          e1 expect m1
          e1 send m1 200
          wait delivered=2 attempts=2",
@@ -60,13 +60,13 @@
          e1 expect m1
          u1 send m2 dest=9 deadline=2100m
          u1 expect 202
-         p send e1=leaving e2=active
+         platform send e1=leaving e2=active
          wait lists>=2
          e1 close m1
          wait reset=1
-         p expect m2 returned
+         platform expect m2 returned
          e2 open
-         p expect m1 failed
+         platform expect m1 failed
          wait attempts=1",
     );
 }
@@ -81,9 +81,9 @@
          u1 send m1
          u1 expect 202
          kill
-         p note e1=active
-         knows
-         p note e1=leaving e2=active
+         platform changes-silently e1=active
+         caches-list
+         platform changes-silently e1=leaving e2=active
          start
          e2 expect m1
          e2 send m1 200
@@ -96,14 +96,14 @@
 fn what_left_before_the_start_gets_no_call_that_waited_for_its_connection() {
     play(
         "with e1=1:one:stalled e2=1:one:hidden e3=9:one:leaving grace=60000
-         knows
-         p note e1=leaving e2=active
-         p hold
-         begin
+         caches-list
+         platform changes-silently e1=leaving e2=active
+         platform delays-list
+         start-without-list
          u1 send m1
          u1 expect 202
          wait opened=1
-         p unhold
+         platform releases-list
          wait lists=1
          e1 open
          e2 expect m1
@@ -117,16 +117,16 @@
 fn a_new_process_that_is_told_nothing_calls_by_the_list_it_knows() {
     play(
         "with e1=1
-         knows
-         p hold
-         begin
+         caches-list
+         platform delays-list
+         start-without-list
          u1 send m1
          u1 expect 202
          log reason: unheard
          e1 expect m1
          e1 send m1 200
          wait delivered=1
-         p unhold",
+         platform releases-list",
     );
 }
 
@@ -205,11 +205,11 @@
     play(
         "with e1=1:one:stalled e2=1:one:hidden grace=2500
          start
-         p quiet
+         platform stops-heartbeats
          u1 send m1
          u1 expect 202
          wait opened=1
-         p note e1=leaving e2=active
+         platform changes-silently e1=leaving e2=active
          log the watch is silent, opening another
          wait lists=2
          e1 open
@@ -265,13 +265,13 @@
     play(
         "with e1=1:one:leaving
          start
-         p deaf
+         platform drops-next-report
          u1 send m1 deadline=500m
          u1 expect 202
          u1 send m2 deadline=900m
          u1 expect 202
-         p expect m1 returned alone
-         p expect m2 returned
+         platform expect m1 returned alone
+         platform expect m2 returned
          wait notices=2 notices_owed=0",
     );
 }
@@ -286,7 +286,7 @@
          u1 send m1 deadline=450m
          u1 expect 202
          term
-         p expect m1 returned
+         platform expect m1 returned
          u2 send-raw POST /api HTTP/1.1\\r\\n
          u2 expect 503 Retry-After close
          u2 expect end
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -20,7 +20,7 @@
          u1 sends 20 b deadline=20000m
          kill
          start
-         p send e1=active
+         platform send e1=active
          e1 serves a*10 b*20
          wait delivered=30",
     );
@@ -36,7 +36,7 @@
          kill
          faults wall 3600000000
          start
-         p send e1=active
+         platform send e1=active
          e1 serves m*20
          wait delivered=20",
     );
@@ -52,7 +52,7 @@
          kill
          faults wall -3600000000
          start
-         p expect-all m*20 returned",
+         platform expect-all m*20 returned",
     );
 }
 
@@ -65,11 +65,11 @@
          start
          u1 sends 20 m deadline=20000m
          faults write ENOSPC
-         p send e1=active
-         struck write
+         platform send e1=active
+         fault-injected write
          u2 send x1
          u2 expect 503
-         stands 3000
+         sleep 3000
          faults
          e1 serves m*20
          wait delivered=20 returned=0",
@@ -129,7 +129,7 @@
          e1 expect m1
          faults accept ENFILE
          u2 connect
-         struck accept
+         fault-injected accept
          term
          e1 send m1 200
          exit-within 3700",
@@ -146,7 +146,7 @@
          kill
          faults read EIO count=2; opendir EIO count=1; open EIO count=1
          start
-         p send e1=active
+         platform send e1=active
          e1 serves m*5
          wait delivered=5",
     );
@@ -190,15 +190,15 @@
         "with e1=1 operator=on faults=on
          faults write ENOSPC count=2; read EIO count=1
          start
-         struck write
-         stands 400
+         fault-injected write
+         sleep 400
          u1 send m1
          u1 expect 202
          e1 expect m1
          e1 send m1 200
          wait delivered=1
          upgrade
-         o health 200
+         admin health 200
          old term
          old exit",
     );
@@ -212,7 +212,7 @@
          start
          u1 send m1
          u2 send m2
-         stands 50
+         sleep 50
          u2 end-sending
          u2 expect 503
          u1 expect 202
@@ -232,7 +232,7 @@
          u1 expect 503
          u1 expect end
          u2 connect
-         stands 50
+         sleep 50
          term
          u2 expect 503
          u2 expect end
@@ -272,7 +272,7 @@
 /// one was read across two, and SIGTERM was never heard.
 #[test]
 fn signals_are_heard_though_reads_are_short_and_interrupted() {
-    let reloads = "reload open=9\n stands 5\n".repeat(12);
+    let reloads = "reload open=9\n sleep 5\n".repeat(12);
     let round = format!(
         "start
          faults recv short chance=0.5; recv EINTR chance=0.5; read short chance=0.5; read EINTR chance=0.5
@@ -296,10 +296,10 @@
          stop
          mark
          u1 send m1 deadline=1000m
-         stands 390
+         sleep 390
          continue
          u1 expect 202
-         p expect m1 returned
+         platform expect m1 returned
          within 1300",
     );
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -237,14 +237,14 @@
     let config = folder.0.join("config.json");
     fs::write(&config, configuration(&folder.0.join("state"), platform).to_string()).expect("written");
     let forwarder = Forwarder::start(&config);
-    let mut seen = Transcript::default();
-    seen.names = vec![
+    let names = vec![
         (platform.to_string(), "PLATFORM"),
         (first.to_string(), "E1"),
         (second.to_string(), "E2"),
         (forwarder.client.to_string(), "CLIENT"),
         (forwarder.operator.to_string(), "OPERATOR"),
     ];
+    let mut seen = Transcript { names, ..Transcript::default() };
 
     let (request, mut watch) = requests.recv_timeout(PATIENCE).expect("a watch");
     seen.add("watch", &request);
@@ -358,8 +358,8 @@
 #[test]
 fn what_the_commands_print_is_as_the_release_in_service_prints_it() {
     let folder = Folder::new("commands");
-    let mut seen = Transcript::default();
-    seen.names = vec![(folder.0.display().to_string(), "FOLDER")];
+    let names = vec![(folder.0.display().to_string(), "FOLDER")];
+    let mut seen = Transcript { names, ..Transcript::default() };
     let good = folder.0.join("good.yaml");
     fs::copy(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden/site.yaml"), &good)
         .expect("copied");
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -2,7 +2,8 @@
 
 mod scenario;
 
-use scenario::{play, program};
+use scenario::play;
+use scenario::process::program;
 
 #[test]
 fn a_message_is_taken_on_sent_and_delivered_over_a_connection_used_again() {
@@ -63,7 +64,7 @@
          wait restored=4
          e1 expect m1
          e1 send m1 200
-         p send e2=active
+         platform send e2=active
          e2 expect m2
          e2 send m2 200
          wait delivered=2 failed=1 returned=1 open=0 notices=2
@@ -90,7 +91,7 @@
          e1 expect m1
          kill
          start
-         p expect m1 failed
+         platform expect m1 failed
          wait attempts=0 open=0",
     );
 }
@@ -101,16 +102,16 @@
     play(
         "with e1=1:one:leaving
          start
-         p mute
+         platform rejects-reports
          u1 send m1 deadline=1000m
          u1 expect 202
          wait notices_owed=1
          kill
-         p send e1=active
+         platform send e1=active
          start
          log notices not taken
-         p speak
-         p expect m1 returned
+         platform accepts-reports
+         platform expect m1 returned
          wait notices_owed=0 attempts=0 restored=1",
     );
 }
@@ -143,7 +144,7 @@
          log \"delivered\":2
          start
          wait restored=1
-         p send e2=active
+         platform send e2=active
          e2 expect m2
          e2 send m2 200
          wait delivered=1",
@@ -191,7 +192,7 @@
          kill
          start
          wait restored=1
-         p send e1=active
+         platform send e1=active
          e1 expect m1",
     );
 }
@@ -210,7 +211,7 @@
          u1 send m4 dest=9 size=10000
          u1 expect 503 Retry-After
          state-under 50000
-         p send b1=active
+         platform send b1=active
          b1 expect m1 m2 m3
          b1 send m1 200 m1=delivered m2=failed m3=failed
          wait delivered=1
@@ -248,11 +249,11 @@
          u1 send m1
          u1 expect 202
          wait opened=1
-         p send e1=leaving
+         platform send e1=leaving
          wait lists>=2
          e1 open
          wait moot=1 attempts=0
-         p send e2=active
+         platform send e2=active
          e2 expect m1
          e2 send m1 200
          wait delivered=1 attempts=1",
@@ -288,7 +289,7 @@
          u1 send m1 deadline=400m
          u1 expect 202
          e1 expect m1
-         p expect m1 failed
+         platform expect m1 failed
          e1 send m1 429 X-RateLimit-Wait-Ms:3000
          log wait heard late
          u1 send m2 deadline=1000m
@@ -332,7 +333,7 @@
          u1 expect 202
          u1 send m3 dest=2
          u1 expect 202
-         p send b1=active
+         platform send b1=active
          b1 expect m1 m2 m3
          b1 send m1 200 m1=delivered m2=refused m3=failed
          b1 expect m2 m3
@@ -352,9 +353,9 @@
          u1 expect 202
          u1 send m2 dest=2 deadline=19000m
          u1 expect 202
-         p send b1=active
+         platform send b1=active
          b1 expect m2 m1
-         p expect m1 failed
+         platform expect m1 failed
          b1 send m2 200 m1=delivered m2=delivered
          wait delivered=1 failed=1 open=0 calls=1 attempts=2 timed_out=1 ok=1",
     );
@@ -370,7 +371,7 @@
          u1 expect 202
          u1 send m2 dest=2
          u1 expect 202
-         p send b1=active
+         platform send b1=active
          b1 expect m1 m2
          b1 send m1 200 X-RateLimit-Wait-Ms:3000 m1=delivered m2=delivered
          wait delivered=2
@@ -486,7 +487,7 @@
          e1 expect m1
          e1 send m1 200
          wait delivered=1
-         p send e1=moved
+         platform send e1=moved
          wait lists>=2
          u1 send m2
          u1 expect 202
@@ -518,11 +519,11 @@
     play(
         "with e1=1 e2=2:one:hidden
          start
-         p expect-watch -
-         p send e2=active
+         platform expect-watch -
+         platform send e2=active
          wait lists>=2
-         p quiet
-         p expect-watch 2
+         platform stops-heartbeats
+         platform expect-watch 2
          log the watch is silent, opening another
          log reason: moved",
     );
@@ -586,18 +587,18 @@
     play(
         "with e1=1 e2=2:one:hidden e3=3:one:hidden
          start
-         p expect-watch -
-         p hold
-         p move
+         platform expect-watch -
+         platform delays-list
+         platform moves
          reload
          log configuration reloaded
-         p expect-watch -
-         p send e2=active
+         platform expect-watch -
+         platform send e2=active
          wait lists=2
-         p unhold
+         platform releases-list
          log reason: moved, side: membership
-         p let-go
-         p send e3=active
+         platform closes-old-watches
+         platform send e3=active
          wait lists>=4
          u1 send m2 dest=2
          u1 expect 202
@@ -619,18 +620,18 @@
     play(
         "with e1=1:one:leaving
          start
-         p mute
+         platform rejects-reports
          u1 send m1 deadline=500m
          u1 expect 202
          log notices not taken
-         p move
-         p speak
+         platform moves
+         platform accepts-reports
          reload
-         p expect m1 returned
+         platform expect m1 returned
          wait notices_owed=0
          u1 send m2 deadline=500m
          u1 expect 202
-         p expect m2 returned",
+         platform expect m2 returned",
     );
 }
 
@@ -661,7 +662,7 @@
         };
         script += "\nstop";
         script += &of("\nuU send mRU dest=1");
-        script += &format!("\np send {from}=leaving\np send {to}=active\nstands 700\ncontinue");
+        script += &format!("\nplatform send {from}=leaving\nplatform send {to}=active\nsleep 700\ncontinue");
         script += &of("\nuU expect 202");
         script += &format!("\n{to} serves m{round}1 m{round}2 m{round}3 m{round}4");
         script += &format!("\nwait delivered={0} attempts={0}", 5 + 4 * round);
@@ -776,18 +777,18 @@
          continue
          log reason: agent-gone
          wait open=1 withdrawn=0 taken=1
-         p send e1=active
+         platform send e1=active
          e1 expect m1
          e1 send m1 200
          wait delivered=1 attempts=1 open=0
-         p mute
+         platform rejects-reports
          u1 send m2 deadline=300m
          u1 expect 202
          wait notices_owed=1
          u2 send m2
          u2 expect 409
-         p speak
-         p expect m2 returned
+         platform accepts-reports
+         platform expect m2 returned
          wait notices_owed=0 open=0
          u2 send m2
          u2 expect 202",
@@ -822,7 +823,7 @@
          u1 send m1 dest=2
          u1 expect 503 Retry-After
          wait taken=0 open=0
-         p send e2=active
+         platform send e2=active
          wait lists>=2
          u1 send m1 dest=2
          u1 expect 202
@@ -901,7 +902,7 @@
     play(
         "with e1=1 e2=2:many e3=3:one:hidden operator=on
          start
-         drip
+         write-byte-by-byte
          u1 send m1 size=40
          u1 expect 202
          e1 expect m1
@@ -917,12 +918,12 @@
          u1 expect 202
          e2 expect m3
          e2 send m3 200 m3=delivered
-         p send e3=active
+         platform send e3=active
          wait lists=2
          u1 send m4 dest=3
          u1 expect 202
          e3 expect m4
-         o cordon e3 200
+         admin cordon e3 200
          e3 send m4 200
          wait delivered=4 reset=0 bad_requests=0",
     );
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -9,19 +9,19 @@
     play(
         "with e1=1 operator=on
          start
-         o health 200
-         o raw 404 GET /admin/nothing HTTP/1.1\\r\\n\\r\\n
-         o raw 404 GET /_health HTTP/1.1\\r\\n\\r\\n
-         o raw 405 POST /admin/health HTTP/1.1\\r\\nContent-Length: 0\\r\\n\\r\\n
-         o raw 405 GET /admin/cordon HTTP/1.1\\r\\n\\r\\n
-         o raw 400 what is this\\r\\n\\r\\n
-         o raw 400 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 3\\r\\n\\r\\ne 1
-         o cordon 400
-         o raw 413 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 99999\\r\\n\\r\\n
-         o raw 408 GET /admin/hea
-         o cordon e7 404
-         o uncordon e7 404
-         o health 200",
+         admin health 200
+         admin raw 404 GET /admin/nothing HTTP/1.1\\r\\n\\r\\n
+         admin raw 404 GET /_health HTTP/1.1\\r\\n\\r\\n
+         admin raw 405 POST /admin/health HTTP/1.1\\r\\nContent-Length: 0\\r\\n\\r\\n
+         admin raw 405 GET /admin/cordon HTTP/1.1\\r\\n\\r\\n
+         admin raw 400 what is this\\r\\n\\r\\n
+         admin raw 400 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 3\\r\\n\\r\\ne 1
+         admin cordon 400
+         admin raw 413 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 99999\\r\\n\\r\\n
+         admin raw 408 GET /admin/hea
+         admin cordon e7 404
+         admin uncordon e7 404
+         admin health 200",
     );
 }
 
@@ -30,12 +30,12 @@
     play(
         "with e1=1 operator=on
          start
-         o crowd 20
-         o health 200
-         o crowd 20 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 2\\r\\n\\r\\ne
-         o cordon e1 200
-         o crowd 20
-         o uncordon e1 200
+         admin crowd 20
+         admin health 200
+         admin crowd 20 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 2\\r\\n\\r\\ne
+         admin cordon e1 200
+         admin crowd 20
+         admin uncordon e1 200
          wait cordoned=0",
     );
 }
@@ -53,8 +53,8 @@
          u2 expect 202
          e1 expect m1
          e2 expect m2
-         o cordon e1 200
-         o cordon e1 200
+         admin cordon e1 200
+         admin cordon e1 200
          u3 send m3
          u3 expect 202
          e1 send m1 200
@@ -62,14 +62,14 @@
          e2 send m2 200
          e2 expect m3
          e2 send m3 200
-         o cordon e3 200
+         admin cordon e3 200
          u4 send m4 dest=2
          u4 expect 202
-         p send e3=active
+         platform send e3=active
          wait lists=2
-         o uncordon e1 200
-         o uncordon e1 200
-         o uncordon e3 200
+         admin uncordon e1 200
+         admin uncordon e1 200
+         admin uncordon e3 200
          e3 expect m4
          e3 send m4 200
          wait delivered=4",
@@ -81,23 +81,23 @@
     play(
         "with e1=1 operator=on
          start
-         o cordon e1 200
+         admin cordon e1 200
          kill
          start
          u1 send m1
          u1 expect 202
-         p send e1=left
+         platform send e1=left
          wait lists=2
-         p send e1=active
+         platform send e1=active
          wait lists=3 calls=0 open=1
          kill
          start
          wait restored=1 calls=0
-         p send e1=left
+         platform send e1=left
          wait lists=2
-         o uncordon e1 200
-         o uncordon e1 404
-         p send e1=active
+         admin uncordon e1 200
+         admin uncordon e1 404
+         platform send e1=active
          e1 expect m1
          e1 send m1 200
          wait delivered=1
@@ -115,7 +115,7 @@
         "with e1=1 operator=on
          start
          state-folder cordons.new
-         o cordon e1 507
+         admin cordon e1 507
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -135,9 +135,9 @@
          u2 connect
          u3 send-raw POST /api HTTP/1.1\\r\\nX-Requ
          wait user_agents>=3
-         o quiesce 200
-         o quiesce 200
-         o health 503
+         admin quiesce 200
+         admin quiesce 200
+         admin health 503
          health 503
          u4 send m4
          u4 expect 202 Connection: close
@@ -150,9 +150,9 @@
          e1 expect m4
          e1 send m4 200
          wait delivered=2
-         o resume 200
-         o resume 200
-         o health 200
+         admin resume 200
+         admin resume 200
+         admin health 200
          health 200
          u5 send m5
          u5 expect 202
@@ -170,7 +170,7 @@
          u1 send m1
          u1 expect 202
          e1 expect m1
-         o quiesce 200
+         admin quiesce 200
          term
          e1 send m1 200
          exit",
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -3,7 +3,8 @@
 mod scenario;
 
 use cedarbridge_registry_standin::{Instance, StandIn};
-use scenario::{play, program};
+use scenario::play;
+use scenario::process::program;
 use std::process::Output;
 
 const SITE: &str = "site {version: 1, registry: {addresses: [\"{registry}\"], poll: 100ms, timeout: 400ms, largest-mb: 1, \
@@ -11,31 +12,31 @@
     back-off: {first: 50ms, longest: 200ms}}}";
 
 fn with(setting: &str, script: &str) {
-    play(&format!("{setting}\nregistry\n{SITE}\n{script}"));
+    play(&format!("{setting}\nstart-registry\n{SITE}\n{script}"));
 }
 
 #[test]
 fn entries_of_the_registry_are_added_drained_and_gone() {
     with(
         "with e1=1:one:hidden e2=1:one:hidden",
-        "r put e1
+        "registry put e1
          start
          wait registry/entries=1
          u1 send m1
          u1 expect 202
          e1 expect m1
          e1 send m1 200
-         r put e2
+         registry put e2
          wait registry/entries=2
-         r status e1 OUT_OF_SERVICE
+         registry status e1 OUT_OF_SERVICE
          wait registry/flaps=1
          u1 send m2
          u1 expect 202
          e2 expect m2
          e2 send m2 200
-         r status e1 UP
+         registry status e1 UP
          log held down
-         r delete e2
+         registry delete e2
          wait registry/entries=1
          u1 send m3
          u1 expect 202
@@ -50,13 +51,13 @@
 fn a_drain_binds_a_call_that_waits_for_its_connection() {
     with(
         "with e1=1:one:hidden:stalled grace=60",
-        "r put e1
+        "registry put e1
          start
          wait registry/entries=1
          u1 send m1
          u1 expect 202
          wait routes/(unmatched)/attempts=1
-         r status e1 DOWN
+         registry status e1 DOWN
          log endpoint left
          e1 open
          log not sent, reason: leaving
@@ -68,24 +69,24 @@
 fn a_silent_registry_leaves_the_view_standing_and_loses_nothing() {
     with(
         "with e1=1:one:hidden",
-        "r put e1
+        "registry put e1
          start
          wait registry/entries=1
-         r silent
+         registry silent
          wait registry/failures>=2
          u1 send m1
          u1 expect 202
          e1 expect m1
          e1 send m1 200
-         r half
+         registry half
          wait registry/failures>=4
          u1 send m2
          u1 expect 202
          e1 expect m2
          e1 send m2 200
          wait delivered=2 registry/entries=1 failed=0 returned=0
-         r speak
-         r status e1 DOWN
+         registry answers
+         registry status e1 DOWN
          wait registry/flaps=1",
     );
 }
@@ -94,13 +95,13 @@
 fn a_start_with_a_silent_registry_serves_the_view_that_was_kept() {
     with(
         "with e1=1:one:hidden",
-        "r put e1
+        "registry put e1
          start
          wait registry/entries=1
          log list changed
          state-holds registry.view
          kill
-         r silent
+         registry silent
          start
          log its last view is served
          wait registry/serves_kept_view=true registry/entries=1
@@ -109,10 +110,10 @@
          e1 expect m1
          e1 send m1 200
          wait delivered=1
-         r speak
+         registry answers
          wait registry/serves_kept_view=false
          kill
-         r silent
+         registry silent
          damage-view
          start
          log its last view is damaged",
@@ -123,15 +124,15 @@
 fn a_start_with_a_silent_registry_and_no_view_serves_the_pushed_list() {
     with(
         "with e1=1 e2=2:one:hidden",
-        "r silent
+        "registry silent
          start
          log no view of it was kept
          u1 send m1
          u1 expect 202
          e1 expect m1
          e1 send m1 200
-         r put e2
-         r speak
+         registry put e2
+         registry answers
          wait registry/entries=1 delivered=1",
     );
 }
@@ -141,13 +142,13 @@
 fn an_instance_that_is_replaced_at_its_address_is_another_endpoint() {
     with(
         "with e1=1:one:hidden",
-        "r put e1
+        "registry put e1
          start
          wait registry/entries=1
          u1 send m1
          u1 expect 202
          e1 expect m1
-         r replace e1 successor
+         registry replace e1 successor
          log id: successor
          e1 send m1 429 X-RateLimit-Wait-Ms:100
          e1 expect m1
@@ -166,16 +167,16 @@
 fn a_lost_delta_is_caught_by_its_hash() {
     with(
         "with e1=1:one:hidden e2=2:one:hidden e3=3:one:hidden",
-        "r put e1 e2 e3
+        "registry put e1 e2 e3
          start
          wait registry/entries=3
-         r silent
+         registry silent
          wait registry/failures>=1
-         r status e1 DOWN
-         r lose-deltas
-         r speak
+         registry status e1 DOWN
+         registry loses-deltas
+         registry answers
          wait registry/flaps=1
-         r asked GET /apps/delta",
+         registry asked GET /apps/delta",
     );
 }
 
@@ -183,18 +184,18 @@
 fn a_registry_that_restarts_empty_is_doubted_and_one_that_stays_empty_believed() {
     with(
         "with e1=1:one:hidden e2=2:one:hidden",
-        "r put e1 e2
+        "registry put e1 e2
          start
          wait registry/entries=2
-         r empty
+         registry restarts-empty
          wait registry/shrinks_not_believed>=1 registry/entries=2
-         r put e1 e2
+         registry put e1 e2
          wait registry/hash_mismatches>=1
          u1 send m1
          u1 expect 202
          e1 expect m1
          e1 send m1 200
-         r empty
+         registry restarts-empty
          wait registry/entries=0 delivered=1",
     );
 }
@@ -203,19 +204,19 @@
 fn a_stale_replica_changes_nothing() {
     play(
         "with e1=1:one:hidden e2=2:one:hidden
-         registry
-         r put e1 e2
-         r freeze-replica
+         start-registry
+         registry put e1 e2
+         registry freezes-replica
          site {version: 1, registry: {addresses: [\"{registry}\", \"{replica}\"], poll: 100ms, timeout: 300ms, shrink: {share: 0.4, confirm: 60s}}}
          start
          wait registry/entries=2
-         r status e1 OUT_OF_SERVICE
+         registry status e1 OUT_OF_SERVICE
          wait registry/flaps=1
-         r silent
+         registry silent
          wait registry/address=1 registry/stale_entries>=1 registry/flaps=1
          u1 send m1 deadline=400m
          u1 expect 202
-         p expect m1 returned
+         platform expect m1 returned
          wait attempts=0",
     );
 }
@@ -224,21 +225,21 @@
 fn answers_in_xml_and_packed_are_read_and_monsters_refused() {
     with(
         "with e1=1:one:hidden e2=2:one:hidden",
-        "r xml
-         r put e1
+        "registry xml
+         registry put e1
          start
          wait registry/entries=1
-         r gzip
-         r put e2
+         registry gzip
+         registry put e2
          wait registry/entries=2
-         r bomb
+         registry sends-gzip-bombs
          log more than 1000000 bytes
-         r speak
-         r huge
+         registry answers
+         registry sends-huge-answers
          log too-large
-         r deep
+         registry sends-deep-nesting
          log not as JSON should be
-         r long-name
+         registry sends-a-long-name
          log a name of 500000 bytes
          wait registry/entries=2
          u1 send m1
@@ -253,17 +254,17 @@
 fn a_reload_moves_to_another_registry_in_mid_traffic() {
     with(
         "with e1=1:one:hidden",
-        "r put e1
+        "registry put e1
          start
          wait registry/entries=1
          u1 send m1
          u1 expect 202
          e1 expect m1
-         r silent
+         registry silent
          site {version: 1, registry: {addresses: [\"{replica}\"], poll: 100ms, hold-down: {first: 100ms, longest: 100ms}}}
          reload open=8
          wait reloads=1
-         r status e1 DOWN
+         registry status e1 DOWN
          wait registry/flaps=1
          e1 send m1 200
          wait delivered=1
@@ -277,22 +278,22 @@
 fn the_forwarder_registers_renews_and_cancels() {
     play(
         "with e1=1
-         registry
+         start-registry
          site {version: 1, registry: {addresses: [\"{registry}\"], poll: 100ms, register: {app: CEDARBRIDGE, renew: 100ms, lease: 1s}}}
          start
-         r holds n0=UP
-         r asked PUT /apps/CEDARBRIDGE/n0
-         r empty
-         r holds n0=UP
+         registry holds n0=UP
+         registry asked PUT /apps/CEDARBRIDGE/n0
+         registry restarts-empty
+         registry holds n0=UP
          u1 send m1
          u1 expect 202
          e1 expect m1
          term
-         r holds n0=OUT_OF_SERVICE
+         registry holds n0=OUT_OF_SERVICE
          e1 send m1 200
          exit
-         r holds n0=
-         r asked DELETE /apps/CEDARBRIDGE/n0",
+         registry holds n0=
+         registry asked DELETE /apps/CEDARBRIDGE/n0",
     );
 }
 
--- a/tests/second.rs
+++ b/tests/second.rs
@@ -86,7 +86,7 @@
          u2 expect 202
          e2 expect m2
          e2 close m2
-         p expect m1 failed
+         platform expect m1 failed
          e2 expect m2
          e2 send m2 200
          wait delivered=1 failed=1 open=0",
@@ -154,14 +154,14 @@
          u1 send m1
          u1 expect 202
          wait opened=1
-         p send e1=leaving
+         platform send e1=leaving
          wait lists=2
          stop
-         stands 600
+         sleep 600
          e1 open
          continue
          log not sent, reason: leaving
-         p send e2=active
+         platform send e2=active
          e2 expect m1
          e2 send m1 200
          wait delivered=1 calls=1",
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,8 @@
 mod scenario;
 
 use cedarbridge::net::config::Config;
-use scenario::{play, program};
+use scenario::play;
+use scenario::process::program;
 use serde_json::{json, Value};
 
 /// A configuration with every setting, none of them at its limit.
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -2,7 +2,8 @@
 
 mod scenario;
 
-use scenario::{play, program};
+use scenario::play;
+use scenario::process::program;
 use std::process::Output;
 
 /// Guards against a slow partner and a fast one sharing a time-out, and against a repeat beyond the route's most.
@@ -19,7 +20,7 @@
          e1 expect m1
          e2 expect m2
          e1 expect m1
-         p expect m1 failed
+         platform expect m1 failed
          e2 send m2 200 m2=delivered
          wait delivered=1 failed=1 timed_out=2 open=0
          wait routes/fast/attempts=2 routes/fast/outcomes/timed_out=2 routes/fast/ends/failed=1 routes/fast/held=0
@@ -42,7 +43,7 @@
          u1 expect 202
          u2 expect 202
          u3 expect 202
-         p expect m2 returned
+         platform expect m2 returned
          wait routes/hasty/ends/returned=1 routes/calm/attempts=2 routes/calm/held=2 timed_out=1 calls=2",
     );
 }
@@ -70,10 +71,10 @@
          u3 send m3
          u3 expect 202
          e1 expect m3
-         p expect m3 failed
+         platform expect m3 failed
          e1 send m1 200
          e2 send m2 503
-         p expect m2 returned
+         platform expect m2 returned
          wait routes/all/ends/delivered=1 routes/all/ends/failed=1 routes/all/ends/returned=1 routes/all/held=0 open=0",
     );
 }
@@ -123,7 +124,7 @@
          site {version: 1, routes: [{name: all, match: {}, timeout: 9s, attempts: 1}]}
          kill
          start
-         p expect m1 failed
+         platform expect m1 failed
          wait attempts=0 open=0",
     );
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -19,8 +19,8 @@
          u3 connect
          upgrade
          wait inherited=2 open=2
-         o health 200
-         old o health 503
+         admin health 200
+         old admin health 503
          u1 send m3
          u1 expect 202 Connection: close
          u1 expect end
@@ -35,7 +35,7 @@
          e1 expect m4
          e1 send m4 200
          old exit
-         p send e2=active
+         platform send e2=active
          e2 expect m2
          e2 send m2 200
          wait delivered=4 open=0 failed=0",
@@ -55,7 +55,7 @@
          e1 expect m2
          upgrade
          old kill
-         p expect m2 failed
+         platform expect m2 failed
          e1 expect m1
          e1 send m1 200
          wait delivered=1 failed=1 open=0",
@@ -71,13 +71,13 @@
          u1 expect 202
          e1 expect m1
          e1 send m1 429 X-RateLimit-Wait-Ms:1500
-         o cordon e2 200
+         admin cordon e2 200
          u2 send m2 dest=2
          u2 expect 202
          wait full=1
          upgrade
          wait inherited=2 calls=0
-         old o uncordon e2 200
+         old admin uncordon e2 200
          e2 expect m2
          e2 send m2 200
          e1 expect m1
@@ -94,9 +94,9 @@
          u1 send m1
          u1 expect 202
          e1 expect m1
-         upgrading
+         begin-upgrade
          kill
-         back
+         forget-upgrade
          u2 send m2
          u2 expect 202
          e1 expect m2
@@ -117,7 +117,7 @@
     play(
         "with e1=1 e2=2 operator=on
          start
-         p mute
+         platform rejects-reports
          u1 send m1 class=once dest=2
          u1 expect 202
          e2 expect m1
@@ -135,8 +135,8 @@
          u3 expect 202
          e1 expect m3
          upgrade
-         p speak
-         p expect m1 failed
+         platform accepts-reports
+         platform expect m1 failed
          e1 send m2 200
          e1 send m3 200
          wait delivered=2 open=0 notices_owed=0
@@ -154,25 +154,25 @@
          u1 send m1
          u1 expect 202
          e1 expect m1
-         heir asks 404 token=guessed
-         heir asks 415 format=1
-         heir asks 200
-         heir leaves
+         successor asks 404 token=guessed
+         successor asks 415 format=1
+         successor asks 200
+         successor disconnects
          log not handed over
          u1 send m2
          u1 expect 202
          e1 expect m2
-         heir asks 200
-         heir reads
+         successor asks 200
+         successor reads-state
          e1 send m2 200
-         o cordon e1 503
+         admin cordon e1 503
          log not handed over
-         heir leaves
+         successor disconnects
          u1 send m3
          u1 expect 202
          e1 send m1 200
          wait delivered=2 open=1 user_agents=2
-         o uncordon e1 200
+         admin uncordon e1 200
          e1 expect m3
          e1 send m3 200
          wait delivered=3
@@ -196,12 +196,12 @@
          e2 expect m2
          e2 send m2 200
          wait delivered=1
-         heir asks 200
-         heir reads
-         heir owns
-         heir leaves
+         successor asks 200
+         successor reads-state
+         successor owns
+         successor disconnects
          log the process that took over is gone
-         fails
+         exit-with-failure
          start
          wait restored=1
          e1 expect m1
@@ -214,12 +214,12 @@
 fn one_that_cannot_be_understood_is_left_to_its_end() {
     play(
         "with e1=1 operator=on
-         older owns
-         upgrading
-         older answers HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n
-         older answers HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\nnoise without end
+         predecessor owns
+         begin-upgrade
+         predecessor answers HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n
+         predecessor answers HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\nnoise without end
          log no hand-over yet, error: too-large
-         older leaves
+         predecessor exits
          upgraded
          u1 send m1
          u1 expect 202
@@ -236,7 +236,7 @@
          u1 expect 202
          e1 expect m1
          stop
-         upgrading
+         begin-upgrade
          log no hand-over yet
          old kill
          upgraded
@@ -260,7 +260,7 @@
          e1 expect m1
          e2 expect m2
          upgrade
-         keep
+         keep-first
          upgrade
          wait inherited=2
          e1 send m1 200
@@ -301,12 +301,12 @@
         "with e1=1 operator=on
          start
          upgrade
-         old o quiesce 200
-         o health 503
+         old admin quiesce 200
+         admin health 503
          health 503
          old term
          old exit
-         o resume 200
+         admin resume 200
          health 200
          u1 send m1
          u1 expect 202
@@ -358,13 +358,13 @@
 fn a_new_process_that_waits_for_an_owner_ends_at_a_term() {
     play(
         "with e1=1 operator=on
-         older owns
-         upgrading
-         older answers HTTP/1.1 503 No\\\\r\\\\nContent-Length: 0\\\\r\\\\n\\\\r\\\\n
+         predecessor owns
+         begin-upgrade
+         predecessor answers HTTP/1.1 503 No\\\\r\\\\nContent-Length: 0\\\\r\\\\n\\\\r\\\\n
          log no hand-over yet
          term
          exit
-         older leaves
+         predecessor exits
          start",
     );
 }
