--- /dev/null
+++ b/crates/endpoint-model/tests/model.rs
@@ -0,0 +1,119 @@
+//! What destinations do with calls, by seed and hand-set time.
+
+use cedarbridge_endpoint_model::{Answer, DestinationModel, DestinationProfile, Fault, Micros, TimedAnswer};
+
+const SECOND: Micros = 1_000_000;
+
+fn profile() -> DestinationProfile {
+    DestinationProfile {
+        endpoints: 2,
+        service_time: 150_000,
+        service_time_variation: 0.5,
+        capacity: 20.0,
+        limit: Some(10.0),
+        rejections_count: false,
+        retry_after: Some(300_000),
+        queue_length: 4,
+        messages_per_call: 10,
+        further_message_cost: 0.1,
+        error_rate: 0.0,
+        slow_start_floor: 0.25,
+        slow_start: 8 * SECOND,
+        overload_multiple: 2.0,
+        overload_window: 3 * SECOND,
+    }
+}
+
+fn unlimited() -> DestinationProfile {
+    DestinationProfile { limit: None, ..profile() }
+}
+
+/// Calls at an even rate: how many of them are delivered.
+fn delivered(destination: &mut DestinationModel, from: Micros, seconds: u64, rate: u64) -> u64 {
+    let interval = SECOND / rate;
+    let calls = (0..seconds * rate).map(|i| destination.call(from + i * interval, (i % 2) as usize, 1));
+    calls.filter(|fate| fate.answer.is_some_and(|a| a.answer == Answer::Ok)).count() as u64
+}
+
+#[test]
+fn the_limit_admits_its_rate_and_the_capacity_its_own() {
+    let admitted = delivered(&mut DestinationModel::new(profile(), 1), 0, 20, 30);
+    assert!((200..=210).contains(&admitted), "{admitted}");
+    let admitted = delivered(&mut DestinationModel::new(unlimited(), 1), 0, 20, 60);
+    assert!((360..=450).contains(&admitted), "{admitted}");
+}
+
+#[test]
+fn a_reduced_limit_admits_its_share_is_reported_and_rises_again() {
+    let mut destination = DestinationModel::new(profile(), 1);
+    destination.set_fault(0, Some(Fault::ReducedLimit(0.5)));
+    let admitted = delivered(&mut destination, SECOND, 20, 30);
+    assert!((100..=106).contains(&admitted), "{admitted}");
+    assert_eq!(destination.call(30 * SECOND, 0, 1).report.expect("reported").rate, 5.0);
+    destination.set_fault(31 * SECOND, None);
+    assert!(!destination.is_warming_up(31 * SECOND), "it was there all the time");
+    let admitted = delivered(&mut destination, 31 * SECOND, 20, 30);
+    assert!((200..=210).contains(&admitted), "{admitted}");
+}
+
+#[test]
+fn the_same_seed_gives_the_same_fates() {
+    let fates = |seed| {
+        let mut destination = DestinationModel::new(profile(), seed);
+        (0..200).map(|i| destination.call(i * 40_000, 0, 1)).collect::<Vec<_>>()
+    };
+    assert_eq!(fates(3), fates(3));
+    assert_ne!(fates(3), fates(4));
+}
+
+#[test]
+fn each_fault_shows_as_what_it_is() {
+    let fate = |fault| {
+        let mut destination = DestinationModel::new(profile(), 1);
+        destination.set_fault(0, Some(fault));
+        destination.call(SECOND, 0, 1)
+    };
+    let at_once = |answer| Some(TimedAnswer { at: SECOND, answer });
+    assert_eq!(fate(Fault::Hang).answer, None);
+    assert!(fate(Fault::Silent).unconnected);
+    assert_eq!(fate(Fault::RefuseConnections).answer, at_once(Answer::ConnectionRefused));
+    assert_eq!(fate(Fault::RejectAll).answer, at_once(Answer::Rejected(None)));
+    assert_eq!(fate(Fault::FailCalls(1.0)).answer, at_once(Answer::Error));
+    let mut well = DestinationModel::new(profile(), 1);
+    let usual = well.call(SECOND, 0, 1).answer.expect("an answer").at - SECOND;
+    let slow = fate(Fault::Slow(10.0)).answer.expect("an answer").at - SECOND;
+    assert!(slow.abs_diff(10 * usual) < 100, "{slow} {usual}");
+}
+
+/// Guards against the end of one fault ending another that still holds.
+#[test]
+fn faults_that_overlap_each_hold_to_their_own_end() {
+    let roomy = DestinationProfile { queue_length: 1000, ..unlimited() };
+    let answer = |faults: Vec<Fault>| {
+        let mut destination = DestinationModel::new(roomy.clone(), 1);
+        destination.set_faults(0, faults);
+        destination.call(SECOND, 0, 1).answer
+    };
+    let usual = answer(vec![]).expect("an answer").at - SECOND;
+    let both = answer(vec![Fault::Slow(3.0), Fault::ResetConnections]).expect("a break");
+    assert_eq!(both.answer, Answer::ConnectionBroken);
+    assert!((both.at - SECOND).abs_diff(3 * usual) < 100, "slow as well: {both:?}");
+    assert_eq!(answer(vec![Fault::Slow(3.0), Fault::Hang]), None);
+    let mut destination = DestinationModel::new(roomy.clone(), 1);
+    destination.set_faults(0, vec![Fault::Hang, Fault::RefuseConnections]);
+    destination.set_faults(SECOND, vec![Fault::RefuseConnections]);
+    assert!(!destination.is_warming_up(SECOND), "not back yet");
+    destination.set_faults(2 * SECOND, vec![]);
+    assert!(destination.is_warming_up(2 * SECOND));
+}
+
+#[test]
+fn a_destination_that_warms_up_is_overloaded_only_beyond_its_budget() {
+    for (rate, overloaded) in [(6, false), (60, true)] {
+        let mut destination = DestinationModel::new(unlimited(), 1);
+        destination.set_fault(0, Some(Fault::Hang));
+        destination.set_fault(10 * SECOND, None);
+        delivered(&mut destination, 10 * SECOND, 8, rate);
+        assert_eq!(destination.overloaded_at().is_some(), overloaded, "at {rate} a second");
+    }
+}
--- a/crates/rehearsal/src/draw.rs
+++ b/crates/rehearsal/src/draw.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{KindOf, PartnerOf, Scenario};
 use crate::world::{plain_fleet, platform, Hand, StopAt, World, START};
 use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
-use cedarbridge_endpoint_model::Model;
+use cedarbridge_endpoint_model::DestinationProfile;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
@@ -36,12 +36,14 @@
     let shares: f64 = (0..names.len()).map(|i| of(i).share).sum();
     let traffic: Vec<f64> = (0..names.len()).map(|i| of(i).share / shares).collect();
     let full = scenario.rate.value;
-    let partners: Vec<Model> = (0..names.len()).map(|i| model(of(i), full * traffic[i])).collect();
+    let partners: Vec<DestinationProfile> =
+        (0..names.len()).map(|i| model(of(i), full * traffic[i])).collect();
     let mut settings = platform().0;
     let (_, mut words) = platform();
     let forwarders = scenario.forwarders.count;
     settings.forwarders = forwarders;
-    let busy: f64 = partners.iter().zip(&traffic).map(|(p, t)| full * t * p.pace as f64 / SECOND).sum();
+    let busy: f64 =
+        partners.iter().zip(&traffic).map(|(p, t)| full * t * p.service_time as f64 / SECOND).sum();
     let slots = (busy / forwarders as f64 * SLOTS).ceil() as usize;
     settings.max_concurrent_calls = scenario.forwarders.slots.unwrap_or(slots.max(3));
     let held = (full / forwarders as f64 * HELD) as usize;
@@ -135,26 +137,27 @@
     }
 }
 
-fn model(of: &PartnerOf, rate: f64) -> Model {
+fn model(of: &PartnerOf, rate: f64) -> DestinationProfile {
     let limited = of.headroom > 0.0;
     let limit = (rate * if limited { of.headroom } else { UNLIMITED }).max(LEAST);
     let capacity = limit * of.spare;
     let small = of.kind == KindOf::SmallPartner;
-    Model {
+    DestinationProfile {
         endpoints: of.endpoints,
-        pace: of.work.0,
-        spread: of.spread,
+        service_time: of.work.0,
+        service_time_variation: of.spread,
         capacity,
         limit: limited.then_some(limit),
-        refused_count: of.refused_count.unwrap_or(small),
-        tells_wait: of.tells_wait.map(|s| s.0),
-        queue: of.queue.unwrap_or((capacity * QUEUE / of.endpoints as f64).ceil() as usize).max(1),
-        per_call: if small { (1, 0.0) } else { (10, 0.12) },
-        errors: of.errors,
-        cold_from: of.cold.0,
-        cold: of.cold.1 .0,
-        fall_multiple: 2.0,
-        fall: 3_000_000,
+        rejections_count: of.refused_count.unwrap_or(small),
+        retry_after: of.tells_wait.map(|s| s.0),
+        queue_length: of.queue.unwrap_or((capacity * QUEUE / of.endpoints as f64).ceil() as usize).max(1),
+        messages_per_call: if small { 1 } else { 10 },
+        further_message_cost: if small { 0.0 } else { 0.12 },
+        error_rate: of.errors,
+        slow_start_floor: of.cold.0,
+        slow_start: of.cold.1 .0,
+        overload_multiple: 2.0,
+        overload_window: 3_000_000,
     }
 }
 
@@ -163,7 +166,7 @@
 
 fn times(
     scenario: &Scenario,
-    partners: &[Model],
+    partners: &[DestinationProfile],
     traffic: &[f64],
     channels: &[(String, f64, f64)],
     number: &impl Fn(&str) -> usize,
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -6,7 +6,7 @@
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::{time, Site};
 use cedarbridge::{Micros, Settings};
-use cedarbridge_endpoint_model::Trouble;
+use cedarbridge_endpoint_model::Fault;
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 use std::path::{Path, PathBuf};
@@ -139,7 +139,7 @@
 
 impl TroubleOf {
     /// The trouble, with its size drawn by a number from 0 to 1.
-    pub fn drawn(&self, draw: f64) -> Trouble {
+    pub fn drawn(&self, draw: f64) -> Fault {
         let size = self.size.map_or(1.0, |r| r.0 + (r.1 - r.0) * draw);
         self.kind.trouble(size)
     }
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -257,7 +257,7 @@
 
     /// For each trouble that a partner returns from: how long after its end the first message was delivered there.
     pub fn returns(&self, world: &World) -> Vec<(usize, Option<Micros>)> {
-        let back = world.troubles.iter().filter(|t| t.3.cools());
+        let back = world.troubles.iter().filter(|t| t.3.is_outage());
         back.map(|t| (t.0, self.next_delivery(t.0, t.2))).collect()
     }
 
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -160,13 +160,13 @@
         for (second, calls) in f.offered[partner].iter().enumerate() {
             let at = START + second as Micros * SECOND;
             let lowered = world.troubles.iter().filter(|t| t.0 == partner && t.1 <= at && at < t.2);
-            let now = limit * lowered.filter_map(|t| t.3.lowers()).product::<f64>();
+            let now = limit * lowered.filter_map(|t| t.3.limit_share()).product::<f64>();
             let part = f64::from(*calls) / now;
             (seconds, over, worst) = (seconds + 1, over + u32::from(part > 1.0), worst.max(part));
             offered += part;
         }
     }
-    let returns = || world.troubles.iter().filter(|t| t.3.cools());
+    let returns = || world.troubles.iter().filter(|t| t.3.is_outage());
     let end = |t: &(usize, Micros, Micros, _)| world.end.saturating_sub(t.2);
     Day {
         served,
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -7,7 +7,7 @@
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::{Lifecycle, Micros, Outcome};
-use cedarbridge_endpoint_model::{Answer, Fate, Trouble};
+use cedarbridge_endpoint_model::{Answer, CallFate, Fault};
 use futures_lite::future;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -77,14 +77,14 @@
     loop {
         let (trouble, changed) = {
             let partners = stage.partners.borrow();
-            (partners[partner].model.trouble(), partners[partner].changed.1.clone())
+            (partners[partner].model.visible_fault(), partners[partner].changed.1.clone())
         };
         // An endpoint that has left the list is gone as a process is.
         let gone = stage.list.borrow()[endpoint] == Lifecycle::Removed && stage.now() > crate::world::START;
         match trouble {
-            Some(Trouble::Refuse) => (listener, closed_to_all) = (None, None),
-            Some(Trouble::Silent) if closed_to_all.is_some() => {}
-            Some(Trouble::Silent) => {
+            Some(Fault::RefuseConnections) => (listener, closed_to_all) = (None, None),
+            Some(Fault::Silent) if closed_to_all.is_some() => {}
+            Some(Fault::Silent) => {
                 listener = None;
                 closed_to_all = deaf(address).ok();
             }
@@ -143,7 +143,11 @@
         match future::or(came, other).await {
             Some(Ok(n)) if n > 0 => {}
             Some(_) => return,
-            None if matches!(stage.partners.borrow()[partner].model.trouble(), Some(Trouble::Refuse)) => {
+            None if matches!(
+                stage.partners.borrow()[partner].model.visible_fault(),
+                Some(Fault::RefuseConnections)
+            ) =>
+            {
                 return reset(&wire);
             }
             None => continue,
@@ -205,8 +209,8 @@
         let mut partners = stage.partners.borrow_mut();
         let p = &mut partners[partner];
         let stranded = p.half_open.is_some_and(|since| opened < since);
-        let fate = if stranded && p.model.trouble() == Some(Trouble::HalfOpen) {
-            Fate { answer: None, report: None, unconnected: false }
+        let fate = if stranded && p.model.visible_fault() == Some(Fault::HalfOpenConnections) {
+            CallFate { answer: None, report: None, unconnected: false }
         } else {
             p.model.call(now, stage.world.list[endpoint].2, carried.len())
         };
@@ -220,7 +224,7 @@
         }
     };
     // Until the answer is due, the forwarder may give up and a trouble may take what is under way.
-    let mut due = fate.answer.map(|a| a.0);
+    let mut due = fate.answer.map(|a| a.at);
     loop {
         let changed: Receiver<()> = stage.partners.borrow()[partner].changed.1.clone();
         let answer = async {
@@ -260,19 +264,20 @@
             }
         }
     }
-    let (_, answer) = fate.answer.expect("one that was due");
-    let load =
-        fate.report.map_or(String::new(), |(left, rate)| format!("X-Load: x0={left:.4},x1={rate:.4}\r\n"));
+    let answer = fate.answer.expect("one that was due").answer;
+    let load = fate
+        .report
+        .map_or(String::new(), |r| format!("X-Load: x0={:.4},x1={:.4}\r\n", r.remaining_share, r.rate));
     let (status, extra, outcome) = match answer {
         Answer::Ok => ("200 OK", String::new(), Outcome::Ok),
         Answer::Error => ("500 Failed", String::new(), Outcome::Error),
-        Answer::Full(None) => ("503 Full", String::new(), Outcome::Rejected(None)),
-        Answer::Full(Some(wait)) => (
+        Answer::Rejected(None) => ("503 Full", String::new(), Outcome::Rejected(None)),
+        Answer::Rejected(Some(wait)) => (
             "429 Full",
             format!("X-RateLimit-Wait-Ms: {:.3}\r\n", wait as f64 / 1e3),
             Outcome::Rejected(Some(wait)),
         ),
-        Answer::Broken | Answer::Refused => {
+        Answer::ConnectionBroken | Answer::ConnectionRefused => {
             back(Outcome::Reset);
             return Some(Outcome::Reset);
         }
--- a/crates/rehearsal/src/live/fault.rs
+++ b/crates/rehearsal/src/live/fault.rs
@@ -5,7 +5,7 @@
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::Lifecycle;
-use cedarbridge_endpoint_model::Trouble;
+use cedarbridge_endpoint_model::Fault;
 use futures_lite::{future, io};
 use std::cell::Cell;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +14,7 @@
 
 /// What the proxy does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Fault {
+pub enum ProxyFault {
     /// Sends every tenth call a second time, while the first is out.
     Twice,
     /// Sends every tenth call thirteen times more, one after the other.
@@ -33,10 +33,10 @@
     BothEnds,
 }
 
-impl Fault {
+impl ProxyFault {
     /// It sits before a partner's endpoints, not before the agent.
     pub fn at_calls(self) -> bool {
-        !matches!(self, Fault::KeepNotices | Fault::BothEnds)
+        !matches!(self, ProxyFault::KeepNotices | ProxyFault::BothEnds)
     }
 }
 
@@ -52,15 +52,15 @@
     stage: &Rc<Stage>,
     endpoint: usize,
     real: SocketAddr,
-    fault: Fault,
+    fault: ProxyFault,
 ) -> Result<SocketAddr, Failure> {
     let (listener, address) = listen()?;
     let stage = stage.clone();
     stage.clone().spawn(async move {
         let (count, last) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
-            Fault::AfterDrain => stage.spawn(after_drain(stage.clone(), endpoint, real, last.clone())),
-            Fault::Push => stage.spawn(push(stage.clone(), endpoint, real, last.clone())),
+            ProxyFault::AfterDrain => stage.spawn(after_drain(stage.clone(), endpoint, real, last.clone())),
+            ProxyFault::Push => stage.spawn(push(stage.clone(), endpoint, real, last.clone())),
             _ => {}
         }
         while let Ok((stream, _)) = listener.accept().await {
@@ -74,11 +74,11 @@
 }
 
 /// A call as it is sent on.
-fn call(head: &RequestHead, body: &[u8], fault: Fault) -> Vec<u8> {
+fn call(head: &RequestHead, body: &[u8], fault: ProxyFault) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
         if let Some(value) = head.fields.get(name) {
-            let odd = if fault == Fault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
+            let odd = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
             text += &format!("{name}: {value}{odd}\r\n");
         }
     }
@@ -109,7 +109,7 @@
     stage: &Rc<Stage>,
     mut from: HttpConnection,
     real: SocketAddr,
-    fault: Fault,
+    fault: ProxyFault,
     count: &Cell<u32>,
     last: &Cell<Option<Vec<u8>>>,
 ) -> Option<()> {
@@ -120,7 +120,7 @@
         count.set(count.get() + 1);
         last.set(Some(bytes.clone()));
         let tenth = count.get() % 10 == 1;
-        if fault == Fault::Twice && tenth {
+        if fault == ProxyFault::Twice && tenth {
             let bytes = bytes.clone();
             stage.spawn(async move {
                 send(real, &bytes).await;
@@ -135,13 +135,13 @@
         let (answer, wait, status) = future::or(sent, left).await?;
         from.write(&answer).await.ok()?;
         match (fault, wait) {
-            (Fault::InWait, Some(wait)) if wait > 250.0 => {
+            (ProxyFault::InWait, Some(wait)) if wait > 250.0 => {
                 stage.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
                     send(real, &bytes).await;
                 });
             }
-            (Fault::Thirteen, _) if tenth && status == 200 => {
+            (ProxyFault::Thirteen, _) if tenth && status == 200 => {
                 stage.spawn(async move {
                     for _ in 0..13 {
                         send(real, &bytes).await;
@@ -165,10 +165,10 @@
 
 async fn push(stage: Rc<Stage>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
     let partner = stage.world.list[endpoint].1;
-    let away = |t: Option<Trouble>| t.is_some_and(|t| matches!(t, Trouble::Hang | Trouble::Refuse));
+    let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
     let mut was_away = false;
     loop {
-        let trouble = stage.partners.borrow()[partner].model.trouble();
+        let trouble = stage.partners.borrow()[partner].model.visible_fault();
         if was_away && !away(trouble) {
             let Some(bytes) = last.take() else { return };
             for _ in 0..400 {
@@ -186,7 +186,11 @@
 }
 
 /// A proxy before an agent.
-pub(crate) fn before_agent(stage: &Rc<Stage>, real: SocketAddr, fault: Fault) -> Result<SocketAddr, Failure> {
+pub(crate) fn before_agent(
+    stage: &Rc<Stage>,
+    real: SocketAddr,
+    fault: ProxyFault,
+) -> Result<SocketAddr, Failure> {
     let (listener, address) = listen()?;
     let stage = stage.clone();
     stage.clone().spawn(async move {
@@ -199,7 +203,7 @@
     Ok(address)
 }
 
-async fn tell(stream: Async<TcpStream>, real: SocketAddr, fault: Fault) -> Option<()> {
+async fn tell(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
     let mut from = HttpConnection::new(stream);
     loop {
         let head = from.read_request().await.ok()?;
@@ -214,7 +218,7 @@
             return None;
         }
         let mut body = from.request_body(&head, 1 << 22).await.ok()?;
-        if fault == Fault::BothEnds {
+        if fault == ProxyFault::BothEnds {
             let text = String::from_utf8_lossy(&body).into_owned();
             let other = |l: &str| match l.contains("\"failed\"") {
                 true => l.replace("\"failed\"", "\"returned\""),
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -24,9 +24,9 @@
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::routes::{Plan, Timing};
 use cedarbridge::{BreakerState, ClassId, DestinationId, KindId, Lifecycle, Micros};
-use cedarbridge_endpoint_model::{Partner, Trouble};
+use cedarbridge_endpoint_model::{DestinationModel, Fault};
 use daemon::Daemon;
-use fault::Fault;
+use fault::ProxyFault;
 use futures_lite::{future, FutureExt, StreamExt};
 use hdrhistogram::Histogram;
 use rand::SeedableRng;
@@ -66,7 +66,7 @@
     /// What the forwarders log, by the daemon's own word for it.
     pub log_level: String,
     /// A fault put between a forwarder and the rest, to see it caught.
-    pub fault: Option<Fault>,
+    pub fault: Option<ProxyFault>,
     /// Broken off after this.
     pub limit: Duration,
 }
@@ -129,7 +129,7 @@
 #[derive(Clone, Copy, Debug)]
 pub enum Ask {
     /// Strike a partner with a trouble, or let all of its struck troubles end.
-    Strike(usize, Option<Trouble>),
+    Strike(usize, Option<Fault>),
     /// Break the run off.
     Quit,
 }
@@ -143,7 +143,7 @@
 
 /// A partner at work, with what its connections must know.
 struct Live {
-    model: Partner,
+    model: DestinationModel,
     /// Connections from before this lead nowhere, while it is half-open.
     half_open: Option<Micros>,
     /// Counts up as a trouble takes what is under way; calls look at it.
@@ -153,7 +153,7 @@
     /// Waiters for a change of trouble.
     changed: (Sender<()>, Receiver<()>),
     /// Troubles struck by hand.
-    struck: Vec<Trouble>,
+    struck: Vec<Fault>,
 }
 
 /// Everything of a run, shared by its tasks.
@@ -258,21 +258,21 @@
     }
 
     /// The troubles of a partner have changed: by the day's plan, or by hand.
-    fn trouble(&self, partner: usize, begun: Option<Trouble>) {
+    fn trouble(&self, partner: usize, begun: Option<Fault>) {
         let now = self.now();
         let planned = self.world.troubles.iter().filter(|t| t.0 == partner && t.1 <= now && now < t.2);
-        let mut all: Vec<Trouble> = planned.map(|t| t.3).collect();
+        let mut all: Vec<Fault> = planned.map(|t| t.3).collect();
         let mut partners = self.partners.borrow_mut();
         let p = &mut partners[partner];
         all.extend(&p.struck);
-        p.half_open = match all.contains(&Trouble::HalfOpen) {
+        p.half_open = match all.contains(&Fault::HalfOpenConnections) {
             true => p.half_open.or(Some(now)),
             false => None,
         };
-        p.model.set_troubles(now, all);
-        if let Some(taken) = begun.and_then(Trouble::takes_under_way) {
+        p.model.set_faults(now, all);
+        if let Some(taken) = begun.and_then(Fault::effect_on_calls_in_flight) {
             p.taken += 1;
-            p.breaks = taken == cedarbridge_endpoint_model::Taken::Broken;
+            p.breaks = taken == cedarbridge_endpoint_model::InFlightEffect::Broken;
         }
         // All who wait are woken by the channel's end.
         let (sender, receiver) = async_channel::bounded(1);
@@ -322,7 +322,7 @@
     fits(&world)?;
     let executor = Rc::new(LocalExecutor::new());
     let partners = world.partners.iter().zip(0u64..).map(|(m, n)| Live {
-        model: Partner::new(m.clone(), seed ^ n << 16),
+        model: DestinationModel::new(m.clone(), seed ^ n << 16),
         half_open: None,
         taken: 0,
         breaks: false,
@@ -400,7 +400,7 @@
         .borrow()
         .iter()
         .enumerate()
-        .filter_map(|(n, p)| Some((n, p.model.fallen()?)))
+        .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
         .collect();
     let mut audit = stage.audit.replace(Audit::new(&stage.world.settings, (0, 0, 0), SOCKETS));
     audit.close(now, fallen.into_iter());
--- a/crates/rehearsal/src/play.rs
+++ b/crates/rehearsal/src/play.rs
@@ -13,7 +13,7 @@
     EndpointListUpdate, Event, KindId, Lifecycle, LoadReport, MessageId, Micros, NewMessage, Outcome,
     TenantId,
 };
-use cedarbridge_endpoint_model::{Answer, Partner, Taken, Trouble};
+use cedarbridge_endpoint_model::{Answer, DestinationModel, Fault, InFlightEffect};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rayon::prelude::*;
@@ -155,7 +155,7 @@
     plan: Option<Arc<Plan>>,
     settings: cedarbridge::Settings,
     seed: u64,
-    partners: Vec<Partner>,
+    partners: Vec<DestinationModel>,
     forwarders: Vec<Forwarder>,
     messages: Vec<Message>,
     calls: Vec<Call>,
@@ -219,7 +219,7 @@
     let mut day = Day {
         audit: Audit::new(&settings, (couriers, world.partners.len(), world.list.len()), VIRTUAL),
         figures: Figures::new(world),
-        partners: partners.map(|(m, n)| Partner::new(m.clone(), seed ^ n << 16)).collect(),
+        partners: partners.map(|(m, n)| DestinationModel::new(m.clone(), seed ^ n << 16)).collect(),
         out: vec![Vec::new(); world.partners.len()],
         links: vec![Link::default(); couriers * world.list.len()],
         size,
@@ -244,7 +244,7 @@
     day.begin();
     day.run(tell);
     let fallen: Vec<_> =
-        day.partners.iter().enumerate().filter_map(|(i, p)| Some((i, p.fallen()?))).collect();
+        day.partners.iter().enumerate().filter_map(|(i, p)| Some((i, p.overloaded_at()?))).collect();
     day.audit.close(day.now, fallen.into_iter());
     (day.figures, day.audit.broken)
 }
@@ -373,12 +373,12 @@
         for partner in touched.collect::<std::collections::BTreeSet<_>>() {
             let of = || world.troubles.iter().filter(move |t| t.0 == partner);
             let held = of().filter(|t| t.1 <= now && now < t.2).map(|t| t.3).collect();
-            self.partners[partner].set_troubles(now, held);
+            self.partners[partner].set_faults(now, held);
             for begun in of().filter(|t| t.1 == now).map(|t| t.3) {
-                if begun == Trouble::HalfOpen {
+                if begun == Fault::HalfOpenConnections {
                     self.strand(partner);
                 }
-                if let Some(taken) = begun.takes_under_way() {
+                if let Some(taken) = begun.effect_on_calls_in_flight() {
                     self.take_under_way(partner, taken);
                 }
             }
@@ -396,14 +396,14 @@
     }
 
     /// What a partner had in work comes to nothing.
-    fn take_under_way(&mut self, partner: usize, taken: Taken) {
+    fn take_under_way(&mut self, partner: usize, taken: InFlightEffect) {
         for number in self.out[partner].clone() {
             if !self.calls[number].arrived {
                 continue;
             }
             let answer = match taken {
-                Taken::Broken => Some((self.now + self.network(), Outcome::Reset)),
-                Taken::Silent => None,
+                InFlightEffect::Broken => Some((self.now + self.network(), Outcome::Reset)),
+                InFlightEffect::Silent => None,
             };
             self.settle(number, answer, None, false);
         }
@@ -797,20 +797,20 @@
         let link = &mut self.links[forwarder * self.world.list.len() + endpoint];
         if link.stranded > 0 {
             link.stranded -= 1;
-            if self.partners[partner].trouble() == Some(Trouble::HalfOpen) {
+            if self.partners[partner].visible_fault() == Some(Fault::HalfOpenConnections) {
                 return self.settle(number, None, None, false);
             }
         }
         self.figures.call(self.now, partner);
         let fate = self.partners[partner].call(self.now, place, parts);
         let back = self.network();
-        let report = fate.report.map(|(left, rate)| LoadReport { remaining_share: left, rate });
-        let answer = match fate.answer {
-            Some((_, Answer::Refused)) => Some((self.now + back, Outcome::ConnectFailed)),
+        let report = fate.report.map(|r| LoadReport { remaining_share: r.remaining_share, rate: r.rate });
+        let answer = match fate.answer.map(|a| (a.at, a.answer)) {
+            Some((_, Answer::ConnectionRefused)) => Some((self.now + back, Outcome::ConnectFailed)),
             Some((at, Answer::Ok)) => Some((at + back, Outcome::Ok)),
-            Some((at, Answer::Broken)) => Some((at + back, Outcome::Reset)),
+            Some((at, Answer::ConnectionBroken)) => Some((at + back, Outcome::Reset)),
             Some((at, Answer::Error)) => Some((at + back, Outcome::Error)),
-            Some((at, Answer::Full(wait))) => Some((at + back, Outcome::Rejected(wait))),
+            Some((at, Answer::Rejected(wait))) => Some((at + back, Outcome::Rejected(wait))),
             None if fate.unconnected => Some((sent + DIAL, Outcome::ConnectFailed)),
             None => None,
         };
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -8,7 +8,7 @@
 use cedarbridge_rehearsal::experiment::Unfit;
 use cedarbridge_rehearsal::figures::Figures;
 use cedarbridge_rehearsal::fleet::{self, Row, Way};
-use cedarbridge_rehearsal::live::fault::Fault;
+use cedarbridge_rehearsal::live::fault::ProxyFault;
 use cedarbridge_rehearsal::live::{self, Options};
 use cedarbridge_rehearsal::play::{play, play_telling};
 use cedarbridge_rehearsal::report::mean;
@@ -86,7 +86,7 @@
         &self,
         folder: &Folder,
         program: Option<&Path>,
-        fault: Option<Fault>,
+        fault: Option<ProxyFault>,
         log_level: &str,
     ) -> Result<Options, Unfit> {
         let own = std::env::current_exe().map_err(system)?;
@@ -137,7 +137,7 @@
     pub plain: bool,
     /// A fault put between forwarder and partners, to see that it is caught
     #[arg(long, hide = true)]
-    pub fault: Option<Fault>,
+    pub fault: Option<ProxyFault>,
 }
 
 /// A folder that goes when it is dropped.
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use crate::experiment::Span;
 use cedarbridge::Micros;
-use cedarbridge_endpoint_model::Trouble;
+use cedarbridge_endpoint_model::Fault;
 use serde::Deserialize;
 use serde_saphyr::{Location, Spanned};
 use std::collections::BTreeSet;
@@ -277,17 +277,17 @@
 
 impl TroubleKind {
     /// What the partner model knows it as; the size is a factor or a share, where the kind has one.
-    pub fn trouble(self, size: f64) -> Trouble {
+    pub fn trouble(self, size: f64) -> Fault {
         match self {
-            TroubleKind::Slow => Trouble::Slow(size),
-            TroubleKind::Hang => Trouble::Hang,
-            TroubleKind::Refuse => Trouble::Refuse,
-            TroubleKind::Fail => Trouble::Fail(size),
-            TroubleKind::Shut => Trouble::Shut,
-            TroubleKind::Silent => Trouble::Silent,
-            TroubleKind::Reset => Trouble::Reset,
-            TroubleKind::HalfOpen => Trouble::HalfOpen,
-            TroubleKind::Lowered => Trouble::Lowered(size),
+            TroubleKind::Slow => Fault::Slow(size),
+            TroubleKind::Hang => Fault::Hang,
+            TroubleKind::Refuse => Fault::RefuseConnections,
+            TroubleKind::Fail => Fault::FailCalls(size),
+            TroubleKind::Shut => Fault::RejectAll,
+            TroubleKind::Silent => Fault::Silent,
+            TroubleKind::Reset => Fault::ResetConnections,
+            TroubleKind::HalfOpen => Fault::HalfOpenConnections,
+            TroubleKind::Lowered => Fault::ReducedLimit(size),
         }
     }
 }
@@ -311,7 +311,7 @@
 
 impl TroubleOf {
     /// What the partner model knows it as.
-    pub fn trouble(&self) -> Trouble {
+    pub fn trouble(&self) -> Fault {
         self.kind.value.trouble(self.size.unwrap_or(1.0))
     }
 }
--- a/crates/rehearsal/src/verdict.rs
+++ b/crates/rehearsal/src/verdict.rs
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use crate::world::{World, START};
 use cedarbridge::{BreakerState, Micros};
-use cedarbridge_endpoint_model::Trouble;
+use cedarbridge_endpoint_model::Fault;
 use plotters::prelude::*;
 use quick_junit::{NonSuccessKind, TestCase, TestCaseStatus, TestSuite};
 use serde_json::{json, Value};
@@ -553,17 +553,17 @@
 }
 
 /// What a trouble is called in a scenario.
-pub fn word(trouble: Trouble) -> String {
+pub fn word(trouble: Fault) -> String {
     match trouble {
-        Trouble::Slow(factor) => format!("slow ×{factor}"),
-        Trouble::Fail(share) => format!("fails {:.0}%", share * 100.0),
-        Trouble::Hang => "hangs".into(),
-        Trouble::Refuse => "refuses".into(),
-        Trouble::Shut => "shut".into(),
-        Trouble::Silent => "silent".into(),
-        Trouble::Reset => "resets".into(),
-        Trouble::HalfOpen => "half-open".into(),
-        Trouble::Lowered(share) => format!("limit at {:.0}%", share * 100.0),
+        Fault::Slow(factor) => format!("slow ×{factor}"),
+        Fault::FailCalls(share) => format!("fails {:.0}%", share * 100.0),
+        Fault::Hang => "hangs".into(),
+        Fault::RefuseConnections => "refuses".into(),
+        Fault::RejectAll => "shut".into(),
+        Fault::Silent => "silent".into(),
+        Fault::ResetConnections => "resets".into(),
+        Fault::HalfOpenConnections => "half-open".into(),
+        Fault::ReducedLimit(share) => format!("limit at {:.0}%", share * 100.0),
     }
 }
 
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -4,7 +4,7 @@
 use crate::live::{Ask, Progress, Told};
 use crate::table::{Row, Sorted, Table};
 use async_channel::{Receiver, Sender};
-use cedarbridge_endpoint_model::Trouble;
+use cedarbridge_endpoint_model::Fault;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
 use std::io::IsTerminal;
 use std::thread::JoinHandle;
@@ -90,12 +90,12 @@
 }
 
 /// The troubles that can be struck by hand, by key.
-const STRIKES: [(char, &str, Trouble); 5] = [
-    ('h', "hang", Trouble::Hang),
-    ('r', "refuse", Trouble::Refuse),
-    ('w', "slow ×6", Trouble::Slow(6.0)),
-    ('f', "fail half", Trouble::Fail(0.5)),
-    ('x', "shut", Trouble::Shut),
+const STRIKES: [(char, &str, Fault); 5] = [
+    ('h', "hang", Fault::Hang),
+    ('r', "refuse", Fault::RefuseConnections),
+    ('w', "slow ×6", Fault::Slow(6.0)),
+    ('f', "fail half", Fault::FailCalls(0.5)),
+    ('x', "shut", Fault::RejectAll),
 ];
 
 fn screen(title: &str, names: Vec<String>, heard: &Receiver<Told>, ask: &Sender<Ask>) {
@@ -149,7 +149,7 @@
     ratatui::restore();
 }
 
-fn strike(table: &Table, ask: &Sender<Ask>, trouble: Option<Trouble>) {
+fn strike(table: &Table, ask: &Sender<Ask>, trouble: Option<Fault>) {
     if let Some(partner) = table.chosen() {
         let _ = ask.try_send(Ask::Strike(partner as usize, trouble));
     }
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -8,7 +8,7 @@
     Class, Decay, DedupScope, DestinationId, EndpointEntry, EndpointId, Idempotency, Kind, KindId, Lifecycle,
     Micros, Settings, Tenant, WeightSource, ZoneId,
 };
-use cedarbridge_endpoint_model::{Model, Trouble};
+use cedarbridge_endpoint_model::{DestinationProfile, Fault};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -80,7 +80,7 @@
 /// A day, before it is played.
 pub struct World {
     /// By number; the busiest first.
-    pub partners: Vec<Model>,
+    pub partners: Vec<DestinationProfile>,
     /// The kind of each partner.
     pub kinds: Vec<usize>,
     /// Its share of the traffic.
@@ -100,7 +100,7 @@
     /// All messages, in the order of time.
     pub hands: Vec<Hand>,
     /// What goes wrong: partner, begin, end, what.
-    pub troubles: Vec<(usize, Micros, Micros, Trouble)>,
+    pub troubles: Vec<(usize, Micros, Micros, Fault)>,
     /// How many of the list's endpoints are listed from the begin on.
     pub listed: usize,
     /// What the list tells later: when, of which endpoint, what.
@@ -198,16 +198,19 @@
         let kinds: Vec<usize> =
             (0..of.count).map(|i| usize::from(i % 2 == 1 || i >= of.count * 2 / 3)).collect();
         let work = pick(&mut rng, of.work_ms) * 1000.0;
-        let mut partners: Vec<Model> = (0..of.count)
+        let mut partners: Vec<DestinationProfile> = (0..of.count)
             .map(|i| draw_partner(&mut rng, experiment, full * traffic[i], kinds[i], work))
             .collect();
-        of.paces.iter().for_each(|p| partners[p.rank - 1].pace = p.work.0);
+        of.paces.iter().for_each(|p| partners[p.rank - 1].service_time = p.work.0);
         let mut settings = platform().0;
         let load = pick(&mut rng, load);
         settings.forwarders = experiment.forwarders;
         let each = full / experiment.forwarders as f64;
-        let busy: f64 =
-            partners.iter().zip(&traffic).map(|(p, t)| full * t * p.pace as f64 / SECOND as f64).sum();
+        let busy: f64 = partners
+            .iter()
+            .zip(&traffic)
+            .map(|(p, t)| full * t * p.service_time as f64 / SECOND as f64)
+            .sum();
         let slots = busy / experiment.forwarders as f64 * pick(&mut rng, (1.8, 2.4));
         settings.max_concurrent_calls = (slots.ceil() as usize).max(3);
         settings.max_open_messages = ((each * pick(&mut rng, (7.1, 11.0))) as usize).max(8);
@@ -268,7 +271,13 @@
     }
 }
 
-fn draw_partner(rng: &mut ChaCha8Rng, experiment: &Experiment, rate: f64, kind: usize, work: f64) -> Model {
+fn draw_partner(
+    rng: &mut ChaCha8Rng,
+    experiment: &Experiment,
+    rate: f64,
+    kind: usize,
+    work: f64,
+) -> DestinationProfile {
     let of = &experiment.partners;
     let headroom = pick(rng, of.headroom);
     let spare = pick(rng, of.spare);
@@ -279,21 +288,22 @@
     let endpoints = if rate > 6.0 { rng.random_range(1..=4) } else { rng.random_range(1..=2) };
     let capacity = limit * spare;
     let depth = pick(rng, (0.44, 0.99));
-    Model {
+    DestinationProfile {
         endpoints,
-        pace: (work * unlike) as Micros,
-        spread: pick(rng, (0.36, 0.8)),
+        service_time: (work * unlike) as Micros,
+        service_time_variation: pick(rng, (0.36, 0.8)),
         capacity,
         limit: limited.then_some(limit),
-        refused_count: kind == 1,
-        tells_wait: None,
-        queue: ((capacity * depth / endpoints as f64).ceil() as usize).max(1),
-        per_call: if kind == 0 { (10, pick(rng, (0.074, 0.18))) } else { (1, 0.0) },
-        errors: pick(rng, (0.0, if kind == 0 { 0.01 } else { 0.005 })),
-        cold_from: pick(rng, (0.23, 0.33)),
-        cold: (pick(rng, (7.4, 9.4)) * SECOND as f64) as Micros,
-        fall_multiple: 2.0,
-        fall: 3 * SECOND,
+        rejections_count: kind == 1,
+        retry_after: None,
+        queue_length: ((capacity * depth / endpoints as f64).ceil() as usize).max(1),
+        messages_per_call: if kind == 0 { 10 } else { 1 },
+        further_message_cost: if kind == 0 { pick(rng, (0.074, 0.18)) } else { 0.0 },
+        error_rate: pick(rng, (0.0, if kind == 0 { 0.01 } else { 0.005 })),
+        slow_start_floor: pick(rng, (0.23, 0.33)),
+        slow_start: (pick(rng, (7.4, 9.4)) * SECOND as f64) as Micros,
+        overload_multiple: 2.0,
+        overload_window: 3 * SECOND,
     }
 }
 
@@ -301,7 +311,7 @@
 fn draw_hands(
     rng: &mut ChaCha8Rng,
     experiment: &Experiment,
-    partners: &[Model],
+    partners: &[DestinationProfile],
     traffic: &[f64],
     settings: &Settings,
     rate: f64,
