--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -1,45 +1,46 @@
-//! The invariants, held against what clients, endpoints and the platform saw. It knows nothing of the forwarders' own records.
+//! Checks the invariants against what clients, endpoints and the platform observed. It knows nothing of the forwarders' own
+//! records.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Every limit of time is so much longer on sockets.
-const SOCKETS: Duration = Duration::from_millis(50);
-/// A final answer may come so long after a message's time.
-const ANSWER: Duration = Duration::from_millis(300);
-/// Calls within this of the moment in which a pause was told were under way.
-const UNDER_WAY: Duration = Duration::from_millis(100);
+/// Slack for every time limit: what sockets and scheduling take.
+const SOCKET_SLACK: Duration = Duration::from_millis(50);
+/// A message's end may come so long after its deadline.
+const END_SLACK: Duration = Duration::from_millis(300);
+/// Calls within this of a `retry_after` or an end were already in flight.
+const IN_FLIGHT_SLACK: Duration = Duration::from_millis(100);
 /// A forwarder owes nothing until so long after it is ready again.
-const READY_AGAIN: Duration = Duration::from_millis(1_500);
+const RECOVERY: Duration = Duration::from_millis(1_500);
 /// Attempts for one message.
 pub const MAX_ATTEMPTS: usize = 12;
-/// Work may go to an endpoint for so long after its forwarder was told that it leaves.
+/// Calls may go to an endpoint for so long after its forwarder was notified that it drains.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// What a repeat of a message of a class may do.
+/// Whether a message of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
-    /// Anything.
-    Safe,
-    /// It is dropped for a while, perhaps in the zone of the first attempt only.
-    Keyed { window: Duration, by_zone: bool },
-    /// It must not be.
-    Unsafe,
+pub enum Idempotency {
+    /// At will.
+    Idempotent,
+    /// Endpoints deduplicate by key for a while, perhaps only in the zone of the first attempt.
+    WithKey { window: Duration, by_zone: bool },
+    /// Never.
+    NonIdempotent,
 }
 
-/// How an attempt ended, as its endpoint saw it.
+/// How an attempt ended, as its endpoint observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CallEnd {
+pub enum AttemptOutcome {
     /// Answered with 200.
     Delivered,
-    /// Turned away: it never ran.
-    Refused,
+    /// Rejected: it never ran.
+    Rejected,
     /// It may have run.
-    Unsure,
+    MayHaveRun,
 }
 
-/// How a message ended, as the platform was told.
+/// How a message ended by its delivery report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report {
     Failed,
@@ -63,44 +64,66 @@
 struct Call {
     begun: Instant,
     zone: usize,
-    ended: Option<(Instant, CallEnd)>,
+    ended: Option<(Instant, AttemptOutcome)>,
 }
 
 struct Message {
     forwarder: usize,
     destination: usize,
-    effect: Effect,
+    idempotency: Idempotency,
     deadline: Instant,
-    taken: bool,
+    accepted: bool,
     calls: Vec<Call>,
     delivered: Option<Instant>,
     report: Option<(Instant, Report)>,
 }
 
-/// All that was seen.
-pub struct Judge {
+/// Where an attempt came.
+#[derive(Clone, Copy, Debug)]
+pub struct CallTarget {
+    pub endpoint: usize,
+    pub destination: usize,
+    pub zone: usize,
+}
+
+/// A pause that an endpoint asked for.
+struct RetryAfter {
+    since: Instant,
+    until: Instant,
+}
+
+/// A time in which a forwarder is down or stalled.
+#[derive(Clone)]
+struct Outage {
+    since: Instant,
+    /// None while it lasts.
+    until: Option<Instant>,
+}
+
+/// Everything that was observed in a run.
+pub struct InvariantChecker {
     begun: Instant,
     messages: HashMap<String, Message>,
-    /// For each forwarder and endpoint, when it was told that it leaves.
-    leaving: HashMap<(usize, usize), Instant>,
-    /// For each forwarder and destination, when a pause was told and until when.
-    pauses: HashMap<(usize, usize), (Instant, Instant)>,
-    /// For each forwarder, the spans in which it was away or held up.
-    away: Vec<Vec<(Instant, Option<Instant>)>>,
-    /// What was broken.
+    /// By forwarder and endpoint: when the forwarder was notified of the drain.
+    draining_since: HashMap<(usize, usize), Instant>,
+    /// By forwarder and destination.
+    retry_after: HashMap<(usize, usize), RetryAfter>,
+    /// By forwarder: when it was down or stalled.
+    unavailable: Vec<Vec<Outage>>,
+    /// The violations so far.
     pub violations: Vec<Violation>,
-    /// How often what was seen, for the summary.
+    /// Counts of what was observed, for the summary.
     pub counts: BTreeMap<&'static str, u64>,
 }
 
-impl Judge {
+impl InvariantChecker {
     pub fn new(forwarders: usize) -> Self {
-        Judge {
+        InvariantChecker {
             begun: Instant::now(),
             messages: HashMap::new(),
-            leaving: HashMap::new(),
-            pauses: HashMap::new(),
-            away: vec![Vec::new(); forwarders],
+            draining_since: HashMap::new(),
+            retry_after: HashMap::new(),
+            unavailable: vec![Vec::new(); forwarders],
             violations: Vec::new(),
             counts: BTreeMap::new(),
         }
@@ -114,45 +137,45 @@
         *self.counts.entry(what).or_default() += 1;
     }
 
-    /// A message is about to be handed in.
-    pub fn handed_in(
+    /// A client is about to send a message.
+    pub fn submitted(
         &mut self,
         id: &str,
         forwarder: usize,
         destination: usize,
-        effect: Effect,
+        idempotency: Idempotency,
         time: Duration,
     ) {
         let deadline = Instant::now() + time;
         let message = Message {
             forwarder,
             destination,
-            effect,
+            idempotency,
             deadline,
-            taken: false,
+            accepted: false,
             calls: Vec::new(),
             delivered: None,
             report: None,
         };
         self.messages.insert(id.to_owned(), message);
-        self.count("handed in");
+        self.count("submitted");
     }
 
-    /// Its client has read that it is taken on.
-    pub fn taken(&mut self, id: &str) {
-        self.count("taken on");
+    /// The client has read that its message is accepted.
+    pub fn accepted(&mut self, id: &str) {
+        self.count("accepted");
         if let Some(message) = self.messages.get_mut(id) {
-            message.taken = true;
+            message.accepted = true;
         }
     }
 
-    /// A call with a message has come whole; its first byte was seen at a time. The number of the call is given back.
-    pub fn call(&mut self, id: &str, endpoint: (usize, usize, usize), first_byte: Instant) -> Option<usize> {
-        let (endpoint, destination, zone) = endpoint;
+    /// An endpoint has received a complete attempt, whose first byte came at a time; returns the attempt's number.
+    pub fn attempt(&mut self, id: &str, target: CallTarget, first_byte: Instant) -> Option<usize> {
+        let CallTarget { endpoint, destination, zone } = target;
         let now = Instant::now();
         let mut found: Vec<(&'static str, String)> = Vec::new();
         let Some(message) = self.messages.get_mut(id) else {
-            self.violate("strays", format!("`{id}` was handed in by nobody"));
+            self.violate("strays", format!("`{id}` was submitted by nobody"));
             return None;
         };
         if message.destination != destination {
@@ -161,16 +184,16 @@
         if message.calls.len() >= MAX_ATTEMPTS {
             found.push(("attempts", format!("{id}: attempt {}", message.calls.len() + 1)));
         }
-        if let Some((at, report)) = message.report.filter(|r| now > r.0 + UNDER_WAY) {
-            found.push(("after-end", format!("{id}: called {:?} after {report:?} was told", now - at)));
+        if let Some((at, report)) = message.report.filter(|r| now > r.0 + IN_FLIGHT_SLACK) {
+            found.push(("after-end", format!("{id}: called {:?} after its report as {report:?}", now - at)));
         }
-        let unsure = |c: &&Call| !matches!(c.ended, Some((_, CallEnd::Refused)));
-        if let Some(first) = message.calls.iter().find(unsure) {
-            match message.effect {
-                Effect::Safe => {}
-                Effect::Unsafe => found.push(("repeats", format!("{id}: must not run twice"))),
-                Effect::Keyed { window, by_zone } => {
-                    if first_byte > first.begun + window + SOCKETS {
+        let may_have_run = |c: &&Call| !matches!(c.ended, Some((_, AttemptOutcome::Rejected)));
+        if let Some(first) = message.calls.iter().find(may_have_run) {
+            match message.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => found.push(("repeats", format!("{id}: must not run twice"))),
+                Idempotency::WithKey { window, by_zone } => {
+                    if first_byte > first.begun + window + SOCKET_SLACK {
                         let after = first_byte - first.begun;
                         found.push(("repeats", format!("{id}: again after {after:?}, window {window:?}")));
                     }
@@ -183,15 +206,20 @@
         let forwarder = message.forwarder;
         message.calls.push(Call { begun: now, zone, ended: None });
         let number = message.calls.len() - 1;
-        if let Some(since) = self.leaving.get(&(forwarder, endpoint)) {
-            if first_byte > *since + DRAIN_GRACE + SOCKETS {
+        if let Some(since) = self.draining_since.get(&(forwarder, endpoint)) {
+            if first_byte > *since + DRAIN_GRACE + SOCKET_SLACK {
                 let after = first_byte - *since;
-                found.push(("drains", format!("{id}: to a leaving endpoint {after:?} after it was told")));
+                found.push((
+                    "drains",
+                    format!("{id}: to a draining endpoint {after:?} after the notification"),
+                ));
             }
         }
-        if let Some((told, until)) = self.pauses.get(&(forwarder, destination)) {
-            if first_byte > *told + UNDER_WAY && first_byte + Duration::from_millis(1) < *until {
-                found.push(("retry-after", format!("{id}: {:?} before its end", *until - first_byte)));
+        if let Some(pause) = self.retry_after.get(&(forwarder, destination)) {
+            if first_byte > pause.since + IN_FLIGHT_SLACK
+                && first_byte + Duration::from_millis(1) < pause.until
+            {
+                found.push(("retry-after", format!("{id}: {:?} before its end", pause.until - first_byte)));
             }
         }
         self.count("calls");
@@ -199,113 +227,118 @@
         Some(number)
     }
 
-    /// A call is over: answered, or its connection has ended.
-    pub fn call_ended(&mut self, id: &str, number: usize, end: CallEnd) {
+    /// An attempt has ended: answered, or its connection was closed.
+    pub fn attempt_ended(&mut self, id: &str, number: usize, end: AttemptOutcome) {
         let now = Instant::now();
         let Some(message) = self.messages.get_mut(id) else { return };
         message.calls[number].ended.get_or_insert((now, end));
-        if end == CallEnd::Delivered {
+        if end == AttemptOutcome::Delivered {
             message.delivered.get_or_insert(now);
         }
     }
 
-    /// An endpoint has asked a forwarder for a pause.
-    pub fn pause_told(&mut self, id: &str, destination: usize, lasts: Duration) {
+    /// An endpoint has sent a `retry_after` with a rejection.
+    pub fn retry_after_sent(&mut self, id: &str, destination: usize, lasts: Duration) {
         let Some(forwarder) = self.messages.get(id).map(|m| m.forwarder) else { return };
         let now = Instant::now();
-        let told = self.pauses.entry((forwarder, destination)).or_insert((now, now));
-        if now + lasts > told.1 {
-            let since = if told.1 > now { told.0 } else { now };
-            *told = (since, now + lasts);
+        let fresh = RetryAfter { since: now, until: now };
+        let pause = self.retry_after.entry((forwarder, destination)).or_insert(fresh);
+        let until = now + lasts;
+        if until > pause.until {
+            let since = if pause.until > now { pause.since } else { now };
+            *pause = RetryAfter { since, until };
         }
     }
 
-    /// The platform was told how a message ended.
+    /// The platform has received a delivery report.
     pub fn reported(&mut self, id: &str, report: Report) {
         let now = Instant::now();
         self.count("reports");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.violate("strays", format!("a report of `{id}`, which nobody handed in"));
+            return self.violate("strays", format!("a report of `{id}`, which nobody submitted"));
         };
-        let may_have_run = message.calls.iter().any(|c| !matches!(c.ended, Some((_, CallEnd::Refused))));
-        let forbidden = match message.effect {
-            Effect::Safe => false,
-            Effect::Keyed { by_zone, .. } => by_zone,
-            Effect::Unsafe => true,
+        let may_have_run =
+            message.calls.iter().any(|c| !matches!(c.ended, Some((_, AttemptOutcome::Rejected))));
+        let forbidden = match message.idempotency {
+            Idempotency::Idempotent => false,
+            Idempotency::WithKey { by_zone, .. } => by_zone,
+            Idempotency::NonIdempotent => true,
         };
         let before = *message.report.get_or_insert((now, report));
         if before.1 != report {
             self.violate("one-end", format!("{id}: {:?}, then {report:?}", before.1));
         }
         if report == Report::Returned && may_have_run && forbidden {
-            self.violate("repeats", format!("{id}: given back though it may have run"));
+            self.violate("repeats", format!("{id}: returned though it may have run"));
         }
     }
 
-    /// A forwarder was told what has become of an endpoint.
-    pub fn told(&mut self, forwarder: usize, endpoint: usize, leaving: bool) {
-        if leaving {
-            self.leaving.entry((forwarder, endpoint)).or_insert_with(Instant::now);
+    /// A forwarder was notified of an endpoint's lifecycle.
+    pub fn lifecycle_notified(&mut self, forwarder: usize, endpoint: usize, draining: bool) {
+        if draining {
+            self.draining_since.entry((forwarder, endpoint)).or_insert_with(Instant::now);
         } else {
-            self.leaving.remove(&(forwarder, endpoint));
+            self.draining_since.remove(&(forwarder, endpoint));
         }
     }
 
-    /// A forwarder is away or held up from now on.
-    pub fn goes_away(&mut self, forwarder: usize) {
-        self.away[forwarder].push((Instant::now(), None));
+    /// A forwarder is down or stalled from now on.
+    pub fn becomes_unavailable(&mut self, forwarder: usize) {
+        self.unavailable[forwarder].push(Outage { since: Instant::now(), until: None });
     }
 
-    /// Its process has died: a restart ends what it was asked for.
+    /// A forwarder's process has died: a restart ends what it was asked to heed.
     pub fn died(&mut self, forwarder: usize) {
-        self.pauses.retain(|key, _| key.0 != forwarder);
-        self.leaving.retain(|key, _| key.0 != forwarder);
+        self.retry_after.retain(|key, _| key.0 != forwarder);
+        self.draining_since.retain(|key, _| key.0 != forwarder);
     }
 
-    /// It is back and ready.
-    pub fn is_back(&mut self, forwarder: usize) {
-        if let Some(span) = self.away[forwarder].last_mut() {
-            span.1 = Some(Instant::now() + READY_AGAIN);
+    /// A forwarder is ready again.
+    pub fn becomes_available(&mut self, forwarder: usize) {
+        if let Some(outage) = self.unavailable[forwarder].last_mut() {
+            outage.until = Some(Instant::now() + RECOVERY);
         }
     }
 
-    /// It was away, or going, at some time since another.
-    pub fn was_away(&self, forwarder: usize, since: Instant) -> bool {
+    /// Whether a forwarder was down, stalled or shutting down at some moment since a time.
+    pub fn was_unavailable(&self, forwarder: usize, since: Instant) -> bool {
         let now = Instant::now();
-        self.away[forwarder].iter().any(|s| s.0 <= now && s.1.is_none_or(|end| end >= since))
+        self.unavailable[forwarder]
+            .iter()
+            .any(|outage| outage.since <= now && outage.until.is_none_or(|end| end >= since))
     }
 
     fn due(&self, message: &Message) -> Instant {
-        let due = message.deadline + ANSWER;
-        let spans = self.away[message.forwarder].iter();
-        // A span that reaches into the time of the answer moves it.
-        let ends = spans.filter(|s| s.0 <= due && s.1.is_none_or(|end| end > message.deadline));
-        ends.filter_map(|s| s.1).map(|end| end + ANSWER).max().unwrap_or(due).max(due)
+        let due = message.deadline + END_SLACK;
+        let outages = self.unavailable[message.forwarder].iter();
+        // An outage that reaches beyond the deadline moves the end that is owed.
+        let late = outages.filter(|o| o.since <= due && o.until.is_none_or(|end| end > message.deadline));
+        late.filter_map(|o| o.until).map(|end| end + END_SLACK).max().unwrap_or(due).max(due)
     }
 
-    /// Messages that have no end yet and may still get one in time.
-    pub fn waits_for(&self) -> usize {
-        let open = |m: &&Message| m.taken && m.delivered.is_none() && m.report.is_none();
+    /// Accepted messages that have no end yet and may still get one in time.
+    pub fn open_messages(&self) -> usize {
+        let open = |m: &&Message| m.accepted && m.delivered.is_none() && m.report.is_none();
         let now = Instant::now();
         self.messages.values().filter(open).filter(|m| self.due(m) > now).count()
     }
 
-    /// The run is over: everything that was taken on must have ended in time, and never with two attempts out.
-    pub fn close(&mut self) {
+    /// The run is over: every accepted message must have ended in time, and never with two attempts in flight.
+    pub fn finish(&mut self) {
         let mut found: Vec<(&'static str, String)> = Vec::new();
         for (id, message) in &self.messages {
             for pair in message.calls.windows(2) {
                 let over = pair[0].ended.map(|e| e.0);
-                if over.is_none_or(|at| at > pair[1].begun + SOCKETS) {
-                    found.push(("one-out", format!("{id}: a second attempt while one was out")));
+                if over.is_none_or(|at| at > pair[1].begun + SOCKET_SLACK) {
+                    found.push(("one-out", format!("{id}: a second attempt while one was in flight")));
                 }
             }
-            if !message.taken {
+            if !message.accepted {
                 continue;
             }
             let end = [message.delivered, message.report.map(|r| r.0)].into_iter().flatten().min();
             match end {
-                None => found.push(("lost", format!("{id}: taken on, and never got an end"))),
+                None => found.push(("lost", format!("{id}: accepted, and never got an end"))),
                 Some(at) if at > self.due(message) => {
                     let late = at - self.due(message);
                     found.push(("in-time", format!("{id}: its end came {late:?} late")));
--- a/crates/soak-test/src/client.rs
+++ b/crates/soak-test/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each forwarder gets messages at its rate, on new and on kept connections, from good clients and bad ones.
+//! Clients: each forwarder gets messages at its rate, on new and on kept-alive connections, from good clients and bad ones.
 
 use crate::forwarder::Forwarder;
 use crate::world::{sleep, World};
@@ -13,51 +13,54 @@
 const BAD_OWED: Duration = Duration::from_millis(3_000);
 /// New connections come for so long after SIGTERM.
 const AFTER_TERM: Duration = Duration::from_millis(350);
-/// Shares of the clients: those that keep their connection, those that end their sending, those that misbehave.
-const KEEPS: f64 = 0.5;
-const ENDS_SENDING: f64 = 0.02;
-const MISBEHAVES: f64 = 0.03;
+/// Share of the clients that keep their connection alive.
+const KEEP_ALIVE_SHARE: f64 = 0.5;
+/// Share of the clients that shut down their side after the request.
+const HALF_CLOSE_SHARE: f64 = 0.02;
+/// Share of the clients that misbehave.
+const BAD_CLIENT_SHARE: f64 = 0.03;
 
-/// Hands in messages to a forwarder until the run is over.
+/// Sends messages to a forwarder until submissions are over.
 pub async fn run(world: Rc<World>, forwarder: Rc<Forwarder>) {
     let mut kept: Vec<HttpConnection> = Vec::new();
     let mut number = 0;
-    while !world.closing.get() {
-        let mean = 1.0 / world.size.rate;
+    while !world.submissions_over.get() {
+        let mean = 1.0 / world.options.rate;
         let pause = -mean * (1.0 - world.random.borrow_mut().f64()).ln();
         sleep(Duration::from_secs_f64(pause.min(4.0 * mean))).await;
-        if world.chance(MISBEHAVES) {
+        if world.chance(BAD_CLIENT_SHARE) {
             world.spawn(misbehave(world.clone(), forwarder.clone()));
             continue;
         }
         number += 1;
         let id = format!("f{}-{number}", forwarder.number);
-        let keeps = world.chance(KEEPS);
+        let keeps = world.chance(KEEP_ALIVE_SHARE);
         let used = if keeps { kept.pop() } else { None };
         let world = world.clone();
         let (send, receive) = async_channel::bounded(1);
         let forwarder = forwarder.clone();
         world.clone().spawn(async move {
-            let wire = hand_in(&world, &forwarder, &id, used, keeps).await;
-            let _ = send.try_send(wire);
+            let connection = submit(&world, &forwarder, &id, used, keeps).await;
+            let _ = send.try_send(connection);
         });
-        // Whoever is done soon leaves its connection for the next.
-        let late = async {
+        // Who is done soon leaves its connection for the next client.
+        let timed_out = async {
             Timer::after(Duration::from_millis(20)).await;
             None
         };
-        let back = future::or(async { receive.recv().await.ok().flatten() }, late).await;
+        let back = future::or(async { receive.recv().await.ok().flatten() }, timed_out).await;
         kept.extend(back.filter(|_| kept.len() < 4));
     }
 }
 
-enum Heard {
-    Status(u16, bool),
+/// How a client's wait ended.
+enum Response {
+    Received { status: u16, keeps_alive: bool },
     Closed,
-    Nothing,
+    TimedOut,
 }
 
-async fn hand_in(
+async fn submit(
     world: &Rc<World>,
     forwarder: &Forwarder,
     id: &str,
@@ -66,13 +69,13 @@
 ) -> Option<HttpConnection> {
     let new = used.is_none();
     let since = Instant::now();
-    let (process, was_going) = (forwarder.starts.get(), forwarder.going_since.get());
-    let mut wire = match used {
-        Some(wire) => wire,
+    let (process, was_going) = (forwarder.starts.get(), forwarder.terminated_at.get());
+    let mut connection = match used {
+        Some(connection) => connection,
         None => HttpConnection::new(Async::<TcpStream>::connect(forwarder.listen).await.ok()?),
     };
     let class = &world.classes[world.below(world.classes.len())];
-    let destination = world.below(crate::troubles::DESTINATIONS);
+    let destination = world.below(crate::faults::DESTINATIONS);
     let time = match world.below(10) {
         0 => world.span(40, 120),
         1..=3 => world.span(500, 2_500),
@@ -86,48 +89,48 @@
         class.name,
         time.as_millis(),
     );
-    world.judge.borrow_mut().handed_in(id, forwarder.number, destination, class.effect, time);
-    let ends_sending = new && world.chance(ENDS_SENDING);
-    let written = wire.write(text.as_bytes()).await.is_ok();
+    world.checker.borrow_mut().submitted(id, forwarder.number, destination, class.idempotency, time);
+    let ends_sending = new && world.chance(HALF_CLOSE_SHARE);
+    let written = connection.write(text.as_bytes()).await.is_ok();
     if ends_sending {
-        wire.end_sending();
+        connection.end_sending();
     }
     let answered = async {
-        match wire.read_answer().await {
-            Ok(head) => match wire.answer_body(&head, 4096).await {
-                Ok(_) => Heard::Status(head.status, head.keeps),
-                Err(_) => Heard::Closed,
+        match connection.read_answer().await {
+            Ok(head) => match connection.answer_body(&head, 4096).await {
+                Ok(_) => Response::Received { status: head.status, keeps_alive: head.keeps },
+                Err(_) => Response::Closed,
             },
-            Err(_) => Heard::Closed,
+            Err(_) => Response::Closed,
         }
     };
-    let late = async {
-        Timer::after(world.size.patience).await;
-        Heard::Nothing
+    let timed_out = async {
+        Timer::after(world.options.patience).await;
+        Response::TimedOut
     };
-    match future::or(answered, late).await {
-        Heard::Status(202 | 200, goes_on) => {
-            world.judge.borrow_mut().taken(id);
-            return (goes_on && keeps && !ends_sending).then_some(wire);
+    match future::or(answered, timed_out).await {
+        Response::Received { status: 202 | 200, keeps_alive: goes_on } => {
+            world.checker.borrow_mut().accepted(id);
+            return (goes_on && keeps && !ends_sending).then_some(connection);
         }
-        Heard::Status(429 | 503, goes_on) => {
-            world.judge.borrow_mut().count("refused");
-            return (goes_on && keeps && !ends_sending).then_some(wire);
+        Response::Received { status: 429 | 503, keeps_alive: goes_on } => {
+            world.checker.borrow_mut().count("rejected");
+            return (goes_on && keeps && !ends_sending).then_some(connection);
         }
-        Heard::Status(500, _) => world.judge.borrow_mut().count("failed at once"),
-        Heard::Status(status, _) => {
-            world.judge.borrow_mut().violate("answers", format!("{id}: answered with {status}"));
+        Response::Received { status: 500, .. } => world.checker.borrow_mut().count("failed at once"),
+        Response::Received { status, .. } => {
+            world.checker.borrow_mut().violate("answers", format!("{id}: answered with {status}"));
         }
-        Heard::Nothing => world.judge.borrow_mut().count("client gave up"),
-        Heard::Closed => {
+        Response::TimedOut => world.checker.borrow_mut().count("client timed out"),
+        Response::Closed => {
             // A kept connection may be closed between two requests, and a process may have died or be about to.
             let died = forwarder.starts.get() != process || forwarder.killed.get();
             let late = was_going.is_some_and(|at| since > at + AFTER_TERM);
             if new && written && !died && !late {
                 let what = format!("{id}: its new connection was closed with no answer");
-                world.judge.borrow_mut().violate("unanswered", what);
+                world.checker.borrow_mut().violate("unanswered", what);
             }
-            world.judge.borrow_mut().count("closed on");
+            world.checker.borrow_mut().count("connection closed");
         }
     }
     None
@@ -143,24 +146,24 @@
     };
     let process = forwarder.starts.get();
     let Ok(stream) = Async::<TcpStream>::connect(forwarder.listen).await else { return };
-    let mut wire = HttpConnection::new(stream);
+    let mut connection = HttpConnection::new(stream);
     let begun = Instant::now();
-    if wire.write(text.as_bytes()).await.is_err() {
+    if connection.write(text.as_bytes()).await.is_err() {
         return;
     }
     let answered = async {
-        let _ = wire.fill().await;
+        let _ = connection.fill().await;
         true
     };
-    let late = async {
+    let timed_out = async {
         Timer::after(BAD_OWED).await;
         false
     };
-    if !future::or(answered, late).await {
-        let mut judge = world.judge.borrow_mut();
-        let excused = forwarder.starts.get() != process || judge.was_away(forwarder.number, begun);
+    if !future::or(answered, timed_out).await {
+        let mut checker = world.checker.borrow_mut();
+        let excused = forwarder.starts.get() != process || checker.was_unavailable(forwarder.number, begun);
         if !excused {
-            judge.violate("bad-clients", format!("neither error nor close within 3 s for {text:?}"));
+            checker.violate("bad-clients", format!("neither error nor close within 3 s for {text:?}"));
         }
     }
 }
--- a/crates/soak-test/src/endpoint.rs
+++ b/crates/soak-test/src/endpoint.rs
@@ -1,7 +1,7 @@
-//! Partners' endpoints. Each listens once, for all forwarders; a message's id tells whose it is.
+//! The destinations' endpoints. Each listens once, for all forwarders; a message's id says whose it is.
 
-use crate::judge::CallEnd;
-use crate::world::{sleep, Endpoint, Mood, World};
+use crate::checker::{AttemptOutcome, CallTarget};
+use crate::world::{sleep, Behaviour, Endpoint, World};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use futures_lite::future;
@@ -10,13 +10,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a call's work takes, in milliseconds.
-const WORK: (u64, u64) = (2, 60);
-/// How often a connection looks whether its endpoint has forgotten it.
-const LOOK: Duration = Duration::from_millis(20);
+/// The least and the most that a call's work takes, in milliseconds.
+const LEAST_WORK_MS: u64 = 2;
+const MOST_WORK_MS: u64 = 60;
+/// How often a connection checks whether its endpoint resets idle connections.
+const POLL: Duration = Duration::from_millis(20);
 
-/// Begins an endpoint of a destination.
-pub fn begin(
+/// Starts an endpoint of a destination.
+pub fn start(
     world: &Rc<World>,
     name: String,
     destination: usize,
@@ -28,16 +29,16 @@
         destination,
         zone,
         address: listener.get_ref().local_addr()?,
-        mood: Mood::Well.into(),
+        behaviour: Behaviour::Normal.into(),
         lifecycle: "active".into(),
-        forgets: 0.into(),
+        reset_count: 0.into(),
     });
     let number = world.endpoints.borrow().len();
     world.endpoints.borrow_mut().push(endpoint.clone());
     let (serving, at) = (world.clone(), endpoint.clone());
     world.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            if at.mood.get() == Mood::Shuts {
+            if at.behaviour.get() == Behaviour::ClosesConnections {
                 continue;
             }
             serving.spawn(serve(serving.clone(), at.clone(), number, stream));
@@ -47,99 +48,104 @@
 }
 
 async fn serve(world: Rc<World>, endpoint: Rc<Endpoint>, number: usize, stream: Async<TcpStream>) {
-    let mut wire = HttpConnection::new(stream);
-    let forgets = endpoint.forgets.get();
+    let mut connection = HttpConnection::new(stream);
+    let reset_count = endpoint.reset_count.get();
     loop {
-        // Between calls the endpoint may forget the connection.
-        let came = async { Some(wire.fill().await) };
-        let forgotten = async {
-            while endpoint.forgets.get() == forgets {
-                sleep(LOOK).await;
+        // Between calls the endpoint may reset the connection.
+        let readable = async { Some(connection.fill().await) };
+        let reset_requested = async {
+            while endpoint.reset_count.get() == reset_count {
+                sleep(POLL).await;
             }
             None
         };
-        match future::or(came, forgotten).await {
+        match future::or(readable, reset_requested).await {
             Some(Ok(read)) if read > 0 => {}
             Some(_) => return,
-            None => return reset(&wire),
+            None => return reset(&connection),
         }
         let first_byte = Instant::now();
-        let Ok(head) = wire.read_request().await else { return };
-        let Ok(body) = wire.request_body(&head, 1 << 20).await else { return };
-        let place = (number, endpoint.destination, endpoint.zone);
+        let Ok(head) = connection.read_request().await else { return };
+        let Ok(body) = connection.request_body(&head, 1 << 20).await else { return };
+        let target = CallTarget { endpoint: number, destination: endpoint.destination, zone: endpoint.zone };
         let mut calls = Vec::new();
         for id in ids(&head, &body) {
-            let call = world.judge.borrow_mut().call(&id, place, first_byte);
+            let call = world.checker.borrow_mut().attempt(&id, target, first_byte);
             calls.extend(call.map(|n| (id, n)));
         }
         let batch = head.target.ends_with(":batch");
-        let (end, keeps) = answer(&world, &endpoint, &calls, &mut wire, batch).await;
-        let mut judge = world.judge.borrow_mut();
-        calls.iter().for_each(|(id, call)| judge.call_ended(id, *call, end));
+        let (end, keeps) = answer(&world, &endpoint, &calls, &mut connection, batch).await;
+        let mut checker = world.checker.borrow_mut();
+        calls.iter().for_each(|(id, call)| checker.attempt_ended(id, *call, end));
         if !keeps {
             return;
         }
     }
 }
 
-fn reset(wire: &HttpConnection) {
-    let _ = SockRef::from(wire.socket()).set_linger(Some(Duration::ZERO));
+fn reset(connection: &HttpConnection) {
+    let _ = SockRef::from(connection.socket()).set_linger(Some(Duration::ZERO));
 }
 
-/// Does a call's work; how it ended, and whether the connection goes on.
+/// Does a call's work; returns how it ended, and whether the connection is kept alive.
 async fn answer(
     world: &World,
     endpoint: &Endpoint,
     calls: &[(String, usize)],
-    wire: &mut HttpConnection,
+    connection: &mut HttpConnection,
     batch: bool,
-) -> (CallEnd, bool) {
-    let mood = endpoint.mood.get();
+) -> (AttemptOutcome, bool) {
+    let behaviour = endpoint.behaviour.get();
     let worked = async {
-        match mood {
-            Mood::Hangs => future::pending().await,
-            Mood::Refuses(_) => {}
-            _ => drop(Timer::after(world.span(WORK.0, WORK.1)).await),
+        match behaviour {
+            Behaviour::Hangs => future::pending().await,
+            Behaviour::Rejects(_) => {}
+            _ => drop(Timer::after(world.span(LEAST_WORK_MS, MOST_WORK_MS)).await),
         }
         true
     };
-    // A forwarder sends nothing more before its answer: it has given the call up.
-    let left = async {
-        let _ = wire.fill().await;
+    // A forwarder sends nothing more before the answer: it has abandoned the call.
+    let abandoned = async {
+        let _ = connection.fill().await;
         false
     };
-    if !future::or(worked, left).await {
-        return (CallEnd::Unsure, false);
+    if !future::or(worked, abandoned).await {
+        return (AttemptOutcome::MayHaveRun, false);
     }
-    let (text, end) = match mood {
-        Mood::Resets => {
-            reset(wire);
-            return (CallEnd::Unsure, false);
+    let (text, end) = match behaviour {
+        Behaviour::Resets => {
+            reset(connection);
+            return (AttemptOutcome::MayHaveRun, false);
         }
-        Mood::Errs => ("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n".to_owned(), CallEnd::Unsure),
-        Mood::HalfAnswers => ("HTTP/1.1 2".to_owned(), CallEnd::Unsure),
-        Mood::Refuses(pause) => {
+        Behaviour::Fails => {
+            ("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n".to_owned(), AttemptOutcome::MayHaveRun)
+        }
+        Behaviour::TruncatesAnswers => ("HTTP/1.1 2".to_owned(), AttemptOutcome::MayHaveRun),
+        Behaviour::Rejects(pause) => {
             let text =
                 format!("HTTP/1.1 429 Wait\r\nX-RateLimit-Wait-Ms: {pause}\r\nContent-Length: 0\r\n\r\n");
-            (text, CallEnd::Refused)
+            (text, AttemptOutcome::Rejected)
         }
         _ => {
             let each = |(id, _): &(String, usize)| format!("{id} delivered\r\n");
             let body: String = if batch { calls.iter().map(each).collect() } else { String::new() };
-            (format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()), CallEnd::Delivered)
+            (
+                format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
+                AttemptOutcome::Delivered,
+            )
         }
     };
-    if wire.write(text.as_bytes()).await.is_err() {
-        return (CallEnd::Unsure, false);
+    if connection.write(text.as_bytes()).await.is_err() {
+        return (AttemptOutcome::MayHaveRun, false);
     }
-    if let Mood::Refuses(pause) = mood {
-        let mut judge = world.judge.borrow_mut();
+    if let Behaviour::Rejects(pause) = behaviour {
+        let mut checker = world.checker.borrow_mut();
         let pause = Duration::from_millis(pause);
-        calls.iter().for_each(|(id, _)| judge.pause_told(id, endpoint.destination, pause));
+        calls.iter().for_each(|(id, _)| checker.retry_after_sent(id, endpoint.destination, pause));
     }
-    if mood == Mood::HalfAnswers {
+    if behaviour == Behaviour::TruncatesAnswers {
         let left = async {
-            let _ = wire.fill().await;
+            let _ = connection.fill().await;
         };
         future::or(left, sleep(world.span(50, 400))).await;
         return (end, false);
--- a/crates/soak-test/src/faults.rs
+++ b/crates/soak-test/src/faults.rs
@@ -1,40 +1,42 @@
-//! What goes wrong: at each moment two or three troubles overlap, drawn by the seed.
+//! What goes wrong: at each moment two or three faults overlap, drawn by the seed.
 
+use crate::checker::Idempotency;
 use crate::endpoint;
 use crate::forwarder::Forwarder;
-use crate::judge::Effect;
-use crate::world::{sleep, Class, Discovery, Endpoint, Mood, World};
+use crate::world::{sleep, Behaviour, Class, Discovery, Endpoint, World};
 use serde_json::{json, Value};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Partners, and endpoints of each.
+/// Destinations.
 pub const DESTINATIONS: usize = 5;
+/// Endpoints of each destination.
 pub const ENDPOINTS: usize = 3;
-/// Forwarders that share their troubles, and how many overlap for them; those of endpoints and discovery come beside these.
+/// Forwarders that share their faults.
 const GROUP: usize = 5;
+/// Faults that overlap in a group; those of endpoints and discovery come beside these.
 const OVERLAP: usize = 3;
 /// An hour, in microseconds.
-const HOUR: i64 = 3_600_000_000;
+const HOUR_MICROS: i64 = 3_600_000_000;
 
-/// The classes: one of each effect, one that drops repeats by zone, and one that drops them for a short time.
+/// The classes: one of each idempotency, one deduplicated by zone, and one with a short deduplication window.
 pub fn classes() -> Vec<Class> {
-    let keyed = |window, by_zone| Effect::Keyed { window: Duration::from_millis(window), by_zone };
+    let keyed = |window, by_zone| Idempotency::WithKey { window: Duration::from_millis(window), by_zone };
     vec![
-        Class { name: "free", effect: Effect::Safe },
-        Class { name: "notice", effect: keyed(30_000, false) },
-        Class { name: "zoned", effect: keyed(30_000, true) },
-        Class { name: "brief", effect: keyed(1_500, false) },
-        Class { name: "once", effect: Effect::Unsafe },
+        Class { name: "free", idempotency: Idempotency::Idempotent },
+        Class { name: "notice", idempotency: keyed(30_000, false) },
+        Class { name: "zoned", idempotency: keyed(30_000, true) },
+        Class { name: "brief", idempotency: keyed(1_500, false) },
+        Class { name: "once", idempotency: Idempotency::NonIdempotent },
     ]
 }
 
 /// A class as the settings have it.
 pub fn class(class: &Class) -> Value {
-    let (semantics, span, scope) = match class.effect {
-        Effect::Safe => ("pure", 0, "all"),
-        Effect::Unsafe => ("side_effect", 0, "all"),
-        Effect::Keyed { window, by_zone } => {
+    let (semantics, span, scope) = match class.idempotency {
+        Idempotency::Idempotent => ("pure", 0, "all"),
+        Idempotency::NonIdempotent => ("side_effect", 0, "all"),
+        Idempotency::WithKey { window, by_zone } => {
             ("token", window.as_millis() as u64, if by_zone { "zone" } else { "all" })
         }
     };
@@ -42,15 +44,15 @@
         "late-worth": 0.3, "memory-span": span, "dedup-scope": scope})
 }
 
-/// Keeps troubles going until the run is over.
+/// Injects faults until the run is over.
 pub async fn run(world: Rc<World>, forwarders: Rc<Vec<Rc<Forwarder>>>) {
     for group in forwarders.chunks(GROUP) {
         for _ in 0..OVERLAP {
             let (world, group) = (world.clone(), group.to_vec());
             world.clone().spawn(async move {
-                while !world.quiet.get() {
+                while !world.faults_over.get() {
                     sleep(world.span(0, 150)).await;
-                    of_forwarders(&world, &group).await;
+                    fault_of_forwarders(&world, &group).await;
                 }
             });
         }
@@ -58,42 +60,43 @@
     for _ in 0..OVERLAP - 1 {
         let world = world.clone();
         world.clone().spawn(async move {
-            while !world.quiet.get() {
+            while !world.faults_over.get() {
                 sleep(world.span(0, 300)).await;
-                of_surroundings(&world).await;
+                fault_of_surroundings(&world).await;
             }
         });
     }
-    // Each forwarder has a stall of its own now and then, before a write.
+    // Each forwarder also stalls now and then, before a write.
     for forwarder in forwarders.iter() {
         forwarder.add_faults("send stall=150 chance=0.002");
     }
 }
 
-async fn of_forwarders(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
+async fn fault_of_forwarders(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
     match world.below(9) {
         0 | 1 => restarts(world, forwarders, false).await,
         2 | 3 => restarts(world, forwarders, true).await,
         4 => {
-            some(world, forwarders, 3, |f| async move { f.stall(world, world.span(150, 1_200)).await }).await
+            for_some(world, forwarders, 3, |f| async move { f.stall(world, world.span(150, 1_200)).await })
+                .await
         }
         5 => configurations(world, forwarders).await,
-        6 => wall_clock(world, forwarders).await,
+        6 => wall_clock_step(world, forwarders).await,
         7 => storage(world, forwarders).await,
         _ => system_calls(world, forwarders).await,
     }
 }
 
-async fn of_surroundings(world: &Rc<World>) {
+async fn fault_of_surroundings(world: &Rc<World>) {
     match world.below(5) {
-        0 | 1 => endpoint_trouble(world).await,
+        0 | 1 => endpoint_fault(world).await,
         2 | 3 => replacement(world).await,
         _ => discovery(world).await,
     }
 }
 
-/// Does something to some forwarders at once, each of which nothing else is being done to.
-async fn some<F: std::future::Future<Output = ()>>(
+/// Does something to some forwarders at once, but for those that something else is being done to.
+async fn for_some<F: std::future::Future<Output = ()>>(
     world: &Rc<World>,
     forwarders: &[Rc<Forwarder>],
     most: usize,
@@ -119,15 +122,15 @@
 
 async fn restarts(world: &Rc<World>, forwarders: &[Rc<Forwarder>], in_order: bool) {
     world.log(if in_order { "SIGTERM" } else { "SIGKILL" });
-    some(world, forwarders, 2, |f| async move {
+    for_some(world, forwarders, 2, |f| async move {
         let away = world.span(0, 600);
         // The wall clock may be set while nobody runs.
         if world.chance(0.3) {
-            let offset = if world.chance(0.5) { HOUR } else { -HOUR };
+            let offset = if world.chance(0.5) { HOUR_MICROS } else { -HOUR_MICROS };
             f.add_faults(&format!("wall {offset}"));
         }
         match in_order {
-            true => f.end(world, Some(away)).await,
+            true => f.terminate(world, Some(away)).await,
             false => f.kill(world, away).await,
         }
     })
@@ -136,7 +139,7 @@
 
 async fn configurations(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
     world.log("new configurations in a row");
-    some(world, forwarders, 4, |f| async move {
+    for_some(world, forwarders, 4, |f| async move {
         for _ in 0..1 + world.below(4) {
             f.reload(world);
             sleep(world.span(0, 120)).await;
@@ -145,7 +148,7 @@
     .await;
 }
 
-async fn wall_clock(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
+async fn wall_clock_step(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
     world.log("the wall clock is set");
     let forwarder = &forwarders[world.below(forwarders.len())];
     let offset = (world.below(7_200) as i64 - 3_600) * 1_000_000;
@@ -194,29 +197,30 @@
     world.endpoints.borrow().iter().filter(|e| e.lifecycle.get() == "active").cloned().collect()
 }
 
-async fn endpoint_trouble(world: &Rc<World>) {
+async fn endpoint_fault(world: &Rc<World>) {
     let all = listed(world);
     let pause = 300 + world.below(1_200) as u64;
-    let moods = [
-        Mood::Hangs,
-        Mood::Refuses(pause),
-        Mood::Errs,
-        Mood::Resets,
-        Mood::Shuts,
-        Mood::HalfAnswers,
-        Mood::Well,
+    let behaviours = [
+        Behaviour::Hangs,
+        Behaviour::Rejects(pause),
+        Behaviour::Fails,
+        Behaviour::Resets,
+        Behaviour::ClosesConnections,
+        Behaviour::TruncatesAnswers,
+        Behaviour::Normal,
     ];
-    let mood = moods[world.below(moods.len())];
+    let behaviour = behaviours[world.below(behaviours.len())];
     let count = 1 + world.below(all.len() / 2);
-    world.log(&format!("{count} endpoints: {mood:?}"));
+    world.log(&format!("{count} endpoints: {behaviour:?}"));
     let chosen: Vec<_> = (0..count).map(|_| all[world.below(all.len())].clone()).collect();
     for e in &chosen {
-        e.mood.set(mood);
-        // With any trouble they may forget their idle connections, too.
-        e.forgets.set(e.forgets.get() + u32::from(mood == Mood::Well || world.chance(0.5)));
+        e.behaviour.set(behaviour);
+        // Beside any fault they may reset their idle connections, too.
+        e.reset_count
+            .set(e.reset_count.get() + u32::from(behaviour == Behaviour::Normal || world.chance(0.5)));
     }
     sleep(world.span(300, 2_500)).await;
-    chosen.iter().for_each(|e| e.mood.set(Mood::Well));
+    chosen.iter().for_each(|e| e.behaviour.set(Behaviour::Normal));
 }
 
 async fn replacement(world: &Rc<World>) {
@@ -230,8 +234,8 @@
     turn("leaving");
     sleep(world.span(300, 1_500)).await;
     let name = format!("e{}", world.endpoints.borrow().len());
-    if endpoint::begin(world, name, old.destination, old.zone).is_err() {
-        return world.log("no new endpoint could be begun");
+    if endpoint::start(world, name, old.destination, old.zone).is_err() {
+        return world.log("no new endpoint could be started");
     }
     turn("left");
 }
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -1,6 +1,6 @@
-//! Forwarders as real processes: their files, signals and system-call faults. Each ends with the soak, however that ends.
+//! Forwarders as real processes: their files, signals and system-call faults. Each ends with the soak test, however that ends.
 
-use crate::agent;
+use crate::platform;
 use crate::world::{sleep, World};
 use async_io::Async;
 use cedarbridge::net::http::HttpConnection;
@@ -16,13 +16,15 @@
 use std::time::{Duration, Instant};
 
 /// A forwarder must be ready so long after its start.
-const READY: Duration = Duration::from_secs(10);
-/// It must be out so long after SIGTERM.
-const LEAVES: Duration = Duration::from_millis(3_700);
-const LOOK: Duration = Duration::from_millis(10);
-/// What it may take in the end: resident memory in kB, and descriptors.
-const MEMORY_KB: u64 = 64 * 1024;
-const DESCRIPTORS: usize = 256;
+const READY_WITHIN: Duration = Duration::from_secs(10);
+/// A forwarder must have exited so long after SIGTERM.
+const EXIT_WITHIN: Duration = Duration::from_millis(3_700);
+/// Time between two looks at a process.
+const POLL: Duration = Duration::from_millis(10);
+/// Resident memory that a forwarder may have at the end, in kB.
+const MAX_MEMORY_KB: u64 = 64 * 1024;
+/// Descriptors that a forwarder may have open.
+const MAX_DESCRIPTORS: usize = 256;
 
 /// A forwarder.
 pub struct Forwarder {
@@ -32,11 +34,11 @@
     discovery: Cell<SocketAddr>,
     max_open: Cell<usize>,
     child: RefCell<Option<Child>>,
-    /// Processes begun so far.
+    /// Processes started so far.
     pub starts: Cell<u32>,
-    /// When the process was told to end.
-    pub going_since: Cell<Option<Instant>>,
-    /// The process was killed: what it had read is lost, as it may be.
+    /// When the process was sent SIGTERM.
+    pub terminated_at: Cell<Option<Instant>>,
+    /// The process was killed: what it had read may be lost.
     pub killed: Cell<bool>,
     /// Something is being done to the process that only one may do at a time.
     pub busy: Cell<bool>,
@@ -73,7 +75,7 @@
         // An address of its own, so that nobody else takes the port while it is away.
         let ip = [127, 77, 1 + (number / 250) as u8, 1 + (number % 250) as u8];
         let listen = TcpListener::bind(SocketAddr::from((ip, 0)))?.local_addr()?;
-        let discovery = agent::begin(world, number)?;
+        let discovery = platform::start(world, number)?;
         let forwarder = Forwarder {
             number,
             listen,
@@ -82,7 +84,7 @@
             max_open: 150.into(),
             child: RefCell::default(),
             starts: 0.into(),
-            going_since: None.into(),
+            terminated_at: None.into(),
             killed: false.into(),
             busy: false.into(),
             faults: RefCell::default(),
@@ -94,13 +96,13 @@
     }
 
     fn configure(&self, world: &World) -> std::io::Result<()> {
-        let classes: Vec<Value> = world.classes.iter().map(crate::troubles::class).collect();
+        let classes: Vec<Value> = world.classes.iter().map(crate::faults::class).collect();
         let settings = json!({
-            "azs": agent::ZONES, "zone": agent::ZONES[self.number % 2], "balancers": world.size.forwarders,
+            "azs": platform::ZONES, "zone": platform::ZONES[self.number % 2], "balancers": world.options.forwarders,
             "me": self.number, "kinds": ["one"], "discovery": "pushed", "categories": classes,
             "realms": [{"name": "acme", "portion": 1.0, "quota-per-s": 10000.0}],
             "granularity": 5.0, "weight-source": "rough", "fees": {}, "callers": {"marks-retry": true},
-            "permissions": {"max-open": self.max_open.get(), "max-attempts": crate::judge::MAX_ATTEMPTS, "cancel": true,
+            "permissions": {"max-open": self.max_open.get(), "max-attempts": crate::checker::MAX_ATTEMPTS, "cancel": true,
                 "retry-after": true, "max-retry-after": 3000.0, "conn-idle": 3000.0, "dial-timeout": 1000.0},
             "rules": {"fall-multiple": 2.0, "fall": 2000.0, "cold": 3000.0, "cold-from": 0.3, "drain-grace": 250.0},
             "specifics": {"call-slots": 12, "late": "linear", "own-limits": [false], "per-call": [4]},
@@ -109,7 +111,7 @@
             "name": format!("n{}", self.number), "listen": self.listen.to_string(),
             "discovery": self.discovery.get().to_string(), "state": self.folder.join("state"),
             "seed": format!("{:016x}", world.seed << 16 | self.number as u64), "settings": settings,
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": DESCRIPTORS, "disk_mb": 1.0},
+            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": MAX_DESCRIPTORS, "disk_mb": 1.0},
         });
         let beside = self.folder.join("config.new");
         fs::write(&beside, config.to_string())?;
@@ -126,37 +128,37 @@
         command.env("FAULTSHIM_FOLDER", self.folder.join("state"));
         let log = fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log.expect("a log"));
-        self.going_since.set(None);
+        self.terminated_at.set(None);
         self.killed.set(false);
         self.starts.set(self.starts.get() + 1);
         *self.child.borrow_mut() = Some(command.spawn().expect("it starts"));
-        let until = Instant::now() + READY;
-        while self.ask("/_health").await.is_none() {
-            if let Some(status) = self.gone() {
+        let until = Instant::now() + READY_WITHIN;
+        while self.get("/_health").await.is_none() {
+            if let Some(status) = self.exit_status() {
                 return world
-                    .judge
+                    .checker
                     .borrow_mut()
-                    .violate("crash", self.told(format!("ended at its start: {status}")));
+                    .violate("crash", self.describe(format!("ended at its start: {status}")));
             }
             if Instant::now() > until {
-                return world.judge.borrow_mut().violate("ready", self.told("was not ready in 10 s"));
+                return world.checker.borrow_mut().violate("ready", self.describe("was not ready in 10 s"));
             }
-            sleep(LOOK).await;
+            sleep(POLL).await;
         }
     }
 
-    fn told(&self, what: impl Into<String>) -> String {
+    fn describe(&self, what: impl Into<String>) -> String {
         format!("forwarder {}: {}", self.number, what.into())
     }
 
-    /// The body of a 200 to a question; nothing if it does not come at once.
-    pub async fn ask(&self, path: &str) -> Option<String> {
+    /// The body of a 200 response to a GET; `None` if it does not come at once.
+    pub async fn get(&self, path: &str) -> Option<String> {
         let asked = async {
-            let mut wire = HttpConnection::new(Async::<TcpStream>::connect(self.listen).await.ok()?);
+            let mut connection = HttpConnection::new(Async::<TcpStream>::connect(self.listen).await.ok()?);
             let text = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
-            wire.write(text.as_bytes()).await.ok()?;
-            let head = wire.read_answer().await.ok().filter(|h| h.status == 200)?;
-            String::from_utf8(wire.answer_body(&head, 1 << 20).await.ok()?).ok()
+            connection.write(text.as_bytes()).await.ok()?;
+            let head = connection.read_answer().await.ok().filter(|h| h.status == 200)?;
+            String::from_utf8(connection.answer_body(&head, 1 << 20).await.ok()?).ok()
         };
         let late = async {
             sleep(Duration::from_millis(500)).await;
@@ -165,12 +167,12 @@
         future::or(asked, late).await
     }
 
-    /// Its process runs.
+    /// Whether its process runs.
     pub fn alive(&self) -> bool {
         self.child.borrow_mut().as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    fn gone(&self) -> Option<ExitStatus> {
+    fn exit_status(&self) -> Option<ExitStatus> {
         let mut child = self.child.borrow_mut();
         let status = child.as_mut()?.try_wait().ok()??;
         *child = None;
@@ -185,63 +187,63 @@
         }
     }
 
-    /// Kills it and starts it again a while later, perhaps with its wall clock set meanwhile.
+    /// Kills it and starts it again a while later.
     pub async fn kill(&self, world: &World, away: Duration) {
-        world.judge.borrow_mut().goes_away(self.number);
+        world.checker.borrow_mut().becomes_unavailable(self.number);
         self.killed.set(true);
         self.signal(Signal::KILL);
-        while self.gone().is_none() {
-            sleep(LOOK).await;
+        while self.exit_status().is_none() {
+            sleep(POLL).await;
         }
-        self.come_back(world, away).await;
+        self.restart(world, away).await;
     }
 
-    async fn come_back(&self, world: &World, away: Duration) {
-        world.judge.borrow_mut().died(self.number);
+    async fn restart(&self, world: &World, away: Duration) {
+        world.checker.borrow_mut().died(self.number);
         sleep(away).await;
         self.start(world).await;
-        world.judge.borrow_mut().is_back(self.number);
+        world.checker.borrow_mut().becomes_available(self.number);
     }
 
-    /// Tells it to end, and starts it again once it has.
-    pub async fn end(&self, world: &World, back: Option<Duration>) {
-        world.judge.borrow_mut().goes_away(self.number);
+    /// Sends SIGTERM, and starts it again once it has exited.
+    pub async fn terminate(&self, world: &World, back: Option<Duration>) {
+        world.checker.borrow_mut().becomes_unavailable(self.number);
         let begun = Instant::now();
-        self.going_since.set(Some(begun));
+        self.terminated_at.set(Some(begun));
         self.signal(Signal::TERM);
         let status = loop {
-            if let Some(status) = self.gone() {
+            if let Some(status) = self.exit_status() {
                 break status;
             }
-            if begun.elapsed() > LEAVES {
-                world.judge.borrow_mut().violate("leaves", self.told("was there 3.7 s after SIGTERM"));
+            if begun.elapsed() > EXIT_WITHIN {
+                world.checker.borrow_mut().violate("leaves", self.describe("was there 3.7 s after SIGTERM"));
                 self.killed.set(true);
                 self.signal(Signal::KILL);
             }
-            sleep(LOOK).await;
+            sleep(POLL).await;
         };
-        if !status.success() && begun.elapsed() < LEAVES {
-            world.judge.borrow_mut().violate("crash", self.told(format!("ended with {status}")));
+        if !status.success() && begun.elapsed() < EXIT_WITHIN {
+            world.checker.borrow_mut().violate("crash", self.describe(format!("ended with {status}")));
         }
         if let Some(away) = back {
-            self.come_back(world, away).await;
+            self.restart(world, away).await;
         }
     }
 
-    /// Holds it up.
+    /// Stops it for a while.
     pub async fn stall(&self, world: &World, lasts: Duration) {
-        world.judge.borrow_mut().goes_away(self.number);
+        world.checker.borrow_mut().becomes_unavailable(self.number);
         self.signal(Signal::STOP);
         sleep(lasts).await;
         self.signal(Signal::CONT);
-        world.judge.borrow_mut().is_back(self.number);
+        world.checker.borrow_mut().becomes_available(self.number);
     }
 
     /// Gives it a new configuration; discovery may move with it.
     pub fn reload(&self, world: &Rc<World>) {
         self.max_open.set(100 + world.below(100));
         if world.chance(0.5) {
-            if let Ok(discovery) = agent::begin(world, self.number) {
+            if let Ok(discovery) = platform::start(world, self.number) {
                 self.discovery.set(discovery);
             }
         }
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Puts faults in force; the number takes them away again.
+    /// Puts faults in force; the number removes them again.
     pub fn add_faults(&self, rules: &str) -> u64 {
         self.fault_number.set(self.fault_number.get() + 1);
         self.faults.borrow_mut().push((self.fault_number.get(), rules.to_owned()));
@@ -272,28 +274,34 @@
             .expect("written");
     }
 
-    /// What the process tells of itself at the end, and what the system tells of it.
-    pub async fn inspect(&self, world: &World) {
-        if let Some(status) = self.gone() {
-            return world.judge.borrow_mut().violate("crash", self.told(format!("has ended with {status}")));
+    /// Checks the process's own counters and what the system reports of it.
+    pub async fn check_at_end(&self, world: &World) {
+        if let Some(status) = self.exit_status() {
+            return world
+                .checker
+                .borrow_mut()
+                .violate("crash", self.describe(format!("has ended with {status}")));
         }
-        let Some(text) = self.ask("/_counters").await else {
-            return world.judge.borrow_mut().violate("ready", self.told("tells no counters at the end"));
+        let Some(text) = self.get("/_counters").await else {
+            return world
+                .checker
+                .borrow_mut()
+                .violate("ready", self.describe("shows no counters at the end"));
         };
         let counters: Value = serde_json::from_str(&text).unwrap_or_default();
         let violations = counters["invariant_violations"].as_object().cloned().unwrap_or_default();
         for (rule, count) in violations {
-            world.judge.borrow_mut().violate("run-time", self.told(format!("{rule}: {count}")));
+            world.checker.borrow_mut().violate("run-time", self.describe(format!("{rule}: {count}")));
         }
         let pid = self.child.borrow().as_ref().map(Child::id).unwrap_or_default();
         let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
         let resident =
             status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB")?.parse().ok());
         let descriptors = fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
-        let mut judge = world.judge.borrow_mut();
-        if resident.is_some_and(|kb: u64| kb > MEMORY_KB) || descriptors > DESCRIPTORS {
+        let mut checker = world.checker.borrow_mut();
+        if resident.is_some_and(|kb: u64| kb > MAX_MEMORY_KB) || descriptors > MAX_DESCRIPTORS {
             let what = format!("{resident:?} kB and {descriptors} descriptors");
-            judge.violate("limits", self.told(what));
+            checker.violate("limits", self.describe(what));
         }
     }
 }
--- a/crates/soak-test/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -1,35 +1,35 @@
-//! The soak: a few dozen real forwarders on loopback, with the surroundings that this program plays, under two or three troubles
-//! at a time, judged from outside. See `docs/soak.md`.
+//! The soak test: a few dozen real forwarders on loopback under two or three faults at a time, checked from outside. This program
+//! plays everything around them. See `docs/soak.md`.
 
-mod agent;
+mod checker;
 mod client;
 mod endpoint;
+mod faults;
 mod forwarder;
-mod judge;
-mod troubles;
+mod platform;
 mod world;
 
 use async_executor::LocalExecutor;
+use checker::InvariantChecker;
 use clap::{Parser, Subcommand};
 use forwarder::Forwarder;
-use judge::Judge;
 use rustix::process::{set_parent_process_death_signal, Signal};
 use std::ffi::OsString;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use world::{sleep, Size, World};
+use world::{sleep, RunOptions, World};
 
-/// What is left may end for so long after the last message.
-const TAIL: Duration = Duration::from_secs(9);
-/// So long after the last trouble everything must be well again.
-const CALM: Duration = Duration::from_millis(3_000);
-/// Troubles begin so long after the start.
-const LEAD: Duration = Duration::from_millis(500);
+/// Open messages may end for so long after the last submission.
+const DRAIN_TIME: Duration = Duration::from_secs(9);
+/// So long after the last fault everything must have recovered.
+const RECOVERY_TIME: Duration = Duration::from_millis(3_000);
+/// Faults begin so long after the start.
+const WARM_UP: Duration = Duration::from_millis(500);
 
 #[derive(Parser)]
-#[command(about = "Runs real forwarders under overlapping troubles and judges them from outside.")]
+#[command(about = "Runs real forwarders under overlapping faults and checks invariants from outside.")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -48,20 +48,20 @@
         /// Forwarders, each a process
         #[arg(long, default_value_t = 24)]
         forwarders: usize,
-        /// Seconds of troubles
+        /// Seconds of faults
         #[arg(long, default_value_t = 30)]
         seconds: u64,
         /// Messages a second for each forwarder
         #[arg(long, default_value_t = 15.0)]
         rate: f64,
-        /// Milliseconds for which a client waits for its answer; the platform's wait 400
+        /// Milliseconds for which a client waits for its response; the platform's wait 400
         #[arg(long, default_value_t = 400)]
         patience: u64,
-        /// Where to keep files and logs; without it, a folder that goes with a run in which all held
+        /// Where to keep files and logs; by default a folder that is removed unless an invariant was violated
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// The forwarder, as the soak was built with it
+    /// The forwarder that the soak test was built with
     #[command(hide = true)]
     Forwarder {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -72,19 +72,20 @@
 fn main() -> ExitCode {
     match Arguments::parse().command {
         Command::Forwarder { arguments } => {
-            // It ends with the soak, however that ends.
+            // It ends with the soak test, however that ends; if the signal cannot be set, it is killed at the end of the run.
             let _ = set_parent_process_death_signal(Some(Signal::KILL));
             cedarbridge::cli::main(std::iter::once(OsString::from("cedarbridge")).chain(arguments))
         }
         Command::Run { seed, seeds, forwarders, seconds, rate, patience, keep } => {
             let patience = Duration::from_millis(patience);
-            let size = Size { forwarders, lasts: Duration::from_secs(seconds), rate, patience };
-            let mut broken = 0;
+            let size =
+                RunOptions { forwarders, fault_duration: Duration::from_secs(seconds), rate, patience };
+            let mut violations = 0;
             for seed in seed..seed + seeds {
-                broken += play(seed, size, keep.as_ref());
+                violations += play(seed, size, keep.as_ref());
             }
-            println!("{seeds} seeds, {broken} violations");
-            if broken == 0 {
+            println!("{seeds} seeds, {violations} violations");
+            if violations == 0 {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
@@ -93,8 +94,8 @@
     }
 }
 
-/// Plays a seed; how many invariants did not hold.
-fn play(seed: u64, size: Size, keep: Option<&PathBuf>) -> usize {
+/// Plays a seed; returns how many violations there were.
+fn play(seed: u64, size: RunOptions, keep: Option<&PathBuf>) -> usize {
     let own = std::env::temp_dir().join(format!("cedarbridge-soak-test-{}-{seed}", std::process::id()));
     let folder = keep.map_or(own, |k| k.join(format!("seed-{seed}")));
     let _ = std::fs::remove_dir_all(&folder);
@@ -102,39 +103,39 @@
     let executor = Rc::new(LocalExecutor::new());
     let world = Rc::new(World {
         executor: executor.clone(),
-        size,
+        options: size,
         seed,
         random: fastrand::Rng::with_seed(seed).into(),
-        judge: Judge::new(size.forwarders).into(),
+        checker: InvariantChecker::new(size.forwarders).into(),
         endpoints: Vec::new().into(),
         generation: 1.into(),
         discovery: Default::default(),
-        classes: troubles::classes(),
-        quiet: false.into(),
-        closing: false.into(),
+        classes: faults::classes(),
+        faults_over: false.into(),
+        submissions_over: false.into(),
         begun: Instant::now(),
     });
-    async_io::block_on(executor.run(day(&world, &folder)));
-    let judge = world.judge.borrow();
-    for violation in judge.violations.iter().take(40) {
+    async_io::block_on(executor.run(run(&world, &folder)));
+    let checker = world.checker.borrow();
+    for violation in checker.violations.iter().take(40) {
         println!("seed {seed}: {violation}");
     }
-    let counts: Vec<String> = judge.counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
-    println!("seed {seed}: {} violations; {}", judge.violations.len(), counts.join(", "));
-    if judge.violations.is_empty() && keep.is_none() {
+    let counts: Vec<String> = checker.counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
+    println!("seed {seed}: {} violations; {}", checker.violations.len(), counts.join(", "));
+    if checker.violations.is_empty() && keep.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
         println!("seed {seed}: logs in {}", folder.display());
     }
-    judge.violations.len()
+    checker.violations.len()
 }
 
-async fn day(world: &Rc<World>, folder: &std::path::Path) {
-    for number in 0..troubles::DESTINATIONS * troubles::ENDPOINTS {
-        let begun = endpoint::begin(world, format!("e{number}"), number % troubles::DESTINATIONS, number % 2);
-        begun.expect("an endpoint");
+async fn run(world: &Rc<World>, folder: &std::path::Path) {
+    for number in 0..faults::DESTINATIONS * faults::ENDPOINTS {
+        let started = endpoint::start(world, format!("e{number}"), number % faults::DESTINATIONS, number % 2);
+        started.expect("an endpoint");
     }
-    let forwarders: Vec<Rc<Forwarder>> = (0..world.size.forwarders)
+    let forwarders: Vec<Rc<Forwarder>> = (0..world.options.forwarders)
         .map(|number| Rc::new(Forwarder::prepare(world, number, folder).expect("a forwarder's files")))
         .collect();
     let forwarders = Rc::new(forwarders);
@@ -142,32 +143,32 @@
         forwarder.start(world).await;
         world.spawn(client::run(world.clone(), forwarder.clone()));
     }
-    sleep(LEAD).await;
-    troubles::run(world.clone(), forwarders.clone()).await;
-    sleep(world.size.lasts).await;
-    world.quiet.set(true);
+    sleep(WARM_UP).await;
+    faults::run(world.clone(), forwarders.clone()).await;
+    sleep(world.options.fault_duration).await;
+    world.faults_over.set(true);
     while forwarders.iter().any(|f| f.busy.get()) {
         sleep(Duration::from_millis(20)).await;
     }
-    // All is well again: what comes now is served.
-    sleep(CALM).await;
-    world.closing.set(true);
-    let until = Instant::now() + TAIL;
-    while world.judge.borrow().waits_for() > 0 && Instant::now() < until {
+    // All has recovered: what comes now is served.
+    sleep(RECOVERY_TIME).await;
+    world.submissions_over.set(true);
+    let until = Instant::now() + DRAIN_TIME;
+    while world.checker.borrow().open_messages() > 0 && Instant::now() < until {
         sleep(Duration::from_millis(20)).await;
     }
     sleep(Duration::from_millis(500)).await;
     for forwarder in forwarders.iter() {
-        forwarder.inspect(world).await;
+        forwarder.check_at_end(world).await;
     }
     for forwarder in forwarders.iter() {
-        // Together, as at the end of a day.
+        // All at once.
         let (world, forwarder) = (world.clone(), forwarder.clone());
-        world.clone().spawn(async move { forwarder.end(&world, None).await });
+        world.clone().spawn(async move { forwarder.terminate(&world, None).await });
     }
     while forwarders.iter().any(|f| f.alive()) {
         sleep(Duration::from_millis(20)).await;
     }
     sleep(Duration::from_millis(100)).await;
-    world.judge.borrow_mut().close();
+    world.checker.borrow_mut().finish();
 }
--- a/crates/soak-test/src/world.rs
+++ b/crates/soak-test/src/world.rs
@@ -1,6 +1,6 @@
-//! What all tasks of a run share: the forwarders' surroundings as they are now.
+//! What all tasks of a run share: the present state of the forwarders' surroundings.
 
-use crate::judge::{Effect, Judge};
+use crate::checker::{Idempotency, InvariantChecker};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use std::cell::{Cell, RefCell};
@@ -9,77 +9,77 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How an endpoint behaves just now.
+/// How an endpoint behaves at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mood {
-    Well,
-    /// It takes calls and answers none.
+pub enum Behaviour {
+    Normal,
+    /// It accepts calls and answers none.
     Hangs,
-    /// It turns calls away, and asks for a pause of so many milliseconds.
-    Refuses(u64),
+    /// It rejects calls, with a `retry_after` of so many milliseconds.
+    Rejects(u64),
     /// It answers 500.
-    Errs,
-    /// It resets the connection once a call has come.
+    Fails,
+    /// It resets the connection once it has received a call.
     Resets,
     /// It closes new connections at once.
-    Shuts,
+    ClosesConnections,
     /// Its answers stop in the middle.
-    HalfAnswers,
+    TruncatesAnswers,
 }
 
-/// An entry of the list.
+/// An endpoint, and its entry of the list.
 pub struct Endpoint {
     pub name: String,
     pub destination: usize,
     pub zone: usize,
     pub address: SocketAddr,
-    pub mood: Cell<Mood>,
+    pub behaviour: Cell<Behaviour>,
     pub lifecycle: Cell<&'static str>,
-    /// Counts up as it forgets its idle connections: they are reset.
-    pub forgets: Cell<u32>,
+    /// Counts up as it resets its idle connections.
+    pub reset_count: Cell<u32>,
 }
 
-/// How the platform's agents behave just now.
+/// How the platform's agents behave at present.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Discovery {
-    /// It says nothing.
+    /// They send nothing.
     pub silent: bool,
-    /// It answers so late.
+    /// They answer so late.
     pub slow: Duration,
 }
 
 /// A class of messages.
 pub struct Class {
     pub name: &'static str,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
-/// Sizes of a run.
+/// What a run is like.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct RunOptions {
     pub forwarders: usize,
-    pub lasts: Duration,
+    pub fault_duration: Duration,
     /// Messages a second for each forwarder.
     pub rate: f64,
-    /// A client waits so long for its answer.
+    /// A client waits so long for its response.
     pub patience: Duration,
 }
 
 /// Everything of a run.
 pub struct World {
     pub executor: Rc<LocalExecutor<'static>>,
-    pub size: Size,
+    pub options: RunOptions,
     pub seed: u64,
     pub random: RefCell<fastrand::Rng>,
-    pub judge: RefCell<Judge>,
+    pub checker: RefCell<InvariantChecker>,
     pub endpoints: RefCell<Vec<Rc<Endpoint>>>,
     pub generation: Cell<u64>,
     pub discovery: Cell<Discovery>,
     pub classes: Vec<Class>,
-    /// Troubles are over: what is left may end.
-    pub quiet: Cell<bool>,
-    /// Nothing more is handed in.
-    pub closing: Cell<bool>,
+    /// No further faults are injected.
+    pub faults_over: Cell<bool>,
+    /// Clients send nothing more.
+    pub submissions_over: Cell<bool>,
     pub begun: Instant,
 }
 
