--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -355,7 +355,7 @@
         if self.partners.len() <= SHOWN {
             let mut worst = vec![BreakerState::Closed; self.partners.len()];
             for f in self.forwarders.iter().filter(|f| f.up) {
-                for s in f.courier.shown(self.now) {
+                for s in f.courier.status(self.now) {
                     let w = &mut worst[s.destination.0 as usize];
                     *w = (*w).max(s.breaker);
                 }
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,7 +1,7 @@
 //! `explain`: which entry wins for a message and why, and the worst case that follows.
 
 use super::{lines, print, Failed, Files, Read};
-use crate::policy::longest_cut;
+use crate::policy::max_attempt_timeout;
 use crate::routes::{worst_case, Plan, Route, Step, Timing, MOST_ATTEMPTS};
 use crate::settings_json::index;
 use crate::site::written;
@@ -74,7 +74,7 @@
     /// The attempts of the worst case: of those that are allowed, as many as begin in time.
     fn steps(&self) -> Vec<Step> {
         let timing = self.timing();
-        let timeout = timing.cut(longest_cut(self.class().idempotency));
+        let timeout = timing.cut(max_attempt_timeout(self.class().idempotency));
         let most = timing.most(self.of.settings.max_attempts.min(MOST_ATTEMPTS));
         let end = self.end();
         let all = worst_case(&timing, timeout, most).into_iter().filter(|s| s.begins < end);
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -358,7 +358,7 @@
                 "wait_ms": ms(s.retry_after as f64), "cold": s.warming_up, "answer_ms": s.latency.map(ms),
                 "limit_per_s": s.limit.map(|l| l.rate), "limit_left": s.limit.map(|l| l.remaining_share)})
         };
-        let partners: Vec<Value> = self.policy.shown(self.context.clock.now()).map(one).collect();
+        let partners: Vec<Value> = self.policy.status(self.context.clock.now()).map(one).collect();
         let channels = self.names.tenants.iter().zip(&self.handed_in);
         let channels: Vec<Value> = channels.map(|(name, n)| json!({"name": name, "handed_in": n})).collect();
         json!({"partners": partners, "channels": channels})
--- /dev/null
+++ b/src/policy/connection_reuse.rs
@@ -0,0 +1,97 @@
+//! Which idle connections are closed: those that may have died unnoticed, and those that keep others from
+//! connecting.
+
+use super::constants::*;
+use super::may_still_run;
+use super::records::stored_as_array;
+use super::DeliveryPolicy;
+use crate::api::*;
+use serde::{Deserialize, Serialize};
+
+/// Share of the calls that got no answer, by connection.
+#[derive(Clone, Copy, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub(super) struct ConnectionLoss {
+    on_fresh: f64,
+    on_reused: f64,
+}
+stored_as_array!(ConnectionLoss { on_fresh: f64, on_reused: f64 });
+
+impl ConnectionLoss {
+    /// Idle connections die unnoticed (a firewall, an endpoint that drops them).
+    pub(super) fn are_idle_ones_stale(&self) -> bool {
+        self.on_reused - self.on_fresh > STALE_EXCESS_LOSS
+    }
+
+    fn record(&mut self, reused: bool, answered: bool) {
+        let loss = if reused { &mut self.on_reused } else { &mut self.on_fresh };
+        *loss += CONNECTION_LOSS_SMOOTHING * (f64::from(!answered) - *loss);
+        if answered && !reused {
+            self.on_reused *= REUSED_LOSS_DECAY;
+        }
+    }
+}
+
+/// How scarce connections are to endpoints of one kind.
+#[derive(Clone, Copy, Default, Serialize, Deserialize)]
+#[serde(from = "(f64, f64)", into = "(f64, f64)")]
+pub(super) struct ConnectionScarcity {
+    /// Share of the calls that got no connection.
+    connect_failure_share: f64,
+    /// 1 after a failed connect that counts, decaying with each further call.
+    scarcity: f64,
+}
+stored_as_array!(ConnectionScarcity { connect_failure_share: f64, scarcity: f64 });
+
+impl ConnectionScarcity {
+    fn record(&mut self, connect_failed: bool, connection_cost: f64) {
+        let share = &mut self.connect_failure_share;
+        *share += CONNECTION_LOSS_SMOOTHING * (f64::from(connect_failed) - *share);
+        let outweighs_cost = *share * CONNECT_FAILURE_COST > connection_cost;
+        let confirms_scarcity = connect_failed && (outweighs_cost || self.is_scarce());
+        self.scarcity = if confirms_scarcity { 1.0 } else { self.scarcity * SCARCITY_DECAY };
+    }
+
+    fn is_scarce(&self) -> bool {
+        self.scarcity > SCARCITY_THRESHOLD
+    }
+}
+
+impl DeliveryPolicy {
+    /// Learns from a call how connections fare. Guards against idle connections that die unnoticed: calls on
+    /// reused ones go unanswered far more often. And against endpoints whose connections are all taken by the
+    /// idle ones of many forwarders: once a connect failed, those of that kind are closed for a while.
+    pub(super) fn record_connection(&mut self, id: EndpointId, outcome: Outcome, reused: Option<bool>) {
+        if outcome == Outcome::NotJournaled {
+            return;
+        }
+        let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected(_) | Outcome::Error);
+        // A connection that breaks at once costs no more than the next call: nothing is learned from it.
+        let tells = outcome != Outcome::StaleConnection && (answered || may_still_run(outcome));
+        if let Some(reused) = reused.filter(|_| tells) {
+            self.connection_loss.record(reused, answered);
+        }
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
+        endpoint.has_idle_connection = answered;
+        let Some(kind) = self.connection_scarcity.get_mut(endpoint.entry.kind.0) else { return };
+        kind.record(outcome == Outcome::ConnectFailed, self.settings.connection_cost);
+        if kind.is_scarce() && !self.calls.values().any(|c| c.endpoint == id) {
+            endpoint.has_idle_connection = false;
+            self.actions.push(Action::CloseIdle { endpoint: id });
+        }
+    }
+
+    /// Whether a new call goes out on a reused connection; none if others are in flight there, as it is not
+    /// known then. Closes idle connections that are likely stale first.
+    pub(super) fn prepare_connection(&mut self, id: EndpointId) -> Option<bool> {
+        if self.calls.values().any(|c| c.endpoint == id) {
+            return None;
+        }
+        let has_idle = self.endpoints[&id].has_idle_connection;
+        if has_idle && self.connection_loss.are_idle_ones_stale() {
+            self.actions.push(Action::CloseIdle { endpoint: id });
+            return Some(false);
+        }
+        Some(has_idle)
+    }
+}
--- /dev/null
+++ b/src/policy/enqueue.rs
@@ -0,0 +1,83 @@
+//! Takes in a new message: its age, the weight that its tenant's quota leaves it, its place in its queues.
+
+use super::constants::*;
+use super::records::{destination, Message, PossibleEffect};
+use super::DeliveryPolicy;
+use crate::api::*;
+
+impl DeliveryPolicy {
+    pub(super) fn enqueue(&mut self, now: Micros, new: &NewMessage) {
+        if self.messages.contains_key(&new.id) || new.class.0 >= self.settings.classes.len() {
+            return;
+        }
+        let deadline = now.saturating_add(new.time_left);
+        let received_at = self.first_received_at(now, deadline, new);
+        let priority_weight = self.weight_within_quota(now, new);
+        let class = &self.settings.classes[new.class.0];
+        // A message with an idempotency key that a dead forwarder had counts as sent when it was first
+        // received, unless that one's journal says more.
+        let may_have_been_sent = new.failed_over && class.idempotency == Idempotency::WithKey;
+        let assumed = may_have_been_sent.then_some(PossibleEffect { sent_at: received_at, zone: None });
+        let journaled = new.first_attempt.map(|(sent_at, zone)| PossibleEffect { sent_at, zone: Some(zone) });
+        let order_key = new.key.filter(|_| class.ordered);
+        if let Some(key) = order_key {
+            self.order_keys.entry(key).or_default().queue.push_back(new.id);
+        }
+        self.record_demand(now, new);
+        let message = Message {
+            class: new.class,
+            priority_weight,
+            order_key,
+            destination: new.destination,
+            received_at,
+            deadline,
+            attempts: new.attempts,
+            first_effect: journaled.or(assumed),
+            restored: new.restored,
+            ..Message::default()
+        };
+        self.messages.insert(new.id, message);
+        self.open_messages += 1;
+    }
+
+    /// Less time left than the latency objective: the client wants it for that time only, and it is no repeat
+    /// unless it says so.
+    fn first_received_at(&self, now: Micros, deadline: Micros, new: &NewMessage) -> Micros {
+        let class = &self.settings.classes[new.class.0];
+        let is_first = !new.failed_over
+            && !new.client_retry
+            && (self.settings.clients_mark_retries || new.time_left <= class.latency_objective);
+        if is_first {
+            now
+        } else {
+            deadline.saturating_sub(class.deadline)
+        }
+    }
+
+    fn weight_within_quota(&mut self, now: Micros, new: &NewMessage) -> f64 {
+        let weight = self.settings.classes[new.class.0].priority_weight;
+        let Some(tenant) = new.tenant else { return weight };
+        let Some(bucket) = self.tenant_quotas.get_mut(tenant.0) else { return weight };
+        let quota_per_s = self.settings.tenants[tenant.0].quota_per_s;
+        let per_us = quota_per_s / self.settings.forwarders as f64 / SECOND as f64;
+        if bucket.take(now, per_us) {
+            weight
+        } else {
+            weight * self.settings.over_quota_weight
+        }
+    }
+
+    /// Queues a message at its destination, and counts it as demand for that and its endpoints.
+    fn record_demand(&mut self, now: Micros, new: &NewMessage) {
+        let destination = destination(&mut self.destinations, now, new.destination);
+        destination.waiting.push(new.id);
+        let per_endpoint = destination.per_endpoint_breaker;
+        let share = if per_endpoint { 1.0 / destination.endpoints.len().max(1) as f64 } else { 1.0 };
+        destination.admission.pacer.record_demand(now, share, &self.settings);
+        for id in &destination.endpoints {
+            if let Some(endpoint) = self.endpoints.get_mut(id) {
+                endpoint.admission.pacer.record_demand(now, share, &self.settings);
+            }
+        }
+    }
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,194 +1,210 @@
 //! Every decision on where, when and whether a message goes. Its types and events are in `src/api.rs`.
 //!
-//! The ordinary path: a closed/open/half breaker for each destination (each route where they are apart), and
-//! a free slot for the waiting destination with the least recent slot time. `docs/design.md`: what departs.
-//! No I/O; time
-//! and chance come in as arguments.
+//! The ordinary path: a circuit breaker for each destination (or for each endpoint of it, by its kind), and a
+//! free call slot for the waiting destination that was dispatched to least recently. `docs/design.md` says
+//! what departs from it. No I/O; time and chance come in as arguments.
 
-mod breaker;
-mod ending;
-mod list;
-mod overdue;
-mod results;
+mod admission;
+mod circuit_breaker;
+mod connection_reuse;
+mod constants;
+mod endpoint_list;
+mod enqueue;
+mod expiry;
+mod load_shedding;
+mod outcomes;
+mod pacing;
+mod records;
+mod retry;
 mod selection;
-mod state;
-mod tuning;
+mod sending;
+mod slow_start;
+mod stuck_calls;
 
 use crate::api::*;
-use crate::time_slots::Turns;
-use breaker::Breaker;
+use crate::time_slots::SlotAllocator;
+use connection_reuse::{ConnectionLoss, ConnectionScarcity};
+use constants::*;
+use records::{Call, Destination, Destinations, Endpoint, KeyQueue, Message, QuotaBucket};
+use retry::AttemptResult;
 use serde::{Deserialize, Serialize};
-use state::{destination, Call, Destinations, Endpoint, KeyLine, Message};
 use std::collections::BTreeMap;
-use tuning::*;
 
-/// The decisions of one sender. Instances share nothing; the same events give the same actions.
+/// The decisions of one forwarder. Instances share nothing; the same events give the same actions.
 #[derive(Default, Serialize, Deserialize)]
 pub struct DeliveryPolicy {
-    s: Settings,
+    #[serde(rename = "s")]
+    settings: Settings,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: Destinations,
     messages: BTreeMap<MessageId, Message>,
+    /// The calls in flight, by number.
     calls: BTreeMap<u64, Call>,
-    lines: BTreeMap<OrderKey, KeyLine>,
-    buckets: Vec<(f64, Micros)>, // For each tenant, what is left of its share, and when that was reckoned
-    open: usize,
-    latency: f64,
-    paces: Vec<f64>, // For each class, how long a call lasts as a multiple of its endpoint's mean
-    crowded: Vec<(f64, f64)>, // For each kind: share of calls that got no connection; memory that most did
-    lost: [f64; 2],  // Share of calls unanswered on fresh and on reused connections
+    #[serde(rename = "lines")]
+    order_keys: BTreeMap<OrderKey, KeyQueue>,
+    /// By tenant.
+    #[serde(rename = "buckets")]
+    tenant_quotas: Vec<QuotaBucket>,
+    /// Messages that are not complete.
+    #[serde(rename = "open")]
+    open_messages: usize,
+    /// Over all endpoints.
+    #[serde(rename = "latency")]
+    mean_latency_us: f64,
+    /// By class: how long a call lasts, as a multiple of its endpoint's mean latency.
+    #[serde(rename = "paces")]
+    class_durations: Vec<f64>,
+    /// By kind of destination.
+    #[serde(rename = "crowded")]
+    connection_scarcity: Vec<ConnectionScarcity>,
+    #[serde(rename = "lost")]
+    connection_loss: ConnectionLoss,
     next_call: u64,
-    next_slot: u64,
+    /// Calls dispatched so far.
+    #[serde(rename = "next_slot")]
+    dispatch_count: u64,
+    /// Updates of the endpoint list come by themselves.
     subscribed: bool,
-    ask_at: Micros,
-    armed: Option<Micros>,
-    wake: Micros,
-    turns: Turns,
-    leftovers: bool, // Something is kept that the list does not name any more
+    #[serde(rename = "ask_at")]
+    next_poll_at: Micros,
+    /// When the timer fires that was asked for last.
+    #[serde(rename = "armed")]
+    timer_at: Option<Micros>,
+    /// When the next step is due without any event, as far as this one knows.
+    #[serde(rename = "wake")]
+    next_wake: Micros,
+    #[serde(rename = "turns")]
+    slots: SlotAllocator,
+    /// Something is kept that the endpoint list does not name any more.
+    #[serde(rename = "leftovers")]
+    keeps_removed: bool,
     actions: Vec<Action>,
-    unwritable: bool, // What outlasts the process cannot be written: no attempt may begin
+    /// Nothing can be journaled: no attempt may begin.
+    #[serde(rename = "unwritable")]
+    journal_unwritable: bool,
 }
 
 impl DeliveryPolicy {
-    /// A forwarder that knows nothing yet. The seed spreads its trials; give each forwarder its own.
+    /// A forwarder that has seen nothing yet. The seed spreads its trial calls; give each forwarder its own.
+    ///
+    /// # Errors
+    ///
+    /// If the settings make no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let buckets = vec![(f64::MAX, 0); settings.tenants.len()];
-        let crowded = vec![(0.0, 0.0); settings.kinds.len()];
-        let paces = vec![1.0; settings.classes.len()];
-        let known = DeliveryPolicy { s: settings, buckets, crowded, paces, ..DeliveryPolicy::default() };
-        Ok(DeliveryPolicy { latency: FIRST_LATENCY, turns: Turns::new(seed), ..known })
+        Ok(DeliveryPolicy {
+            tenant_quotas: vec![QuotaBucket::full(); settings.tenants.len()],
+            connection_scarcity: vec![ConnectionScarcity::default(); settings.kinds.len()],
+            class_durations: vec![1.0; settings.classes.len()],
+            mean_latency_us: INITIAL_LATENCY_US,
+            slots: SlotAllocator::new(seed),
+            settings,
+            ..DeliveryPolicy::default()
+        })
     }
 
-    /// Takes a batch of events, then makes one dispatch pass.
+    /// Takes a batch of events, then sends what may go; appends what the caller is to do.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        self.wake = NEVER;
-        self.armed = self.armed.filter(|t| *t > now);
+        self.next_wake = NEVER;
+        self.timer_at = self.timer_at.filter(|at| *at > now);
         for event in events {
-            self.take(now, event);
+            self.apply(now, event);
         }
-        self.ask(now);
-        self.release(now);
-        self.sweep(now);
-        self.shed(now);
-        if !self.unwritable {
+        self.poll_endpoint_list(now);
+        self.cancel_isolated_calls(now);
+        self.abandon_undeliverable(now);
+        self.shed_load(now);
+        if !self.journal_unwritable {
             self.dispatch(now);
         }
-        if self.wake != NEVER && self.armed.is_none_or(|t| self.wake < t) {
-            let at = self.wake.max(now + 1);
-            self.armed = Some(at);
-            self.actions.push(Action::Timer { delay: at - now, token: at });
-        }
+        self.set_timer(now);
         actions.append(&mut self.actions);
     }
 
-    /// What operators are shown of each destination; of routes apart, the worst.
-    pub fn shown(&self, now: Micros) -> impl Iterator<Item = DestinationStatus> + '_ {
-        self.destinations.iter().map(move |(id, d)| {
-            let apart = d.endpoints.iter().filter(|_| d.apart).filter_map(|e| self.endpoints.get(e));
-            let all = apart.map(|e| &e.breaker).chain([&d.breaker]);
-            let b = all.max_by_key(|b| b.status).unwrap_or(&d.breaker);
-            let out = self.calls.values().filter(|c| c.destination == *id).count();
-            let (held, wait, cold) =
-                (d.waiting.len(), b.wait_until.saturating_sub(now), b.cold_since.is_some());
-            let (destination, status, latency, limit) = (*id, b.status, b.latency, b.limit.current);
-            DestinationStatus {
-                destination,
-                breaker: status,
-                waiting: held,
-                in_flight: out,
-                retry_after: wait,
-                warming_up: cold,
-                latency,
-                limit,
-            }
-        })
+    /// What operators are shown of each destination; where each endpoint has its own breaker, the worst one.
+    pub fn status(&self, now: Micros) -> impl Iterator<Item = DestinationStatus> + '_ {
+        self.destinations.iter().map(move |(id, destination)| self.destination_status(now, *id, destination))
+    }
+
+    fn destination_status(
+        &self,
+        now: Micros,
+        id: DestinationId,
+        destination: &Destination,
+    ) -> DestinationStatus {
+        let per_endpoint = destination.endpoints.iter().filter(|_| destination.per_endpoint_breaker);
+        let endpoints = per_endpoint.filter_map(|e| self.endpoints.get(e));
+        let all = endpoints.map(|e| &e.admission).chain([&destination.admission]);
+        let worst = all.max_by_key(|a| a.circuit.state).unwrap_or(&destination.admission);
+        DestinationStatus {
+            destination: id,
+            breaker: worst.circuit.state,
+            waiting: destination.waiting.len(),
+            in_flight: self.calls.values().filter(|c| c.destination == id).count(),
+            retry_after: worst.pacer.paused_until.saturating_sub(now),
+            warming_up: worst.slow_start.is_active(),
+            latency: worst.mean_latency_us,
+            limit: worst.pacer.limit.current,
+        }
     }
 
+    /// Asks for a step at a time, unless one is due sooner.
     fn wake_at(&mut self, at: Micros) {
-        self.wake = self.wake.min(at);
+        self.next_wake = self.next_wake.min(at);
     }
 
-    fn take(&mut self, now: Micros, event: &Event) {
+    /// Asks for a timer, unless one fires in time.
+    fn set_timer(&mut self, now: Micros) {
+        if self.next_wake == NEVER || self.timer_at.is_some_and(|at| self.next_wake >= at) {
+            return;
+        }
+        let at = self.next_wake.max(now + 1);
+        self.timer_at = Some(at);
+        self.actions.push(Action::Timer { delay: at - now, token: at });
+    }
+
+    fn apply(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::EndpointList(news) => self.take_list(now, news),
-            Event::Settings(settings) => self.s = (**settings).clone(),
-            Event::JournalStatus { writable } => self.unwritable = !writable,
-            Event::Message(m) => self.take_message(now, m),
+            Event::EndpointList(update) => self.on_endpoint_list(now, update),
+            Event::Settings(settings) => self.settings = (**settings).clone(),
+            Event::JournalStatus { writable } => self.journal_unwritable = !writable,
+            Event::Message(message) => self.enqueue(now, message),
             Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report } => {
-                self.hear(now, *endpoint, *outcome, *report);
-                self.take_result(now, (*id, *attempt), *outcome, *elapsed, *ended);
+                self.observe_load_report(*endpoint, *report);
+                if let Outcome::Rejected(Some(retry_after)) = outcome {
+                    self.observe_retry_after(now, *endpoint, *retry_after);
+                }
+                let result = AttemptResult {
+                    id: *id,
+                    attempt: *attempt,
+                    outcome: *outcome,
+                    elapsed: *elapsed,
+                    completes_message: *ended,
+                };
+                self.on_attempt_ended(now, result);
             }
-            Event::RetryAfter { endpoint, retry_after: wait } => {
-                self.hear(now, *endpoint, Outcome::Rejected(Some(*wait)), None)
+            Event::RetryAfter { endpoint, retry_after } => {
+                self.observe_retry_after(now, *endpoint, *retry_after);
             }
-            Event::Withdrawn { id } => self.end(*id),
+            Event::Withdrawn { id } => self.complete(*id),
             Event::Started { .. } | Event::HealthChecked { .. } | Event::Timer { .. } => {}
         }
     }
 
-    fn take_message(&mut self, now: Micros, m: &NewMessage) {
-        if self.messages.contains_key(&m.id) || m.class.0 >= self.s.classes.len() {
-            return;
-        }
-        let class = &self.s.classes[m.class.0];
-        let deadline = now.saturating_add(m.time_left);
-        // Less time left than the aim: wanted only for so long, and no repeat unless it says so.
-        let first = !m.failed_over
-            && !m.client_retry
-            && (self.s.clients_mark_retries || m.time_left <= class.latency_objective);
-        let born = if first { now } else { deadline.saturating_sub(class.deadline) };
-        let mut worth = class.priority_weight;
-        if let Some(tenant) = m.tenant.filter(|t| t.0 < self.buckets.len()) {
-            let per_us = self.s.tenants[tenant.0].quota_per_s / self.s.forwarders as f64 / SECOND as f64;
-            let b = &mut self.buckets[tenant.0];
-            *b = ((b.0 + per_us * (now - b.1) as f64).min(1.0 + per_us * SECOND as f64), now);
-            if b.0 >= 1.0 {
-                b.0 -= 1.0;
-            } else {
-                worth *= self.s.over_quota_weight;
-            }
-        }
-        // A dead forwarder's keyed message counts as sent when first handed in, unless its journal tells
-        // more.
-        let may_have_run =
-            (m.failed_over && class.idempotency == Idempotency::WithKey).then_some((born, None));
-        let may_have_run = m.first_attempt.map(|(at, zone)| (at, Some(zone))).or(may_have_run);
-        let key = m.key.filter(|_| class.ordered);
-        if let Some(k) = key {
-            self.lines.entry(k).or_default().queue.push_back(m.id);
-        }
-        let d = destination(&mut self.destinations, now, m.destination);
-        d.waiting.push(m.id);
-        let part = if d.apart { 1.0 / d.endpoints.len().max(1) as f64 } else { 1.0 };
-        let longest = self.s.slow_start;
-        let asked = |b: &mut Breaker| {
-            b.asked.count(part, now - b.asked.at, longest);
-            b.asked.at = now;
-        };
-        asked(&mut d.breaker);
-        for e in &d.endpoints {
-            self.endpoints.get_mut(e).into_iter().for_each(|e| asked(&mut e.breaker));
-        }
-        let known =
-            Message { class: m.class, worth, key, born, deadline, may_have_run, ..Message::default() };
-        let known = Message { restored: m.restored, ..known };
-        let (destination, attempts) = (m.destination, m.attempts);
-        self.messages.insert(m.id, Message { destination, attempts, ..known });
-        self.open += 1;
-    }
-
-    fn effect(&self, id: MessageId) -> Idempotency {
-        self.messages.get(&id).map_or(Idempotency::Idempotent, |m| self.s.classes[m.class.0].idempotency)
+    /// What a repeat of a message may do; of one that is not known any more, nothing.
+    fn idempotency(&self, id: MessageId) -> Idempotency {
+        let class = self.messages.get(&id).map(|m| &self.settings.classes[m.class.0]);
+        class.map_or(Idempotency::Idempotent, |class| class.idempotency)
     }
 }
 
-/// The longest that an attempt may be out where its route says nothing; an unsafe one is lost when it is cut.
-pub fn longest_cut(effect: Idempotency) -> Micros {
-    CUT.2 * if effect == Idempotency::NonIdempotent { 2 } else { 1 }
+/// The longest timeout of an attempt where its route says nothing. It is twice as long for a non-idempotent
+/// message, which is lost when its attempt times out.
+pub fn max_attempt_timeout(idempotency: Idempotency) -> Micros {
+    ATTEMPT_TIMEOUT_MAX * if idempotency == Idempotency::NonIdempotent { 2 } else { 1 }
 }
 
 /// The attempt may still be running.
-fn unsure(outcome: Outcome) -> bool {
+fn may_still_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::StaleConnection | Outcome::Cancelled)
 }
--- /dev/null
+++ b/src/policy/retry.rs
@@ -0,0 +1,196 @@
+//! What follows the end of an attempt: the message is complete, or is queued again for a retry. Also whether
+//! and until when a message may be sent.
+
+use super::admission::FinishedCall;
+use super::constants::*;
+use super::may_still_run;
+use super::records::{destination, KeyQueue, Message, PossibleEffect};
+use super::DeliveryPolicy;
+use crate::api::*;
+use crate::routes::Timing;
+
+/// The end of one message's attempt.
+#[derive(Clone, Copy)]
+pub(super) struct AttemptResult {
+    pub(super) id: MessageId,
+    pub(super) attempt: u32,
+    pub(super) outcome: Outcome,
+    /// Time since it was sent.
+    pub(super) elapsed: Micros,
+    /// Nothing more is owed for the message.
+    pub(super) completes_message: bool,
+}
+
+/// When and where an attempt was sent, as far as its call is known.
+struct SentAttempt {
+    sent_at: Micros,
+    endpoint: Option<EndpointId>,
+}
+
+impl DeliveryPolicy {
+    /// The settings of its route for a message's attempts.
+    pub(super) fn timing(&self, message: &Message) -> Timing {
+        let Some(routes) = self.settings.routes.as_ref() else { return Timing::default() };
+        let kind = self.destinations.get(&message.destination).and_then(|d| d.kind);
+        routes.timing(message.destination, kind, message.class)
+    }
+
+    /// It has had all the attempts that it may have.
+    pub(super) fn has_spent_attempts(&self, message: &Message) -> bool {
+        let max_attempts = self.timing(message).most(self.settings.max_attempts);
+        message.attempts - message.uncounted_attempts >= max_attempts
+    }
+
+    /// The time up to which a message may still be sent.
+    pub(super) fn latest_send(&self, message: &Message) -> Micros {
+        let class = &self.settings.classes[message.class.0];
+        let min_step = self.settings.min_step_interval;
+        let end = self.end_of(message).saturating_sub(MIN_DELIVERY_TIME + 2 * min_step);
+        match (class.idempotency, message.first_effect) {
+            (_, None) | (Idempotency::Idempotent, _) => end,
+            (Idempotency::WithKey, Some(first)) => {
+                end.min(first.sent_at + class.deduplication_window.saturating_sub(min_step))
+            }
+            (Idempotency::NonIdempotent, Some(_)) => 0,
+        }
+    }
+
+    /// The guard of every send: rules 1 (not complete), 2 (no effect twice), 3 (drains), 5 (order) and 6
+    /// (retry-after).
+    pub(super) fn may_send(&self, now: Micros, id: MessageId, endpoint: EndpointId) -> bool {
+        let Some(message) = self.messages.get(&id) else { return false };
+        message.is_waiting()
+            && !self.has_spent_attempts(message)
+            && now < self.latest_send(message)
+            && now >= message.retry_at
+            && self.is_first_of_its_key(now, id, message)
+            && self.may_use(now, message, endpoint)
+    }
+
+    fn is_first_of_its_key(&self, now: Micros, id: MessageId, message: &Message) -> bool {
+        let is_first = |key: &KeyQueue| {
+            key.queue.front() == Some(&id) && (now >= key.paused_until || message.attempts > 0)
+        };
+        message.order_key.and_then(|k| self.order_keys.get(&k)).is_none_or(is_first)
+    }
+
+    /// Whether a message may go to an endpoint, as far as the two are concerned.
+    fn may_use(&self, now: Micros, message: &Message, id: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get(&id) else { return false };
+        let Some(destination) = self.destinations.get(&message.destination) else { return false };
+        let entry = &endpoint.entry;
+        if entry.destination != message.destination || entry.lifecycle != Lifecycle::Listed {
+            return false;
+        }
+        let pauses = |at: Micros| now < at;
+        if pauses(endpoint.admission.pacer.paused_until)
+            || !destination.per_endpoint_breaker && pauses(destination.admission.pacer.paused_until)
+        {
+            return false;
+        }
+        // A hedged repeat goes elsewhere, if another endpoint is healthy.
+        let is_healthy = |other: &EndpointId| {
+            self.endpoints.get(other).is_some_and(|e| {
+                e.entry.lifecycle == Lifecycle::Listed && e.admission.circuit.state == BreakerState::Closed
+            })
+        };
+        if message.avoid_endpoint == Some(id)
+            && destination.endpoints.iter().any(|other| *other != id && is_healthy(other))
+        {
+            return false;
+        }
+        self.drops_repeat(message, entry.zone)
+    }
+
+    /// A repeat in this zone has no second effect, as far as the scope of deduplication goes.
+    fn drops_repeat(&self, message: &Message, zone: ZoneId) -> bool {
+        let class = &self.settings.classes[message.class.0];
+        if class.idempotency != Idempotency::WithKey || class.dedup_scope != DedupScope::Zone {
+            return true;
+        }
+        message.first_effect.and_then(|first| first.zone).is_none_or(|first| first == zone)
+    }
+
+    /// Takes the end of an attempt; one that is not in flight is ignored.
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, result: AttemptResult) {
+        let Some(message) = self.messages.get_mut(&result.id) else { return };
+        let Some(in_flight) = message.in_flight.filter(|a| a.attempt == result.attempt) else { return };
+        message.in_flight = None;
+        let class = message.class;
+        let sent = self.finish_call_attempt(now, in_flight.call, class, &result);
+        self.record_possible_effect(now, &result, sent.sent_at);
+        if self.messages[&result.id].complete {
+            self.forget_if_settled(result.id);
+        } else if result.completes_message || result.outcome == Outcome::Ok {
+            self.complete(result.id);
+        } else {
+            self.schedule_retry(now, &result, sent);
+        }
+    }
+
+    /// Takes an attempt out of its call. The first one that ends speaks for the call.
+    fn finish_call_attempt(
+        &mut self,
+        now: Micros,
+        number: u64,
+        class: ClassId,
+        result: &AttemptResult,
+    ) -> SentAttempt {
+        let Some(call) = self.calls.get_mut(&number) else {
+            return SentAttempt { sent_at: now, endpoint: None };
+        };
+        call.attempts.retain(|a| a.id != result.id);
+        let is_first = !std::mem::replace(&mut call.outcome_recorded, true);
+        let (endpoint, destination, reused) = (call.endpoint, call.destination, call.connection_reused);
+        let outcome = result.outcome;
+        let finished = FinishedCall {
+            sent_at: call.sent_at,
+            duration_us: result.elapsed as f64,
+            is_trial: call.is_trial,
+            outcome,
+        };
+        if call.attempts.is_empty() {
+            self.calls.remove(&number);
+        }
+        if let Outcome::Rejected(Some(retry_after)) = outcome {
+            if !self.endpoints.contains_key(&endpoint) {
+                self.observe_retry_after_of_removed(now, destination, retry_after);
+            }
+        }
+        if is_first {
+            self.record_class_duration(class, endpoint, outcome, result.elapsed);
+            self.record_outcome(now, endpoint, &finished);
+            self.record_connection(endpoint, outcome, reused);
+        }
+        SentAttempt { sent_at: finished.sent_at, endpoint: Some(endpoint) }
+    }
+
+    /// Remembers the first attempt that may have taken effect, and pauses its order key while it may run.
+    fn record_possible_effect(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros) {
+        let Some(message) = self.messages.get_mut(&result.id) else { return };
+        let may_run = may_still_run(result.outcome);
+        if (may_run || result.outcome == Outcome::Error) && message.first_effect.is_none() {
+            message.first_effect = Some(PossibleEffect { sent_at, zone: Some(message.last_zone) });
+        }
+        let key = message.order_key.filter(|_| may_run);
+        if let Some(key) = key.and_then(|k| self.order_keys.get_mut(&k)) {
+            key.paused_until = key.paused_until.max(now + self.settings.order_key_pause);
+        }
+    }
+
+    /// Queues a message again.
+    fn schedule_retry(&mut self, now: Micros, result: &AttemptResult, sent: SentAttempt) {
+        let timing = self.timing(&self.messages[&result.id]);
+        let Some(message) = self.messages.get_mut(&result.id) else { return };
+        let outcome = result.outcome;
+        message.final_deadline = message.final_deadline.filter(|_| outcome == Outcome::TimedOut);
+        message.uncounted_attempts += u32::from(outcome == Outcome::NotJournaled);
+        if !matches!(outcome, Outcome::NotSent | Outcome::NotJournaled) {
+            let was_cut_short = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
+            message.retry_at = timing.next_attempt(message.attempts, sent.sent_at, now, was_cut_short);
+            let hedges = was_cut_short && timing.second_copy.is_some();
+            message.avoid_endpoint = sent.endpoint.filter(|_| hedges);
+        }
+        destination(&mut self.destinations, now, message.destination).waiting.push(result.id);
+    }
+}
--- /dev/null
+++ b/src/policy/stuck_calls.rs
@@ -0,0 +1,95 @@
+//! Calls that are in flight for too long: which are cancelled, and which endpoints get no more calls.
+
+use super::constants::*;
+use super::records::{Call, Endpoint};
+use super::DeliveryPolicy;
+use crate::api::*;
+
+impl DeliveryPolicy {
+    /// All call slots are taken while an admitted call waits: cancels the one call that is most overdue at
+    /// an endpoint that has answered nothing sent later.
+    pub(super) fn cancel_to_free_slot(&mut self, now: Micros) {
+        if !self.settings.may_cancel || self.calls.values().any(|c| c.cancelled) {
+            return;
+        }
+        let overdue = |call: &Call| {
+            let multiple = self.patience_used(now, call)?;
+            (multiple > CANCEL_TO_FREE_SLOT_MULTIPLE && !self.has_answered_later_call(call))
+                .then_some(multiple)
+        };
+        let candidates = self.calls.iter().filter_map(|(number, call)| Some((overdue(call)?, *number)));
+        match candidates.max_by(|a, b| a.0.total_cmp(&b.0)) {
+            Some((_, number)) => self.cancel_call(number),
+            // Look again soon: a call becomes overdue without any event.
+            None => self.wake_at(now + STUCK_MIN_AGE / 2),
+        }
+    }
+
+    /// Cancels calls that are long overdue at an endpoint that has answered what was sent later: each is
+    /// stuck on its own connection, and would occupy a slot and its messages up to its timeout.
+    pub(super) fn cancel_isolated_calls(&mut self, now: Micros) {
+        if !self.settings.may_cancel {
+            return;
+        }
+        let isolated = |call: &Call| {
+            let multiple = self.patience_used(now, call)?;
+            self.has_answered_later_call(call).then_some(multiple)
+        };
+        let isolated: Vec<_> =
+            self.calls.iter().filter_map(|(number, call)| Some((isolated(call)?, *number))).collect();
+        if !isolated.is_empty() {
+            self.wake_at(now + STUCK_MIN_AGE / 4);
+        }
+        for (multiple, number) in isolated {
+            if multiple > CANCEL_ISOLATED_MULTIPLE {
+                self.cancel_call(number);
+            }
+        }
+    }
+
+    fn cancel_call(&mut self, number: u64) {
+        let Some(call) = self.calls.get_mut(&number) else { return };
+        call.cancelled = true;
+        let cancel = |a: &super::records::CallAttempt| Action::Cancel { id: a.id, attempt: a.attempt };
+        self.actions.extend(call.attempts.iter().map(cancel));
+    }
+
+    /// Something that was sent to its endpoint after this call was answered.
+    fn has_answered_later_call(&self, call: &Call) -> bool {
+        let endpoint = self.endpoints.get(&call.endpoint);
+        endpoint.is_some_and(|e| call.sent_at < e.admission.circuit.last_success_sent_at)
+    }
+
+    /// The age of a call as a multiple of its patience, which is longer for classes whose calls take longer
+    /// and for non-idempotent ones. None if it was cancelled or its endpoint is unknown.
+    fn patience_used(&self, now: Micros, call: &Call) -> Option<f64> {
+        let endpoint = self.endpoints.get(&call.endpoint).filter(|_| !call.cancelled)?;
+        let is_risky = call.attempts.iter().any(|a| self.idempotency(a.id) == Idempotency::NonIdempotent);
+        let classes = call.attempts.iter().filter_map(|a| Some(self.messages.get(&a.id)?.class));
+        let slowest_class = classes.map(|class| self.class_durations[class.0]).fold(1.0, f64::max);
+        let allowed = slowest_class * if is_risky { NON_IDEMPOTENT_PATIENCE } else { 1.0 };
+        Some((now - call.sent_at) as f64 / (self.patience(endpoint) as f64 * allowed))
+    }
+
+    /// Two calls to this endpoint are in flight for too long and nothing sent after them was answered. It
+    /// gets no more calls until they end, so that others keep the slots.
+    pub(super) fn is_stalled(&self, now: Micros, id: EndpointId) -> bool {
+        let Some(endpoint) = self.endpoints.get(&id) else { return false };
+        let patience = self.patience(endpoint);
+        let last_success_sent_at = endpoint.admission.circuit.last_success_sent_at;
+        let is_stuck = |c: &&Call| c.sent_at >= last_success_sent_at && now - c.sent_at > patience;
+        self.calls.values().filter(|c| c.endpoint == id).filter(is_stuck).count() > 1
+    }
+
+    /// Mean latency of an endpoint in microseconds, or else of its destination, or else of all calls.
+    pub(super) fn latency_of(&self, endpoint: &Endpoint) -> f64 {
+        let destination = self.destinations.get(&endpoint.entry.destination);
+        let shared = destination.and_then(|d| d.admission.mean_latency_us);
+        endpoint.admission.mean_latency_us.or(shared).unwrap_or(self.mean_latency_us)
+    }
+
+    /// How long a call may be in flight before it counts as stuck.
+    fn patience(&self, endpoint: &Endpoint) -> Micros {
+        ((self.latency_of(endpoint) * STUCK_LATENCY_MULTIPLE) as Micros).max(STUCK_MIN_AGE)
+    }
+}
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -3,7 +3,7 @@
 use super::plan::{Plan, Route, Shape};
 use super::{worst_case, Entry, Match, Platform, Timing, MOST_ATTEMPTS};
 use crate::config_error::{ConfigError, ErrorCode, Position};
-use crate::policy::longest_cut;
+use crate::policy::max_attempt_timeout;
 use crate::site::written;
 use crate::{Class, ClassId, DestinationId, Idempotency, KindId, Micros};
 use std::collections::hash_map::{Entry as Place, HashMap};
@@ -193,7 +193,7 @@
 impl Bound<'_> {
     /// How long an attempt may be out.
     fn timeout(&self) -> Micros {
-        self.timing.cut(longest_cut(self.class.idempotency))
+        self.timing.cut(max_attempt_timeout(self.class.idempotency))
     }
 
     /// The attempts that the entry promises: what it leaves to the module ends in time by itself.
--- a/src/time_slots/mod.rs
+++ b/src/time_slots/mod.rs
@@ -1,105 +1,123 @@
-//! Places in an order that all forwarders of a fleet compute alike from their numbers and the clock, so that what each
-//! does once a round comes evenly from all of them together. It decides when, never whether; it does no I/O, and the
-//! clock comes in as an argument.
+//! Time-division slots (as in TDMA): each forwarder of a fleet has its own slot in a period, computed alike by all from
+//! their indexes and the wall clock, so that what each does once a period comes evenly from all of them together. It
+//! decides when, never whether; it does no I/O, and the clock comes in as an argument.
 //!
-//! A forwarder's place in a round is the fractional part of its number times the golden ratio, shifted for each partner
-//! by a hash of the partner's number. Any set of successive numbers then lies evenly: the gaps between neighbours have
-//! two or three lengths, of which the longest is 2.62 times the shortest at most. The count of forwarders is not needed,
-//! so a count that is wrong moves nobody, and one forwarder more or less moves none of the others.
+//! The offset of a forwarder's slot in a period is the fractional part of its index times the golden ratio, shifted for
+//! each destination by a hash of the destination's number. Any range of successive indexes then lies evenly: the gaps
+//! between neighbours have two or three lengths, of which the longest is 2.62 times the shortest at most. The count of
+//! forwarders is not needed, so a wrong count moves no slot, and one forwarder more or less moves none of the others.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Where numbers lie in a round, as parts of 2^64: the golden ratio less one. No other step keeps successive numbers as
+/// The golden ratio less one, as parts of 2^64: the distance of successive indexes' slots. No other figure keeps them as
 /// far apart (Weyl's sequence; Steinhaus' three gaps).
-const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Rounds have lengths a fourth root of two apart. Forwarders that reckon nearly the same length, as each has its own
-/// reading of a limit, would soon be in different rounds, and the order between them would be chance.
-const GRADES: f64 = 4.0;
-/// No round is shorter than a millisecond or longer than an hour, so that nothing runs over.
-const LENGTH: (f64, f64) = (1e3, 3.6e9);
-/// What is this part of a grade over one still belongs to it, as grades are rounded to whole microseconds.
-const SAME: f64 = 0.01;
+const GOLDEN_RATIO_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Periods are rounded up to lengths of which there are this many in an octave (a factor of two). Forwarders that
+/// compute nearly the same period, as each has its own reading of a limit, would soon be in different periods, and the
+/// order between them would be chance.
+const PERIODS_PER_OCTAVE: f64 = 4.0;
+/// No period is shorter than a millisecond, in microseconds.
+const MIN_PERIOD_US: f64 = 1e3;
+/// No period is longer than an hour, in microseconds, so that nothing overflows.
+const MAX_PERIOD_US: f64 = 3.6e9;
+/// A period longer than a rounded one by this part of the distance to the next is rounded down, as rounded periods are
+/// whole microseconds.
+const ROUNDING_TOLERANCE: f64 = 0.01;
 
-/// What a forwarder knows of its place: its number in the fleet, if it is told one, and a die for where it is not.
+/// Allocates slots to one forwarder, by its index in the fleet or, where that is not known, at random.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Turns {
-    dice: u64,
+pub struct SlotAllocator {
+    /// State of the random number generator (SplitMix64).
+    #[serde(rename = "dice")]
+    random_state: u64,
 }
 
-/// A moment at which a turn is looked for.
+/// A forwarder's slots towards one destination, as seen at one moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Turn {
-    /// The clock that all forwarders read.
-    at: Micros,
-    place: Place,
+pub struct SlotSchedule {
+    /// The wall clock, which all forwarders read.
+    now: Micros,
+    offset: SlotOffset,
 }
 
+/// Where in a period a slot lies.
 #[derive(Clone, Copy, Debug)]
-enum Place {
-    /// As a part of 2^64 of any round.
+enum SlotOffset {
+    /// As parts of 2^64 of any period.
     Fixed(u64),
-    /// A draw from 0 to 1.
-    Drawn(f64),
+    /// A random number from 0 to 1.
+    Random(f64),
 }
 
-/// Splitmix64's last steps: a hash of a number.
-fn mixed(number: u64) -> u64 {
+/// The last steps of SplitMix64: a hash of a number.
+fn splitmix64(number: u64) -> u64 {
     let z = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// The length of the rounds that a wanted length stands for: the next grade, in whole microseconds.
-pub fn round(wanted: f64) -> Micros {
-    // A limit of zero has rounds without end, and no figure at all is as good as that.
-    let wanted = if wanted.is_nan() { LENGTH.1 } else { wanted.clamp(LENGTH.0, LENGTH.1) };
-    2f64.powf((wanted.log2() * GRADES - SAME).ceil() / GRADES).round() as Micros
+/// Rounds a period in microseconds up to one of [`PERIODS_PER_OCTAVE`] lengths in an octave, in whole microseconds.
+pub fn rounded_period(period_us: f64) -> Micros {
+    // The calls of a limit of zero have an endless period, and one that is not a number is as good as that.
+    let period_us =
+        if period_us.is_nan() { MAX_PERIOD_US } else { period_us.clamp(MIN_PERIOD_US, MAX_PERIOD_US) };
+    let step = (period_us.log2() * PERIODS_PER_OCTAVE - ROUNDING_TOLERANCE).ceil();
+    2f64.powf(step / PERIODS_PER_OCTAVE).round() as Micros
 }
 
-impl Turns {
-    /// With a seed of its own for what goes by chance.
+impl SlotAllocator {
+    /// With a seed for slots allocated at random.
     pub fn new(seed: u64) -> Self {
-        Turns { dice: seed }
+        SlotAllocator { random_state: seed }
     }
 
-    /// A turn towards a partner, at a time of the clock that all forwarders read. Without a number it is drawn.
-    pub fn at(&mut self, at: Micros, number: Option<u64>, partner: u64) -> Turn {
-        self.dice = self.dice.wrapping_add(STEP);
-        let fixed = |n: u64| Place::Fixed(n.wrapping_mul(STEP).wrapping_add(mixed(partner.wrapping_add(1))));
-        let drawn = || Place::Drawn((mixed(self.dice) >> 11) as f64 / (1u64 << 53) as f64);
-        Turn { at, place: number.map_or_else(drawn, fixed) }
+    /// The slots towards a destination, at a time of the wall clock; at random if the forwarder has no index.
+    pub fn schedule(&mut self, now: Micros, forwarder_index: Option<u64>, destination: u64) -> SlotSchedule {
+        self.random_state = self.random_state.wrapping_add(GOLDEN_RATIO_STEP);
+        let offset = match forwarder_index {
+            Some(index) => {
+                let shift = splitmix64(destination.wrapping_add(1));
+                SlotOffset::Fixed(index.wrapping_mul(GOLDEN_RATIO_STEP).wrapping_add(shift))
+            }
+            None => SlotOffset::Random((splitmix64(self.random_state) >> 11) as f64 / (1u64 << 53) as f64),
+        };
+        SlotSchedule { now, offset }
     }
 }
 
-impl Turn {
-    /// How long until one's place, for those who all come once within so many microseconds.
-    pub fn once(&self, length: f64) -> Micros {
-        match self.place {
-            Place::Drawn(draw) => (length.clamp(0.0, LENGTH.1) * draw) as Micros,
-            Place::Fixed(place) => next(self.at, place, round(length)),
+impl SlotSchedule {
+    /// How long until the forwarder's slot, for what all do once within a period.
+    pub fn delay_to_slot(&self, period_us: f64) -> Micros {
+        match self.offset {
+            SlotOffset::Random(fraction) => (period_us.clamp(0.0, MAX_PERIOD_US) * fraction) as Micros,
+            SlotOffset::Fixed(offset) => delay_to_offset(self.now, offset, rounded_period(period_us)),
         }
     }
 
-    /// How long until one's place, at least so long, for those who come again and again, once in so many microseconds.
-    /// Where it is drawn it has to be twice as long in the mean, as the next draw may come at once.
-    pub fn again(&self, length: f64, least: Micros) -> Micros {
-        match self.place {
-            Place::Drawn(draw) => {
-                least + (2.0 * (length.clamp(0.0, LENGTH.1) - least as f64).max(0.0) * draw) as Micros
+    /// How long until the forwarder's first slot after a least delay, for what all do again and again, once a period.
+    /// A random delay has to be twice as long in the mean, as the next one may be short.
+    pub fn delay_to_slot_after(&self, period_us: f64, min_delay: Micros) -> Micros {
+        match self.offset {
+            SlotOffset::Random(fraction) => {
+                let rest_us = (period_us.clamp(0.0, MAX_PERIOD_US) - min_delay as f64).max(0.0);
+                min_delay + (2.0 * rest_us * fraction) as Micros
+            }
+            SlotOffset::Fixed(offset) => {
+                let earliest = self.now.saturating_add(min_delay);
+                min_delay + delay_to_offset(earliest, offset, rounded_period(period_us))
             }
-            Place::Fixed(place) => least + next(self.at.saturating_add(least), place, round(length)),
         }
     }
 }
 
-/// From a moment to the next time at which a place comes in rounds of that length; under one round.
-fn next(at: Micros, place: u64, round: Micros) -> Micros {
-    let due = ((u128::from(place) * u128::from(round)) >> 64) as Micros;
-    let gone = at % round;
-    if due >= gone {
-        due - gone
+/// From a moment to the next time at which an offset comes in periods of that length; less than one period.
+fn delay_to_offset(now: Micros, offset: u64, period: Micros) -> Micros {
+    let slot_at = ((u128::from(offset) * u128::from(period)) >> 64) as Micros;
+    let elapsed = now % period;
+    if slot_at >= elapsed {
+        slot_at - elapsed
     } else {
-        due + round - gone
+        slot_at + period - elapsed
     }
 }
--- a/tests/behaviour.rs
+++ b/tests/behaviour.rs
@@ -264,7 +264,7 @@
         assert_eq!(again, [(lone, e)]);
         w.at(50 * MS, vec![result(lone, 1, e, Outcome::Ok)]);
     }
-    let shown = w.forwarder.shown(w.now).next().expect("a destination");
+    let shown = w.forwarder.status(w.now).next().expect("a destination");
     assert_eq!((shown.breaker, shown.warming_up), (BreakerState::Closed, false));
 }
 
--- a/tests/turns.rs
+++ b/tests/time_slots.rs
@@ -2,7 +2,7 @@
 //! trials by them does.
 
 mod common;
-use cedarbridge::time_slots::{round, Turns};
+use cedarbridge::time_slots::{rounded_period, SlotAllocator};
 use cedarbridge::*;
 use common::*;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 const CLOCK: Micros = 1_796_000_000_000_000;
 
 fn place(at: Micros, number: u64, partner: u64, length: Micros) -> Micros {
-    Turns::new(0).at(at, Some(number), partner).once(length as f64)
+    SlotAllocator::new(0).schedule(at, Some(number), partner).delay_to_slot(length as f64)
 }
 
 /// When each number's place comes within a round from a moment on, in order.
@@ -28,7 +28,7 @@
     fn each_number_has_one_place_a_round_and_no_two_share_one_and_gaps_are_even(
         count in 2u64..400, first in 0u64..1000, partner: u64, later in 0..3_600 * SECOND, grade in 0u32..60,
     ) {
-        let length = round(2f64.powf(f64::from(grade) / 4.0) * SECOND as f64 / 10.0);
+        let length = rounded_period(2f64.powf(f64::from(grade) / 4.0) * SECOND as f64 / 10.0);
         let at = CLOCK + later;
         let all = places(at, first..first + count, partner, length);
         // Once a round: the next one after a place comes a round later, not sooner.
@@ -48,7 +48,7 @@
 
     #[test]
     fn one_forwarder_more_or_a_count_that_is_wrong_moves_nobody(count in 1u64..400, partner: u64, at in CLOCK..2 * CLOCK) {
-        let length = round(7e6);
+        let length = rounded_period(7e6);
         let before: Vec<_> = (0..count).map(|n| place(at, n, partner, length)).collect();
         let after: Vec<_> = (0..count + 1).map(|n| place(at, n, partner, length)).collect();
         prop_assert_eq!(&before[..], &after[..count as usize]);
@@ -59,12 +59,12 @@
     fn clocks_that_differ_change_no_rate(
         offsets in proptest::collection::vec(0..5 * SECOND, 3..60), partner: u64, length in SECOND / 2..60 * SECOND,
     ) {
-        let length = round(length as f64);
+        let length = rounded_period(length as f64);
         for (n, offset) in offsets.iter().enumerate() {
             let mut now = CLOCK;
             for _ in 0..4 {
-                let turn = Turns::new(0).at(now + offset, Some(n as u64), partner);
-                let wait = turn.again(length as f64, SECOND / 10);
+                let turn = SlotAllocator::new(0).schedule(now + offset, Some(n as u64), partner);
+                let wait = turn.delay_to_slot_after(length as f64, SECOND / 10);
                 prop_assert!(wait >= SECOND / 10 && wait < length + SECOND / 10);
                 now += wait;
             }
@@ -75,7 +75,7 @@
 
     #[test]
     fn any_length_is_brought_to_a_round_hardly_shorter_and_at_most_a_fifth_longer(length in 1.0f64..3.0e9) {
-        let brought = round(length) as f64;
+        let brought = rounded_period(length) as f64;
         prop_assert!(brought >= 0.998 * length && brought <= 1.2 * length.max(1e3));
     }
 }
@@ -84,9 +84,12 @@
 fn odd_lengths_stop_nobody() {
     for length in [0.0, -1.0, f64::NAN, f64::INFINITY, f64::MIN_POSITIVE, 1e300] {
         for number in [None, Some(3)] {
-            let mut turns = Turns::new(1);
-            assert!(turns.at(CLOCK, number, 1).once(length) <= 4_000 * SECOND, "{length}");
-            assert!(turns.at(Micros::MAX, number, 1).again(length, SECOND) <= 8_000 * SECOND, "{length}");
+            let mut slots = SlotAllocator::new(1);
+            assert!(slots.schedule(CLOCK, number, 1).delay_to_slot(length) <= 4_000 * SECOND, "{length}");
+            assert!(
+                slots.schedule(Micros::MAX, number, 1).delay_to_slot_after(length, SECOND) <= 8_000 * SECOND,
+                "{length}"
+            );
         }
     }
 }
@@ -94,7 +97,7 @@
 /// Nobody is first everywhere: the order is another one at each partner.
 #[test]
 fn who_comes_first_differs_from_partner_to_partner() {
-    let first = |partner| (0..100u64).min_by_key(|n| place(CLOCK, *n, partner, round(1e7))).unwrap();
+    let first = |partner| (0..100u64).min_by_key(|n| place(CLOCK, *n, partner, rounded_period(1e7))).unwrap();
     let mut all: Vec<u64> = (0..50).map(first).collect();
     all.sort();
     all.dedup();
@@ -104,8 +107,9 @@
 /// Drawn waits come as often in the mean as places do.
 #[test]
 fn without_a_number_the_rate_is_the_same_in_the_mean() {
-    let mut turns = Turns::new(7);
-    let sum: Micros = (0..10_000).map(|_| turns.at(CLOCK, None, 1).again(4e6, SECOND)).sum();
+    let mut slots = SlotAllocator::new(7);
+    let sum: Micros =
+        (0..10_000).map(|_| slots.schedule(CLOCK, None, 1).delay_to_slot_after(4e6, SECOND)).sum();
     assert!((3.9e6..4.1e6).contains(&(sum as f64 / 10_000.0)), "{sum}");
 }
 
