--- a/src/api.rs
+++ b/src/api.rs
@@ -1,12 +1,11 @@
-//! The interface of the decision module: settings, events, actions and the ids they name.
+//! The interface of the delivery policy: settings, events, actions and the ids they name.
 //! Types only; every decision is in `policy`.
 
 use crate::routes::Plan;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::sync::Arc;
 
-/// A point in time or a span, in whole microseconds of the caller's clock.
+/// A point in time or a duration, in whole microseconds of the caller's clock.
 pub type Micros = u64;
 
 macro_rules! id {
@@ -16,13 +15,13 @@
         pub struct $name(pub $inner);
     };
 }
-id!(/** A message, named by the caller; never used twice in one forwarder's life. */ MessageId(u64));
+id!(/** A message, numbered by the caller; never used twice by one forwarder. */ MessageId(u64));
 id!(/** An address that takes calls. */ EndpointId(u32));
-id!(/** The party a message is for; it has one or several endpoints. */ DestinationId(u64));
-id!(/** Messages of an ordered class that share a key keep their order. */ OrderKey(u64));
+id!(/** What a message is addressed to; it has one or several endpoints. */ DestinationId(u64));
+id!(/** Messages of an ordered class with the same key are delivered in order. */ OrderKey(u64));
 id!(/** Index into [`Settings::classes`]. */ ClassId(usize));
 id!(/** Index into [`Settings::tenants`]. */ TenantId(usize));
-id!(/** Index into [`Settings::tolls`]; a failure domain. */ ZoneId(usize));
+id!(/** Index into [`Settings::zone_costs`]; a failure domain. */ ZoneId(usize));
 id!(/** Index into [`Settings::kinds`]. */ KindId(usize));
 
 /// What a repeat of a message may do at its destination.
@@ -31,15 +30,15 @@
     /// May be repeated at will.
     #[serde(rename = "Safe")]
     Idempotent,
-    /// The destination drops repeats for a while.
+    /// The destination drops repeats of an idempotency key within a deduplication window.
     #[serde(rename = "Keyed")]
     WithKey,
-    /// Must never run twice.
+    /// Must never take effect twice.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
 
-/// Which endpoints of a destination drop repeats of a keyed message.
+/// Which endpoints of a destination drop repeats of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
     /// All of the destination's endpoints.
@@ -48,13 +47,13 @@
     Zone,
 }
 
-/// How worth falls after the aim.
+/// How the value of a message decays after its latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decay {
+    /// Evenly, down to the weight at the deadline.
     #[default]
-    /// Evenly, down to the late worth at the deadline.
     Linear,
-    /// By half with each further aim, not below the late worth.
+    /// By half with each further latency objective, not below the weight at the deadline.
     Halving,
 }
 
@@ -64,37 +63,37 @@
     /// What a repeat may do.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Where repeats of a keyed message are dropped.
+    /// Where repeats of an idempotency key are dropped.
     pub dedup_scope: DedupScope,
-    /// For how long, from the send of the first attempt that may have run.
+    /// For how long repeats are dropped, from the send of the first attempt that may have taken effect.
     #[serde(rename = "memory_span")]
     pub deduplication_window: Micros,
-    /// Delivered within this, a message earns its full worth.
+    /// Delivered within this time, a message has its full value.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// From the time it was first handed in, a message may be delivered for so long.
+    /// How long a message may be delivered, from when it was first received.
     pub deadline: Micros,
-    /// Worth of a message.
+    /// Value of a message that is delivered in time.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of the worth left at the deadline.
+    /// Share of that value which is left at the deadline.
     #[serde(rename = "late_worth")]
     pub weight_at_deadline: f64,
-    /// Messages with one key go in order, one at a time.
+    /// Messages with the same order key go in order, one at a time.
     pub ordered: bool,
 }
 
-/// A customer whose traffic has an agreed share.
+/// A customer whose traffic has an agreed quota.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Messages a second, over all forwarders, that are within the share.
+    /// Messages a second, over all forwarders, that are within the quota.
     pub quota_per_s: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Kind {
-    /// Endpoints are routes apart, each with its own limit and outages.
+    /// Each endpoint has its own circuit breaker and limit, and not the destination.
     #[serde(rename = "apart")]
     pub per_endpoint_breaker: bool,
     /// Messages that one call may carry.
@@ -102,120 +101,113 @@
     pub messages_per_call: usize,
 }
 
-/// What an endpoint's weight tells.
+/// What the weight of a list entry says.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightSource {
-    #[default]
     /// Nothing.
+    #[default]
     Off,
-    /// Calls a second that the destination (or the route apart) takes from all forwarders.
+    /// Calls a second that the destination (or an endpoint with its own limit) takes from all forwarders.
     Nominal,
     /// The same, up to half too high or too low.
     Rough,
 }
 
-/// Everything a forwarder is told at its start. The default is empty, and no forwarder takes it.
+/// The settings of a forwarder. The default is empty, and is an error.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Settings {
-    /// Couriers that share the traffic, this one included.
+    /// Forwarders that share the traffic, this one included.
     pub forwarders: usize,
-    /// This forwarder's number among them, from 0; without one it takes its turns by chance.
+    /// This forwarder's index among them, from 0; without one its time slots are random.
     #[serde(rename = "number")]
     pub forwarder_index: Option<u64>,
-    /// What the clock that all forwarders read showed when this one's own showed 0.
+    /// What the wall clock, which all forwarders read, showed when this one's own clock showed 0.
     #[serde(rename = "ahead")]
     pub wall_clock_offset: Micros,
     /// Where this forwarder runs.
     pub zone: ZoneId,
-    /// For each zone: points charged if every message went by a route apart there.
+    /// For each zone: cost if every message went to an endpoint there that has its own limit.
     #[serde(rename = "tolls")]
     pub zone_costs: Vec<f64>,
-    /// Points charged if every attempt crossed zones once.
+    /// Cost if every attempt crossed zones once.
     #[serde(rename = "cross_zone_fee")]
     pub cross_zone_cost: f64,
-    /// Points charged if every message needed a new connection.
+    /// Cost if every message needed a new connection.
     #[serde(rename = "handshake_fee")]
     pub connection_cost: f64,
     /// The classes.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Share of its worth that traffic beyond a tenant's quota keeps.
+    /// Share of its priority weight that a message beyond its tenant's quota keeps.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
     /// The kinds of destination.
     pub kinds: Vec<Kind>,
-    /// How worth falls after the aim.
+    /// How the value of a message decays after its latency objective.
     pub decay: Decay,
-    /// What weights tell.
+    /// What the weights of list entries say.
     pub weights: WeightSource,
-    /// Calls out at once.
+    /// Calls in flight at once.
     #[serde(rename = "slots")]
     pub max_concurrent_calls: usize,
-    /// Messages held at once, sent or not.
+    /// Messages that are not complete, in flight or not.
     #[serde(rename = "max_open")]
     pub max_open_messages: usize,
     /// Attempts for one message.
     pub max_attempts: u32,
-    /// Attempts that are out may be called off.
+    /// Attempts in flight may be cancelled.
     #[serde(rename = "cancel")]
     pub may_cancel: bool,
-    /// Clients mark what they hand in again.
+    /// Clients mark their retries.
     #[serde(rename = "marks_retry")]
     pub clients_mark_retries: bool,
-    /// Probes are allowed.
+    /// Health checks are allowed.
     #[serde(rename = "probing")]
     pub may_health_check: bool,
-    /// Clients are given advice on when to come again.
+    /// Rejections may carry a retry-after.
     #[serde(rename = "retry_after")]
     pub may_send_retry_after: bool,
-    /// The platform would stand two attempts of a message at once; this program never makes use of it.
+    /// The platform allows two attempts of a message in flight at once (hedged requests). Not used.
     #[serde(rename = "second_copies")]
     pub may_hedge: bool,
-    /// The longest such advice a client follows.
+    /// The longest retry-after that clients follow.
     pub max_retry_after: Micros,
-    /// The endpoint list must be asked for.
+    /// The endpoint list must be polled or subscribed to.
     #[serde(rename = "ask_for_list")]
     pub poll_endpoint_list: bool,
-    /// Without a subscription, the longest time between two requests for the list.
+    /// Without a subscription, the longest time between two polls for the list.
     #[serde(rename = "must_ask_in")]
     pub max_poll_interval: Micros,
-    /// The shortest time between two batches.
+    /// The shortest time between two steps.
     #[serde(rename = "granularity")]
     pub min_step_interval: Micros,
-    /// Fail-back: load over this multiple of present capacity ...
+    /// A destination in slow start that gets more than this multiple of its present capacity ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long pushes a cold destination over.
+    /// ... for this long fails again.
     #[serde(rename = "fall")]
     pub overload_window: Micros,
-    /// A returning destination has all its capacity after this.
+    /// How long a returning destination takes to reach its full capacity.
     #[serde(rename = "cold")]
     pub slow_start: Micros,
-    /// A returning destination has at least this share of its capacity.
+    /// Share of its capacity that a returning destination has at first.
     #[serde(rename = "cold_from")]
     pub slow_start_floor: f64,
-    /// A key's rest after an attempt whose end is not sure.
+    /// How long an order key pauses after an attempt that may still be running.
     #[serde(rename = "key_rest")]
     pub order_key_pause: Micros,
-    /// What our own file says of time-outs and attempts, by route; without one the module has its own way.
+    /// Timeouts and attempts by route, from the routes file; without one the policy's own apply.
     #[serde(skip)]
     pub routes: Option<Arc<Plan>>,
 }
 
 /// Settings that make no sense.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("bad settings: {0}")]
 pub struct SettingsError(pub String);
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "bad settings: {}", self.0)
-    }
-}
-
-impl std::error::Error for SettingsError {}
-
-/// What the list says of an endpoint; nothing about its health.
+/// What the endpoint list says of an endpoint; nothing about its health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
     /// In service.
@@ -232,67 +224,67 @@
 pub struct EndpointEntry {
     /// Which endpoint.
     pub endpoint: EndpointId,
-    /// Whose.
+    /// The destination it belongs to.
     pub destination: DestinationId,
     /// Its failure domain.
     pub zone: ZoneId,
     /// The kind of its destination.
     pub kind: KindId,
-    /// In service, draining or gone.
+    /// In service, draining or removed.
     pub lifecycle: Lifecycle,
     /// See [`WeightSource`].
     pub weight: f64,
 }
 
-/// News of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointListUpdate {
-    /// Altered entries only.
+    /// Changed entries only.
     Patch(Vec<EndpointEntry>),
-    /// The complete list; what is not in it is gone.
+    /// The complete list; what is not in it was removed.
     Complete(Vec<EndpointEntry>),
-    /// The complete list as last held before a restart; possibly old.
+    /// The complete list as cached before a restart; possibly stale.
     Cached(Vec<EndpointEntry>),
-    /// A request for the list failed or the subscription broke.
+    /// A poll for the list failed or the subscription broke.
     WatchFailed,
 }
 
-/// How an attempt or a probe came out.
+/// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// Delivered.
     Ok,
-    /// Answered with an error; may have taken effect.
+    /// Answered with an error; it may have taken effect.
     Error,
-    /// Turned away unseen, with the wait told if any; never ran.
+    /// Rejected for lack of capacity, with the retry-after if any; it never ran.
     #[serde(rename = "Full")]
     Rejected(Option<Micros>),
-    /// No answer in time; may have taken effect or still do so.
+    /// No answer in time; it may have taken effect or still do so.
     TimedOut,
-    /// No connection; never ran.
+    /// No connection was made; it never ran.
     ConnectFailed,
-    /// The connection broke; may have taken effect.
+    /// The connection broke; it may have taken effect.
     Reset,
-    /// The connection had been used before and broke at once, before any answer began; may have taken effect.
+    /// A reused connection broke before any answer began; it may have taken effect.
     #[serde(rename = "Stale")]
     StaleConnection,
-    /// Called off; may have taken effect.
+    /// Cancelled; it may have taken effect.
     Cancelled,
-    /// Not sent; never ran.
+    /// Not sent; it never ran.
     #[serde(rename = "Moot")]
     NotSent,
-    /// Not sent, as nothing could be noted of it; never ran, and counts as no attempt.
+    /// Not sent, as it could not be journaled; it never ran, and counts as no attempt.
     #[serde(rename = "Unsent")]
     NotJournaled,
 }
 
-/// What an answer tells of the limit: share left, and calls a second (0: no limit).
+/// What an answer reports of the endpoint's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Share of the allowance that is left.
+    /// Share of the quota that is left, from 0 to 1.
     #[serde(rename = "left")]
     pub remaining_share: f64,
-    /// Calls a second that the limit allows.
+    /// Calls a second that the limit allows; 0 if there is none.
     pub rate: f64,
 }
 
@@ -303,41 +295,41 @@
     pub id: MessageId,
     /// Its class.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that it counts for.
     pub tenant: Option<TenantId>,
-    /// Key of the order.
+    /// Its order key.
     pub key: Option<OrderKey>,
     /// How long it may still be delivered.
     pub time_left: Micros,
-    /// Where it goes.
+    /// What it is addressed to.
     pub destination: DestinationId,
-    /// It comes from a forwarder that died and may have sent it.
+    /// It was taken over from a forwarder that died and may have sent it.
     pub failed_over: bool,
-    /// When and where the first attempt was sent that may have run, if that is known.
+    /// When and where the first attempt was sent that may have taken effect, if that is known.
     pub first_attempt: Option<(Micros, ZoneId)>,
-    /// Its client says that it was handed in before; see [`Settings::marks_retry`].
+    /// Its client marked it as a retry; see [`Settings::clients_mark_retries`].
     pub client_retry: bool,
-    /// An earlier process had taken it on, so it is owed.
+    /// It was received by an earlier process, so its delivery is owed.
     pub restored: bool,
-    /// Attempts made before this forwarder had it; they count against [`Settings::max_attempts`].
+    /// Attempts made before this forwarder received it; they count against [`Settings::max_attempts`].
     pub attempts: u32,
 }
 
-/// What happened since the last batch.
+/// What happened since the last step.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the endpoint list.
+    /// An update of the endpoint list.
     EndpointList(EndpointListUpdate),
-    /// Other settings hold from now on. They list the same classes, tenants, zones and kinds.
+    /// New settings, with the same classes, tenants, zones and kinds.
     Settings(Box<Settings>),
-    /// A new message.
+    /// A message was received.
     Message(NewMessage),
-    /// An answer has begun to stream; the attempt is bound and no time-out applies.
+    /// An answer has begun to stream; the attempt's timeout does not apply any more.
     Started {
         /// Which message.
         id: MessageId,
     },
-    /// The result of an attempt; each send gets exactly one.
+    /// An attempt ended; each send has exactly one such event.
     AttemptEnded {
         /// Which message.
         id: MessageId,
@@ -345,60 +337,60 @@
         attempt: u32,
         /// Where it went.
         endpoint: EndpointId,
-        /// How it came out.
+        /// Its outcome.
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Micros,
         /// Nothing more is owed for the message.
         ended: bool,
-        /// What the answer tells of the limit.
+        /// What the answer reports of the endpoint's rate limit.
         report: Option<LoadReport>,
     },
-    /// The result of a probe.
+    /// A health check ended.
     HealthChecked {
         /// Which endpoint.
         endpoint: EndpointId,
-        /// How it came out.
+        /// Its outcome.
         outcome: Outcome,
         /// How long it took.
         elapsed: Micros,
-        /// What the answer tells of the limit.
+        /// What the answer reports of the endpoint's rate limit.
         report: Option<LoadReport>,
     },
-    /// A wait that an answer told without turning a message away.
+    /// An answer that rejected no message asks for a pause.
     RetryAfter {
-        /// Which endpoint told it.
+        /// Which endpoint.
         endpoint: EndpointId,
-        /// How long.
+        /// How long nothing more is to be sent there.
         retry_after: Micros,
     },
-    /// Whether what outlasts the process can be written: while it cannot, no attempt may begin.
+    /// Whether the journal can be written: while it cannot, no attempt may begin.
     JournalStatus {
-        /// It can.
+        /// It can be written.
         writable: bool,
     },
-    /// Nobody wants this message any more.
+    /// The client withdrew a message.
     Withdrawn {
         /// Which message.
         id: MessageId,
     },
-    /// A timer asked for has come.
+    /// A timer fired.
     Timer {
-        /// As given when it was asked for.
+        /// As given in [`Action::Timer`].
         token: u64,
     },
 }
 
-/// The states of a breaker, from well to worst.
+/// The states of a circuit breaker, from healthy to worst.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum BreakerState {
     /// Calls go out.
     #[default]
     Closed,
-    /// One trial at a time goes out.
+    /// One trial call at a time goes out.
     #[serde(rename = "Half")]
     HalfOpen,
-    /// Nothing goes out until its next attempt.
+    /// Nothing goes out until its next trial call.
     Open,
 }
 
@@ -413,46 +405,46 @@
     }
 }
 
-/// What operators are shown of a destination.
+/// The status of a destination, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationStatus {
-    /// Which.
+    /// Which destination.
     pub destination: DestinationId,
-    /// Its breaker.
+    /// Its circuit breaker.
     pub breaker: BreakerState,
-    /// Messages that wait for it.
+    /// Messages that wait to be sent to it.
     pub waiting: usize,
-    /// Calls out.
+    /// Calls in flight.
     pub in_flight: usize,
-    /// What is left of a told wait, or of the pause after a refusal.
+    /// What is left of a retry-after, or of the backoff after a rejection without one.
     pub retry_after: Micros,
-    /// It is back and sparingly used.
+    /// It is in slow start.
     pub warming_up: bool,
-    /// The usual time of its answers, in microseconds.
+    /// The average latency of its answers, in microseconds.
     pub latency: Option<f64>,
-    /// What it told of its limit: the share left last, the rate in the mean.
+    /// Its reported rate limit: the last remaining share and the average rate.
     pub limit: Option<LoadReport>,
 }
 
-/// Why a message is given up.
+/// Why a message is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AbandonReason {
-    /// Its time is up, or the time in which it may be repeated.
+    /// Its deadline has passed, or the time in which it may be retried.
     #[serde(rename = "TimeUp")]
     DeadlineExceeded,
-    /// Nothing can go to its destination before that.
+    /// Its destination takes no calls before that.
     #[serde(rename = "Blocked")]
     DestinationUnavailable,
     /// It has had all its attempts.
     #[serde(rename = "AttemptsSpent")]
     AttemptsExhausted,
-    /// More is held than there is room for.
+    /// The forwarder is at its capacity.
     #[serde(rename = "NoRoom")]
     CapacityExceeded,
 }
 
 impl AbandonReason {
-    /// Its name in logs.
+    /// Its name in log lines.
     pub fn name(self) -> &'static str {
         match self {
             AbandonReason::DeadlineExceeded => "time-up",
@@ -466,41 +458,41 @@
 /// What the caller is to do, in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Call an endpoint with a message.
+    /// Send a message to an endpoint.
     Send {
         /// Which message.
         id: MessageId,
         /// Where to.
         endpoint: EndpointId,
-        /// The call that carries it: sends of one number, which all are of one batch, travel together.
+        /// The call that carries it: the sends of one number, all of one step, travel together.
         call: u64,
-        /// When this attempt is abandoned.
+        /// When this attempt times out.
         #[serde(rename = "cut_at")]
         timeout_at: Micros,
-        /// Its first byte must not be written later: a repeat would run twice, or find no time to run.
+        /// Its first byte must not be written later: it could take effect twice, or would be too late.
         send_by: Micros,
-        /// The message's time is up then: it will not be sent again.
+        /// The timeout is the message's end: it will not be sent again.
         #[serde(rename = "last")]
         final_attempt: bool,
     },
-    /// End a message undelivered; the client may safely come again.
+    /// Reject a message; the client may safely retry.
     #[serde(rename = "Refuse")]
     Reject {
         /// Which message.
         id: MessageId,
-        /// Advice on when to come again.
+        /// When the client should retry.
         retry_after: Option<Micros>,
         /// Why.
         reason: AbandonReason,
     },
-    /// End a message as failed; it may or may not have taken effect.
+    /// Fail a message; it may or may not have taken effect.
     Fail {
         /// Which message.
         id: MessageId,
         /// Why.
         reason: AbandonReason,
     },
-    /// Cease waiting for an attempt; its result follows.
+    /// Cancel an attempt; its [`Event::AttemptEnded`] follows.
     Cancel {
         /// Which message.
         id: MessageId,
@@ -509,18 +501,18 @@
     },
     /// Ask for [`Event::Timer`].
     Timer {
-        /// Time from now.
+        /// Time until it fires.
         delay: Micros,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
     },
-    /// Send a check to an endpoint.
+    /// Send a health check to an endpoint.
     #[serde(rename = "Probe")]
     HealthCheck {
         /// Where to.
         endpoint: EndpointId,
     },
-    /// Give back the connections to an endpoint that carry nothing now.
+    /// Close the idle connections to an endpoint.
     CloseIdle {
         /// Which endpoint.
         endpoint: EndpointId,
