--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,18 +1,20 @@
-//! Scripted events for the module: one destination, or a few, and a clock set by hand.
+//! A harness for the delivery policy: scripted events for one destination or a few, and a clock set by hand.
 #![allow(dead_code)]
 
 use cedarbridge::*;
+use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-pub const SAFE: usize = 0;
-pub const KEYED: usize = 1;
-pub const UNSAFE: usize = 2;
+/// Classes of [`settings`], by index.
+pub const IDEMPOTENT: usize = 0;
+pub const WITH_KEY: usize = 1;
+pub const NON_IDEMPOTENT: usize = 2;
 pub const ORDERED: usize = 3;
 
-pub fn class(effect: Idempotency, ordered: bool) -> Class {
+pub fn class(idempotency: Idempotency, ordered: bool) -> Class {
     Class {
-        idempotency: effect,
+        idempotency,
         dedup_scope: DedupScope::All,
         deduplication_window: 4 * SECOND,
         latency_objective: 2 * SECOND,
@@ -67,36 +69,43 @@
     }
 }
 
-pub struct World {
-    pub forwarder: DeliveryPolicy,
+/// A delivery policy with its clock.
+pub struct PolicyHarness {
+    pub policy: DeliveryPolicy,
     pub now: Micros,
-    pub next: u64,
-    pub attempts: std::collections::BTreeMap<MessageId, u32>,
+    /// The id of the last message.
+    pub last_id: u64,
+    /// Attempts of each message so far, as [`PolicyHarness::next_attempt`] counts them.
+    pub attempts: BTreeMap<MessageId, u32>,
 }
 
-impl World {
+impl PolicyHarness {
     pub fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
-        let forwarder = DeliveryPolicy::new(settings, 1).expect("good settings");
-        let mut world = World { forwarder, now: 100 * SECOND, next: 0, attempts: Default::default() };
-        world.step(vec![Event::EndpointList(EndpointListUpdate::Complete(entries))]);
-        world
+        let policy = DeliveryPolicy::new(settings, 1).expect("good settings");
+        let mut harness =
+            PolicyHarness { policy, now: 100 * SECOND, last_id: 0, attempts: Default::default() };
+        harness.step(vec![Event::EndpointList(EndpointListUpdate::Complete(entries))]);
+        harness
     }
 
+    /// Steps at the present time.
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.forwarder.step(self.now, &events, &mut actions);
+        self.policy.step(self.now, &events, &mut actions);
         actions
     }
 
-    pub fn at(&mut self, later: Micros, events: Vec<Event>) -> Vec<Action> {
-        self.now += later;
+    /// Moves the clock and steps.
+    pub fn step_after(&mut self, delay: Micros, events: Vec<Event>) -> Vec<Action> {
+        self.now += delay;
         self.step(events)
     }
 
-    pub fn message(&mut self, class: usize, destination: u64) -> NewMessage {
-        self.next += 1;
+    /// A message that the policy has not received yet.
+    pub fn new_message(&mut self, class: usize, destination: u64) -> NewMessage {
+        self.last_id += 1;
         NewMessage {
-            id: MessageId(self.next),
+            id: MessageId(self.last_id),
             class: ClassId(class),
             tenant: None,
             key: None,
@@ -110,46 +119,56 @@
         }
     }
 
-    /// The number of a message's next attempt, asked for once for each.
-    pub fn attempt(&mut self, id: MessageId) -> u32 {
+    /// The number of a message's next attempt; call it once for each.
+    pub fn next_attempt(&mut self, id: MessageId) -> u32 {
         let next = self.attempts.entry(id).or_default();
         *next += 1;
         *next - 1
     }
 
-    /// Hands in a message and expects it to be sent at once.
-    pub fn sent(&mut self, class: usize, destination: u64) -> (MessageId, EndpointId) {
-        let m = self.message(class, destination);
-        let actions = self.step(vec![Event::Message(m)]);
+    /// Has the policy receive a message and expects it to be sent at once.
+    pub fn send_one(&mut self, class: usize, destination: u64) -> (MessageId, EndpointId) {
+        let message = self.new_message(class, destination);
+        let actions = self.step(vec![Event::Message(message)]);
         *sends(&actions).last().expect("a send")
     }
 
-    /// Hands in a message and expects it to be sent in the given time.
-    pub fn sent_within(&mut self, time: Micros, class: usize, destination: u64) -> (MessageId, EndpointId) {
-        let m = self.message(class, destination);
-        let mut actions = self.step(vec![Event::Message(m)]);
+    /// Has the policy receive a message and expects it to be sent in the given time.
+    pub fn send_one_within(
+        &mut self,
+        time: Micros,
+        class: usize,
+        destination: u64,
+    ) -> (MessageId, EndpointId) {
+        let message = self.new_message(class, destination);
+        let mut actions = self.step(vec![Event::Message(message)]);
         let end = self.now + time;
         while sends(&actions).is_empty() && self.now < end {
-            actions = self.at(10 * MS, vec![]);
+            actions = self.step_after(10 * MS, vec![]);
         }
         *sends(&actions).last().expect("a send")
     }
 
-    /// Fails safe messages until the breaker must be open.
-    pub fn open(&mut self, destination: u64) {
+    /// Fails idempotent messages until the circuit breaker must be open.
+    pub fn open_breaker(&mut self, destination: u64) {
         for _ in 0..2 {
-            // One that seldom calls rests for a turn after the first failure.
-            let (id, e) = self.sent_within(15 * SECOND, SAFE, destination);
-            self.at(10 * MS, vec![result(id, 0, e, Outcome::ConnectFailed), Event::Withdrawn { id }]);
+            // A forwarder that seldom calls waits for a slot after the first failure.
+            let (id, endpoint) = self.send_one_within(15 * SECOND, IDEMPOTENT, destination);
+            self.step_after(
+                10 * MS,
+                vec![attempt_ended(id, 0, endpoint, Outcome::ConnectFailed), Event::Withdrawn { id }],
+            );
         }
     }
 }
 
-pub fn result(id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> Event {
+/// An attempt that ended after 10 ms, without a load report.
+pub fn attempt_ended(id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> Event {
     let ended = outcome == Outcome::Ok;
     Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed: 10 * MS, ended, report: None }
 }
 
+/// The messages that are sent, and where.
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId)> {
     let send = |a: &Action| match a {
         Action::Send { id, endpoint, .. } => Some((*id, *endpoint)),
@@ -158,10 +177,10 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn refused(actions: &[Action], id: MessageId) -> bool {
+pub fn is_rejected(actions: &[Action], id: MessageId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { id: i, .. } if *i == id))
 }
 
-pub fn failed(actions: &[Action], id: MessageId) -> bool {
+pub fn is_failed(actions: &[Action], id: MessageId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { id: i, .. } if *i == id))
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -14,7 +14,7 @@
     let mut s = settings();
     s.max_attempts = 10;
     s.classes.truncate(3);
-    s.classes[KEYED].deduplication_window = 15 * SECOND;
+    s.classes[WITH_KEY].deduplication_window = 15 * SECOND;
     let names = |all: &[&str]| all.iter().map(|n| n.to_string()).collect();
     let names = Names {
         classes: names(&["free", "notice", "once"]),
@@ -179,11 +179,11 @@
             (0..=last).map(|i| format!("name: e{i}, match: {{{}}}", shapes[i])).collect();
         let text = routes(&entries.iter().map(String::as_str).collect::<Vec<_>>());
         let plan = read(&text).expect(&text).routes;
-        let won = plan.find(DestinationId(5), Some(KindId(0)), ClassId(KEYED)).expect("one wins");
+        let won = plan.find(DestinationId(5), Some(KindId(0)), ClassId(WITH_KEY)).expect("one wins");
         assert_eq!(plan.routes()[won.0 as usize].name, format!("e{last}"));
-        let other = plan.find(DestinationId(6), Some(KindId(1)), ClassId(SAFE)).expect("the default");
+        let other = plan.find(DestinationId(6), Some(KindId(1)), ClassId(IDEMPOTENT)).expect("the default");
         assert_eq!(plan.routes()[other.0 as usize].name, "e0");
-        let unknown = plan.find(DestinationId(6), None, ClassId(KEYED)).expect("by class alone");
+        let unknown = plan.find(DestinationId(6), None, ClassId(WITH_KEY)).expect("by class alone");
         assert_eq!(plan.routes()[unknown.0 as usize].name, if last > 0 { "e1" } else { "e0" });
     }
 }
@@ -207,48 +207,49 @@
 fn attempts_time_out_pause_and_end_are_those_of_the_route() {
     let entry_of = "name: a, match: {class: notice}, timeout: 700ms, attempts: 3, \
                     pause: {first: 300ms, longest: 400ms}, give-up: 9s";
-    let mut w = World::new(with_routes(&[entry_of]), vec![entry(7, 1, 0)]);
-    let m = w.message(KEYED, 1);
+    let mut w = PolicyHarness::new(with_routes(&[entry_of]), vec![entry(7, 1, 0)]);
+    let m = w.new_message(WITH_KEY, 1);
     let id = m.id;
     let mut actions = w.step(vec![Event::Message(m)]);
     for (attempt, pause) in [(0, 300), (1, 400)] {
         assert_eq!(cut_of(&actions, id), Some((w.now + 700 * MS, false)));
-        let back = w.at(10 * MS, vec![result(id, attempt, EndpointId(7), Outcome::Rejected(None))]);
+        let back =
+            w.step_after(10 * MS, vec![attempt_ended(id, attempt, EndpointId(7), Outcome::Rejected(None))]);
         assert!(sends(&back).is_empty());
-        assert!(sends(&w.at((pause - 1) * MS, vec![])).is_empty(), "before its pause is over");
+        assert!(sends(&w.step_after((pause - 1) * MS, vec![])).is_empty(), "before its pause is over");
         // The module's own pause after a refusal may be the longer one.
-        actions = w.at(MS, vec![]);
+        actions = w.step_after(MS, vec![]);
         while sends(&actions).is_empty() {
-            actions = w.at(10 * MS, vec![]);
+            actions = w.step_after(10 * MS, vec![]);
         }
     }
-    let over = w.at(10 * MS, vec![result(id, 2, EndpointId(7), Outcome::Rejected(None))]);
-    assert!(refused(&over, id), "at once after the last attempt");
+    let over = w.step_after(10 * MS, vec![attempt_ended(id, 2, EndpointId(7), Outcome::Rejected(None))]);
+    assert!(is_rejected(&over, id), "at once after the last attempt");
     // And one that nothing can take ends with its give-up.
     let gone = EndpointEntry { lifecycle: Lifecycle::Removed, ..entry(7, 1, 0) };
-    let m = w.message(KEYED, 1);
+    let m = w.new_message(WITH_KEY, 1);
     let id = m.id;
     w.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![gone])), Event::Message(m)]);
-    assert!(!refused(&w.at(8900 * MS, vec![]), id));
-    assert!(refused(&w.at(100 * MS, vec![]), id));
+    assert!(!is_rejected(&w.step_after(8900 * MS, vec![]), id));
+    assert!(is_rejected(&w.step_after(100 * MS, vec![]), id));
 }
 
 #[test]
 fn a_copy_goes_elsewhere_only_once_the_first_is_cut() {
     let entry_of = "name: a, match: {class: notice}, timeout: 500ms, second-copy: {after: 800ms}";
-    let mut w = World::new(with_routes(&[entry_of]), vec![entry(7, 1, 0), entry(8, 1, 0)]);
-    let (id, first) = w.sent(KEYED, 1);
-    assert!(sends(&w.at(500 * MS, vec![])).is_empty(), "nothing while it is out");
-    assert!(sends(&w.at(MS, vec![result(id, 0, first, Outcome::TimedOut)])).is_empty());
-    assert!(sends(&w.at(298 * MS, vec![])).is_empty(), "not before its time");
-    let copies = sends(&w.at(2 * MS, vec![]));
+    let mut w = PolicyHarness::new(with_routes(&[entry_of]), vec![entry(7, 1, 0), entry(8, 1, 0)]);
+    let (id, first) = w.send_one(WITH_KEY, 1);
+    assert!(sends(&w.step_after(500 * MS, vec![])).is_empty(), "nothing while it is out");
+    assert!(sends(&w.step_after(MS, vec![attempt_ended(id, 0, first, Outcome::TimedOut)])).is_empty());
+    assert!(sends(&w.step_after(298 * MS, vec![])).is_empty(), "not before its time");
+    let copies = sends(&w.step_after(2 * MS, vec![]));
     assert_eq!(copies.len(), 1);
     assert_ne!(copies[0], (id, first), "elsewhere");
     // With nowhere else, it goes to the same endpoint.
-    let mut w = World::new(with_routes(&[entry_of]), vec![entry(7, 1, 0)]);
-    let (id, e) = w.sent(KEYED, 1);
-    w.at(500 * MS, vec![result(id, 0, e, Outcome::TimedOut)]);
-    assert_eq!(sends(&w.at(300 * MS, vec![])), [(id, e)]);
+    let mut w = PolicyHarness::new(with_routes(&[entry_of]), vec![entry(7, 1, 0)]);
+    let (id, e) = w.send_one(WITH_KEY, 1);
+    w.step_after(500 * MS, vec![attempt_ended(id, 0, e, Outcome::TimedOut)]);
+    assert_eq!(sends(&w.step_after(300 * MS, vec![])), [(id, e)]);
 }
 
 /// Guards against a call cut for all that it carries when the shortest time-out among them is over.
@@ -256,14 +257,14 @@
 fn messages_with_unlike_time_outs_do_not_share_a_call() {
     let entries =
         ["name: a, match: {class: notice}, timeout: 900ms", "name: b, match: {class: free}, timeout: 4s"];
-    let mut w = World::new(with_routes(&entries), vec![entry(7, 1, 2)]);
+    let mut w = PolicyHarness::new(with_routes(&entries), vec![entry(7, 1, 2)]);
     let hold = (0..2).map(|_| Event::RetryAfter { endpoint: EndpointId(7), retry_after: SECOND }).collect();
     w.step(hold);
-    let classes = [KEYED, SAFE, KEYED, SAFE, KEYED];
-    let all: Vec<NewMessage> = classes.iter().map(|c| w.message(*c, 1)).collect();
+    let classes = [WITH_KEY, IDEMPOTENT, WITH_KEY, IDEMPOTENT, WITH_KEY];
+    let all: Vec<NewMessage> = classes.iter().map(|c| w.new_message(*c, 1)).collect();
     let class_of: BTreeMap<MessageId, usize> = all.iter().map(|m| (m.id, m.class.0)).collect();
     w.step(all.into_iter().map(Event::Message).collect());
-    let actions = w.at(1100 * MS, vec![]);
+    let actions = w.step_after(1100 * MS, vec![]);
     let cuts: Vec<Micros> = sends(&actions).iter().map(|s| cut_of(&actions, s.0).expect("sent").0).collect();
     assert!(!cuts.is_empty());
     // One step makes one call of up to three to an endpoint that has just told a wait.
@@ -275,24 +276,27 @@
 #[test]
 fn a_reload_binds_what_is_held_and_leaves_what_is_out() {
     let one = |text: &str| Event::Settings(Box::new(with_routes(&[text])));
-    let mut w = World::new(
+    let mut w = PolicyHarness::new(
         with_routes(&["name: a, match: {}, timeout: 2s, attempts: 5, give-up: 15s"]),
         vec![entry(7, 1, 0), entry(8, 2, 0)],
     );
     // Used up under the new plan: its end comes at once, with the attempt that is out.
-    let (out, e) = w.sent(SAFE, 1);
-    let (held, h) = w.sent(SAFE, 2);
-    w.at(10 * MS, vec![result(held, 0, h, Outcome::Rejected(None))]);
+    let (out, e) = w.send_one(IDEMPOTENT, 1);
+    let (held, h) = w.send_one(IDEMPOTENT, 2);
+    w.step_after(10 * MS, vec![attempt_ended(held, 0, h, Outcome::Rejected(None))]);
     let actions = w.step(vec![one("name: a, match: {}, timeout: 300ms, attempts: 1, give-up: 12s")]);
-    assert!(refused(&actions, held) && !refused(&actions, out) && sends(&actions).is_empty());
-    assert!(refused(&w.at(10 * MS, vec![result(out, 0, e, Outcome::Rejected(None))]), out));
+    assert!(is_rejected(&actions, held) && !is_rejected(&actions, out) && sends(&actions).is_empty());
+    assert!(is_rejected(
+        &w.step_after(10 * MS, vec![attempt_ended(out, 0, e, Outcome::Rejected(None))]),
+        out
+    ));
     // A shorter time-out is that of the next attempt, a shorter give-up holds at once.
     w.now += 3 * SECOND;
-    let (out, e) = w.sent(SAFE, 1);
+    let (out, e) = w.send_one(IDEMPOTENT, 1);
     let actions = w.step(vec![one("name: a, match: {}, timeout: 200ms, attempts: 4, give-up: 900ms")]);
     assert!(actions.iter().all(|a| !matches!(a, Action::Cancel { .. } | Action::Fail { .. })));
-    w.at(950 * MS, vec![]);
-    assert!(refused(&w.at(MS, vec![result(out, 0, e, Outcome::ConnectFailed)]), out));
+    w.step_after(950 * MS, vec![]);
+    assert!(is_rejected(&w.step_after(MS, vec![attempt_ended(out, 0, e, Outcome::ConnectFailed)]), out));
 }
 
 /// Guards against a second attempt beside one that was reported as up while its shared call went on: a longer
@@ -301,18 +305,18 @@
 fn a_longer_give_up_does_not_bring_back_a_message_whose_last_attempt_is_still_out() {
     let file =
         |give_up: &str| with_routes(&[&format!("name: a, match: {{}}, timeout: 1500ms, give-up: {give_up}")]);
-    let mut w = World::new(file("2s"), vec![entry(7, 1, 2)]);
-    let (id, e) = w.sent(SAFE, 1);
+    let mut w = PolicyHarness::new(file("2s"), vec![entry(7, 1, 2)]);
+    let (id, e) = w.send_one(IDEMPOTENT, 1);
     let end = w.now + 2 * SECOND;
-    let mut actions = w.at(800 * MS, vec![result(id, 0, e, Outcome::Rejected(None))]);
+    let mut actions = w.step_after(800 * MS, vec![attempt_ended(id, 0, e, Outcome::Rejected(None))]);
     while sends(&actions).is_empty() {
-        actions = w.at(10 * MS, vec![]);
+        actions = w.step_after(10 * MS, vec![]);
     }
     assert_eq!(cut_of(&actions, id), Some((end - 5 * MS, true)));
-    w.at(10 * MS, vec![Event::Settings(Box::new(file("9s")))]);
+    w.step_after(10 * MS, vec![Event::Settings(Box::new(file("9s")))]);
     let left = end - 5 * MS - w.now;
-    let actions = w.at(left, vec![result(id, 1, e, Outcome::TimedOut)]);
-    assert!(refused(&actions, id) && sends(&actions).is_empty());
+    let actions = w.step_after(left, vec![attempt_ended(id, 1, e, Outcome::TimedOut)]);
+    assert!(is_rejected(&actions, id) && sends(&actions).is_empty());
 }
 
 #[derive(Clone, Debug)]
@@ -345,7 +349,7 @@
     (0usize..3, 50u64..1500, 1u64..9, pause, proptest::option::of(0u64..300), any::<bool>()).prop_map(
         |(class, timeout, attempts, pause, copy, ends)| {
             let pause = pause.map(|(f, more)| (f, f + more));
-            let copy = copy.filter(|_| class != UNSAFE).map(|c| timeout + c);
+            let copy = copy.filter(|_| class != NON_IDEMPOTENT).map(|c| timeout + c);
             Figures { class, timeout, attempts, pause, copy, give_up: ends.then_some(19_900) }
         },
     )
@@ -380,13 +384,13 @@
     ) {
         let text = routes(&[&f.text()]);
         prop_assume!(read(&text).is_ok());
-        let mut w = World::new(with_routes(&[&f.text()]), vec![entry(7, 1, 0), entry(8, 1, 0), entry(9, 2, 2)]);
+        let mut w = PolicyHarness::new(with_routes(&[&f.text()]), vec![entry(7, 1, 0), entry(8, 1, 0), entry(9, 2, 2)]);
         let ids: BTreeMap<MessageId, Micros> = (0..6).map(|i| {
-            let m = w.message(f.class, 1 + i % 2);
+            let m = w.new_message(f.class, 1 + i % 2);
             (m.id, w.now)
         }).collect();
         let mut fresh: Vec<Event> = ids.keys().map(|id| {
-            let mut m = w.message(f.class, 1 + (id.0 + 1) % 2);
+            let mut m = w.new_message(f.class, 1 + (id.0 + 1) % 2);
             m.id = *id;
             Event::Message(m)
         }).collect();
@@ -418,7 +422,7 @@
                 if outcome == Outcome::Ok {
                     over.insert(id, w.now);
                 }
-                events.push(result(id, attempt, e, outcome));
+                events.push(attempt_ended(id, attempt, e, outcome));
             }
             for action in w.step(events) {
                 match action {
@@ -429,8 +433,8 @@
                         prop_assert!(u64::from(*n) <= f.attempts, "{} attempts", n);
                         prop_assert!(timeout_at <= w.now + f.timeout * MS, "the time-out");
                         if let Some(first) = ran.get(&id) {
-                            prop_assert!(f.class != UNSAFE, "a second effect");
-                            prop_assert!(f.class != KEYED || w.now < first + 15 * SECOND, "out of the span");
+                            prop_assert!(f.class != NON_IDEMPOTENT, "a second effect");
+                            prop_assert!(f.class != WITH_KEY || w.now < first + 15 * SECOND, "out of the span");
                         }
                         prop_assert!(out.insert(id, (endpoint, *n - 1, w.now, timeout_at)).is_none(), "two out");
                     }
