--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -69,6 +69,24 @@
     }
 }
 
+/// Forwarders of a large fleet.
+pub const LARGE_FLEET: usize = 250;
+
+/// Settings of one forwarder of a large fleet.
+pub fn large_fleet() -> Settings {
+    Settings { forwarders: LARGE_FLEET, ..settings() }
+}
+
+/// The list entry of endpoint 7 of destination 1, with a weight.
+pub fn entry_with_weight(weight: f64) -> EndpointEntry {
+    EndpointEntry { weight, ..entry(7, 1, 0) }
+}
+
+/// A policy of one destination, 1, with one endpoint, 7.
+pub fn one_destination() -> PolicyHarness {
+    PolicyHarness::new(settings(), vec![entry(7, 1, 0)])
+}
+
 /// A delivery policy with its clock.
 pub struct PolicyHarness {
     pub policy: DeliveryPolicy,
