--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -423,7 +423,7 @@
                     self.context.rejected(&request.request_id, Rejection::ClientGone);
                     Err(self.part_with(&Answer::service_unavailable(DEFAULT_RETRY_AFTER), "agent-gone").await)
                 }
-                Ok(request) if !self.context.endpoint_table.names(request.destination) => {
+                Ok(request) if !self.context.endpoint_table.has_destination(request.destination) => {
                     self.context.counters.unavailable.add();
                     self.context.rejected(&request.request_id, Rejection::UnknownDestination);
                     info!(self.context.log, "unknown destination"; "destination" => request.destination.0);
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -144,7 +144,7 @@
         }
         if let Some(view) = self.endpoint_list.registry_view().as_ref() {
             report["registry"] = self.registry.report(view, self.clock.now());
-            report["drains"] = self.endpoint_table.drains();
+            report["drains"] = self.endpoint_table.drain_report();
         }
         if self.config().operator.is_some() {
             report["cordoned"] = self.endpoint_list.cordoned().into();
--- /dev/null
+++ b/src/net/endpoint/actor.rs
@@ -0,0 +1,39 @@
+//! The actor of an endpoint: it owns the idle connections and starts the calls.
+
+use super::call;
+use super::connection_end::ConnectionEnd;
+use super::pool::Pool;
+use crate::net::messages::EndpointMessage;
+use crate::net::Context;
+use crate::EndpointId;
+use async_channel::{Receiver, WeakSender};
+use futures_lite::future;
+use std::rc::Rc;
+
+/// Runs until the mailbox is closed: the endpoint was removed, and its calls are complete. `own` is the mailbox's sender.
+pub async fn run(
+    context: Rc<Context>,
+    endpoint: EndpointId,
+    mail: Receiver<EndpointMessage>,
+    own: WeakSender<EndpointMessage>,
+) {
+    let mut pool = Pool::new(context.clone(), endpoint);
+    loop {
+        let disturbed = async {
+            pool.until_disturbed().await;
+            None
+        };
+        match future::or(async { Some(mail.recv().await) }, disturbed).await {
+            None => pool.close_unusable(),
+            Some(Ok(EndpointMessage::Call(call))) => {
+                let idle = pool.take();
+                // Where the endpoint was removed, connections are not returned to the pool.
+                let pool_mailbox = own.upgrade();
+                context.executor.spawn(call::run(context.clone(), call, idle, pool_mailbox)).detach();
+            }
+            Some(Ok(EndpointMessage::CloseIdle)) => pool.close_all(ConnectionEnd::CloseIdle),
+            Some(Ok(EndpointMessage::ReturnConnection(connection))) => pool.put(connection),
+            Some(Err(_)) => return pool.close_all(ConnectionEnd::EndpointRemoved),
+        }
+    }
+}
--- /dev/null
+++ b/src/net/endpoint/exchange.rs
@@ -0,0 +1,173 @@
+//! The exchange of a call on its connection: connect, check what binds the first byte, journal, write, read the response.
+
+use super::call::CallEnd;
+use super::request;
+use super::response::{read_retry_after, Response};
+use crate::invariants::{may_send, SendFacts, SendPermit, SendRefusal, Violation};
+use crate::journal::AttemptStart;
+use crate::net::call::Call;
+use crate::net::dial::connect_within;
+use crate::net::http::{HttpConnection, HttpError};
+use crate::net::Context;
+use crate::{EndpointId, Micros, ZoneId};
+use slog::info;
+use std::cell::Cell;
+use std::io;
+use std::time::Duration;
+
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
+/// A response that has begun and pauses for so long is broken: its call must not take a slot until the timeout, and its
+/// connection is of no more use.
+pub(super) const RESPONSE_STALL: Duration = Duration::from_millis(500);
+/// The same for the body of a response whose status line has delivered the message.
+const DELIVERED_BODY_STALL: Duration = Duration::from_millis(50);
+
+/// How far an exchange has come.
+#[derive(Clone, Copy, Default, PartialEq)]
+pub(super) enum Stage {
+    /// It has no connection yet, or waits for what binds the first byte.
+    #[default]
+    Connecting,
+    /// Its first byte was held back.
+    NotSent,
+    /// The request is being written.
+    Writing,
+    /// The request was written.
+    Written,
+}
+
+/// What has happened in an exchange, for the time that it is interrupted.
+#[derive(Default)]
+pub(super) struct Progress {
+    pub stage: Cell<Stage>,
+    pub written_at: Cell<Option<Micros>>,
+    /// The status of the response.
+    pub status: Cell<Option<u16>>,
+    /// The wait that the head of the response asks for.
+    pub retry_after: Cell<Option<Micros>>,
+}
+
+/// Makes a call on the connection, or on a new one that is left in its place.
+pub(super) async fn exchange(
+    context: &Context,
+    call: &Call,
+    slot: &mut Option<HttpConnection>,
+    progress: &Progress,
+) -> Result<Response, CallEnd> {
+    let connection = match slot {
+        Some(idle) => idle,
+        None => slot.insert(connect(context, call.endpoint).await?),
+    };
+    connection.stall = Some(RESPONSE_STALL);
+    context.endpoint_list.until_received().await;
+    context.stall_detector.until_caught_up(&context.clock).await;
+    check_sendable(context, call, progress)?;
+    let zone = context.endpoint_table.get(call.endpoint).map(|known| known.zone);
+    journal_attempts(context, call, zone, progress)?;
+    // Writing that down may have taken a while.
+    let permit = check_sendable(context, call, progress)?;
+    progress.stage.set(Stage::Writing);
+    record_first_byte(context, call, zone.unwrap_or_default());
+    let bytes = request::format(call, context.clock.now());
+    write_request(connection, permit, &bytes).await.map_err(HttpError::Socket)?;
+    progress.stage.set(Stage::Written);
+    progress.written_at.set(Some(context.clock.now()));
+    read_response(connection, call, progress).await
+}
+
+async fn connect(context: &Context, endpoint: EndpointId) -> Result<HttpConnection, HttpError> {
+    let Some(known) = context.endpoint_table.get(endpoint) else {
+        return Err(HttpError::Malformed("unknown endpoint"));
+    };
+    context.counters.opened.add();
+    let timeout = Duration::from_micros(context.config().dial_timeout);
+    Ok(HttpConnection::new(connect_within(known.address, timeout).await?))
+}
+
+/// Whether the first byte may be written now.
+fn check_sendable(context: &Context, call: &Call, progress: &Progress) -> Result<SendPermit, CallEnd> {
+    let facts = SendFacts {
+        now: context.clock.now(),
+        message_over: call.attempts.iter().any(|attempt| attempt.message.is_over()),
+        handed_over: context.journal.is_paused(),
+        journal_writable: context.journal.is_writable(),
+        cut_at: call.first_timeout(&vec![true; call.attempts.len()]),
+        send_by: call.send_by(),
+        drain_grace: context.endpoint_table.grace(),
+        endpoint: context.endpoint_table.facts(call.endpoint),
+    };
+    may_send(&facts).map_err(|refusal| not_sent(context, call, progress, refusal))
+}
+
+fn journal_attempts(
+    context: &Context,
+    call: &Call,
+    zone: Option<ZoneId>,
+    progress: &Progress,
+) -> Result<(), CallEnd> {
+    let zone_name = zone.map(|zone| context.config().names.zones[zone.0].clone()).unwrap_or_default();
+    for attempt in &call.attempts {
+        let start = AttemptStart { at: call.sent, zone: zone_name.clone() };
+        if context.journal.attempt(attempt.message.id, attempt.number, start).is_err() {
+            return Err(not_sent(context, call, progress, SendRefusal::JournalFailing));
+        }
+    }
+    Ok(())
+}
+
+/// Counts and logs a call that is held back.
+fn not_sent(context: &Context, call: &Call, progress: &Progress, refusal: SendRefusal) -> CallEnd {
+    for attempt in &call.attempts {
+        context.counters.not_sent(refusal);
+        info!(context.log, "not sent"; "id" => &attempt.message.request.request_id, "attempt" => attempt.number,
+            "endpoint" => call.endpoint.0, "reason" => refusal.name());
+    }
+    progress.stage.set(Stage::NotSent);
+    CallEnd::NotSent(refusal)
+}
+
+/// Counts and logs a call whose first byte is about to be written, and checks it against the rules.
+fn record_first_byte(context: &Context, call: &Call, zone: ZoneId) {
+    let now = context.clock.now();
+    let table = &context.endpoint_table;
+    let facts = table.facts(call.endpoint);
+    let leaving_since = facts.and_then(|facts| facts.leaving_since);
+    let sent_to_leaving = leaving_since.is_some_and(|since| now > since + table.grace());
+    let sent_within_retry_after = facts.and_then(|facts| facts.retry_after).is_some_and(|until| now < until);
+    for attempt in &call.attempts {
+        let request_id = &attempt.message.request.request_id;
+        let of_message = context.ledger.borrow_mut().attempt(attempt.message.id, attempt.number, now, zone);
+        let leaving = sent_to_leaving.then_some(Violation::SentToLeaving);
+        let retry_after = sent_within_retry_after.then_some(Violation::SentWithinRetryAfter);
+        for violation in [of_message, leaving, retry_after].into_iter().flatten() {
+            context.violated(violation, request_id, Some(call.endpoint));
+        }
+        info!(context.log, "message"; "state" => "attempt", "id" => request_id, "attempt" => attempt.number,
+            "endpoint" => call.endpoint.0, "left_ms" => attempt.timeout_at.saturating_sub(now) / 1000);
+    }
+    table.record_first_byte(call.endpoint);
+    context.counters.calls.add();
+    context.counters.attempts.more(call.attempts.len());
+}
+
+/// Writes a request; nothing else does.
+async fn write_request(connection: &mut HttpConnection, _permit: SendPermit, bytes: &[u8]) -> io::Result<()> {
+    connection.write(bytes).await
+}
+
+async fn read_response(
+    connection: &mut HttpConnection,
+    call: &Call,
+    progress: &Progress,
+) -> Result<Response, CallEnd> {
+    let head = connection.read_answer().await?;
+    progress.status.set(Some(head.status));
+    // It binds whatever becomes of the body.
+    progress.retry_after.set(read_retry_after(&head));
+    if head.status == 200 && call.attempts.len() == 1 {
+        // The message is delivered; the rest only decides whether the connection can be reused.
+        connection.stall = Some(DELIVERED_BODY_STALL);
+    }
+    let body = connection.answer_body(&head, MAX_RESPONSE_BYTES).await?;
+    Ok(Response { head, body })
+}
--- /dev/null
+++ b/src/net/endpoint/late_response.rs
@@ -0,0 +1,50 @@
+//! Reads on for a moment on the connection of an abandoned call: the response that was on its way may ask to wait, which binds
+//! from the moment it was written. Guards against calls during a wait that nobody read.
+
+use super::exchange::RESPONSE_STALL;
+use super::response::read_retry_after;
+use crate::net::call::{AttemptResult, CallCompletion, CallResult};
+use crate::net::http::HttpConnection;
+use crate::net::messages::DeliveryMessage;
+use crate::net::{within, Context};
+use crate::{EndpointId, Micros, Outcome};
+use slog::info;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// For how long a response may still be on its way after its call was abandoned: as long as one may pause.
+const READ_FOR: Duration = RESPONSE_STALL;
+
+/// Reads on in the background, then drops the connection.
+pub(super) fn read(context: &Rc<Context>, endpoint: EndpointId, mut connection: HttpConnection) {
+    let readers = &context.gauges.late_answer_readers;
+    // The calls of half a second, all abandoned, are no more than that.
+    if readers.get() >= context.config().max_concurrent_calls {
+        return;
+    }
+    connection.end_sending();
+    readers.increment();
+    let executor = context.executor.clone();
+    let context = context.clone();
+    let reading = async move {
+        let head = within(READ_FOR, async { connection.read_answer().await.ok() }).await.flatten();
+        if let Some(retry_after) = head.as_ref().and_then(read_retry_after) {
+            info!(context.log, "late retry_after received"; "endpoint" => endpoint.0, "ms" => retry_after / 1000);
+            context.endpoint_table.retry_after(endpoint, retry_after);
+            report(&context, endpoint, retry_after).await;
+        }
+        context.gauges.late_answer_readers.decrement();
+    };
+    executor.spawn(reading).detach();
+}
+
+/// Tells the delivery actor by a completion without attempts: theirs were reported when the call was abandoned.
+async fn report(context: &Context, endpoint: EndpointId, retry_after: Micros) {
+    let result = CallResult {
+        retry_after: Some(retry_after),
+        ..CallResult::same_for_all(0, AttemptResult::of(Outcome::NotSent))
+    };
+    let completion = CallCompletion { endpoint, sent: context.clock.now(), attempts: Vec::new(), result };
+    // The delivery actor ends only with the process: nobody is left to tell.
+    let _ = context.delivery.send(DeliveryMessage::CallCompleted(completion)).await;
+}
--- /dev/null
+++ b/src/net/endpoint/pool.rs
@@ -0,0 +1,111 @@
+//! The idle connections to an endpoint.
+
+use super::connection_end::ConnectionEnd;
+use crate::invariants::connection::idle_until;
+use crate::invariants::{may_reuse, IdleFacts};
+use crate::net::http::HttpConnection;
+use crate::net::Context;
+use crate::{EndpointId, Micros};
+use async_io::Timer;
+use futures_lite::future;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::task::{self, Poll, Waker};
+
+struct Idle {
+    connection: HttpConnection,
+    address: Option<SocketAddr>,
+    /// The endpoint may close it soon after this.
+    reusable_until: Micros,
+}
+
+/// The idle connections to an endpoint; the last one was used last.
+pub(super) struct Pool {
+    context: Rc<Context>,
+    endpoint: EndpointId,
+    idle: Vec<Idle>,
+}
+
+impl Pool {
+    /// A pool without connections.
+    pub fn new(context: Rc<Context>, endpoint: EndpointId) -> Self {
+        Pool { context, endpoint, idle: Vec::new() }
+    }
+
+    /// Keeps a connection for the next call, unless the process has too many idle ones.
+    pub fn put(&mut self, connection: HttpConnection) {
+        let idle_connections = &self.context.gauges.idle_endpoint_connections;
+        if idle_connections.get() >= self.context.config().idle_peers() {
+            return self.log_closed(ConnectionEnd::PoolFull);
+        }
+        idle_connections.increment();
+        let timeout = self.context.config().endpoint_idle_timeout;
+        let reusable_until = idle_until(self.context.clock.now(), timeout);
+        let address = connection.peer();
+        self.idle.push(Idle { connection, address, reusable_until });
+    }
+
+    /// The connection that was used last, so that the others can reach their idle timeout.
+    pub fn take(&mut self) -> Option<HttpConnection> {
+        self.close_unusable();
+        let last = self.idle.len().checked_sub(1)?;
+        Some(self.remove(last))
+    }
+
+    /// Closes all connections.
+    pub fn close_all(&mut self, reason: ConnectionEnd) {
+        while !self.idle.is_empty() {
+            drop(self.remove(0));
+            self.log_closed(reason);
+        }
+    }
+
+    /// Closes the connections that reached the idle timeout, lead to a former address of the endpoint, or were closed or written
+    /// to by it. Guards against a call that is written to a closed connection: it would count as one that may have run.
+    pub fn close_unusable(&mut self) {
+        let now = self.context.clock.now();
+        let address = self.context.endpoint_table.get(self.endpoint).map(|known| known.address);
+        let mut task = task::Context::from_waker(Waker::noop());
+        for index in (0..self.idle.len()).rev() {
+            let idle = &mut self.idle[index];
+            let facts = IdleFacts {
+                now,
+                until: idle.reusable_until,
+                at_its_address: idle.address == address,
+                disturbed: idle.connection.poll_disturbed(&mut task),
+            };
+            if let Err(reason) = may_reuse(&facts) {
+                drop(self.remove(index));
+                self.log_closed(ConnectionEnd::NotReusable(reason));
+            }
+        }
+    }
+
+    /// Returns once an idle connection reached its timeout, or was closed or written to by the endpoint.
+    pub async fn until_disturbed(&mut self) {
+        let Some(first_timeout) = self.idle.iter().map(|idle| idle.reusable_until).min() else {
+            return future::pending().await;
+        };
+        let clock = self.context.clock;
+        let timed_out = async {
+            Timer::at(clock.at(first_timeout)).await;
+        };
+        let idle = &mut self.idle;
+        let disturbed = future::poll_fn(|task| {
+            match idle.iter_mut().any(|idle| idle.connection.poll_disturbed(task).is_some()) {
+                true => Poll::Ready(()),
+                false => Poll::Pending,
+            }
+        });
+        future::or(timed_out, disturbed).await;
+    }
+
+    fn remove(&mut self, index: usize) -> HttpConnection {
+        self.context.gauges.idle_endpoint_connections.decrement();
+        self.idle.remove(index).connection
+    }
+
+    fn log_closed(&self, reason: ConnectionEnd) {
+        reason.log(&self.context.log, self.endpoint);
+    }
+}
--- a/src/net/platform/endpoint_list.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -249,7 +249,7 @@
         let known = self.context.endpoint_table.get(change.endpoint);
         // One that drained before it went is told of once.
         let Some(known) = known.filter(|k| k.draining_since == Some(learnt)) else { return };
-        self.context.endpoint_table.count_drain(&known);
+        self.context.endpoint_table.record_drain(&known);
         let ms = |t: Option<Micros>| t.map(|t| (t as f64 - learnt as f64) / 1e3);
         info!(self.context.log, "endpoint left"; "endpoint" => change.endpoint.0,
             "id" => &change.listing.key.id, "lifecycle" => ?change.lifecycle, "learnt" => learnt,
@@ -443,7 +443,7 @@
         let (endpoint, lifecycle) = (*endpoint, *lifecycle);
         let apart = self.context.config().kinds[l.kind.0].per_endpoint_breaker;
         let known = EndpointState::new(l.address, l.destination, l.zone, apart);
-        self.context.endpoint_table.list(endpoint, lifecycle, *learnt, known);
+        self.context.endpoint_table.update(endpoint, lifecycle, *learnt, known);
         let (destination, zone, kind, weight) = (l.destination, l.zone, l.kind, l.weight);
         EndpointEntry { endpoint, destination, zone, kind, lifecycle, weight }
     }
--- /dev/null
+++ b/tests/endpoint_responses.rs
@@ -0,0 +1,30 @@
+//! What a failed connection and a load report of an endpoint mean, without a socket.
+
+use cedarbridge::net::endpoint::connection_end::{CallFailure, STALE_WITHIN};
+use cedarbridge::net::endpoint::response::read_load;
+use cedarbridge::net::http::HttpError;
+use cedarbridge::Outcome;
+
+/// Guards against an ejection over connections that were dead before the call.
+#[test]
+fn only_a_reused_connection_that_fails_at_once_was_stale() {
+    let outcome = |error, since_written| CallFailure::of_connection(&error, since_written).outcome();
+    assert_eq!(outcome(HttpError::Ended, Some(1000)), Outcome::StaleConnection);
+    assert_eq!(outcome(HttpError::Ended, Some(STALE_WITHIN)), Outcome::Reset);
+    assert_eq!(outcome(HttpError::Ended, None), Outcome::Reset);
+    assert_eq!(outcome(HttpError::Malformed("noise"), Some(1000)), Outcome::Reset);
+}
+
+/// Guards against a broken report that sets the rate: one of next to nothing would delay its destination's messages up to their
+/// deadlines.
+#[test]
+fn a_load_report_out_of_range_is_ignored() {
+    let rate = |text| read_load(text).map(|r| r.rate);
+    assert_eq!(rate("x0=0.4,x1=25"), Some(25.0));
+    assert_eq!(rate("x0=0, x1=0, x2=9"), Some(0.0));
+    for odd in ["x0=0.4", "x0=0.4,x1=", "x0=1.1,x1=2", "x0=-1,x1=2", "x0=0,x1=-2", "x0=0,x1=1e9", "=,=", "%"]
+    {
+        assert_eq!(rate(odd), None, "{odd}");
+    }
+    assert_eq!(rate("x0=nan,x1=5").or(rate("x0=1,x1=inf")), None);
+}
--- /dev/null
+++ b/tests/endpoint_table.rs
@@ -0,0 +1,56 @@
+//! The endpoint table: what binds the first byte of a call, with a clock but no sockets.
+
+use cedarbridge::invariants::{may_send, SendFacts, SendRefusal};
+use cedarbridge::net::endpoint::table::{EndpointState, EndpointTable};
+use cedarbridge::net::runtime::clock::Clock;
+use cedarbridge::{DestinationId, EndpointId, Lifecycle, ZoneId};
+
+#[test]
+fn a_removed_endpoint_is_kept_for_a_while_and_a_listed_one_for_good() {
+    /// No call is in flight to a removed endpoint any more after this.
+    const KEPT_AFTER_DRAIN: u64 = 120_000_000;
+    let clock = Clock::start();
+    let table = EndpointTable::new(clock, 250_000);
+    let address = "127.0.0.1:1".parse().expect("an address");
+    let known = EndpointState::new(address, DestinationId(1), ZoneId(0), false);
+    table.update(EndpointId(1), Lifecycle::Listed, clock.now(), known.clone());
+    table.update(EndpointId(2), Lifecycle::Removed, clock.now(), known);
+    let kept = |now| {
+        table.prune(now);
+        [1, 2].map(|e| table.get(EndpointId(e)).is_some())
+    };
+    assert_eq!(kept(clock.now()), [true, true]);
+    assert_eq!(kept(clock.now() + KEPT_AFTER_DRAIN), [true, false]);
+}
+
+/// Guards against a first byte past the grace: a process may be held up for 0.15 s between its look at the clock and the write.
+#[test]
+fn the_grace_of_a_drain_covers_a_process_that_is_held_up_before_it_writes() {
+    const HELD_UP: u64 = 150_000;
+    let clock = Clock::start();
+    let grace = 250_000;
+    let table = EndpointTable::new(clock, grace);
+    let refusal = |endpoint| {
+        let open = SendFacts {
+            now: clock.now(),
+            message_over: false,
+            handed_over: false,
+            journal_writable: true,
+            cut_at: u64::MAX,
+            send_by: u64::MAX,
+            drain_grace: table.grace(),
+            endpoint: table.facts(endpoint),
+        };
+        may_send(&open).err()
+    };
+    let known =
+        EndpointState::new("127.0.0.1:1".parse().expect("an address"), DestinationId(1), ZoneId(0), false);
+    table.update(EndpointId(1), Lifecycle::Draining, clock.now() - (grace - HELD_UP), known.clone());
+    assert_eq!(
+        refusal(EndpointId(1)),
+        Some(SendRefusal::Leaving),
+        "a byte held up would come past the grace"
+    );
+    table.update(EndpointId(2), Lifecycle::Draining, clock.now(), known);
+    assert_eq!(refusal(EndpointId(2)), None, "what was decided before the drain goes through");
+}
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -290,7 +290,7 @@
          e1 expect m1
          p expect m1 failed
          e1 send m1 429 X-RateLimit-Wait-Ms:3000
-         log wait heard late
+         log late retry_after received
          u1 send m2 deadline=1000m
          u1 expect 503 Retry-After
          u1 send m3
