--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -11,6 +11,9 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 
+/// The text of a line that tells of a received message: today, and in the logs of releases up to 5c6b612.
+const RECEIVED: [&str; 2] = ["message received", "handed in"];
+
 /// A message of the day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -50,7 +53,7 @@
                 odd += usize::from(!line.trim().is_empty());
                 continue;
             };
-            if l.msg != "handed in" {
+            if !RECEIVED.contains(&l.msg.as_str()) {
                 continue;
             }
             if let (Some(ms), Some(destination)) = (l.wall_ms, l.destination) {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -302,7 +302,7 @@
     println!("{}: {} messages; {odd} lines of the log are none", out.display(), day.lines.len());
     if day.lines.is_empty() {
         eprintln!(
-            "cedarbridge-lab: the log has no `handed in`: write it with --log-format json --log-level debug"
+            "cedarbridge-lab: the log has no `message received`: write it with --log-format json --log-level debug"
         );
     }
     Ok(!day.lines.is_empty())
--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -1,4 +1,4 @@
-//! One attempt at an endpoint: a call of one message, or of several that share it.
+//! A call to an endpoint, with one attempt or with several that share it, and its completion.
 
 use crate::net::in_flight::InFlightMessage;
 use crate::{EndpointId, LoadReport, MessageId, Micros, Outcome};
@@ -7,10 +7,32 @@
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-/// A message in a call.
+/// Names an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(MessageId, u32)", into = "(MessageId, u32)")]
+pub struct AttemptId {
+    /// The message.
+    pub message: MessageId,
+    /// Which attempt of it, from 0.
+    pub number: u32,
+}
+
+impl From<(MessageId, u32)> for AttemptId {
+    fn from((message, number): (MessageId, u32)) -> Self {
+        AttemptId { message, number }
+    }
+}
+
+impl From<AttemptId> for (MessageId, u32) {
+    fn from(attempt: AttemptId) -> Self {
+        (attempt.message, attempt.number)
+    }
+}
+
+/// An attempt to deliver a message, as a call carries it.
 #[derive(Clone)]
 pub struct Attempt {
-    /// Which message.
+    /// The message.
     pub message: Rc<InFlightMessage>,
     /// Which attempt of it, from 0.
     pub number: u32,
@@ -18,78 +40,78 @@
     pub timeout_at: Micros,
     /// Its first byte must not be written later.
     pub send_by: Micros,
-    /// The message's time is up then: it will not be sent again.
+    /// The message's deadline is its timeout: it will not be sent again.
     pub final_attempt: bool,
 }
 
-/// A call that the module has decided on.
+/// A call that the policy has decided on.
 pub struct Call {
     /// Where to.
     pub endpoint: EndpointId,
     /// What it carries; at least one.
     pub attempts: Vec<Attempt>,
-    /// When the module decided on it.
+    /// When the policy decided on it.
     pub sent: Micros,
-    /// Closed when the call is called off.
+    /// Closed when the call is cancelled.
     pub cancelled: Receiver<()>,
 }
 
 impl Call {
-    /// A call; the message with the most time left is named first, as its time is taken for the call's. Guards against an answer
-    /// that comes once that is up: partners that hang named others as delivered then that were not.
+    /// A call. The attempt with the latest timeout is named first, as the endpoint takes its deadline for the call's. Guards
+    /// against a response that comes after that: endpoints that hung then reported others as delivered that were not.
     pub fn new(
         endpoint: EndpointId,
         mut attempts: Vec<Attempt>,
         sent: Micros,
         cancelled: Receiver<()>,
     ) -> Self {
-        attempts.sort_by_key(|p| Reverse(p.timeout_at));
+        attempts.sort_by_key(|attempt| Reverse(attempt.timeout_at));
         Call { endpoint, attempts, sent, cancelled }
     }
 
-    /// When the part is abandoned that is abandoned first, of those that are still waited for.
-    pub fn first_timeout(&self, waited_for: &[bool]) -> Micros {
-        let parts = self.attempts.iter().zip(waited_for).filter(|p| *p.1);
-        parts.map(|p| p.0.timeout_at).min().unwrap_or(0)
+    /// The first timeout of the attempts that are still open; `open_attempts` has an entry for each attempt.
+    pub fn first_timeout(&self, open_attempts: &[bool]) -> Micros {
+        let open = self.attempts.iter().zip(open_attempts).filter(|(_, open)| **open);
+        open.map(|(attempt, _)| attempt.timeout_at).min().unwrap_or(0)
     }
 
-    /// Up to when the first byte may be written, for all parts.
+    /// Up to when the first byte may be written, for all attempts.
     pub fn send_by(&self) -> Micros {
-        self.attempts.iter().map(|p| p.send_by).min().unwrap_or(0)
+        self.attempts.iter().map(|attempt| attempt.send_by).min().unwrap_or(0)
     }
 
-    /// When the last part is abandoned.
+    /// When the last attempt is abandoned.
     pub fn last_timeout(&self) -> Micros {
-        self.attempts.iter().map(|p| p.timeout_at).max().unwrap_or(0)
+        self.attempts.iter().map(|attempt| attempt.timeout_at).max().unwrap_or(0)
     }
 
-    /// The parts that can be abandoned at a time while the call goes on for the others, if that is so for all
-    /// that are due. A part may be reported while its call is out only if it is never sent again: when its
-    /// own time is up. Guards against cutting a whole call, over and over, for one message at its deadline.
-    pub fn expired(&self, now: Micros, waited_for: &[bool]) -> Option<Vec<usize>> {
-        let waited: Vec<usize> = (0..self.attempts.len()).filter(|i| waited_for[*i]).collect();
-        let due: Vec<usize> =
-            waited.iter().copied().filter(|i| self.attempts[*i].timeout_at <= now).collect();
-        let alone = !due.is_empty()
-            && due.len() < waited.len()
-            && due.iter().all(|i| self.attempts[*i].final_attempt);
-        alone.then_some(due)
+    /// The indices of the open attempts that can be abandoned now while the call goes on for the others; `None` if one of those
+    /// that are due may be sent again. An attempt may be reported while its call is in flight only if it is its message's last.
+    /// Guards against abandoning a complete call, over and over, for one message at its deadline.
+    pub fn expired(&self, now: Micros, open_attempts: &[bool]) -> Option<Vec<usize>> {
+        let open: Vec<usize> = (0..self.attempts.len()).filter(|index| open_attempts[*index]).collect();
+        let is_due = |index: &usize| self.attempts[*index].timeout_at <= now;
+        let due: Vec<usize> = open.iter().copied().filter(is_due).collect();
+        let goes_on = !due.is_empty() && due.len() < open.len();
+        let all_final = due.iter().all(|index| self.attempts[*index].final_attempt);
+        (goes_on && all_final).then_some(due)
     }
 
-    /// How it came out, in a form that may pass to another process.
-    pub fn completed(&self, ended: CallResult) -> CallCompletion {
-        let parts = self.attempts.iter().map(|p| (p.message.id, p.number)).collect();
-        CallCompletion { endpoint: self.endpoint, sent: self.sent, attempts: parts, result: ended }
+    /// Its completion, in a form that another process can read.
+    pub fn completed(&self, result: CallResult) -> CallCompletion {
+        let id = |attempt: &Attempt| AttemptId { message: attempt.message.id, number: attempt.number };
+        let attempts = self.attempts.iter().map(id).collect();
+        CallCompletion { endpoint: self.endpoint, sent: self.sent, attempts, result }
     }
 
-    /// The same call with some of its parts only.
-    pub fn with(&self, parts: &[usize]) -> Call {
-        let parts = parts.iter().map(|i| self.attempts[*i].clone()).collect();
-        Call { attempts: parts, cancelled: self.cancelled.clone(), ..*self }
+    /// The same call with the attempts of these indices only.
+    pub fn with(&self, indices: &[usize]) -> Call {
+        let attempts = indices.iter().map(|index| self.attempts[*index].clone()).collect();
+        Call { attempts, cancelled: self.cancelled.clone(), ..*self }
     }
 }
 
-/// How one message of a call came out.
+/// The result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptResult {
     /// Its outcome.
@@ -99,43 +121,43 @@
 }
 
 impl AttemptResult {
-    /// An end after which the message is still owed its own, unless it was delivered.
+    /// A result after which more is owed for the message, unless it was delivered.
     pub fn of(outcome: Outcome) -> Self {
         AttemptResult { outcome, ended: outcome == Outcome::Ok }
     }
 }
 
-/// How a call came out.
+/// The result of a call.
 #[derive(Serialize, Deserialize)]
 pub struct CallResult {
-    /// One for each part, in order.
+    /// One for each attempt, in order.
     #[serde(rename = "ends")]
     pub attempts: Vec<AttemptResult>,
-    /// What the answer tells of the limit.
+    /// The endpoint's load, as its response reports it.
     pub report: Option<LoadReport>,
-    /// A wait that it tells.
+    /// The wait that the response asks for.
     #[serde(rename = "wait")]
     pub retry_after: Option<Micros>,
 }
 
 impl CallResult {
-    /// All parts came out alike, and nothing else was told.
-    pub fn same_for_all(parts: usize, end: AttemptResult) -> Self {
-        CallResult { attempts: vec![end; parts], report: None, retry_after: None }
+    /// The same result for so many attempts, without a load report or a wait.
+    pub fn same_for_all(attempts: usize, result: AttemptResult) -> Self {
+        CallResult { attempts: vec![result; attempts], report: None, retry_after: None }
     }
 }
 
-/// A call that has come out.
+/// A call that is complete.
 #[derive(Serialize, Deserialize)]
 pub struct CallCompletion {
     /// Where it went.
     pub endpoint: EndpointId,
-    /// When the module decided on it.
+    /// When the policy decided on it.
     pub sent: Micros,
-    /// The messages that it carried, each with the number of the attempt.
+    /// The attempts that it carried.
     #[serde(rename = "parts")]
-    pub attempts: Vec<(MessageId, u32)>,
-    /// How.
+    pub attempts: Vec<AttemptId>,
+    /// Its result.
     #[serde(rename = "ended")]
     pub result: CallResult,
 }
--- /dev/null
+++ b/src/net/delivery/admission.rs
@@ -0,0 +1,121 @@
+//! Admission: a message that a client sent is rejected, or journaled and brought to the policy.
+
+use super::actor::{AttemptInFlight, DeliveryActor, OpenMessage};
+use crate::invariants::{may_take_on, AdmissionFacts, Rejection};
+use crate::journal::{JournalError, JournaledMessage, Progress};
+use crate::net::in_flight::{InFlightMessage, Request};
+use crate::net::messages::{SubmitReply, DEFAULT_RETRY_AFTER};
+use crate::net::runtime::clock;
+use crate::{Event, MessageId};
+use async_channel::Sender;
+use slog::{debug, FnValue};
+use std::rc::Rc;
+
+impl DeliveryActor {
+    /// Admits a message, or rejects it by the reply.
+    pub(super) fn submit(&mut self, request: Request, reply: Sender<SubmitReply>) {
+        if let Some(received) = request.tenant.and_then(|tenant| self.received_by_tenant.get_mut(tenant.0)) {
+            *received += 1;
+        }
+        // A captured day is made of these lines.
+        debug!(self.context.log, "message received"; "id" => &request.request_id,
+            "destination" => request.destination.0,
+            "channel" => request.tenant.and_then(|tenant| self.names.tenants.get(tenant.0)),
+            "wall_ms" => FnValue(|_| clock::wall() as f64 / 1e3));
+        match self.admit(&request) {
+            Ok(id) => {
+                let mut message = InFlightMessage::new(id, request, 0);
+                message.received_at = Some(self.context.clock.now());
+                self.open_new(message, Some(reply));
+            }
+            Err(rejection) => self.reject(&request.request_id, rejection, &reply),
+        }
+    }
+
+    /// Journals a message under a new id, if it may be admitted.
+    fn admit(&mut self, request: &Request) -> Result<MessageId, Rejection> {
+        may_take_on(&AdmissionFacts {
+            closed: self.stopped,
+            id_in_use: self.context.request_ids.in_use(&request.request_id),
+            open: self.context.gauges.open_messages.get(),
+            max_open: self.context.config().max_open_messages,
+            journal_writable: self.context.journal.is_writable(),
+        })?;
+        let message = self.journaled(request);
+        self.last_id += 1;
+        let id = MessageId(self.last_id);
+        self.context.journal.take(id, &message).map_err(|error| match error {
+            JournalError::Full => Rejection::JournalFull,
+            _ => Rejection::JournalFailing,
+        })?;
+        Ok(id)
+    }
+
+    fn journaled(&self, request: &Request) -> JournaledMessage {
+        let name = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
+        JournaledMessage {
+            request_id: request.request_id.clone(),
+            key: request.key.clone(),
+            class: name(&self.names.classes, request.class.0),
+            tenant: request.tenant.map(|tenant| name(&self.names.tenants, tenant.0)),
+            destination: request.destination.0,
+            deadline: request.deadline,
+            body: request.body.to_vec(),
+            progress: Progress { ran: request.failed_over, ..Progress::default() },
+        }
+    }
+
+    fn reject(&self, request_id: &str, rejection: Rejection, reply: &Sender<SubmitReply>) {
+        self.context.rejected(request_id, rejection);
+        let answer = match rejection {
+            Rejection::IdInUse => SubmitReply::DuplicateId,
+            _ => {
+                self.context.counters.unavailable.add();
+                SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)
+            }
+        };
+        // Where the client is gone, nobody waits for the reply.
+        let _ = reply.try_send(answer);
+    }
+
+    /// Opens a message that the policy does not know, and brings it to the policy.
+    pub(super) fn open_new(&mut self, mut message: InFlightMessage, reply: Option<Sender<SubmitReply>>) {
+        let (destination, class) = (message.request.destination, message.request.class);
+        message.stats = self.context.routes.of(destination, self.endpoints.kind(destination), class);
+        message.stats.iter().for_each(|stats| stats.message_opened());
+        let event = Event::Message(message.message(self.context.clock.now()));
+        self.open(message, None, reply);
+        self.events.push(event);
+    }
+
+    /// Opens a message.
+    pub(super) fn open(
+        &mut self,
+        message: InFlightMessage,
+        attempt: Option<AttemptInFlight>,
+        reply: Option<Sender<SubmitReply>>,
+    ) {
+        self.context.request_ids.acquire(&message.request.request_id);
+        let rules = self.context.config().repeats[message.request.class.0];
+        let first_attempt = message.first_attempt.map(|(at, zone)| (at, Some(zone)));
+        let in_flight = attempt.as_ref().map(|attempt| attempt.number);
+        let mut ledger = self.context.ledger.borrow_mut();
+        ledger.hold(message.id, rules, message.attempts(), first_attempt, in_flight);
+        drop(ledger);
+        self.messages.insert(message.id, OpenMessage { message: Rc::new(message), attempt, reply });
+        self.context.gauges.open_messages.increment();
+    }
+
+    /// Makes no step any more. Messages that wait for the next step are accepted: they are journaled, so they are owed, and without
+    /// a reply their clients' connections would end on a request that was read.
+    pub(super) fn stop(&mut self) {
+        self.stopped = true;
+        for (id, open) in &mut self.messages {
+            if let Some(reply) = open.reply.take() {
+                self.context.counters.taken.add();
+                // Where the client is gone, the message is owed all the same.
+                let _ = reply.try_send(SubmitReply::Accepted(*id));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/net/delivery/endpoints.rs
@@ -0,0 +1,107 @@
+//! The endpoints that may be called, and the mailboxes of their actors.
+
+use crate::net::messages::EndpointMessage;
+use crate::net::{endpoint, Context};
+use crate::{DestinationId, EndpointEntry, EndpointId, EndpointListUpdate, KindId, Lifecycle};
+use async_channel::Sender;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// Beyond the calls and the connections that come back from them, a mailbox takes so many messages more.
+const SPARE_MAILBOX_PLACES: usize = 16;
+
+/// The kind of a destination, and how many of the listed endpoints serve it.
+struct Destination {
+    kind: KindId,
+    endpoints: usize,
+}
+
+/// The endpoints of the list.
+#[derive(Default)]
+pub(super) struct Endpoints {
+    listed: BTreeMap<EndpointId, DestinationId>,
+    /// The actors of those that were ever called.
+    actors: BTreeMap<EndpointId, Sender<EndpointMessage>>,
+    destinations: BTreeMap<DestinationId, Destination>,
+}
+
+impl Endpoints {
+    /// Applies an update of the endpoint list.
+    pub fn update(&mut self, update: &EndpointListUpdate) {
+        let entries = match update {
+            EndpointListUpdate::Patch(entries) => entries,
+            EndpointListUpdate::Complete(entries) | EndpointListUpdate::Cached(entries) => {
+                self.keep_only(entries);
+                entries
+            }
+            EndpointListUpdate::WatchFailed => return,
+        };
+        entries.iter().for_each(|entry| self.update_entry(entry));
+    }
+
+    fn keep_only(&mut self, entries: &[EndpointEntry]) {
+        let named: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        let removed: Vec<EndpointId> =
+            self.listed.keys().copied().filter(|endpoint| !named.contains(endpoint)).collect();
+        removed.into_iter().for_each(|endpoint| self.remove(endpoint));
+    }
+
+    fn update_entry(&mut self, entry: &EndpointEntry) {
+        let removed = entry.lifecycle == Lifecycle::Removed;
+        let before = self.listed.get(&entry.endpoint);
+        if removed || before.is_some_and(|destination| *destination != entry.destination) {
+            self.remove(entry.endpoint);
+        }
+        if removed {
+            return;
+        }
+        let new = self.listed.insert(entry.endpoint, entry.destination).is_none();
+        let fresh = Destination { kind: entry.kind, endpoints: 0 };
+        let destination = self.destinations.entry(entry.destination).or_insert(fresh);
+        destination.kind = entry.kind;
+        destination.endpoints += usize::from(new);
+    }
+
+    /// Removes an endpoint, its actor, and its destination if no other endpoint serves that.
+    fn remove(&mut self, endpoint: EndpointId) {
+        self.actors.remove(&endpoint);
+        let Some(id) = self.listed.remove(&endpoint) else { return };
+        let Some(destination) = self.destinations.get_mut(&id) else { return };
+        destination.endpoints -= 1;
+        if destination.endpoints == 0 {
+            self.destinations.remove(&id);
+        }
+    }
+
+    /// The kind of a destination that the list names.
+    pub fn kind(&self, destination: DestinationId) -> Option<KindId> {
+        self.destinations.get(&destination).map(|destination| destination.kind)
+    }
+
+    /// The mailbox of an endpoint's actor, which is started at the first call: most endpoints of a large list never get one.
+    pub fn actor(&mut self, context: &Rc<Context>, endpoint: EndpointId) -> Option<&Sender<EndpointMessage>> {
+        if !self.listed.contains_key(&endpoint) {
+            return None;
+        }
+        Some(self.actors.entry(endpoint).or_insert_with(|| {
+            let capacity = 2 * context.config().max_concurrent_calls + SPARE_MAILBOX_PLACES;
+            let (sender, mail) = async_channel::bounded(capacity);
+            let actor = endpoint::run(context.clone(), endpoint, mail, sender.downgrade());
+            context.executor.spawn(actor).detach();
+            sender
+        }))
+    }
+
+    /// Closes the idle connections to an endpoint.
+    pub fn close_idle(&self, endpoint: EndpointId) {
+        if let Some(actor) = self.actors.get(&endpoint) {
+            // Where its mailbox is full, its connections are in use.
+            let _ = actor.try_send(EndpointMessage::CloseIdle);
+        }
+    }
+
+    /// Closes the idle connections to all endpoints.
+    pub fn close_all_idle(&self) {
+        self.actors.keys().for_each(|endpoint| self.close_idle(*endpoint));
+    }
+}
--- /dev/null
+++ b/src/net/delivery/hand_over.rs
@@ -0,0 +1,111 @@
+//! The hand-over as the delivery actor sees it: the state for a successor, and going on from a predecessor's.
+
+use super::actor::{AttemptInFlight, DeliveryActor, PolicyTimer};
+use crate::journal::JournaledMessage;
+use crate::membership::MembershipSnapshot;
+use crate::net::call::{AttemptId, AttemptResult, CallCompletion, CallResult};
+use crate::net::handover::frames::{HandOverMessage, HandOverState};
+use crate::net::handover::FrameSender;
+use crate::net::in_flight::InFlightMessage;
+use crate::{EndpointId, Event, Outcome, Settings};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+
+impl DeliveryActor {
+    /// The state for a successor, just after a step of the policy.
+    pub fn state(&self, list: MembershipSnapshot) -> HandOverState {
+        let open = self.messages.iter().map(|(id, open)| HandOverMessage {
+            id: *id,
+            attempts: open.message.attempts(),
+            received_at: open.message.received_at,
+            in_flight: open.attempt.as_ref().map(|attempt| (attempt.number, attempt.endpoint)),
+        });
+        // What has ended with an attempt in flight at an earlier process is not in `messages` any more.
+        let ended =
+            self.predecessor_attempts.iter().filter(|(id, _)| !self.messages.contains_key(&id.message));
+        let ended = ended.map(|(attempt, endpoint)| HandOverMessage {
+            id: attempt.message,
+            attempts: attempt.number + 1,
+            received_at: None,
+            in_flight: Some((attempt.number, *endpoint)),
+        });
+        HandOverState {
+            policy: serde_json::to_value(&self.policy).unwrap_or_default(),
+            last_id: self.last_id,
+            messages: open.chain(ended).collect(),
+            timers: self.timers.iter().map(|timer| (timer.0.due_at, timer.0.token)).collect(),
+            received_by_tenant: self.received_by_tenant.clone(),
+            client_connections: self.context.gauges.client_connections.get(),
+            list,
+        }
+    }
+
+    /// Goes on where the predecessor stopped. What its policy knew is in the journal; for what only the journal knows, a delivery
+    /// report is due. Returns the endpoint list of the state.
+    pub async fn resume_from(
+        &mut self,
+        state: HandOverState,
+        journaled: Vec<(u64, JournaledMessage)>,
+        predecessor: &FrameSender,
+        settings: Settings,
+    ) -> MembershipSnapshot {
+        self.last_id = self.last_id.max(state.last_id);
+        let timers =
+            state.timers.iter().map(|(due_at, token)| PolicyTimer { due_at: *due_at, token: *token });
+        self.timers = timers.map(Reverse).collect();
+        if state.received_by_tenant.len() == self.received_by_tenant.len() {
+            self.received_by_tenant = state.received_by_tenant;
+        }
+        let mut journaled: BTreeMap<u64, JournaledMessage> = journaled.into_iter().collect();
+        for message in &state.messages {
+            if let Some((number, endpoint)) = message.in_flight {
+                self.predecessor_attempts.insert(AttemptId { message: message.id, number }, endpoint);
+            }
+            let journaled = journaled.remove(&message.id.0);
+            if let Some(journaled) = journaled.filter(|journaled| journaled.progress.report.is_none()) {
+                self.resume_message(message, journaled, predecessor);
+            }
+        }
+        self.restore(journaled.into_iter().collect()).await;
+        self.events.insert(0, Event::Settings(Box::new(settings)));
+        state.list
+    }
+
+    /// Opens a message that the policy knows. One of a class that was removed has ended; the policy waits for its attempt.
+    fn resume_message(
+        &mut self,
+        handed_over: &HandOverMessage,
+        journaled: JournaledMessage,
+        predecessor: &FrameSender,
+    ) {
+        let Some(class) = self.class_of(&journaled) else { return };
+        let request = self.request_of(journaled, class, false);
+        let mut message = InFlightMessage::new(handed_over.id, request, handed_over.attempts);
+        message.received_at = handed_over.received_at;
+        let attempt = handed_over.in_flight.map(|(number, endpoint)| {
+            let cancel = predecessor.cancel_on_close(&self.context, handed_over.id, number);
+            AttemptInFlight { number, endpoint, cancel }
+        });
+        self.open(message, attempt, None);
+        self.context.counters.inherited.add();
+    }
+
+    /// Completes the attempts that were in flight at a predecessor that is gone: they may have run. The predecessor failed, not
+    /// the endpoint, so no ejection may count them.
+    pub fn take_lost_calls(&mut self) -> Vec<CallCompletion> {
+        let sent = self.context.clock.now();
+        let lost = |(attempt, endpoint): (AttemptId, EndpointId)| {
+            let result = CallResult::same_for_all(1, AttemptResult::of(Outcome::StaleConnection));
+            CallCompletion { endpoint, sent, attempts: vec![attempt], result }
+        };
+        std::mem::take(&mut self.predecessor_attempts).into_iter().map(lost).collect()
+    }
+
+    /// Stops deciding: a successor does from here on. Only the calls in flight are still this process's.
+    pub fn step_down(&mut self) {
+        self.stopped = true;
+        self.context.gauges.open_messages.set(0);
+        self.context.gauges.reports_pending.set(0);
+        self.endpoints.close_all_idle();
+    }
+}
--- /dev/null
+++ b/src/net/delivery/message_end.rs
@@ -0,0 +1,117 @@
+//! The end of a message: counted, logged, journaled, and told to its client by the reply or by a delivery report.
+
+use super::actor::DeliveryActor;
+use crate::journal::ReportedEnd;
+use crate::net::in_flight::MessageEnd;
+use crate::net::messages::{DeliveryReport, SubmitReply, DEFAULT_RETRY_AFTER};
+use crate::{AbandonReason, Event, MessageId, Micros};
+use slog::info;
+
+/// How the policy has ended a message.
+#[derive(Clone, Copy)]
+pub(super) enum Abandoned {
+    /// Its client may safely send it again, after this time if the policy advises one.
+    Returned(Option<Micros>),
+    /// It may or may not have taken effect.
+    Failed,
+}
+
+impl Abandoned {
+    fn message_end(self) -> MessageEnd {
+        match self {
+            Abandoned::Returned(_) => MessageEnd::Returned,
+            Abandoned::Failed => MessageEnd::Failed,
+        }
+    }
+
+    fn reported_end(self) -> ReportedEnd {
+        match self {
+            Abandoned::Returned(retry_after) => {
+                ReportedEnd::Returned(retry_after.map(|time| time.div_ceil(1000)))
+            }
+            Abandoned::Failed => ReportedEnd::Failed,
+        }
+    }
+
+    fn reply(self) -> SubmitReply {
+        match self {
+            Abandoned::Returned(retry_after) => {
+                SubmitReply::Unavailable(retry_after.unwrap_or(DEFAULT_RETRY_AFTER))
+            }
+            Abandoned::Failed => SubmitReply::Failed,
+        }
+    }
+}
+
+impl DeliveryActor {
+    /// Ends a message whose client is gone before the reply.
+    pub(super) fn withdraw(&mut self, id: MessageId) {
+        if self.end_message(id, MessageEnd::Withdrawn) {
+            self.context.journal.end(id);
+            self.context.counters.withdrawn.add();
+            self.events.push(Event::Withdrawn { id });
+            self.remove_if_over(id);
+        }
+    }
+
+    /// Ends a message as the policy decided: by the reply if that is still to be written, or else by a delivery report.
+    pub(super) async fn abandon(&mut self, id: MessageId, abandoned: Abandoned, reason: AbandonReason) {
+        if !self.end_message(id, abandoned.message_end()) {
+            return;
+        }
+        self.context.counters.given_up(reason);
+        let Some(open) = self.messages.get_mut(&id) else { return };
+        let request_id = open.message.request.request_id.clone();
+        info!(self.context.log, "message"; "state" => "abandoned", "id" => &request_id, "reason" => reason.name());
+        if let Some(reply) = open.reply.take() {
+            self.context.journal.end(id);
+            match abandoned {
+                Abandoned::Returned(_) => self.context.counters.unavailable.add(),
+                Abandoned::Failed => self.context.counters.failed.add(),
+            }
+            // Where the client is gone, nobody waits for the reply.
+            let _ = reply.try_send(abandoned.reply());
+        } else {
+            self.report_end(id, request_id, abandoned.reported_end()).await;
+        }
+        self.remove_if_over(id);
+    }
+
+    /// Marks the end of a message; false if it had ended before.
+    pub(super) fn end_message(&mut self, id: MessageId, end: MessageEnd) -> bool {
+        let Some(open) = self.messages.get(&id).filter(|open| !open.message.is_over()) else { return false };
+        let message = &open.message;
+        message.end();
+        message.stats.iter().for_each(|stats| stats.message_ended(end));
+        self.context.gauges.open_messages.decrement();
+        let request_id = &message.request.request_id;
+        info!(self.context.log, "message"; "state" => end.name(), "id" => request_id, "attempts" => message.attempts());
+        let violation = self.context.ledger.borrow_mut().end(id, end == MessageEnd::Returned);
+        violation.into_iter().for_each(|violation| self.context.violated(violation, request_id, None));
+        true
+    }
+
+    /// Removes a message that has ended, once no attempt of it is in flight.
+    pub(super) fn remove_if_over(&mut self, id: MessageId) {
+        if !self.messages.get(&id).is_some_and(|open| open.message.is_over() && open.attempt.is_none()) {
+            return;
+        }
+        self.context.ledger.borrow_mut().forget(id);
+        if let Some(open) = self.messages.remove(&id) {
+            self.context.request_ids.release(&open.message.request.request_id);
+        }
+    }
+
+    /// Journals a delivery report and has it sent.
+    pub(super) async fn report_end(&mut self, id: MessageId, request_id: String, end: ReportedEnd) {
+        self.context.journal.report(id, end);
+        match end {
+            ReportedEnd::Failed => self.context.counters.failed.add(),
+            ReportedEnd::Returned(_) => self.context.counters.returned.add(),
+        }
+        self.context.gauges.reports_pending.increment();
+        self.context.request_ids.acquire(&request_id);
+        // The sender of reports ends only with the process; then the next one finds the report in the journal.
+        let _ = self.reports.send(DeliveryReport { id, request_id, end }).await;
+    }
+}
--- /dev/null
+++ b/src/net/delivery/restore.rs
@@ -0,0 +1,78 @@
+//! Restores from the journal what an earlier process had accepted and not ended.
+
+use super::actor::DeliveryActor;
+use crate::journal::{JournaledMessage, Progress, ReportedEnd};
+use crate::net::in_flight::{InFlightMessage, Request};
+use crate::{ClassId, DestinationId, MessageId, TenantId, ZoneId};
+
+impl DeliveryActor {
+    /// Brings the journaled messages to the policy, each under its id, and reports those that must not be sent again.
+    pub async fn restore(&mut self, journaled: Vec<(u64, JournaledMessage)>) {
+        for (id, journaled) in journaled {
+            self.context.counters.restored.add();
+            let id = MessageId(id);
+            match self.end_without_attempt(&journaled) {
+                Some(end) => self.report_end(id, journaled.request_id, end).await,
+                None => self.restore_message(id, journaled),
+            }
+        }
+    }
+
+    /// The end of a message that is not sent again. The platform may have had the report of an end: the message must not be sent
+    /// after it. One that may not run twice fails, as does one of a class that was removed.
+    fn end_without_attempt(&self, journaled: &JournaledMessage) -> Option<ReportedEnd> {
+        if journaled.progress.report.is_some() {
+            return journaled.progress.report;
+        }
+        let may_have_run = journaled.progress.may_have_run();
+        match self.class_of(journaled) {
+            Some(class) if may_have_run && self.context.config().non_idempotent[class.0] => {
+                Some(ReportedEnd::Failed)
+            }
+            Some(_) => None,
+            None if may_have_run => Some(ReportedEnd::Failed),
+            None => Some(ReportedEnd::Returned(None)),
+        }
+    }
+
+    fn restore_message(&mut self, id: MessageId, journaled: JournaledMessage) {
+        let class = self.class_of(&journaled).unwrap_or_default();
+        let may_have_run = journaled.progress.may_have_run();
+        let Progress { attempts, first, .. } = journaled.progress.clone();
+        let request = self.request_of(journaled, class, may_have_run);
+        let mut message = InFlightMessage::new(id, request, attempts);
+        message.restored = true;
+        message.first_attempt = first.map(|start| {
+            // A zone that was removed takes no retry.
+            let zone = self.names.zones.iter().position(|zone| *zone == start.zone).unwrap_or(usize::MAX);
+            (start.at, ZoneId(zone))
+        });
+        self.open_new(message, None);
+    }
+
+    /// The class of a journaled message, unless that was removed.
+    pub(super) fn class_of(&self, journaled: &JournaledMessage) -> Option<ClassId> {
+        self.names.classes.iter().position(|class| *class == journaled.class).map(ClassId)
+    }
+
+    pub(super) fn request_of(
+        &self,
+        journaled: JournaledMessage,
+        class: ClassId,
+        may_have_run: bool,
+    ) -> Request {
+        let tenants = &self.names.tenants;
+        let tenant = journaled.tenant.and_then(|name| tenants.iter().position(|tenant| *tenant == name));
+        Request {
+            request_id: journaled.request_id,
+            key: journaled.key,
+            class,
+            tenant: tenant.map(TenantId),
+            destination: DestinationId(journaled.destination),
+            deadline: journaled.deadline,
+            body: journaled.body.into(),
+            client_retry: !may_have_run,
+            failed_over: may_have_run,
+        }
+    }
+}
--- /dev/null
+++ b/src/net/delivery/status.rs
@@ -0,0 +1,33 @@
+//! The status for operators.
+
+use super::actor::DeliveryActor;
+use crate::{DestinationStatus, Micros};
+use serde_json::{json, Value};
+
+impl DeliveryActor {
+    /// Each destination with its breaker, and what was received of each tenant.
+    pub(super) fn status(&self) -> Value {
+        let now = self.context.clock.now();
+        let destinations: Vec<Value> = self.policy.shown(now).map(destination_status).collect();
+        let received = self.names.tenants.iter().zip(&self.received_by_tenant);
+        let tenants: Vec<Value> =
+            received.map(|(name, count)| json!({"name": name, "handed_in": count})).collect();
+        json!({"partners": destinations, "channels": tenants})
+    }
+}
+
+fn destination_status(status: DestinationStatus) -> Value {
+    let ms = |time: f64| time / 1e3;
+    let retry_after = |time: Micros| ms(time as f64);
+    json!({
+        "destination": status.destination.0,
+        "breaker": status.breaker.name(),
+        "held": status.waiting,
+        "out": status.in_flight,
+        "wait_ms": retry_after(status.retry_after),
+        "cold": status.warming_up,
+        "answer_ms": status.latency.map(ms),
+        "limit_per_s": status.limit.map(|limit| limit.rate),
+        "limit_left": status.limit.map(|limit| limit.remaining_share),
+    })
+}
--- /dev/null
+++ b/src/net/delivery/step.rs
@@ -0,0 +1,129 @@
+//! A step: the collected events go to the policy, and its actions are carried out in their order.
+
+use super::actor::{DeliveryActor, PolicyTimer};
+use super::attempts::PlannedCall;
+use super::message_end::Abandoned;
+use crate::net::messages::{EndpointListMessage, SubmitReply};
+use crate::{Action, EndpointListUpdate, Event, Lifecycle, MessageId, Micros, NewMessage};
+use slog::{info, warn};
+use std::cmp::Reverse;
+
+impl DeliveryActor {
+    /// Makes a step, if there is an event.
+    pub(super) async fn step(&mut self) {
+        let now = self.context.clock.now();
+        self.last_step = now;
+        self.collect_due_timers(now);
+        self.collect_journal_status();
+        if self.events.is_empty() {
+            return;
+        }
+        self.withdraw_messages_of_gone_clients();
+        let mut events = std::mem::take(&mut self.events);
+        self.refresh_time_left(&mut events, now);
+        let mut actions = Vec::new();
+        self.policy.step(now, &events, &mut actions);
+        self.record_observed_drains(&events, now);
+        self.perform(actions, now).await;
+        for event in &events {
+            if let Event::Message(message) = event {
+                self.accept(message);
+            }
+        }
+    }
+
+    fn collect_due_timers(&mut self, now: Micros) {
+        while let Some(Reverse(timer)) = self.timers.peek().copied().filter(|timer| timer.0.due_at <= now) {
+            self.timers.pop();
+            self.events.push(Event::Timer { token: timer.token });
+        }
+    }
+
+    fn collect_journal_status(&mut self) {
+        let writable = self.context.journal.is_writable();
+        if writable != self.journal_writable {
+            self.journal_writable = writable;
+            self.events.push(Event::JournalStatus { writable });
+        }
+    }
+
+    /// Withdraws new messages whose clients are gone, before anything is sent for them.
+    fn withdraw_messages_of_gone_clients(&mut self) {
+        let withdrawn = |event: &Event| match event {
+            Event::Message(message) => {
+                let reply = self.messages.get(&message.id)?.reply.as_ref()?;
+                reply.is_closed().then_some(message.id)
+            }
+            _ => None,
+        };
+        let withdrawn: Vec<MessageId> = self.events.iter().filter_map(withdrawn).collect();
+        withdrawn.into_iter().for_each(|id| self.withdraw(id));
+    }
+
+    /// A message's time runs from its last byte, not from the step.
+    fn refresh_time_left(&self, events: &mut [Event], now: Micros) {
+        for event in events {
+            if let Event::Message(message) = event {
+                let open = self.messages.get(&message.id);
+                message.time_left = open.map_or(0, |open| open.message.request.deadline.saturating_sub(now));
+            }
+        }
+    }
+
+    fn record_observed_drains(&self, events: &[Event], now: Micros) {
+        for event in events {
+            let Event::EndpointList(
+                EndpointListUpdate::Patch(entries) | EndpointListUpdate::Complete(entries),
+            ) = event
+            else {
+                continue;
+            };
+            let leaving = entries.iter().filter(|entry| entry.lifecycle != Lifecycle::Listed);
+            leaving.for_each(|entry| self.context.endpoint_table.drain_observed(entry.endpoint, now));
+        }
+    }
+
+    async fn perform(&mut self, actions: Vec<Action>, now: Micros) {
+        let mut calls: Vec<PlannedCall> = Vec::new();
+        for action in actions {
+            match action {
+                Action::Send { .. } => self.plan_attempt(&mut calls, &action),
+                Action::Reject { id, retry_after, reason } => {
+                    self.abandon(id, Abandoned::Returned(retry_after), reason).await;
+                }
+                Action::Fail { id, reason } => self.abandon(id, Abandoned::Failed, reason).await,
+                Action::Cancel { id, attempt } => self.cancel(id, attempt),
+                Action::Timer { delay, token } => {
+                    self.timers.push(Reverse(PolicyTimer { due_at: now + delay, token }));
+                }
+                Action::CloseIdle { endpoint } => {
+                    // The calls decided before it may use these connections.
+                    self.send_calls(now, std::mem::take(&mut calls));
+                    self.endpoints.close_idle(endpoint);
+                }
+                Action::Subscribe => {
+                    // Where its mailbox is full, the endpoint list actor is awake and watches anyway.
+                    let _ = self.endpoint_list.try_send(EndpointListMessage::Resubscribe);
+                }
+                Action::HealthCheck { endpoint } => {
+                    warn!(self.context.log, "no health checks on this platform"; "endpoint" => endpoint.0);
+                }
+                Action::Log(line) => info!(self.context.log, "decision"; "text" => line),
+            }
+        }
+        self.send_calls(now, calls);
+    }
+
+    /// Tells the client of a new message that it is accepted, unless the step has ended it.
+    fn accept(&mut self, message: &NewMessage) {
+        let Some(open) = self.messages.get_mut(&message.id) else { return };
+        let Some(reply) = open.reply.take() else { return };
+        if reply.try_send(SubmitReply::Accepted(message.id)).is_err() {
+            return self.withdraw(message.id);
+        }
+        self.context.counters.taken.add();
+        let request_id = open.message.request.request_id.as_str();
+        info!(self.context.log, "message"; "state" => "accepted", "id" => request_id, "class" => message.class.0,
+            "destination" => message.destination.0, "left_ms" => message.time_left / 1000);
+    }
+}
--- /dev/null
+++ b/src/net/handover/served_frames.rs
@@ -0,0 +1,88 @@
+//! Serves what a predecessor forwards to its successor, up to the predecessor's end.
+
+use super::frames::{PredecessorFrame, SuccessorFrame};
+use super::link::Link;
+use crate::net::in_flight::Request;
+use crate::net::messages::{
+    AdminCommand, DeliveryMessage, EndpointListMessage, SubmitReply, DEFAULT_RETRY_AFTER,
+};
+use crate::net::{operator, Context};
+use async_channel::{SendError, Sender};
+use slog::info;
+use std::rc::Rc;
+
+/// Serves the frames of the predecessor, then tells the delivery actor that it is gone.
+pub(super) async fn serve(context: Rc<Context>, link: Link, endpoint_list: Sender<EndpointListMessage>) {
+    let mut served = ServedPredecessor { context: context.clone(), link, endpoint_list };
+    let reason = served.until_end().await;
+    info!(context.log, "connection ended"; "side" => "predecessor", "reason" => reason);
+    context.gauges.predecessor_connections.set(0);
+    // The delivery actor ends only with the process: nobody is left to tell.
+    let _ = context.delivery.send(DeliveryMessage::PredecessorGone).await;
+}
+
+struct ServedPredecessor {
+    context: Rc<Context>,
+    link: Link,
+    endpoint_list: Sender<EndpointListMessage>,
+}
+
+impl ServedPredecessor {
+    /// Serves frames; returns the reason of the end, for the log.
+    async fn until_end(&mut self) -> &'static str {
+        loop {
+            let frame = match self.link.read().await {
+                Ok(frame) => frame,
+                Err(error) => return error.code(),
+            };
+            if self.serve(frame.head, frame.body).await.is_err() {
+                return "ending";
+            }
+        }
+    }
+
+    async fn serve(&self, frame: PredecessorFrame, body: Vec<u8>) -> Result<(), SendError<DeliveryMessage>> {
+        let delivery = &self.context.delivery;
+        match frame {
+            PredecessorFrame::Submit { number, mut request } => {
+                request.body = body.into();
+                self.submit(number, request).await
+            }
+            PredecessorFrame::Withdrawn { id } => delivery.send(DeliveryMessage::Withdrawn { id }).await,
+            PredecessorFrame::CallCompleted(completion) => {
+                if let Some(retry_after) = completion.result.retry_after {
+                    self.context.endpoint_table.retry_after(completion.endpoint, retry_after);
+                }
+                delivery.send(DeliveryMessage::CallCompleted(completion)).await
+            }
+            PredecessorFrame::Admin { number, command } => {
+                self.perform(number, command);
+                Ok(())
+            }
+            PredecessorFrame::State(_) | PredecessorFrame::Granted => Ok(()),
+        }
+    }
+
+    async fn submit(&self, number: u64, request: Request) -> Result<(), SendError<DeliveryMessage>> {
+        let (reply, replied) = async_channel::bounded(1);
+        let frames = self.link.frames.clone();
+        let replying = async move {
+            let reply = replied.recv().await.unwrap_or(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER));
+            // Where the predecessor is gone, so is its client.
+            let _ = frames.send(&SuccessorFrame::Reply { number, reply }).await;
+        };
+        self.context.executor.spawn(replying).detach();
+        self.context.delivery.send(DeliveryMessage::Submit { request, reply }).await
+    }
+
+    fn perform(&self, number: u64, command: AdminCommand) {
+        let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
+        let frames = self.link.frames.clone();
+        let performing = async move {
+            let result = operator::perform(&context, &endpoint_list, command).await;
+            // Where the predecessor is gone, so is its operator.
+            let _ = frames.send(&SuccessorFrame::AdminDone { number, result }).await;
+        };
+        self.context.executor.spawn(performing).detach();
+    }
+}
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -1,4 +1,4 @@
-//! A message that was taken on, from its request to its end.
+//! A message that was accepted, from its request to its end.
 
 use crate::net::route_stats::RouteStats;
 use crate::{ClassId, DestinationId, MessageId, Micros, NewMessage, TenantId, ZoneId};
@@ -6,26 +6,26 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What a front hands in.
+/// A message as its client sent it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Request {
-    /// The user agent's name for it.
+    /// The client's id for it.
     #[serde(rename = "word")]
     pub request_id: String,
-    /// What marks repeats of it.
+    /// Its idempotency key.
     pub key: Option<String>,
     /// Its class.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that sent it.
     pub tenant: Option<TenantId>,
     /// Where it goes.
     pub destination: DestinationId,
     /// Up to when it may be delivered, on the program's clock.
     pub deadline: Micros,
-    /// What is passed on; between processes it goes beside the rest.
+    /// Its body; between processes it goes beside the rest.
     #[serde(skip)]
     pub body: Rc<[u8]>,
-    /// It was handed in before and turned away.
+    /// It was sent before and rejected.
     #[serde(rename = "again")]
     pub client_retry: bool,
     /// A forwarder had it that died, so it may have run.
@@ -33,29 +33,56 @@
     pub failed_over: bool,
 }
 
-/// A request that is held, with what became of it.
+/// How a message ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MessageEnd {
+    /// An endpoint has it.
+    Delivered,
+    /// Its endpoint found that its time is up.
+    Expired,
+    /// Its client was gone before the reply.
+    Withdrawn,
+    /// Undelivered; its client may send it again.
+    Returned,
+    /// It may or may not have taken effect.
+    Failed,
+}
+
+impl MessageEnd {
+    /// Its name in logs and reports.
+    pub fn name(self) -> &'static str {
+        match self {
+            MessageEnd::Delivered => "delivered",
+            MessageEnd::Expired => "over",
+            MessageEnd::Withdrawn => "withdrawn",
+            MessageEnd::Returned => "returned",
+            MessageEnd::Failed => "failed",
+        }
+    }
+}
+
+/// A message that was accepted, with its attempts so far.
 #[derive(Debug)]
 pub struct InFlightMessage {
-    /// The module's name for it.
+    /// The program's id for it.
     pub id: MessageId,
-    /// As it was handed in.
+    /// As its client sent it.
     pub request: Request,
-    /// When it was handed in, on the program's clock; none if that was at an earlier process.
+    /// When it was received, on the program's clock; `None` if an earlier process received it.
     pub received_at: Option<Micros>,
-    /// An earlier process had taken it on.
+    /// An earlier process had accepted it.
     pub restored: bool,
-    /// When and where the first attempt was sent that may have run, where an earlier process noted it.
+    /// When and in which zone the first attempt was sent that may have run, where an earlier process has journaled it.
     pub first_attempt: Option<(Micros, ZoneId)>,
     /// Where it is counted by route.
     pub stats: Option<Rc<RouteStats>>,
     attempts: Cell<u32>,
-    over: Cell<bool>,
+    ended: Cell<bool>,
 }
 
 impl InFlightMessage {
-    /// A transaction that is under way, with the attempts that an earlier process made.
+    /// A message that has not ended, with the number of attempts that were begun before.
     pub fn new(id: MessageId, request: Request, attempts: u32) -> Self {
-        let (attempts, over) = (Cell::new(attempts), Cell::new(false));
         InFlightMessage {
             id,
             request,
@@ -63,14 +90,14 @@
             restored: false,
             first_attempt: None,
             stats: None,
-            attempts,
-            over,
+            attempts: Cell::new(attempts),
+            ended: Cell::new(false),
         }
     }
 
-    /// The number of its next attempt, from 0; it counts as begun.
-    pub fn next_attempt(&self) -> u32 {
-        self.stats.iter().for_each(|s| s.attempt());
+    /// Begins an attempt: its number, from 0.
+    pub fn begin_attempt(&self) -> u32 {
+        self.stats.iter().for_each(|stats| stats.attempt_begun());
         self.attempts.replace(self.attempts.get() + 1)
     }
 
@@ -81,15 +108,15 @@
 
     /// Nothing more may be sent for it.
     pub fn is_over(&self) -> bool {
-        self.over.get()
+        self.ended.get()
     }
 
     /// Marks its end.
-    pub fn finish(&self) {
-        self.over.set(true);
+    pub fn end(&self) {
+        self.ended.set(true);
     }
 
-    /// The module's view of it at a time.
+    /// The policy's view of it at a time.
     pub fn message(&self, now: Micros) -> NewMessage {
         NewMessage {
             id: self.id,
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -1,5 +1,6 @@
-//! What became of messages, by the entry of the site file that they were handed in under. It decides nothing.
+//! Counts of messages by the entry of the site file that applied when they were received. It decides nothing.
 
+use crate::net::in_flight::MessageEnd;
 use crate::routes::Plan;
 use crate::{ClassId, DestinationId, KindId, Micros, Outcome};
 use hdrhistogram::Histogram;
@@ -9,28 +10,32 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Where messages are counted that no entry matches.
+/// The name under which messages are counted that no entry matches.
 const UNMATCHED: &str = "(unmatched)";
-/// Delivery times are kept apart for so many entries, at about 10 kB each; those of further ones together.
-const HISTOGRAMS: usize = 256;
-/// Delivery times are kept to two figures, in milliseconds, up to the longest that a message can live.
-const LONGEST_MS: u64 = 86_400_000;
+/// So many entries have a histogram of delivery times of their own, at about 10 kB each; further ones share one.
+const MAX_HISTOGRAMS: usize = 256;
+/// The longest time that a message can live: one day. Delivery times up to this are recorded in milliseconds.
+const MAX_DELIVERY_MS: u64 = 86_400_000;
+/// Precision of the recorded delivery times.
+const SIGNIFICANT_FIGURES: u8 = 2;
+
+type DeliveryTimes = Rc<RefCell<Histogram<u32>>>;
 
 /// The counts of one entry.
 #[derive(Debug, Default)]
 pub struct RouteStats {
-    held: Cell<u64>,
+    open: Cell<u64>,
     attempts: Cell<u64>,
     outcomes: RefCell<BTreeMap<&'static str, u64>>,
     ends: RefCell<BTreeMap<&'static str, u64>>,
-    times: RefCell<Option<Rc<RefCell<Histogram<u32>>>>>,
+    delivery_times: RefCell<Option<DeliveryTimes>>,
 }
 
-fn more(cell: &Cell<u64>) {
+fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
 
-fn word(outcome: Outcome) -> &'static str {
+fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -46,100 +51,114 @@
 }
 
 impl RouteStats {
-    /// A message is held from now on.
-    pub fn take(&self) {
-        more(&self.held);
+    /// A message was opened.
+    pub fn message_opened(&self) {
+        increment(&self.open);
     }
 
-    /// An attempt has been decided on.
-    pub fn attempt(&self) {
-        more(&self.attempts);
+    /// An attempt was decided on.
+    pub fn attempt_begun(&self) {
+        increment(&self.attempts);
     }
 
-    /// An attempt has come out.
-    pub fn outcome(&self, outcome: Outcome) {
-        *self.outcomes.borrow_mut().entry(word(outcome)).or_default() += 1;
+    /// An attempt is complete.
+    pub fn attempt_completed(&self, outcome: Outcome) {
+        *self.outcomes.borrow_mut().entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    /// A message that was held has ended so.
-    pub fn end(&self, how: &'static str) {
-        self.held.set(self.held.get().saturating_sub(1));
-        *self.ends.borrow_mut().entry(how).or_default() += 1;
+    /// An open message has ended.
+    pub fn message_ended(&self, end: MessageEnd) {
+        self.open.set(self.open.get().saturating_sub(1));
+        *self.ends.borrow_mut().entry(end.name()).or_default() += 1;
     }
 
     fn report(&self) -> Value {
-        let times = self.times.borrow().as_ref().map(|h| {
-            let h = h.borrow();
-            let at = |q: f64| h.value_at_quantile(q);
-            json!({"count": h.len(), "p50": at(0.5), "p99": at(0.99), "p99.9": at(0.999)})
+        let times = self.delivery_times.borrow().as_ref().map(|times| {
+            let times = times.borrow();
+            let at = |quantile: f64| times.value_at_quantile(quantile);
+            json!({"count": times.len(), "p50": at(0.5), "p99": at(0.99), "p99.9": at(0.999)})
         });
         json!({
-            "held": self.held.get(), "attempts": self.attempts.get(), "outcomes": *self.outcomes.borrow(),
+            "held": self.open.get(), "attempts": self.attempts.get(), "outcomes": *self.outcomes.borrow(),
             "ends": *self.ends.borrow(), "delivery_ms": times,
         })
     }
 }
 
-/// The counts of all entries of the plan that holds.
+/// The counts of all entries of the plan in force.
 #[derive(Default)]
 pub struct Routes {
     plan: RefCell<Option<Arc<Plan>>>,
-    all: RefCell<Vec<Rc<RouteStats>>>,
+    /// One for each entry of the plan, in its order.
+    entries: RefCell<Vec<Rc<RouteStats>>>,
     unmatched: Rc<RouteStats>,
-    shared_times: RefCell<Option<Rc<RefCell<Histogram<u32>>>>>,
+    shared_delivery_times: RefCell<Option<DeliveryTimes>>,
     histograms: Cell<usize>,
 }
 
 impl Routes {
-    /// Another plan holds. An entry that keeps its name keeps its counts; messages that are held stay with the
-    /// entry that they were handed in under.
+    /// Puts another plan in force. An entry that keeps its name keeps its counts; open messages stay with the entry that applied
+    /// when they were received.
     pub fn apply(&self, plan: Option<Arc<Plan>>) {
         let mut before: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
-            let all = self.all.borrow();
-            before.extend(old.routes().iter().zip(all.iter()).map(|(r, s)| (r.name.clone(), s.clone())));
+            let entries = self.entries.borrow();
+            let named = old.routes().iter().zip(entries.iter());
+            before.extend(named.map(|(route, stats)| (route.name.clone(), stats.clone())));
         }
         let routes = plan.as_ref().map_or(&[][..], |p| p.routes());
-        let all: Vec<_> = routes.iter().map(|r| before.remove(&r.name).unwrap_or_default()).collect();
-        let apart = all.iter().filter(|s| s.times.borrow().is_some());
-        self.histograms.set(apart.count());
-        *self.all.borrow_mut() = all;
+        let entries: Vec<_> =
+            routes.iter().map(|route| before.remove(&route.name).unwrap_or_default()).collect();
+        let with_histogram = entries.iter().filter(|stats| stats.delivery_times.borrow().is_some());
+        self.histograms.set(with_histogram.count());
+        *self.entries.borrow_mut() = entries;
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Where a message is counted; nowhere without a site file.
-    pub fn of(&self, to: DestinationId, kind: Option<KindId>, class: ClassId) -> Option<Rc<RouteStats>> {
+    /// Where a message is counted; `None` without a site file.
+    pub fn of(
+        &self,
+        destination: DestinationId,
+        kind: Option<KindId>,
+        class: ClassId,
+    ) -> Option<Rc<RouteStats>> {
         let plan = self.plan.borrow();
-        let found = plan.as_ref()?.find(to, kind, class);
-        Some(found.map_or_else(|| self.unmatched.clone(), |r| self.all.borrow()[r.0 as usize].clone()))
+        let found = plan.as_ref()?.find(destination, kind, class);
+        Some(match found {
+            Some(route) => self.entries.borrow()[route.0 as usize].clone(),
+            None => self.unmatched.clone(),
+        })
     }
 
-    /// Notes how long a message took from its hand-in to its delivery.
-    pub fn delivered(&self, stats: &RouteStats, took: Micros) {
-        let mut own = stats.times.borrow_mut();
+    /// Records the time from a message's receipt to its delivery.
+    pub fn delivered(&self, stats: &RouteStats, delivery_time: Micros) {
+        let mut own = stats.delivery_times.borrow_mut();
         let times = own.get_or_insert_with(|| {
             let fresh = || {
-                let times = Histogram::new_with_bounds(1, LONGEST_MS, 2).expect("bounds that are in order");
+                let times = Histogram::new_with_bounds(1, MAX_DELIVERY_MS, SIGNIFICANT_FIGURES)
+                    .expect("bounds that are in order");
                 Rc::new(RefCell::new(times))
             };
-            if self.histograms.get() < HISTOGRAMS {
+            if self.histograms.get() < MAX_HISTOGRAMS {
                 self.histograms.set(self.histograms.get() + 1);
                 fresh()
             } else {
-                self.shared_times.borrow_mut().get_or_insert_with(fresh).clone()
+                self.shared_delivery_times.borrow_mut().get_or_insert_with(fresh).clone()
             }
         });
-        times.borrow_mut().saturating_record((took / 1000).max(1));
+        times.borrow_mut().saturating_record((delivery_time / 1000).max(1));
     }
 
-    /// The counts by name, of the entries that were ever used; none without a site file.
+    /// The counts by name, of the entries that were ever used; `None` without a site file.
     pub fn report(&self) -> Option<Value> {
         let plan = self.plan.borrow();
         let routes = plan.as_ref()?.routes();
-        let all = self.all.borrow();
-        let used = |s: &RouteStats| s.held.get() > 0 || !s.ends.borrow().is_empty() || s.attempts.get() > 0;
-        let named = routes.iter().map(|r| r.name.as_str()).zip(all.iter());
-        let named = named.chain([(UNMATCHED, &self.unmatched)]).filter(|(_, s)| used(s));
-        Some(named.map(|(name, s)| (name.to_owned(), s.report())).collect::<Map<_, _>>().into())
+        let entries = self.entries.borrow();
+        let used = |stats: &RouteStats| {
+            stats.open.get() > 0 || !stats.ends.borrow().is_empty() || stats.attempts.get() > 0
+        };
+        let named = routes.iter().map(|route| route.name.as_str()).zip(entries.iter());
+        let named = named.chain([(UNMATCHED, &self.unmatched)]).filter(|(_, stats)| used(stats));
+        Some(named.map(|(name, stats)| (name.to_owned(), stats.report())).collect::<Map<_, _>>().into())
     }
 }
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -181,8 +181,9 @@
     for damage in &restored.damage {
         warn!(log, "journal damaged"; "what" => damage);
     }
-    let predecessor = claim.as_ref().and_then(FolderClaim::speaker);
-    let (state, policy) = claim.as_mut().and_then(|claim| claim.passed.take()).unzip();
+    let predecessor = claim.as_ref().and_then(FolderClaim::predecessor);
+    let inherited = claim.as_mut().and_then(|claim| claim.inherited.take());
+    let (state, policy) = inherited.map(|inherited| (inherited.state, inherited.policy)).unzip();
     let routes = settings.routes.clone();
     let settings = Settings { wall_clock_offset: clock.behind_wall(), ..settings };
     let policy = match policy {
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -158,7 +158,7 @@
          heir asks 415 format=1
          heir asks 200
          heir leaves
-         log not handed over
+         log hand-over failed, serving on
          u1 send m2
          u1 expect 202
          e1 expect m2
@@ -166,7 +166,7 @@
          heir reads
          e1 send m2 200
          o cordon e1 503
-         log not handed over
+         log hand-over failed, serving on
          heir leaves
          u1 send m3
          u1 expect 202
@@ -200,7 +200,7 @@
          heir reads
          heir owns
          heir leaves
-         log the process that took over is gone
+         log the successor is gone
          fails
          start
          wait restored=1
@@ -218,7 +218,7 @@
          upgrading
          older answers HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n
          older answers HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\nnoise without end
-         log no hand-over yet, error: too-large
+         log hand-over not possible yet, error: too-large
          older leaves
          upgraded
          u1 send m1
@@ -237,7 +237,7 @@
          e1 expect m1
          stop
          upgrading
-         log no hand-over yet
+         log hand-over not possible yet
          old kill
          upgraded
          wait restored=1
@@ -361,7 +361,7 @@
          older owns
          upgrading
          older answers HTTP/1.1 503 No\\\\r\\\\nContent-Length: 0\\\\r\\\\n\\\\r\\\\n
-         log no hand-over yet
+         log hand-over not possible yet
          term
          exit
          older leaves
