--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -36,7 +36,7 @@
     pub delivery: Sender<DeliveryMessage>,
     /// How far start, hand-over and shutdown have come; written by [`runtime`](super::runtime), the hand-over and operators.
     pub lifecycle: Lifecycle,
-    /// What binds the first byte of every call; written by the endpoint list actor and by calls that were told to wait.
+    /// What binds the first byte of every call; written by the endpoint list actor and by calls whose response asks to wait.
     pub endpoint_table: EndpointTable,
     /// What the endpoint list actor shows of the list.
     pub endpoint_list: EndpointListStatus,
@@ -54,9 +54,9 @@
     pub request_ids: RequestIds,
     /// What was done for each message, checked against the rules.
     pub ledger: RefCell<Ledger>,
-    /// Counts by the routes of the site file.
+    /// Counts by the routes of the site file; written by the delivery actor.
     pub routes: Routes,
-    /// Counts of the questions to the registry.
+    /// Counts of the requests to the registry.
     pub registry: RegistryCounts,
     config: RefCell<Rc<Config>>,
     listen: SocketAddr,
@@ -162,9 +162,9 @@
     }
 
     /// Counts and logs a message that is rejected.
-    pub fn rejected(&self, request_id: &str, why: Rejection) {
-        self.counters.rejected(why);
-        info!(self.log, "message"; "state" => "rejected", "id" => request_id, "reason" => why.name());
+    pub fn rejected(&self, request_id: &str, rejection: Rejection) {
+        self.counters.rejected(rejection);
+        info!(self.log, "message"; "state" => "rejected", "id" => request_id, "reason" => rejection.name());
     }
 
     /// Counts and logs a violation of a rule, with the ids that it is about. The process goes on.
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -112,7 +112,7 @@
         self.stopped = true;
         for (id, open) in &mut self.messages {
             if let Some(reply) = open.reply.take() {
-                self.context.counters.taken.add();
+                self.context.counters.messages_accepted.add();
                 // Where the client is gone, the message is owed all the same.
                 let _ = reply.try_send(SubmitReply::Accepted(*id));
             }
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -116,7 +116,7 @@
         let CompletedAttempt { id: attempt_id, endpoint, elapsed, result, report } = attempt;
         let AttemptId { message: id, number } = attempt_id;
         let AttemptResult { outcome, ended } = result;
-        self.context.counters.outcome(outcome);
+        self.context.counters.attempt_completed(outcome);
         self.predecessor_attempts.remove(&attempt_id);
         self.context.ledger.borrow_mut().attempt_ended(id, number, outcome);
         let message = self.take_from_flight(attempt_id);
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -1,4 +1,4 @@
-//! The end of a message: counted, logged, journaled, and told to its client by the reply or by a delivery report.
+//! The end of a message: counted, logged, journaled, and reported to its client by the reply or by a delivery report.
 
 use super::actor::DeliveryActor;
 use crate::journal::ReportedEnd;
@@ -59,7 +59,7 @@
         if !self.end_message(id, abandoned.message_end()) {
             return;
         }
-        self.context.counters.given_up(reason);
+        self.context.counters.abandoned(reason);
         let Some(open) = self.messages.get_mut(&id) else { return };
         let request_id = open.message.request.request_id.clone();
         info!(self.context.log, "message"; "state" => "abandoned", "id" => &request_id, "reason" => reason.name());
--- a/src/net/delivery/step.rs
+++ b/src/net/delivery/step.rs
@@ -114,14 +114,14 @@
         self.send_calls(now, calls);
     }
 
-    /// Tells the client of a new message that it is accepted, unless the step has ended it.
+    /// Replies to the client of a new message that it is accepted, unless the step has ended it.
     fn accept(&mut self, message: &NewMessage) {
         let Some(open) = self.messages.get_mut(&message.id) else { return };
         let Some(reply) = open.reply.take() else { return };
         if reply.try_send(SubmitReply::Accepted(message.id)).is_err() {
             return self.withdraw(message.id);
         }
-        self.context.counters.taken.add();
+        self.context.counters.messages_accepted.add();
         let request_id = open.message.request.request_id.as_str();
         info!(self.context.log, "message"; "state" => "accepted", "id" => request_id, "class" => message.class.0,
             "destination" => message.destination.0, "left_ms" => message.time_left / 1000);
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -22,7 +22,7 @@
 pub(super) enum CallEnd {
     /// The complete response was received.
     Response(Response),
-    /// Its first byte was held back.
+    /// Its first byte was refused.
     NotSent(SendRefusal),
     /// The connection could not be made, or failed.
     ConnectionFailed(HttpError),
@@ -59,7 +59,7 @@
 }
 
 async fn report(context: &Context, call: &Call, result: CallResult) {
-    // The delivery actor ends only with the process: nobody is left to tell.
+    // The delivery actor ends only with the process: nobody is left to notify.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
 }
 
@@ -81,7 +81,7 @@
     };
     let end = until_end(context, call, exchange, &progress, open_attempts).await;
     if reused && matches!(progress.stage.get(), Stage::Writing | Stage::Written) {
-        context.counters.reused.add();
+        context.counters.connections_reused.add();
     }
     let ended = EndedCall { context, call, progress, reused };
     let failure = match end {
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -28,7 +28,7 @@
     /// It has no connection yet, or waits for what binds the first byte.
     #[default]
     Connecting,
-    /// Its first byte was held back.
+    /// Its first byte was refused.
     NotSent,
     /// The request is being written.
     Writing,
@@ -79,7 +79,7 @@
     let Some(known) = context.endpoint_table.get(endpoint) else {
         return Err(HttpError::Malformed("unknown endpoint"));
     };
-    context.counters.opened.add();
+    context.counters.connections_opened.add();
     let timeout = Duration::from_micros(context.config().dial_timeout);
     Ok(HttpConnection::new(connect_within(known.address, timeout).await?))
 }
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-/// Counts and logs a call that is held back.
+/// Counts and logs a call whose first byte is refused.
 fn not_sent(context: &Context, call: &Call, progress: &Progress, refusal: SendRefusal) -> CallEnd {
     for attempt in &call.attempts {
         context.counters.not_sent(refusal);
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -17,7 +17,7 @@
 
 /// Reads on in the background, then drops the connection.
 pub(super) fn read(context: &Rc<Context>, endpoint: EndpointId, mut connection: HttpConnection) {
-    let readers = &context.gauges.late_answer_readers;
+    let readers = &context.gauges.late_response_readers;
     // The calls of half a second, all abandoned, are no more than that.
     if readers.get() >= context.config().max_concurrent_calls {
         return;
@@ -33,18 +33,18 @@
             context.endpoint_table.retry_after(endpoint, retry_after);
             report(&context, endpoint, retry_after).await;
         }
-        context.gauges.late_answer_readers.decrement();
+        context.gauges.late_response_readers.decrement();
     };
     executor.spawn(reading).detach();
 }
 
-/// Tells the delivery actor by a completion without attempts: theirs were reported when the call was abandoned.
+/// Notifies the delivery actor by a completion without attempts: theirs were reported when the call was abandoned.
 async fn report(context: &Context, endpoint: EndpointId, retry_after: Micros) {
     let result = CallResult {
         retry_after: Some(retry_after),
         ..CallResult::same_for_all(0, AttemptResult::of(Outcome::NotSent))
     };
     let completion = CallCompletion { endpoint, sent: context.clock.now(), attempts: Vec::new(), result };
-    // The delivery actor ends only with the process: nobody is left to tell.
+    // The delivery actor ends only with the process: nobody is left to notify.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(completion)).await;
 }
--- a/src/net/gauges.rs
+++ b/src/net/gauges.rs
@@ -59,6 +59,6 @@
     pub predecessor_connections: Gauge,
     /// Idle connections to endpoints; the endpoints' pools.
     pub idle_endpoint_connections: Gauge,
-    /// Connections of abandoned calls that are read for a late answer; each of them.
-    pub late_answer_readers: Gauge,
+    /// Connections of abandoned calls that are read for a late response; each of them.
+    pub late_response_readers: Gauge,
 }
--- a/src/net/handover/frames.rs
+++ b/src/net/handover/frames.rs
@@ -13,14 +13,14 @@
 /// times of the clock that all processes of a machine share; version 3 sent the wall clock beside an own one.
 pub const FORMAT: u32 = 4;
 
-/// A message that is in flight: what the journal does not tell of it.
+/// A message that is in flight: what the journal does not hold of it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandOverMessage {
     /// Its id.
     pub id: MessageId,
     /// Attempts begun, including those that were not sent in the end.
     pub attempts: u32,
-    /// When it was received; `None` for a message that came to an earlier process.
+    /// When it was received; `None` for a message that an earlier process received.
     #[serde(rename = "since")]
     pub received_at: Option<Micros>,
     /// The number of the attempt in flight and its endpoint.
--- a/src/net/handover/lock.rs
+++ b/src/net/handover/lock.rs
@@ -1,5 +1,5 @@
-//! Who owns the lasting folder: one process at a time, by locks that the kernel lets go of when a process dies. Who
-//! comes next waits in line for that, so that a third cannot slip in between two others.
+//! The locks of the state folder: one process owns it at a time, and one may be next, so that a third cannot come between those
+//! two. The kernel releases the locks of a process that dies.
 
 use serde::{Deserialize, Serialize};
 use std::fs::{File, OpenOptions, TryLockError};
@@ -7,16 +7,16 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What the owner tells of itself to the one that comes next.
+/// What the owner writes into the folder for its successor.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Owner {
-    /// Where it takes operators' calls.
+    /// Where operators call it.
     pub operator: SocketAddr,
-    /// What it wants to hear from one that asks for the hand-over.
+    /// What a successor must present to ask for the hand-over.
     pub token: String,
 }
 
-/// A file that is locked as long as this lives.
+/// A locked file; dropping it releases the lock.
 pub struct Lock(File);
 
 impl Lock {
@@ -24,7 +24,7 @@
         OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
     }
 
-    fn attempt(path: &Path) -> io::Result<Option<Lock>> {
+    fn try_lock(path: &Path) -> io::Result<Option<Lock>> {
         let file = Lock::open(path)?;
         match file.try_lock() {
             Ok(()) => Ok(Some(Lock(file))),
@@ -33,18 +33,30 @@
         }
     }
 
-    /// The place of the one that comes next; none while another has it.
+    /// The right to be the next owner; `None` while another process has it.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be opened or locked.
     pub fn next(folder: &Path) -> io::Result<Option<Lock>> {
-        Lock::attempt(&folder.join("next"))
+        Lock::try_lock(&folder.join("next"))
     }
 
-    /// The folder itself; none while another process owns it.
+    /// The ownership of the folder; `None` while another process has it.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be opened or locked.
     pub fn owner(folder: &Path) -> io::Result<Option<Lock>> {
-        Lock::attempt(&folder.join("owner"))
+        Lock::try_lock(&folder.join("owner"))
     }
 
-    /// Tells who owns it.
-    pub fn name(&mut self, owner: &Owner) -> io::Result<()> {
+    /// Writes the owner into the locked file.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be written.
+    pub fn write_owner(&mut self, owner: &Owner) -> io::Result<()> {
         let text = serde_json::to_vec(owner)?;
         self.0.set_len(0)?;
         self.0.rewind()?;
@@ -52,7 +64,7 @@
     }
 }
 
-/// Who owns a folder, as far as that was told.
+/// The owner of a folder, if that is written there.
 pub fn read_owner(folder: &Path) -> Option<Owner> {
     let mut text = String::new();
     File::open(folder.join("owner")).ok()?.read_to_string(&mut text).ok()?;
--- a/src/net/handover/ownership.rs
+++ b/src/net/handover/ownership.rs
@@ -18,7 +18,7 @@
         *self.lock.borrow_mut() = Some(lock);
     }
 
-    /// Lets go of the lock.
+    /// Releases the lock.
     pub fn release(&self) {
         drop(self.lock.take());
     }
@@ -34,6 +34,6 @@
     ///
     /// The file could not be written.
     pub fn write_owner(&self, owner: &Owner) -> io::Result<()> {
-        self.lock.borrow_mut().as_mut().map_or(Ok(()), |lock| lock.name(owner))
+        self.lock.borrow_mut().as_mut().map_or(Ok(()), |lock| lock.write_owner(owner))
     }
 }
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -11,13 +11,13 @@
 use slog::info;
 use std::rc::Rc;
 
-/// Serves the frames of the predecessor, then tells the delivery actor that it is gone.
+/// Serves the frames of the predecessor, then notifies the delivery actor that it is gone.
 pub(super) async fn serve(context: Rc<Context>, link: Link, endpoint_list: Sender<EndpointListMessage>) {
     let mut served = ServedPredecessor { context: context.clone(), link, endpoint_list };
     let reason = served.until_end().await;
     info!(context.log, "connection ended"; "side" => "predecessor", "reason" => reason);
     context.gauges.predecessor_connections.set(0);
-    // The delivery actor ends only with the process: nobody is left to tell.
+    // The delivery actor ends only with the process: nobody is left to notify.
     let _ = context.delivery.send(DeliveryMessage::PredecessorGone).await;
 }
 
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -10,64 +10,64 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What the module's actor can be told.
+/// What the delivery actor can be sent.
 pub enum DeliveryMessage {
-    /// A message is handed in.
+    /// A client sent a message.
     Submit {
         /// The message.
         request: Request,
-        /// Where to say what becomes of it.
+        /// Where to send what became of it.
         reply: Sender<SubmitReply>,
     },
-    /// The user agent of a message went before its answer was written.
+    /// The client of an accepted message was gone before the response was written.
     Withdrawn {
-        /// The message that was taken on from it.
+        /// The message.
         id: MessageId,
     },
-    /// News of the list.
+    /// An update of the endpoint list.
     EndpointList(EndpointListUpdate),
-    /// Other settings hold from now on.
+    /// Other settings are in force from now on.
     Settings(Box<Settings>),
-    /// A call has come out, here or at the process that this one replaces.
+    /// A call is complete, here or at the predecessor.
     CallCompleted(CallCompletion),
-    /// Another process asks to replace this one.
+    /// A successor asks to take over.
     HandOver(Successor),
-    /// An operator wants something while all is being handed over.
+    /// An operator sent a command during a hand-over.
     Admin {
-        /// What.
+        /// The command.
         command: AdminCommand,
-        /// Where to say what becomes of it.
+        /// Where to send whether it took effect.
         reply: Sender<Result<(), AdminError>>,
     },
     /// The journal can be written again.
     JournalWritable,
-    /// The process that this one has replaced is gone.
+    /// The predecessor is gone.
     PredecessorGone,
-    /// Asks how destinations and channels stand, for operators.
+    /// An operator asks for the status of destinations and tenants.
     DescribeStatus {
-        /// Where to say it.
+        /// Where to send it.
         reply: Sender<Value>,
     },
-    /// The program is about to end: no more steps, but what is out is still noted.
+    /// The process is about to end: no step is made any more, but calls that complete are still journaled.
     Stop,
 }
 
-/// What becomes of a message that is handed in.
+/// What became of a message that a client sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SubmitReply {
-    /// Taken on, under this id.
+    /// Accepted, under this id.
     #[serde(rename = "Taken")]
     Accepted(MessageId),
-    /// Not taken on: another message of that name is not over yet.
+    /// Rejected: another message with its request id has not ended.
     #[serde(rename = "Held")]
     DuplicateId,
-    /// Unavailable; it may come again after a while.
+    /// Rejected or returned; its client may send it again after this time.
     Unavailable(Micros),
-    /// It failed at once.
+    /// It failed: it may or may not have taken effect.
     Failed,
 }
 
-/// The advice to come again where the module had no say.
+/// The time after which a client may send a message again, where the delivery policy advises none.
 pub const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
 
 /// What the membership's actor can be told.
@@ -137,13 +137,13 @@
     Broke(HttpError),
 }
 
-/// What a peer can be told.
+/// What an endpoint's actor can be sent.
 pub enum EndpointMessage {
     /// Make this call.
     Call(Call),
-    /// Close the connections that carry nothing now.
+    /// Close the idle connections.
     CloseIdle,
-    /// A call has left its connection fit to be used again.
+    /// A call has left its connection fit for the next one.
     ReturnConnection(HttpConnection),
 }
 
--- a/src/net/runtime/background.rs
+++ b/src/net/runtime/background.rs
@@ -32,7 +32,7 @@
         journal.until_failing().await;
         let since = Instant::now();
         context.counters.journal_failures.add();
-        warn!(context.log, "the journal cannot be written, nothing is taken on and no attempt begins";
+        warn!(context.log, "the journal cannot be written, nothing is accepted and no attempt begins";
             "reason" => "journal", "open" => context.gauges.open_messages.get());
         let mut pause = JOURNAL_RETRY_FIRST;
         loop {
--- a/src/net/runtime/latch.rs
+++ b/src/net/runtime/latch.rs
@@ -3,8 +3,9 @@
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 
-/// A latch; it is clear at first.
+/// A condition; it is clear at first.
 pub struct Latch {
+    /// Closed while the condition is set; nothing is ever sent.
     channel: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
@@ -15,26 +16,27 @@
 }
 
 impl Latch {
-    /// The condition holds.
+    /// Whether the condition is set.
     pub fn is_set(&self) -> bool {
         self.channel.borrow().0.is_closed()
     }
 
-    /// From now on it holds.
+    /// Sets the condition, and wakes all that wait.
     pub fn set(&self) {
         self.channel.borrow().0.close();
     }
 
-    /// From now on it does not.
+    /// Clears the condition.
     pub fn clear(&self) {
         if self.is_set() {
             *self.channel.borrow_mut() = async_channel::bounded(1);
         }
     }
 
-    /// Comes back once it holds.
+    /// Returns once the condition is set.
     pub async fn wait(&self) {
         let set = self.channel.borrow().1.clone();
+        // Nothing is ever sent: the channel is closed to set the condition.
         let _ = set.recv().await;
     }
 }
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -1,5 +1,5 @@
-//! The signals that tell the program to end or to read its configuration again. Each sets a mark that cannot be lost; what comes
-//! through the pipe only wakes the reader, so it may be short, interrupted or missing.
+//! The signals that end the process or reload its configuration. Each sets a flag that cannot be lost; a byte through the pipe
+//! only wakes the reader, so it may be short, interrupted or missing.
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -10,57 +10,61 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A mark whose wake-up went missing is seen after this.
-const LOOK: Duration = Duration::from_millis(100);
+/// A flag whose wake-up was lost is seen after this.
+const FLAG_POLL: Duration = Duration::from_millis(100);
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// To end in order (SIGTERM, SIGINT).
-    End,
-    /// To read the configuration again (SIGHUP); several that come together ask for one reading.
+    /// Shut down (SIGTERM, SIGINT).
+    Terminate,
+    /// Reload the configuration (SIGHUP); several that come together ask for one reload.
     Reload,
 }
 
 /// The signals of this process.
 pub struct Signals {
-    end: Arc<AtomicBool>,
+    terminate: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
-    wakes: Async<PipeReader>,
+    wake_ups: Async<PipeReader>,
 }
 
 impl Signals {
-    /// From now on the signals are marked.
+    /// Starts to receive the signals.
+    ///
+    /// # Errors
+    ///
+    /// The pipe or a signal's handler cannot be had.
     pub fn new() -> io::Result<Self> {
-        let (wakes, wake) = io::pipe()?;
-        let marks = [AtomicBool::new(false), AtomicBool::new(false)].map(Arc::new);
-        let [end, reload] = marks;
-        for (signal, mark) in [(SIGTERM, &end), (SIGINT, &end), (SIGHUP, &reload)] {
-            // The mark first: who is woken must find it.
-            flag::register(signal, mark.clone())?;
+        let (wake_ups, wake) = io::pipe()?;
+        let (terminate, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        for (signal, flag) in [(SIGTERM, &terminate), (SIGINT, &terminate), (SIGHUP, &reload)] {
+            // The flag first: who is woken must find it.
+            flag::register(signal, flag.clone())?;
             low_level::pipe::register(signal, wake.try_clone()?)?;
         }
-        Ok(Signals { end, reload, wakes: Async::new(wakes)? })
+        Ok(Signals { terminate, reload, wake_ups: Async::new(wake_ups)? })
     }
 
-    /// The next signal. An end goes before all else.
+    /// The next signal; a termination goes before a reload.
     pub async fn next(&self) -> Signal {
         loop {
-            if self.end.swap(false, Ordering::AcqRel) {
-                return Signal::End;
+            if self.terminate.swap(false, Ordering::AcqRel) {
+                return Signal::Terminate;
             }
             if self.reload.swap(false, Ordering::AcqRel) {
                 return Signal::Reload;
             }
             let woken = async {
-                let _ = self.wakes.readable().await;
+                // An error of the pipe only wakes too early.
+                let _ = self.wake_ups.readable().await;
             };
-            let late = async {
-                Timer::after(LOOK).await;
+            let polled = async {
+                Timer::after(FLAG_POLL).await;
             };
-            future::or(woken, late).await;
-            // It says nothing but that there is something to look at; an error takes nothing away.
-            let _ = future::poll_once(self.wakes.read_with(|mut pipe| pipe.read(&mut [0; 64]))).await;
+            future::or(woken, polled).await;
+            // The byte carries nothing, and the flags are looked at next: an error changes nothing.
+            let _ = future::poll_once(self.wake_ups.read_with(|mut pipe| pipe.read(&mut [0; 64]))).await;
         }
     }
 }
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -6,13 +6,13 @@
 use super::reload;
 use super::shutdown;
 use super::signals::{Signal, Signals};
-use crate::journal::{Journal, Restored, Unreadable};
+use crate::journal::{Journal, JournaledMessage, Restored, Unreadable};
 use crate::net::config::Config;
 use crate::net::context::{Context, ContextParts};
 use crate::net::delivery::DeliveryActor;
-use crate::net::handover::{self, lock::Owner, FolderClaim};
+use crate::net::handover::{self, frames::HandOverState, lock::Owner, FolderClaim, FrameSender};
 use crate::net::journal_handle::JournalHandle;
-use crate::net::messages::EndpointListMessage;
+use crate::net::messages::{DeliveryReport, EndpointListMessage};
 use crate::net::platform::endpoint_list::EndpointListActor;
 use crate::net::platform::{delivery_reports, eureka};
 use crate::net::storage::Folder;
@@ -36,7 +36,7 @@
 const RETRY: Duration = Duration::from_millis(50);
 /// A folder of which a part cannot be read is tried again for so long; then that part is left for a later start.
 const READABLE_WITHIN: Duration = Duration::from_secs(4);
-/// A start that fails for so long is given up.
+/// A start that fails for so long is abandoned.
 const START_WITHIN: Duration = Duration::from_secs(25);
 /// Messages that wait for the delivery actor; senders wait beyond that.
 const DELIVERY_MAILBOX: usize = 1024;
@@ -46,7 +46,7 @@
 const ENDPOINT_LIST_MAILBOX: usize = 16;
 
 /// Reads the configuration. At a reload the file's address of the platform goes before the environment variable's, which still
-/// tells what held at the start.
+/// tells what was in force at the start.
 pub type Load = dyn Fn(Reading) -> Loaded + Send + Sync;
 /// A configuration, or why there is none.
 pub type Loaded = Result<(Config, Settings), LoadError>;
@@ -112,7 +112,7 @@
     }
 }
 
-/// Runs the forwarder until it is told to end.
+/// Runs the forwarder until a signal or the hand-over ends it.
 ///
 /// # Errors
 ///
@@ -197,49 +197,78 @@
     context.gauges.predecessor_connections.set(state.as_ref().map_or(0, |state| state.client_connections));
     context.routes.apply(routes);
     reload::warn_without_index(&context);
-    let config = context.config();
-    let (reports, reports_mail) = async_channel::bounded(REPORTS_MAILBOX);
+    let reports = start_background(&context);
     let (endpoint_list, endpoint_list_mail) = async_channel::bounded(ENDPOINT_LIST_MAILBOX);
-    context.executor.spawn(delivery_reports::run(context.clone(), reports_mail)).detach();
-    context.executor.spawn(background::watch_for_stalls(context.clone())).detach();
-    context.executor.spawn(background::retry_journal(context.clone())).detach();
     let mut delivery_actor =
         DeliveryActor::new(context.clone(), policy, reports, endpoint_list.clone(), restored.last_id);
     let mut endpoint_list_actor = EndpointListActor::new(context.clone(), endpoint_list.clone());
-    if config.operator.is_some() {
-        endpoint_list_actor.take_cordons().await;
-    }
-    match (state, predecessor) {
-        (Some(state), Some(predecessor)) => {
-            let list = delivery_actor.resume_from(*state, restored.messages, &predecessor, settings).await;
-            endpoint_list_actor.inherit(list).await;
-        }
-        _ => {
-            if let Some(known) = &config.known {
-                endpoint_list_actor.take_known(known).await;
-            }
-            delivery_actor.restore(restored.messages).await;
-        }
-    }
+    let inherited = state.zip(predecessor);
+    restore(&mut delivery_actor, &mut endpoint_list_actor, inherited, restored.messages, settings).await;
     context.executor.spawn(delivery_actor.run(delivery_mail)).detach();
     context.executor.spawn(endpoint_list_actor.run(endpoint_list_mail)).detach();
     let registration = Registration::start(&context);
-    if let Some(((address, listener), claim)) = sockets.operators.zip(claim) {
-        let token = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..));
-        claim
-            .start_serving(&context, Owner { operator: address, token }, &endpoint_list)
-            .map_err(|error| StartError::Folder(config.state.clone(), error))?;
-        info!(context.log, "operators may call"; "operator" => %address);
-        let serving = operator::serve(context.clone(), endpoint_list.clone(), listener);
-        context.executor.spawn(serving).detach();
+    if let Some((operators, claim)) = sockets.operators.zip(claim) {
+        serve_operators(&context, operators, claim, &endpoint_list)?;
     }
     let accepting = context.executor.spawn(client::serve(context.clone(), sockets.listener));
-    info!(context.log, "serving"; "name" => &config.name, "listen" => %sockets.listen,
+    info!(context.log, "serving"; "name" => &context.config().name, "listen" => %sockets.listen,
         "restored" => context.gauges.open_messages.get());
-    drop(config);
     Ok(Actors { context, endpoint_list, accepting, registration })
 }
 
+/// Starts the tasks that run as long as the process; returns where delivery reports are sent.
+fn start_background(context: &Rc<Context>) -> Sender<DeliveryReport> {
+    let (reports, reports_mail) = async_channel::bounded(REPORTS_MAILBOX);
+    context.executor.spawn(delivery_reports::run(context.clone(), reports_mail)).detach();
+    context.executor.spawn(background::watch_for_stalls(context.clone())).detach();
+    context.executor.spawn(background::retry_journal(context.clone())).detach();
+    reports
+}
+
+/// Brings the two actors to where the predecessor stopped, or to what the state folder holds.
+async fn restore(
+    delivery: &mut DeliveryActor,
+    endpoint_list: &mut EndpointListActor,
+    inherited: Option<(Box<HandOverState>, FrameSender)>,
+    messages: Vec<(u64, JournaledMessage)>,
+    settings: Settings,
+) {
+    let config = delivery.context().config();
+    if config.operator.is_some() {
+        endpoint_list.take_cordons().await;
+    }
+    match inherited {
+        Some((state, predecessor)) => {
+            let list = delivery.resume_from(*state, messages, &predecessor, settings).await;
+            endpoint_list.inherit(list).await;
+        }
+        None => {
+            if let Some(known) = &config.known {
+                endpoint_list.take_known(known).await;
+            }
+            delivery.restore(messages).await;
+        }
+    }
+}
+
+/// Serves operators and, through the claim, what a predecessor forwards.
+fn serve_operators(
+    context: &Rc<Context>,
+    operators: (SocketAddr, Async<TcpListener>),
+    claim: FolderClaim,
+    endpoint_list: &Sender<EndpointListMessage>,
+) -> Result<(), StartError> {
+    let (address, listener) = operators;
+    let token = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..));
+    claim
+        .start_serving(context, Owner { operator: address, token }, endpoint_list)
+        .map_err(|error| StartError::Folder(context.config().state.clone(), error))?;
+    info!(context.log, "operators may call"; "operator" => %address);
+    let serving = operator::serve(context.clone(), endpoint_list.clone(), listener);
+    context.executor.spawn(serving).detach();
+    Ok(())
+}
+
 /// What a process has opened before its actors start.
 struct Opened {
     claim: Option<FolderClaim>,
--- a/tests/endpoint_table.rs
+++ b/tests/endpoint_table.rs
@@ -23,7 +23,7 @@
     assert_eq!(kept(clock.now() + KEPT_AFTER_DRAIN), [true, false]);
 }
 
-/// Guards against a first byte past the grace: a process may be held up for 0.15 s between its look at the clock and the write.
+/// Guards against a first byte past the grace: a process may be stalled for 0.15 s between its look at the clock and the write.
 #[test]
 fn the_grace_of_a_drain_covers_a_process_that_is_held_up_before_it_writes() {
     const HELD_UP: u64 = 150_000;
@@ -49,7 +49,7 @@
     assert_eq!(
         refusal(EndpointId(1)),
         Some(SendRefusal::Leaving),
-        "a byte held up would come past the grace"
+        "a byte delayed by a stall would be written past the grace"
     );
     table.update(EndpointId(2), Lifecycle::Draining, clock.now(), known);
     assert_eq!(refusal(EndpointId(2)), None, "what was decided before the drain goes through");
--- a/tests/stall_detector.rs
+++ b/tests/stall_detector.rs
@@ -25,7 +25,7 @@
     assert!(!detector.is_caught_up(2_000 * MS));
     assert_eq!(detector.arrived_since(2_010 * MS), 0);
     assert!(detector.is_caught_up(2_100 * MS));
-    // A heartbeat that came in time shows that all was read.
+    // A heartbeat in time shows that all was read.
     detector.heartbeat(2_100 * MS);
     assert!(!detector.is_caught_up(4_000 * MS) && detector.arrived_since(4_001 * MS) == 2_100 * MS);
 }
