--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -44,6 +44,13 @@
     pub final_attempt: bool,
 }
 
+impl Attempt {
+    /// Its name.
+    pub fn id(&self) -> AttemptId {
+        AttemptId { message: self.message.id, number: self.number }
+    }
+}
+
 /// A call that the policy has decided on.
 pub struct Call {
     /// Where to.
@@ -99,8 +106,7 @@
 
     /// Its completion, in a form that another process can read.
     pub fn completed(&self, result: CallResult) -> CallCompletion {
-        let id = |attempt: &Attempt| AttemptId { message: attempt.message.id, number: attempt.number };
-        let attempts = self.attempts.iter().map(id).collect();
+        let attempts = self.attempts.iter().map(Attempt::id).collect();
         CallCompletion { endpoint: self.endpoint, sent: self.sent, attempts, result }
     }
 
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -2,7 +2,7 @@
 
 use super::endpoints::Endpoints;
 use crate::net::call::AttemptId;
-use crate::net::handover;
+use crate::net::handover::{self, frames::PolicyTimer};
 use crate::net::in_flight::InFlightMessage;
 use crate::net::messages::{DeliveryMessage, DeliveryReport, EndpointListMessage, SubmitReply, Successor};
 use crate::net::{operator, Context};
@@ -32,13 +32,6 @@
     pub cancel: Sender<()>,
 }
 
-/// A timer that the policy has asked for; ordered by the time.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PolicyTimer {
-    pub due_at: Micros,
-    pub token: u64,
-}
-
 /// The actor around the delivery policy.
 pub struct DeliveryActor {
     pub(super) context: Rc<Context>,
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -1,10 +1,10 @@
 //! The hand-over as the delivery actor sees it: the state for a successor, and going on from a predecessor's.
 
-use super::actor::{AttemptInFlight, DeliveryActor, PolicyTimer};
+use super::actor::{AttemptInFlight, DeliveryActor};
 use crate::journal::JournaledMessage;
 use crate::membership::MembershipSnapshot;
 use crate::net::call::{AttemptId, AttemptResult, CallCompletion, CallResult};
-use crate::net::handover::frames::{HandOverMessage, HandOverState};
+use crate::net::handover::frames::{HandOverAttempt, HandOverMessage, HandOverState};
 use crate::net::handover::FrameSender;
 use crate::net::in_flight::InFlightMessage;
 use crate::{EndpointId, Event, Outcome, Settings};
@@ -18,7 +18,10 @@
             id: *id,
             attempts: open.message.attempts(),
             received_at: open.message.received_at,
-            in_flight: open.attempt.as_ref().map(|attempt| (attempt.number, attempt.endpoint)),
+            in_flight: open
+                .attempt
+                .as_ref()
+                .map(|attempt| HandOverAttempt { number: attempt.number, endpoint: attempt.endpoint }),
         });
         // What has ended with an attempt in flight at an earlier process is not in `messages` any more.
         let ended =
@@ -27,13 +30,14 @@
             id: attempt.message,
             attempts: attempt.number + 1,
             received_at: None,
-            in_flight: Some((attempt.number, *endpoint)),
+            in_flight: Some(HandOverAttempt { number: attempt.number, endpoint: *endpoint }),
         });
         HandOverState {
+            // A policy that cannot be serialized is refused by the successor, and this process serves on.
             policy: serde_json::to_value(&self.policy).unwrap_or_default(),
             last_id: self.last_id,
             messages: open.chain(ended).collect(),
-            timers: self.timers.iter().map(|timer| (timer.0.due_at, timer.0.token)).collect(),
+            timers: self.timers.iter().map(|timer| timer.0).collect(),
             received_by_tenant: self.received_by_tenant.clone(),
             client_connections: self.context.gauges.client_connections.get(),
             list,
@@ -50,15 +54,13 @@
         settings: Settings,
     ) -> MembershipSnapshot {
         self.last_id = self.last_id.max(state.last_id);
-        let timers =
-            state.timers.iter().map(|(due_at, token)| PolicyTimer { due_at: *due_at, token: *token });
-        self.timers = timers.map(Reverse).collect();
+        self.timers = state.timers.iter().copied().map(Reverse).collect();
         if state.received_by_tenant.len() == self.received_by_tenant.len() {
             self.received_by_tenant = state.received_by_tenant;
         }
         let mut journaled: BTreeMap<u64, JournaledMessage> = journaled.into_iter().collect();
         for message in &state.messages {
-            if let Some((number, endpoint)) = message.in_flight {
+            if let Some(HandOverAttempt { number, endpoint }) = message.in_flight {
                 self.predecessor_attempts.insert(AttemptId { message: message.id, number }, endpoint);
             }
             let journaled = journaled.remove(&message.id.0);
@@ -82,7 +84,7 @@
         let request = self.request_of(journaled, class, false);
         let mut message = InFlightMessage::new(handed_over.id, request, handed_over.attempts);
         message.received_at = handed_over.received_at;
-        let attempt = handed_over.in_flight.map(|(number, endpoint)| {
+        let attempt = handed_over.in_flight.map(|HandOverAttempt { number, endpoint }| {
             let cancel = predecessor.cancel_on_close(&self.context, handed_over.id, number);
             AttemptInFlight { number, endpoint, cancel }
         });
--- a/src/net/delivery/step.rs
+++ b/src/net/delivery/step.rs
@@ -1,8 +1,9 @@
 //! A step: the collected events go to the policy, and its actions are carried out in their order.
 
-use super::actor::{DeliveryActor, PolicyTimer};
+use super::actor::DeliveryActor;
 use super::attempts::PlannedCall;
 use super::message_end::Abandoned;
+use crate::net::handover::frames::PolicyTimer;
 use crate::net::messages::{EndpointListMessage, SubmitReply};
 use crate::{Action, EndpointListUpdate, Event, Lifecycle, MessageId, Micros, NewMessage};
 use slog::{info, warn};
--- a/src/net/handover/frames.rs
+++ b/src/net/handover/frames.rs
@@ -13,6 +13,50 @@
 /// times of the clock that all processes of a machine share; version 3 sent the wall clock beside an own one.
 pub const FORMAT: u32 = 4;
 
+/// An attempt that is in flight at the predecessor.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(u32, EndpointId)", into = "(u32, EndpointId)")]
+pub struct HandOverAttempt {
+    /// Which attempt of its message, from 0.
+    pub number: u32,
+    /// Where it was sent.
+    pub endpoint: EndpointId,
+}
+
+impl From<(u32, EndpointId)> for HandOverAttempt {
+    fn from((number, endpoint): (u32, EndpointId)) -> Self {
+        HandOverAttempt { number, endpoint }
+    }
+}
+
+impl From<HandOverAttempt> for (u32, EndpointId) {
+    fn from(attempt: HandOverAttempt) -> Self {
+        (attempt.number, attempt.endpoint)
+    }
+}
+
+/// A timer that the delivery policy has asked for; ordered by the time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(from = "(Micros, u64)", into = "(Micros, u64)")]
+pub struct PolicyTimer {
+    /// When it is due.
+    pub due_at: Micros,
+    /// What the policy knows it by.
+    pub token: u64,
+}
+
+impl From<(Micros, u64)> for PolicyTimer {
+    fn from((due_at, token): (Micros, u64)) -> Self {
+        PolicyTimer { due_at, token }
+    }
+}
+
+impl From<PolicyTimer> for (Micros, u64) {
+    fn from(timer: PolicyTimer) -> Self {
+        (timer.due_at, timer.token)
+    }
+}
+
 /// A message that is in flight: what the journal does not hold of it.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandOverMessage {
@@ -23,9 +67,9 @@
     /// When it was received; `None` for a message that an earlier process received.
     #[serde(rename = "since")]
     pub received_at: Option<Micros>,
-    /// The number of the attempt in flight and its endpoint.
+    /// The attempt in flight.
     #[serde(rename = "out")]
-    pub in_flight: Option<(u32, EndpointId)>,
+    pub in_flight: Option<HandOverAttempt>,
 }
 
 /// The predecessor's state at the moment of the hand-over, but for what the state folder holds.
@@ -38,8 +82,8 @@
     pub last_id: u64,
     /// The open messages, and those that have ended with an attempt in flight.
     pub messages: Vec<HandOverMessage>,
-    /// The policy's timers: when each is due, and its token.
-    pub timers: Vec<(Micros, u64)>,
+    /// The policy's timers.
+    pub timers: Vec<PolicyTimer>,
     /// Messages received of each tenant.
     #[serde(rename = "handed_in")]
     pub received_by_tenant: Vec<u64>,
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -1,7 +1,7 @@
 //! Serves what a predecessor forwards to its successor, up to the predecessor's end.
 
 use super::frames::{PredecessorFrame, SuccessorFrame};
-use super::link::Link;
+use super::link::{HandOverError, Link};
 use crate::net::in_flight::Request;
 use crate::net::messages::{
     AdminCommand, DeliveryMessage, EndpointListMessage, SubmitReply, DEFAULT_RETRY_AFTER,
@@ -9,18 +9,49 @@
 use crate::net::{operator, Context};
 use async_channel::{SendError, Sender};
 use slog::info;
+use std::convert::Infallible;
 use std::rc::Rc;
 
 /// Serves the frames of the predecessor, then notifies the delivery actor that it is gone.
 pub(super) async fn serve(context: Rc<Context>, link: Link, endpoint_list: Sender<EndpointListMessage>) {
     let mut served = ServedPredecessor { context: context.clone(), link, endpoint_list };
-    let reason = served.until_end().await;
-    info!(context.log, "connection ended"; "side" => "predecessor", "reason" => reason);
+    let Err(end) = served.serve_frames().await;
+    info!(context.log, "connection ended"; "side" => "predecessor", "reason" => end.name());
     context.gauges.predecessor_connections.set(0);
     // The delivery actor ends only with the process: nobody is left to notify.
     let _ = context.delivery.send(DeliveryMessage::PredecessorGone).await;
 }
 
+/// Why nothing more is served.
+enum ServingEnd {
+    /// The connection failed: the predecessor is gone.
+    Link(HandOverError),
+    /// The delivery actor is gone: this process is ending.
+    ProcessEnding,
+}
+
+impl ServingEnd {
+    /// Its name in logs.
+    fn name(&self) -> &'static str {
+        match self {
+            ServingEnd::Link(error) => error.code(),
+            ServingEnd::ProcessEnding => "ending",
+        }
+    }
+}
+
+impl From<HandOverError> for ServingEnd {
+    fn from(error: HandOverError) -> Self {
+        ServingEnd::Link(error)
+    }
+}
+
+impl From<SendError<DeliveryMessage>> for ServingEnd {
+    fn from(_: SendError<DeliveryMessage>) -> Self {
+        ServingEnd::ProcessEnding
+    }
+}
+
 struct ServedPredecessor {
     context: Rc<Context>,
     link: Link,
@@ -28,16 +59,11 @@
 }
 
 impl ServedPredecessor {
-    /// Serves frames; returns the reason of the end, for the log.
-    async fn until_end(&mut self) -> &'static str {
+    /// Serves frames up to an error.
+    async fn serve_frames(&mut self) -> Result<Infallible, ServingEnd> {
         loop {
-            let frame = match self.link.read().await {
-                Ok(frame) => frame,
-                Err(error) => return error.code(),
-            };
-            if self.serve(frame.head, frame.body).await.is_err() {
-                return "ending";
-            }
+            let frame = self.link.read().await?;
+            self.serve(frame.head, frame.body).await?;
         }
     }
 
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -186,7 +186,10 @@
     let (frame, _) = frames("from-predecessor").remove(0);
     let state: HandOverState = serde_json::from_value(frame["State"].clone()).expect("read");
     assert_eq!((state.last_id, state.messages.len()), (3, 3));
-    assert_eq!((state.messages[0].id, state.messages[0].in_flight), (MessageId(1), Some((0, EndpointId(1)))));
+    assert_eq!(
+        (state.messages[0].id, state.messages[0].in_flight),
+        (MessageId(1), Some((0, EndpointId(1)).into()))
+    );
     let policy: DeliveryPolicy = serde_json::from_value(state.policy.clone()).expect("read");
     assert_eq!(serde_json::to_value(&policy).expect("written"), frame["State"]["module"]);
     assert_eq!(serde_json::to_value(&state).expect("written"), frame["State"]);
