--- /dev/null
+++ b/src/net/handover/served_frames.rs
@@ -0,0 +1,114 @@
+//! Serves what a predecessor forwards to its successor, up to the predecessor's end.
+
+use super::frames::{PredecessorFrame, SuccessorFrame};
+use super::link::{HandOverError, Link};
+use crate::net::in_flight::Request;
+use crate::net::messages::{
+    AdminCommand, DeliveryMessage, EndpointListMessage, SubmitReply, DEFAULT_RETRY_AFTER,
+};
+use crate::net::{operator, Context};
+use async_channel::{SendError, Sender};
+use slog::info;
+use std::convert::Infallible;
+use std::rc::Rc;
+
+/// Serves the frames of the predecessor, then notifies the delivery actor that it is gone.
+pub(super) async fn serve(context: Rc<Context>, link: Link, endpoint_list: Sender<EndpointListMessage>) {
+    let mut served = ServedPredecessor { context: context.clone(), link, endpoint_list };
+    let Err(end) = served.serve_frames().await;
+    info!(context.log, "connection ended"; "side" => "predecessor", "reason" => end.name());
+    context.gauges.predecessor_connections.set(0);
+    // The delivery actor ends only with the process: nobody is left to notify.
+    let _ = context.delivery.send(DeliveryMessage::PredecessorGone).await;
+}
+
+/// Why nothing more is served.
+enum ServingEnd {
+    /// The connection failed: the predecessor is gone.
+    Link(HandOverError),
+    /// The delivery actor is gone: this process is ending.
+    ProcessEnding,
+}
+
+impl ServingEnd {
+    /// Its name in logs.
+    fn name(&self) -> &'static str {
+        match self {
+            ServingEnd::Link(error) => error.code(),
+            ServingEnd::ProcessEnding => "ending",
+        }
+    }
+}
+
+impl From<HandOverError> for ServingEnd {
+    fn from(error: HandOverError) -> Self {
+        ServingEnd::Link(error)
+    }
+}
+
+impl From<SendError<DeliveryMessage>> for ServingEnd {
+    fn from(_: SendError<DeliveryMessage>) -> Self {
+        ServingEnd::ProcessEnding
+    }
+}
+
+struct ServedPredecessor {
+    context: Rc<Context>,
+    link: Link,
+    endpoint_list: Sender<EndpointListMessage>,
+}
+
+impl ServedPredecessor {
+    /// Serves frames up to an error.
+    async fn serve_frames(&mut self) -> Result<Infallible, ServingEnd> {
+        loop {
+            let frame = self.link.read().await?;
+            self.serve(frame.head, frame.body).await?;
+        }
+    }
+
+    async fn serve(&self, frame: PredecessorFrame, body: Vec<u8>) -> Result<(), SendError<DeliveryMessage>> {
+        let delivery = &self.context.delivery;
+        match frame {
+            PredecessorFrame::Submit { number, mut request } => {
+                request.body = body.into();
+                self.submit(number, request).await
+            }
+            PredecessorFrame::Withdrawn { id } => delivery.send(DeliveryMessage::Withdrawn { id }).await,
+            PredecessorFrame::CallCompleted(completion) => {
+                if let Some(retry_after) = completion.result.retry_after {
+                    self.context.endpoint_table.retry_after(completion.endpoint, retry_after);
+                }
+                delivery.send(DeliveryMessage::CallCompleted(completion)).await
+            }
+            PredecessorFrame::Admin { number, command } => {
+                self.perform(number, command);
+                Ok(())
+            }
+            PredecessorFrame::State(_) | PredecessorFrame::Granted => Ok(()),
+        }
+    }
+
+    async fn submit(&self, number: u64, request: Request) -> Result<(), SendError<DeliveryMessage>> {
+        let (reply, replied) = async_channel::bounded(1);
+        let frames = self.link.frames.clone();
+        let replying = async move {
+            let reply = replied.recv().await.unwrap_or(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER));
+            // Where the predecessor is gone, so is its client.
+            let _ = frames.send(&SuccessorFrame::Reply { number, reply }).await;
+        };
+        self.context.executor.spawn(replying).detach();
+        self.context.delivery.send(DeliveryMessage::Submit { request, reply }).await
+    }
+
+    fn perform(&self, number: u64, command: AdminCommand) {
+        let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
+        let frames = self.link.frames.clone();
+        let performing = async move {
+            let result = operator::perform(&context, &endpoint_list, command).await;
+            // Where the predecessor is gone, so is its operator.
+            let _ = frames.send(&SuccessorFrame::AdminDone { number, result }).await;
+        };
+        self.context.executor.spawn(performing).detach();
+    }
+}
