--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use cedarbridge::membership::{HoldDown, Membership, MetadataNames, Policy, Shrink, SourceId};
-use cedarbridge::net::platform::eureka::{held::Held, json};
+use cedarbridge::net::platform::eureka::{held::RegistryCache, json};
 use cedarbridge::settings_json::Names;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::fmt::Write;
@@ -51,7 +51,7 @@
         shrink: Some(Shrink { share: 0.3, confirm: 10_000_000 }),
         by_address: true,
     };
-    let fresh = || (Held::default(), Membership::new(vec![("registry", policy())]));
+    let fresh = || (RegistryCache::default(), Membership::new(vec![("registry", policy())]));
     let whole = answer(0..APPS * EACH, 1_700_000_000_000, "ADDED");
     println!("the whole list: {} instances, {} bytes", APPS * EACH, whole.len());
     c.bench_function("whole list, 10,000 instances, read", |b| {
@@ -62,14 +62,14 @@
             fresh,
             |(mut held, mut membership)| {
                 let answer = json::read(whole.as_bytes()).expect("JSON");
-                let news = held.take(answer, true, &by, &names).news;
+                let news = held.apply(answer, true, &by, &names).update;
                 membership.take(0, SourceId(0), news).len()
             },
             BatchSize::LargeInput,
         )
     });
     let (mut held, mut membership) = fresh();
-    let all = held.take(json::read(whole.as_bytes()).expect("JSON"), true, &by, &names).news;
+    let all = held.apply(json::read(whole.as_bytes()).expect("JSON"), true, &by, &names).update;
     membership.take(0, SourceId(0), all);
     let mut stamp = 1_700_000_000_000;
     c.bench_function("delta of 10 among 10,000 instances, read and taken in", |b| {
@@ -80,7 +80,7 @@
             },
             |delta| {
                 let answer = json::read(delta.as_bytes()).expect("JSON");
-                let news = held.take(answer, false, &by, &names).news;
+                let news = held.apply(answer, false, &by, &names).update;
                 membership.take(0, SourceId(0), news).len()
             },
             BatchSize::SmallInput,
--- a/crates/lab/src/live/clients.rs
+++ b/crates/lab/src/live/clients.rs
@@ -139,12 +139,12 @@
         loop {
             match exchange(&mut wire, request.as_bytes()).await {
                 Ok(head) => {
-                    let after = head.fields.get("Retry-After").and_then(|r| r.parse::<f64>().ok());
+                    let after = head.headers.get("Retry-After").and_then(|r| r.parse::<f64>().ok());
                     let heard = Heard::Answer(head.status, after.map(|s| (s * 1e6) as Micros));
-                    return (heard, Some(wire).filter(|_| head.keeps));
+                    return (heard, Some(wire).filter(|_| head.keep_alive));
                 }
                 // It was closed between requests: once more on a new one.
-                Err(HttpError::Ended | HttpError::Socket(_)) if !fresh => {
+                Err(HttpError::Closed | HttpError::Socket(_)) if !fresh => {
                     fresh = true;
                     match connect(stage, forwarder).await {
                         Some(new) => wire = new,
@@ -169,8 +169,8 @@
 
 async fn exchange(wire: &mut HttpConnection, request: &[u8]) -> Result<ResponseHead, HttpError> {
     wire.write(request).await.map_err(HttpError::Socket)?;
-    let head = wire.read_answer().await?;
-    wire.answer_body(&head, 64 * 1024).await?;
+    let head = wire.read_response().await?;
+    wire.response_body(&head, 64 * 1024).await?;
     Ok(head)
 }
 
--- a/crates/lab/src/live/daemon.rs
+++ b/crates/lab/src/live/daemon.rs
@@ -149,7 +149,7 @@
         let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
         let request = format!("GET {path} HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n");
         wire.write(request.as_bytes()).await.ok()?;
-        Some(wire.read_answer().await.ok()?.status == 200)
+        Some(wire.read_response().await.ok()?.status == 200)
     };
     let late = async {
         Timer::after(Duration::from_millis(500)).await;
--- a/crates/lab/src/live/endpoint.rs
+++ b/crates/lab/src/live/endpoint.rs
@@ -303,7 +303,7 @@
         found.map(|n| (id.to_owned(), n)).ok_or_else(|| format!("`{id}` was handed in by nobody"))
     };
     if !batch {
-        return Ok(vec![number(head.fields.get("X-Request-Id").unwrap_or_default())?]);
+        return Ok(vec![number(head.headers.get("X-Request-Id").unwrap_or_default())?]);
     }
     let mut all = Vec::new();
     let mut rest = body;
--- a/crates/lab/src/live/fault.rs
+++ b/crates/lab/src/live/fault.rs
@@ -77,7 +77,7 @@
 fn call(head: &RequestHead, body: &[u8], fault: Fault) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
-        if let Some(value) = head.fields.get(name) {
+        if let Some(value) = head.headers.get(name) {
             let odd = if fault == Fault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
             text += &format!("{name}: {value}{odd}\r\n");
         }
@@ -91,15 +91,15 @@
 async fn send(real: SocketAddr, bytes: &[u8]) -> Option<(Vec<u8>, Option<f64>, u16)> {
     let mut wire = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
     wire.write(bytes).await.ok()?;
-    let head = wire.read_answer().await.ok()?;
-    let body = wire.answer_body(&head, 1 << 20).await.ok()?;
+    let head = wire.read_response().await.ok()?;
+    let body = wire.response_body(&head, 1 << 20).await.ok()?;
     let mut text = format!("HTTP/1.1 {} Passed On\r\n", head.status);
     for name in ["X-RateLimit-Wait-Ms", "X-Load"] {
-        if let Some(value) = head.fields.get(name) {
+        if let Some(value) = head.headers.get(name) {
             text += &format!("{name}: {value}\r\n");
         }
     }
-    let wait = head.fields.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
+    let wait = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
     let mut answer = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
     answer.extend_from_slice(&body);
     Some((answer, wait, head.status))
@@ -227,7 +227,7 @@
                 format!("POST /reports HTTP/1.1\r\nHost: agent\r\nContent-Length: {}\r\n\r\n", body.len());
             onward.write(head.as_bytes()).await.ok()?;
             onward.write(&body).await.ok()?;
-            onward.read_answer().await.ok()?;
+            onward.read_response().await.ok()?;
         }
         from.write(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").await.ok()?;
     }
--- a/crates/lab/src/live/load.rs
+++ b/crates/lab/src/live/load.rs
@@ -172,9 +172,9 @@
 /// The status, and whether the connection stays.
 async fn exchange(wire: &mut HttpConnection, request: &[u8]) -> Option<(u16, bool)> {
     wire.write(request).await.ok()?;
-    let head = wire.read_answer().await.ok()?;
-    wire.answer_body(&head, 64 * 1024).await.ok()?;
-    Some((head.status, head.keeps))
+    let head = wire.read_response().await.ok()?;
+    wire.response_body(&head, 64 * 1024).await.ok()?;
+    Some((head.status, head.keep_alive))
 }
 
 /// Takes everything at once, in a thread beside: what the load itself can do is measured against it.
--- a/crates/lab/src/live/mod.rs
+++ b/crates/lab/src/live/mod.rs
@@ -585,8 +585,8 @@
         wire.write(b"GET /_counters?by=partner HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n")
             .await
             .ok()?;
-        let head = wire.read_answer().await.ok()?;
-        let body = wire.answer_body(&head, 16 << 20).await.ok()?;
+        let head = wire.read_response().await.ok()?;
+        let body = wire.response_body(&head, 16 << 20).await.ok()?;
         serde_json::from_slice(&body).ok()
     };
     let late = async {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -90,12 +90,12 @@
     let ends_sending = new && world.chance(ENDS_SENDING);
     let written = wire.write(text.as_bytes()).await.is_ok();
     if ends_sending {
-        wire.end_sending();
+        wire.shutdown_write();
     }
     let answered = async {
-        match wire.read_answer().await {
-            Ok(head) => match wire.answer_body(&head, 4096).await {
-                Ok(_) => Heard::Status(head.status, head.keeps),
+        match wire.read_response().await {
+            Ok(head) => match wire.response_body(&head, 4096).await {
+                Ok(_) => Heard::Status(head.status, head.keep_alive),
                 Err(_) => Heard::Closed,
             },
             Err(_) => Heard::Closed,
--- a/crates/soak/src/endpoint.rs
+++ b/crates/soak/src/endpoint.rs
@@ -148,7 +148,7 @@
 }
 
 fn ids(head: &RequestHead, mut body: &[u8]) -> Vec<String> {
-    if let Some(id) = head.fields.get("X-Request-Id") {
+    if let Some(id) = head.headers.get("X-Request-Id") {
         return vec![id.to_owned()];
     }
     let mut ids = Vec::new();
--- a/crates/soak/src/forwarder.rs
+++ b/crates/soak/src/forwarder.rs
@@ -155,8 +155,8 @@
             let mut wire = HttpConnection::new(Async::<TcpStream>::connect(self.listen).await.ok()?);
             let text = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
             wire.write(text.as_bytes()).await.ok()?;
-            let head = wire.read_answer().await.ok().filter(|h| h.status == 200)?;
-            String::from_utf8(wire.answer_body(&head, 1 << 20).await.ok()?).ok()
+            let head = wire.read_response().await.ok().filter(|h| h.status == 200)?;
+            String::from_utf8(wire.response_body(&head, 1 << 20).await.ok()?).ok()
         };
         let late = async {
             sleep(Duration::from_millis(500)).await;
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -3,7 +3,7 @@
 use super::{lines, print, Failed, Files};
 use crate::membership::Question;
 use crate::membership::{Change, Membership, RegistrySettings, SourceId, SourceUpdate};
-use crate::net::platform::eureka::held::Taken;
+use crate::net::platform::eureka::held::AppliedAnswer;
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
 use crate::settings_json::Names;
@@ -88,8 +88,8 @@
         Membership::new(vec![("registry", self.settings.policy())])
     }
 
-    fn passed_over(&self, taken: &Taken) {
-        for (key, reason) in &taken.passed_over {
+    fn passed_over(&self, taken: &AppliedAnswer) {
+        for (key, reason) in &taken.unusable_entries {
             match self.json {
                 true => self.show(&json!({"app": key.group, "id": key.id, "passed_over": reason})),
                 false => print(&format!("{}  passed over: {reason}", key.id)),
@@ -102,13 +102,13 @@
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let mut why = String::new();
         for at in 0..self.settings.addresses.len() {
-            match registry.ask(at, Question::Whole).await {
+            match registry.poll(at, Question::Whole).await {
                 Ok(taken) => {
                     let mut membership = self.membership();
                     // What is not up is never added; it is shown all the same.
-                    let apart: Vec<_> = listings(&taken.news).cloned().collect();
+                    let apart: Vec<_> = listings(&taken.update).cloned().collect();
                     self.passed_over(&taken);
-                    membership.take(clock.now(), REGISTRY, taken.news);
+                    membership.take(clock.now(), REGISTRY, taken.update);
                     let mut shown: BTreeMap<_, Value> = BTreeMap::new();
                     for l in apart {
                         let (listing, key) = (l.clone(), (l.key, l.address));
@@ -154,12 +154,12 @@
             Timer::at(clock.at(wake)).await;
             let mut changes = membership.tick(clock.now());
             if wake == next.at {
-                match registry.ask(next.address, next.question).await {
+                match registry.poll(next.address, next.question).await {
                     Ok(taken) => {
                         self.passed_over(&taken);
-                        changes.extend(membership.take(clock.now(), REGISTRY, taken.news));
+                        changes.extend(membership.take(clock.now(), REGISTRY, taken.update));
                         let doubt = membership.in_doubt(REGISTRY);
-                        registry.poller.answered(clock.now(), next.question, taken.fits, doubt);
+                        registry.poller.answered(clock.now(), next.question, taken.hash_matches, doubt);
                     }
                     Err(e) => {
                         eprintln!("cedarbridge: {}: {e}", registry.address(next.address));
@@ -178,9 +178,9 @@
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let mut failed = Vec::new();
         for at in 0..count {
-            match registry.ask(at, Question::Whole).await {
+            match registry.poll(at, Question::Whole).await {
                 Ok(taken) => {
-                    for l in listings(&taken.news) {
+                    for l in listings(&taken.update) {
                         let state = format!("{:?} at {}, stamp {}", l.state, l.address, l.stamp);
                         let name = format!("{}/{}", l.key.group, l.key.id);
                         all.entry(name).or_default().insert(at, state);
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -243,17 +243,17 @@
     async fn converse(&mut self) -> Parting {
         // Silence and slowness of a newcomer count together: it is owed an end soon.
         let newcomer = Instant::now() + SLOW;
-        let (mut stay, mut until) = (EvictionPriority::Silent, newcomer);
+        let (mut stay, mut until) = (EvictionPriority::NoRequestYet, newcomer);
         loop {
             match self.await_request(stay, until).await {
                 Ok(()) => {}
                 // A request may be on its way and has nowhere else to go: whatever crosses the end has its answer.
-                Err(Parting::Closes(reason)) if stay == EvictionPriority::Silent => {
+                Err(Parting::Closes(reason)) if stay == EvictionPriority::NoRequestYet => {
                     return self.part_with(&Answer::service_unavailable(DEFAULT_RETRY_AFTER), reason).await;
                 }
                 Err(parting) => return parting,
             }
-            let due = if stay == EvictionPriority::Silent { newcomer } else { Instant::now() + SLOW };
+            let due = if stay == EvictionPriority::NoRequestYet { newcomer } else { Instant::now() + SLOW };
             let (head, body) = match self.read_in_time(due).await {
                 Some(Ok(request)) => request,
                 Some(Err(broken)) => return self.refuse_broken(broken).await,
@@ -272,7 +272,8 @@
                 Err(parting) => return parting,
             };
             let context = &self.context;
-            let keeps = head.keeps && !context.lifecycle.is_closing() && !context.closes_after_response();
+            let keeps =
+                head.keep_alive && !context.lifecycle.is_closing() && !context.closes_after_response();
             if !self.say(&answer, keeps).await {
                 if let Some(id) = answer.taken {
                     self.withdraw(id).await;
@@ -299,7 +300,7 @@
             if self.context.lifecycle.is_handed_over() {
                 // Another process is there for those who come again; the next answer says so.
                 Timer::after(PASSED_ON).await;
-            } else if stay == EvictionPriority::Silent {
+            } else if stay == EvictionPriority::NoRequestYet {
                 // Its request is on its way, and has nowhere else to go: nobody may send it a second time unasked.
                 future::or(self.context.lifecycle.until_stopped(), async {
                     Timer::after(FIRST_WORD).await;
@@ -310,7 +311,7 @@
         };
         let late = async {
             Timer::at(until).await;
-            Err(Parting::Closes(if stay == EvictionPriority::Silent { "silent" } else { "idle" }))
+            Err(Parting::Closes(if stay == EvictionPriority::NoRequestYet { "silent" } else { "idle" }))
         };
         let asked = async {
             guest.evicted().await;
@@ -358,7 +359,7 @@
         let (status, code) = match broken {
             HttpError::Malformed(_) => (400, broken.code()),
             HttpError::TooLarge => (413, broken.code()),
-            HttpError::Ended | HttpError::Torn | HttpError::Stalled => (400, "torn-request"),
+            HttpError::Closed | HttpError::UnexpectedEnd | HttpError::TimedOut => (400, "torn-request"),
             HttpError::Socket(_) => return Parting::Gone("torn-request"),
         };
         self.refuse(status, &broken.to_string(), code).await
@@ -391,13 +392,13 @@
 
     /// Ends the sending, then reads away what still comes, up to the other side's end or a bounded time.
     async fn take_leave(&mut self) {
-        let guest = self.lobby.register(EvictionPriority::Leaving);
-        self.wire.end_sending();
+        let guest = self.lobby.register(EvictionPriority::Lingering);
+        self.wire.shutdown_write();
         let enough = async {
             Timer::after(LINGER).await;
         };
         let asked = guest.evicted();
-        future::or(future::or(enough, asked), self.wire.drain()).await;
+        future::or(future::or(enough, asked), self.wire.discard_until_end()).await;
     }
 
     /// Answers a request; `gone` if the user agent has ended its sending with it.
@@ -454,9 +455,9 @@
     }
 
     fn read_message(&self, head: &RequestHead, body: Vec<u8>, came: Micros) -> Result<Request, String> {
-        let told = |name: &str| head.fields.get(name).filter(|v| !v.is_empty());
+        let told = |name: &str| head.headers.get(name).filter(|v| !v.is_empty());
         let must = |name: &str| told(name).ok_or(format!("no {name}"));
-        if let Some(name) = FIELDS.iter().find(|f| head.fields.count(f) > 1) {
+        if let Some(name) = FIELDS.iter().find(|f| head.headers.count(f) > 1) {
             return Err(format!("{name} comes twice"));
         }
         let word = must("X-Request-Id")?;
@@ -565,7 +566,7 @@
 
 async fn read(wire: &mut HttpConnection) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let head = wire.read_request().await?;
-    if head.fields.expects_continue() && !head.longer_than(BODY_LIMIT) {
+    if head.headers.expects_continue() && !head.is_longer_than(BODY_LIMIT) {
         wire.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(HttpError::Socket)?;
     }
     let body = wire.request_body(&head, BODY_LIMIT).await?;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -2,7 +2,7 @@
 
 use crate::invariants::RepeatRules;
 use crate::membership::RegistrySettings;
-use crate::net::platform::eureka::snapshot::Snapshot;
+use crate::net::platform::eureka::snapshot::RegistrySnapshot;
 use crate::settings_json::{field, in_field, micros, own_number, settings, text, whole, Names};
 use crate::{Class, Kind, Micros, Settings};
 use serde_json::Value;
@@ -182,7 +182,7 @@
 
     /// What the journal may take of the folder: a registry's last view is kept there too, and what operators set.
     pub fn journal_disk(&self) -> u64 {
-        let view = if self.registry.is_some() { Snapshot::room(self.disk) } else { 0 };
+        let view = if self.registry.is_some() { RegistrySnapshot::max_bytes(self.disk) } else { 0 };
         let operators = if self.operator.is_some() { OPERATORS_ROOM } else { 0 };
         self.disk.saturating_sub(view + operators)
     }
--- a/src/net/connection_registry.rs
+++ b/src/net/connection_registry.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionPriority {
     /// It has its last answer.
-    Leaving,
+    Lingering,
     /// It never sent a request.
-    Silent,
+    NoRequestYet,
     /// It was served and is between requests.
     Idle,
     /// Its request has begun and is not whole.
--- a/src/net/endpoint/mod.rs
+++ b/src/net/endpoint/mod.rs
@@ -93,7 +93,7 @@
                 now,
                 until: idle.until,
                 at_its_address: idle.address == address,
-                disturbed: idle.wire.poll_disturbed(&mut cx),
+                disturbed: idle.wire.poll_idle_end(&mut cx),
             };
             if let Err(reason) = may_reuse(&facts) {
                 drop(self.remove(at));
@@ -111,7 +111,7 @@
         };
         let idle = &mut self.idle;
         let disturbed = future::poll_fn(|cx| {
-            let any = idle.iter_mut().any(|i| i.wire.poll_disturbed(cx).is_some());
+            let any = idle.iter_mut().any(|i| i.wire.poll_idle_end(cx).is_some());
             if any {
                 std::task::Poll::Ready(())
             } else {
@@ -244,7 +244,7 @@
             let ended = read_answer(context, pass, &answer, &body, told.get(), reused);
             let crowded_out = ended.attempts.iter().any(|e| e.outcome == Outcome::ConnectFailed);
             match (slot.take(), back) {
-                (Some(wire), Some(back)) if answer.keeps && wire.buffer.bytes().is_empty() => {
+                (Some(wire), Some(back)) if answer.keep_alive && wire.buffer.bytes().is_empty() => {
                     let _ = back.send(EndpointMessage::ReturnConnection(wire)).await;
                 }
                 _ => closed(if crowded_out { "crowded-out" } else { "answered" }),
@@ -283,7 +283,7 @@
     if hearing >= context.config().max_concurrent_calls {
         return;
     }
-    wire.end_sending();
+    wire.shutdown_write();
     context.gauges.late_answer_readers.increment();
     let executor = context.executor.clone();
     let context = context.clone();
@@ -292,7 +292,7 @@
             Timer::after(HEARS_OUT).await;
             None
         };
-        let answer = async { wire.read_answer().await.ok() };
+        let answer = async { wire.read_response().await.ok() };
         if let Some(wait) = future::or(answer, late).await.as_ref().and_then(read_wait) {
             info!(context.log, "wait heard late"; "endpoint" => endpoint.0, "ms" => wait / 1000);
             context.endpoint_table.retry_after(endpoint, wait);
@@ -314,7 +314,7 @@
 /// written, told only where the connection had been used before and no answer had begun.
 pub fn broke(e: &HttpError, since: Option<Micros>) -> (Outcome, &'static str) {
     match e {
-        HttpError::Ended | HttpError::Socket(_) if since.is_some_and(|t| t < AT_ONCE) => {
+        HttpError::Closed | HttpError::Socket(_) if since.is_some_and(|t| t < AT_ONCE) => {
             (Outcome::StaleConnection, "stale")
         }
         e => (Outcome::Reset, e.code()),
@@ -345,7 +345,7 @@
         }
     }
     let wire = slot.as_mut().expect("just made");
-    wire.stall = Some(STALL);
+    wire.stall_timeout = Some(STALL);
     context.endpoint_list.until_received().await;
     context.stall_detector.until_caught_up(&context.clock).await;
     if let Err(refusal) = may_send(&send_facts(context, pass)) {
@@ -371,7 +371,7 @@
     }
     stage.set(Stage::Written);
     written.set(Some(context.clock.now()));
-    let answer = match wire.read_answer().await {
+    let answer = match wire.read_response().await {
         Ok(answer) => answer,
         Err(e) => return Stop::Broke(e),
     };
@@ -380,9 +380,9 @@
     told.set(read_wait(&answer));
     if answer.status == 200 && pass.attempts.len() == 1 {
         // It is delivered; the rest only decides on the connection.
-        wire.stall = Some(REST);
+        wire.stall_timeout = Some(REST);
     }
-    match wire.answer_body(&answer, ANSWER_LIMIT).await {
+    match wire.response_body(&answer, ANSWER_LIMIT).await {
         Ok(body) => Stop::Answer(answer, body),
         Err(e) => Stop::Broke(e),
     }
@@ -486,7 +486,7 @@
 
 /// The wait that the head of an answer tells.
 fn read_wait(answer: &ResponseHead) -> Option<Micros> {
-    let wait = answer.fields.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse::<f64>().ok());
+    let wait = answer.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse::<f64>().ok());
     wait.filter(|w| w.is_finite() && *w > 0.0).map(|w| (w.min(1e10) * 1000.0) as Micros)
 }
 
@@ -499,14 +499,16 @@
     wait: Option<Micros>,
     reused: bool,
 ) -> CallResult {
-    let report = answer.fields.get("X-Load").and_then(read_load);
+    let report = answer.headers.get("X-Load").and_then(read_load);
     let moot = |ended| AttemptResult { outcome: Outcome::NotSent, ended };
     let alike = match answer.status {
         200 if pass.attempts.len() > 1 => None,
         200 => Some(AttemptResult::of(Outcome::Ok)),
-        503 if answer.fields.get("X-Over-Slots").is_some_and(|v| v != "0") => Some(moot(false)),
+        503 if answer.headers.get("X-Over-Slots").is_some_and(|v| v != "0") => Some(moot(false)),
         // Too many connections at the endpoint: it ends the new one, where a full one lets it stay.
-        503 if !reused && !answer.keeps && wait.is_none() => Some(AttemptResult::of(Outcome::ConnectFailed)),
+        503 if !reused && !answer.keep_alive && wait.is_none() => {
+            Some(AttemptResult::of(Outcome::ConnectFailed))
+        }
         429 | 503 => Some(AttemptResult::of(Outcome::Rejected(wait))),
         504 => Some(moot(false)),
         410 => Some(moot(true)),
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -54,7 +54,7 @@
 impl FrameSender {
     async fn send(&self, head: &impl Serialize, body: &[u8]) -> Result<(), HttpError> {
         let head = serde_json::to_vec(head).map_err(|_| HttpError::Malformed("a frame cannot be written"))?;
-        self.frames.send(frame(&head, body)).await.map_err(|_| HttpError::Torn)
+        self.frames.send(frame(&head, body)).await.map_err(|_| HttpError::UnexpectedEnd)
     }
 
     /// What is dropped to call off an attempt that is out at the older process.
@@ -110,14 +110,14 @@
     let given = async {
         // What could not be written would not be in the folder that the other one reads.
         context.journal.pause().map_err(|_| HttpError::Malformed("the journal cannot be written"))?;
-        let mut link = Link::new(heir.wire, &context.executor)?;
+        let mut link = Link::new(heir.connection, &context.executor)?;
         link.speaker.send(&PredecessorFrame::State(Box::new(decider.state(heir.list))), &[]).await?;
         match link.read().await? {
             (SuccessorFrame::Owns, _) => Ok(link),
             _ => Err(HttpError::Malformed("it did not say that it owns")),
         }
     };
-    let given = within(TAKES, given).await.unwrap_or(Err(HttpError::Stalled));
+    let given = within(TAKES, given).await.unwrap_or(Err(HttpError::TimedOut));
     let link = match given {
         Ok(link) => link,
         Err(e) => {
@@ -264,7 +264,7 @@
             return Ok(FolderClaim { _next: next, owner, link: None, passed: None });
         }
         if let Some(named) = lock::read_owner(&config.state).filter(|_| !hopeless) {
-            match within(GIVES, ask(&named, executor)).await.unwrap_or(Err(HttpError::Stalled)) {
+            match within(GIVES, ask(&named, executor)).await.unwrap_or(Err(HttpError::TimedOut)) {
                 Ok((passed, link)) => {
                     return Ok(FolderClaim { _next: next, owner, link: Some(link), passed: Some(passed) });
                 }
@@ -289,10 +289,10 @@
     let head = format!("POST /admin/handover HTTP/1.1\r\nHost: {operator}\r\nX-Token: {token}\r\n");
     let rest = format!("X-Format: {FORMAT}\r\nContent-Length: 0\r\n\r\n");
     wire.write((head + &rest).as_bytes()).await.map_err(HttpError::Socket)?;
-    match wire.read_answer().await?.status {
+    match wire.read_response().await?.status {
         200 => {}
         415 => return Err(HttpError::Malformed("the process that serves speaks another form")),
-        _ => return Err(HttpError::Torn),
+        _ => return Err(HttpError::UnexpectedEnd),
     }
     let mut link = Link::new(wire, executor)?;
     let (PredecessorFrame::State(mut state), _) = link.read().await? else {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -20,9 +20,9 @@
 #[derive(Debug)]
 pub enum HttpError {
     /// It ended between two heads.
-    Ended,
+    Closed,
     /// It ended in the middle of something.
-    Torn,
+    UnexpectedEnd,
     /// The socket failed.
     Socket(io::Error),
     /// What came is not HTTP/1.1 as it should be.
@@ -30,19 +30,19 @@
     /// Head or body is over its limit.
     TooLarge,
     /// It came to a stop in the middle of something.
-    Stalled,
+    TimedOut,
 }
 
 impl HttpError {
     /// A code for the log.
     pub fn code(&self) -> &'static str {
         match self {
-            HttpError::Ended => "ended",
-            HttpError::Torn => "torn",
+            HttpError::Closed => "ended",
+            HttpError::UnexpectedEnd => "torn",
             HttpError::Socket(_) => "socket",
             HttpError::Malformed(_) => "malformed",
             HttpError::TooLarge => "too-large",
-            HttpError::Stalled => "stalled",
+            HttpError::TimedOut => "stalled",
         }
     }
 }
@@ -123,7 +123,7 @@
     }
 
     /// The other side will close after this exchange.
-    pub fn closes(&self) -> bool {
+    pub fn says_close(&self) -> bool {
         self.has_word("connection", "close")
     }
 
@@ -171,15 +171,15 @@
     /// Path and query.
     pub target: String,
     /// Its header fields.
-    pub fields: Headers,
+    pub headers: Headers,
     /// The connection may be used again after it.
-    pub keeps: bool,
+    pub keep_alive: bool,
     framing: Framing,
 }
 
 impl RequestHead {
     /// The body is said to be longer than that.
-    pub fn longer_than(&self, limit: usize) -> bool {
+    pub fn is_longer_than(&self, limit: usize) -> bool {
         matches!(self.framing, Framing::Length(length) if length > limit)
     }
 }
@@ -190,9 +190,9 @@
     /// Its status.
     pub status: u16,
     /// Its header fields.
-    pub fields: Headers,
+    pub headers: Headers,
     /// The connection may be used again after it.
-    pub keeps: bool,
+    pub keep_alive: bool,
     framing: Framing,
 }
 
@@ -222,7 +222,7 @@
     /// What has come and is not yet used.
     pub buffer: Buffer,
     /// What has begun must go on within this; without it, for ever.
-    pub stall: Option<Duration>,
+    pub stall_timeout: Option<Duration>,
 }
 
 impl HttpConnection {
@@ -230,7 +230,7 @@
     pub fn new(stream: Async<TcpStream>) -> Self {
         // Small messages must not wait for the answer to earlier ones.
         let _ = stream.get_ref().set_nodelay(true);
-        HttpConnection { stream, buffer: Buffer::default(), stall: None }
+        HttpConnection { stream, buffer: Buffer::default(), stall_timeout: None }
     }
 
     /// Who is at the other end.
@@ -260,15 +260,15 @@
     /// More of a head; nothing has begun while the buffer is empty.
     async fn more(&mut self) -> Result<(), HttpError> {
         let begun = !self.buffer.bytes().is_empty();
-        self.more_within(self.stall.filter(|_| begun)).await.map_err(|e| match e {
-            HttpError::Torn if !begun => HttpError::Ended,
+        self.more_within(self.stall_timeout.filter(|_| begun)).await.map_err(|e| match e {
+            HttpError::UnexpectedEnd if !begun => HttpError::Closed,
             e => e,
         })
     }
 
     /// More of a body: within it every end is a torn one, also with nothing left in the buffer.
     async fn more_of_it(&mut self) -> Result<(), HttpError> {
-        self.more_within(self.stall).await
+        self.more_within(self.stall_timeout).await
     }
 
     async fn more_within(&mut self, stall: Option<Duration>) -> Result<(), HttpError> {
@@ -277,11 +277,11 @@
                 Some(stall) => Timer::after(stall).await,
                 None => future::pending().await,
             };
-            Err(HttpError::Stalled)
+            Err(HttpError::TimedOut)
         };
         let filled = async {
             match self.fill().await {
-                Ok(0) => Err(HttpError::Torn),
+                Ok(0) => Err(HttpError::UnexpectedEnd),
                 Ok(_) => Ok(()),
                 Err(e) => Err(HttpError::Socket(e)),
             }
@@ -312,7 +312,7 @@
     }
 
     /// Tells the other side that nothing more will be written.
-    pub fn end_sending(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
     }
 
@@ -322,7 +322,7 @@
     }
 
     /// Reads away whatever comes, up to the end.
-    pub async fn drain(&mut self) {
+    pub async fn discard_until_end(&mut self) {
         let mut scratch = vec![0; SCRATCH];
         loop {
             match self.stream.read(&mut scratch).await {
@@ -348,11 +348,11 @@
                 Ok(httparse::Status::Complete(used)) => {
                     let fields = Headers::read(head.headers);
                     let framing = fields.framing(head.version)?.unwrap_or(Framing::Length(0));
-                    let keeps = head.version == Some(1) && !fields.closes();
+                    let keeps = head.version == Some(1) && !fields.says_close();
                     let word = |w: Option<&str>| w.unwrap_or_default().to_owned();
                     let (method, target) = (word(head.method), word(head.path));
                     self.buffer.consume(used);
-                    return Ok(RequestHead { method, target, fields, keeps, framing });
+                    return Ok(RequestHead { method, target, headers: fields, keep_alive: keeps, framing });
                 }
                 Ok(httparse::Status::Partial) if self.buffer.bytes().len() >= HEAD_LIMIT => {
                     return Err(HttpError::TooLarge)
@@ -365,7 +365,7 @@
     }
 
     /// Reads the head of an answer; interim ones are passed over.
-    pub async fn read_answer(&mut self) -> Result<ResponseHead, HttpError> {
+    pub async fn read_response(&mut self) -> Result<ResponseHead, HttpError> {
         let mut passed = 0;
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADER_COUNT];
@@ -377,11 +377,11 @@
                     let bare = matches!(status, 100..=199 | 204 | 304);
                     let marked =
                         if bare { Some(Framing::Length(0)) } else { fields.framing(head.version)? };
-                    let keeps = head.version == Some(1) && !fields.closes() && marked.is_some();
+                    let keeps = head.version == Some(1) && !fields.says_close() && marked.is_some();
                     self.buffer.consume(used);
                     if !(100..200).contains(&status) {
                         let framing = marked.unwrap_or(Framing::UntilEnd);
-                        return Ok(ResponseHead { status, fields, keeps, framing });
+                        return Ok(ResponseHead { status, headers: fields, keep_alive: keeps, framing });
                     }
                     passed += used;
                     if passed >= HEAD_LIMIT {
@@ -403,7 +403,7 @@
     }
 
     /// Reads the body of an answer.
-    pub async fn answer_body(&mut self, head: &ResponseHead, limit: usize) -> Result<Vec<u8>, HttpError> {
+    pub async fn response_body(&mut self, head: &ResponseHead, limit: usize) -> Result<Vec<u8>, HttpError> {
         self.body(head.framing, limit).await
     }
 
@@ -420,7 +420,7 @@
             }
             Framing::Chunked => {
                 let mut body = Vec::new();
-                while let Some(part) = self.chunk(limit - body.len()).await? {
+                while let Some(part) = self.read_chunk(limit - body.len()).await? {
                     body.extend_from_slice(&part);
                 }
                 Ok(body)
@@ -430,7 +430,7 @@
                     return Err(HttpError::TooLarge);
                 }
                 match self.more_of_it().await {
-                    Err(HttpError::Torn) => return Ok(self.buffer.bytes().to_vec()),
+                    Err(HttpError::UnexpectedEnd) => return Ok(self.buffer.bytes().to_vec()),
                     more => more?,
                 }
             },
@@ -438,7 +438,7 @@
     }
 
     /// The next chunk of a chunked body of an answer or request; none after the last.
-    pub async fn chunk(&mut self, limit: usize) -> Result<Option<Vec<u8>>, HttpError> {
+    pub async fn read_chunk(&mut self, limit: usize) -> Result<Option<Vec<u8>>, HttpError> {
         loop {
             let parsed = httparse::parse_chunk_size(self.buffer.bytes());
             let (used, size) = match parsed {
@@ -498,7 +498,7 @@
 
     /// Whether the other side has ended or sent something while nothing was asked, by the code of the reason. What it sent is
     /// kept, so that whoever looks next sees it too.
-    pub fn poll_disturbed(&mut self, cx: &mut std::task::Context<'_>) -> Option<&'static str> {
+    pub fn poll_idle_end(&mut self, cx: &mut std::task::Context<'_>) -> Option<&'static str> {
         use futures_lite::AsyncRead;
         if !self.buffer.bytes().is_empty() {
             return Some("unasked");
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -132,9 +132,9 @@
 /// How a watch was over.
 pub enum WatchEnd {
     /// The platform turned it away, maybe with a wait.
-    TurnedAway(u16, Option<Micros>),
+    Rejected(u16, Option<Micros>),
     /// Its connection was of no more use.
-    Broke(HttpError),
+    Failed(HttpError),
 }
 
 /// What a peer can be told.
@@ -190,7 +190,7 @@
 /// One that asks to take over.
 pub struct Successor {
     /// Its connection; it waits for the state.
-    pub wire: HttpConnection,
+    pub connection: HttpConnection,
     /// The list as the membership's actor holds it, which changes nothing from here on.
     pub list: MembershipSnapshot,
 }
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -135,18 +135,18 @@
                 (what, answer.unwrap_or_else(late), "answered")
             }
             Some(Err(HttpError::TooLarge)) => (String::new(), Answer::plain(413, "too long\n"), "too-large"),
-            Some(Err(HttpError::Ended)) => return (String::new(), "operator-closed"),
+            Some(Err(HttpError::Closed)) => return (String::new(), "operator-closed"),
             Some(Err(e)) => (String::new(), Answer::plain(400, format!("{e}\n")), e.code()),
             None => (String::new(), Answer::plain(408, "the call took too long\n"), "slow-request"),
         };
         if within(SLOW, self.wire.write(answer.bytes(false).as_bytes())).await.is_none_or(|w| w.is_err()) {
             return (what, "operator-gone");
         }
-        self.wire.end_sending();
+        self.wire.shutdown_write();
         // Closing on what still comes would reset the connection, and the answer could be lost with it.
-        let guest = self.lobby.register(EvictionPriority::Leaving);
+        let guest = self.lobby.register(EvictionPriority::Lingering);
         let drained = async {
-            within(LINGER, self.wire.drain()).await;
+            within(LINGER, self.wire.discard_until_end()).await;
         };
         future::or(guest.evicted(), drained).await;
         (what, reason)
@@ -157,7 +157,12 @@
         let Call { context, members, mut wire, .. } = self;
         let yes = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         let written = within(SLOW, wire.write(yes)).await.is_some_and(|w| w.is_ok());
-        if written && context.delivery.send(DeliveryMessage::HandOver(Successor { wire, list })).await.is_ok()
+        if written
+            && context
+                .delivery
+                .send(DeliveryMessage::HandOver(Successor { connection: wire, list }))
+                .await
+                .is_ok()
         {
             return "handed-over";
         }
@@ -222,7 +227,7 @@
 
     /// Whether another process may replace this one; if so, nothing changes any more on its way there.
     async fn begin_hand_over(&self, head: &RequestHead) -> Result<MembershipSnapshot, Answer> {
-        let told = |name: &str| head.fields.get(name).unwrap_or_default();
+        let told = |name: &str| head.headers.get(name).unwrap_or_default();
         if head.method != "POST" || !self.context.folder.is_token(told("X-Token")) {
             return Err(Answer::plain(404, "no such call\n"));
         }
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -105,9 +105,9 @@
     let head = format!("POST /reports HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n");
     let request = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
     wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
-    let answer = wire.read_answer().await?;
-    wire.answer_body(&answer, 64 * 1024).await?;
-    if answer.keeps {
+    let answer = wire.read_response().await?;
+    wire.response_body(&answer, 64 * 1024).await?;
+    if answer.keep_alive {
         *connection = Some((address, wire));
     }
     Ok(answer.status)
--- a/src/net/platform/endpoint_list.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -9,7 +9,7 @@
 use crate::net::http::{HttpConnection, HttpError};
 use crate::net::messages::{AdminError, DeliveryMessage, EndpointListMessage, WatchEnd};
 use crate::net::operator::cordons::Cordons;
-use crate::net::platform::eureka::snapshot::Snapshot;
+use crate::net::platform::eureka::snapshot::RegistrySnapshot;
 use crate::net::runtime::clock::wall;
 use crate::net::{within, within_or_error, Context};
 use crate::settings_json::{in_field, index, text, whole, Names};
@@ -75,7 +75,7 @@
 struct Asked {
     settings: Arc<RegistrySettings>,
     _task: Task<()>,
-    snapshot: Snapshot,
+    snapshot: RegistrySnapshot,
     /// While nothing has come from it: when the view that was kept is served.
     serve_at: Option<Micros>,
     /// The view that is served was kept by an earlier process.
@@ -461,7 +461,7 @@
             match asked.snapshot.read() {
                 Ok(Some(kept)) => {
                     asked.stale = true;
-                    let age = wall().saturating_sub(kept.at) / 1000;
+                    let age = wall().saturating_sub(kept.written_at) / 1000;
                     warn!(self.context.log, "the registry is silent, its last view is served";
                         "entries" => kept.listings.len(), "age_ms" => age);
                     let changes = self.membership.restore(now, REGISTRY, kept.listings);
@@ -519,7 +519,7 @@
             crate::net::platform::eureka::run(self.context.clone(), settings.clone(), self.own.clone());
         let heard = self.membership.counts(REGISTRY).heard.is_some();
         let serve_at = (!heard).then(|| self.context.clock.now() + settings.snapshot_after);
-        let snapshot = Snapshot::new(&self.context.config().state);
+        let snapshot = RegistrySnapshot::new(&self.context.config().state);
         let task = self.context.executor.spawn(asking);
         self.registry =
             Some(Asked { settings, _task: task, snapshot, serve_at, stale: false, keep_at: None });
@@ -550,11 +550,11 @@
             Timer::after(pause).await;
             let over = watch(address, after, number, &own).await;
             match &over {
-                WatchEnd::TurnedAway(status, _) => {
+                WatchEnd::Rejected(status, _) => {
                     info!(context.log, "connection ended"; "side" => "membership", "reason" => "turned-away",
                         "status" => status);
                 }
-                WatchEnd::Broke(e) => {
+                WatchEnd::Failed(e) => {
                     info!(context.log, "connection ended"; "side" => "membership", "reason" => e.code());
                 }
             };
@@ -586,8 +586,8 @@
         let wanted = self.context.config().discovery;
         if self.opening.is_empty() && self.held.as_ref().is_none_or(|w| w.address != wanted) {
             let pause = match over {
-                WatchEnd::TurnedAway(_, asked) => self.approach.turned_away(asked, fastrand::f64()),
-                WatchEnd::Broke(_) => self.approach.broke(fastrand::f64()),
+                WatchEnd::Rejected(_, asked) => self.approach.turned_away(asked, fastrand::f64()),
+                WatchEnd::Failed(_) => self.approach.broke(fastrand::f64()),
             };
             self.open(pause);
         }
@@ -644,7 +644,7 @@
             Ok(read) => read,
             Err(e) => {
                 warn!(self.context.log, "the list makes no sense"; "error" => e);
-                return self.ended(watch, WatchEnd::Broke(HttpError::Malformed("the list makes no sense")));
+                return self.ended(watch, WatchEnd::Failed(HttpError::Malformed("the list makes no sense")));
             }
         };
         if let Some(opened) = opened {
@@ -702,38 +702,38 @@
         let after = after.map_or(String::new(), |g| format!("&after={g}"));
         let request = format!("GET /catalog/members?watch=1{after} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
-        let head = wire.read_answer().await?;
+        let head = wire.read_response().await?;
         if head.status != 200 {
-            let asked = head.fields.get("Retry-After").and_then(|r| r.parse::<f64>().ok());
+            let asked = head.headers.get("Retry-After").and_then(|r| r.parse::<f64>().ok());
             let asked = asked.filter(|s| (0.0..=60.0).contains(s)).map(|s| (s * 1e6) as Micros);
             return Ok(Err((head.status, asked)));
         }
         // The first list comes at once, too.
-        let first = wire.chunk(LINE_LIMIT).await?;
+        let first = wire.read_chunk(LINE_LIMIT).await?;
         Ok(Ok((wire, first)))
     };
     let (mut wire, mut next) = match heard(number, OPENS, members, opening).await {
         Ok(Ok(opened)) => opened,
-        Ok(Err((status, asked))) => return WatchEnd::TurnedAway(status, asked),
-        Err(e) => return WatchEnd::Broke(e),
+        Ok(Err((status, asked))) => return WatchEnd::Rejected(status, asked),
+        Err(e) => return WatchEnd::Failed(e),
     };
     let mut line = Vec::new();
     loop {
-        let Some(part) = next else { return WatchEnd::Broke(HttpError::Ended) };
+        let Some(part) = next else { return WatchEnd::Failed(HttpError::Closed) };
         line.extend_from_slice(&part);
         while let Some(end) = line.iter().position(|b| *b == b'\n') {
             let rest = line.split_off(end + 1);
             let line = std::mem::replace(&mut line, rest);
             if members.send(EndpointListMessage::WatchLine { watch: number, line }).await.is_err() {
-                return WatchEnd::Broke(HttpError::Ended);
+                return WatchEnd::Failed(HttpError::Closed);
             }
         }
         if line.len() > LINE_LIMIT {
-            return WatchEnd::Broke(HttpError::TooLarge);
+            return WatchEnd::Failed(HttpError::TooLarge);
         }
-        next = match heard(number, SILENCE, members, wire.chunk(LINE_LIMIT)).await {
+        next = match heard(number, SILENCE, members, wire.read_chunk(LINE_LIMIT)).await {
             Ok(part) => part,
-            Err(e) => return WatchEnd::Broke(e),
+            Err(e) => return WatchEnd::Failed(e),
         };
     }
 }
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -13,39 +13,39 @@
 
 /// Why a question has no answer that can be used.
 #[derive(Debug, thiserror::Error)]
-pub enum Failed {
+pub enum RegistryError {
     /// The host's name leads nowhere.
     #[error("the name `{0}` leads nowhere")]
-    Name(String),
+    UnknownHost(String),
     /// The connection failed, or what came is no HTTP within the limits.
     #[error("{0}")]
-    Broken(HttpError),
+    Http(HttpError),
     /// Another status than wanted.
     #[error("status {0}")]
     Status(u16),
     /// It cannot be unpacked within the limits.
     #[error("it cannot be unpacked: {0}")]
-    Packed(String),
+    Decompression(String),
     /// It cannot be read.
     #[error("{0}")]
-    Unread(String),
+    Malformed(String),
 }
 
-impl From<HttpError> for Failed {
+impl From<HttpError> for RegistryError {
     fn from(e: HttpError) -> Self {
-        Failed::Broken(e)
+        RegistryError::Http(e)
     }
 }
 
 /// A registry address, with its connection while that can be used again.
-pub struct Client {
+pub struct RegistryClient {
     address: Address,
     timeout: Duration,
     largest: usize,
     wire: Option<HttpConnection>,
 }
 
-async fn resolve(address: &Address) -> Result<SocketAddr, Failed> {
+async fn resolve(address: &Address) -> Result<SocketAddr, RegistryError> {
     if let Ok(ip) = address.host.parse::<IpAddr>() {
         return Ok(SocketAddr::new(ip, address.port));
     }
@@ -53,28 +53,28 @@
     let found =
         run_blocking(move || (host.as_str(), port).to_socket_addrs().ok().and_then(|mut all| all.next()))
             .await;
-    found.flatten().ok_or_else(|| Failed::Name(address.host.clone()))
+    found.flatten().ok_or_else(|| RegistryError::UnknownHost(address.host.clone()))
 }
 
-impl Client {
+impl RegistryClient {
     /// Asks that address, each time for so long at most, reading so many bytes at most.
     pub fn new(address: Address, timeout: Micros, largest: usize) -> Self {
-        Client { address, timeout: Duration::from_micros(timeout), largest, wire: None }
+        RegistryClient { address, timeout: Duration::from_micros(timeout), largest, wire: None }
     }
 
     /// Sends a request below the address's prefix and reads the answer: its status and body, unpacked. A
     /// connection that was kept and has died meanwhile is not a failure: the request is sent once more.
-    pub async fn ask(
+    pub async fn send(
         &mut self,
         method: &str,
         path: &str,
         body: Option<&str>,
-    ) -> Result<(u16, Vec<u8>), Failed> {
+    ) -> Result<(u16, Vec<u8>), RegistryError> {
         let kept = self.wire.take();
         let reused = kept.is_some();
         let timeout = self.timeout;
         match within_or_error(self.exchange(kept, method, path, body), timeout).await {
-            Err(Failed::Broken(HttpError::Ended | HttpError::Socket(_))) if reused => {
+            Err(RegistryError::Http(HttpError::Closed | HttpError::Socket(_))) if reused => {
                 within_or_error(self.exchange(None, method, path, body), timeout).await
             }
             other => other,
@@ -87,7 +87,7 @@
         method: &str,
         path: &str,
         body: Option<&str>,
-    ) -> Result<(u16, Vec<u8>), Failed> {
+    ) -> Result<(u16, Vec<u8>), RegistryError> {
         let mut wire = match kept {
             Some(wire) => wire,
             None => {
@@ -106,37 +106,37 @@
         request += "\r\n";
         request += body.unwrap_or_default();
         wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
-        let head = wire.read_answer().await?;
-        let body = wire.answer_body(&head, self.largest).await?;
-        let packed = head.fields.get("content-encoding").is_some_and(|c| c.eq_ignore_ascii_case("gzip"));
-        if head.keeps && wire.buffer.bytes().is_empty() {
+        let head = wire.read_response().await?;
+        let body = wire.response_body(&head, self.largest).await?;
+        let packed = head.headers.get("content-encoding").is_some_and(|c| c.eq_ignore_ascii_case("gzip"));
+        if head.keep_alive && wire.buffer.bytes().is_empty() {
             self.wire = Some(wire);
         }
         Ok((head.status, if packed { self.unpack(&body)? } else { body }))
     }
 
     /// A small answer may unpack to a huge one: it is read no further than the limit.
-    fn unpack(&self, body: &[u8]) -> Result<Vec<u8>, Failed> {
+    fn unpack(&self, body: &[u8]) -> Result<Vec<u8>, RegistryError> {
         let mut plain = Vec::new();
         let mut reader = flate2::read::GzDecoder::new(body).take(self.largest as u64 + 1);
-        reader.read_to_end(&mut plain).map_err(|e| Failed::Packed(e.to_string()))?;
+        reader.read_to_end(&mut plain).map_err(|e| RegistryError::Decompression(e.to_string()))?;
         if plain.len() > self.largest {
-            return Err(Failed::Packed(format!("more than {} bytes", self.largest)));
+            return Err(RegistryError::Decompression(format!("more than {} bytes", self.largest)));
         }
         Ok(plain)
     }
 
     /// Asks for applications and reads them, by what they look like: servers name their types loosely.
-    pub async fn applications(&mut self, path: &str) -> Result<Applications, Failed> {
-        match self.ask("GET", path, None).await? {
-            (200, body) => read(&body).map_err(Failed::Unread),
-            (status, _) => Err(Failed::Status(status)),
+    pub async fn applications(&mut self, path: &str) -> Result<Applications, RegistryError> {
+        match self.send("GET", path, None).await? {
+            (200, body) => read(&body).map_err(RegistryError::Malformed),
+            (status, _) => Err(RegistryError::Status(status)),
         }
     }
 }
 
 /// A name as a part of a path (RFC 3986, section 2.3: what is not unreserved is written as octets).
-pub fn path_part(name: &str) -> String {
+pub fn percent_encode(name: &str) -> String {
     let plain = |b: u8| b.is_ascii_alphanumeric() || b"-._~:".contains(&b);
     name.bytes().map(|b| if plain(b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
 }
--- a/src/net/platform/eureka/held.rs
+++ b/src/net/platform/eureka/held.rs
@@ -1,7 +1,7 @@
 //! The registry as its answers have it: every instance, also those that are no partners, so that the hash of a
 //! delta can be held against it; and what of it is news for the membership. It does no I/O.
 
-use super::model::{hash_code, Act, Applications, Instance, Status};
+use super::model::{hash_code, Action, Applications, Instance, Status};
 use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
 use crate::settings_json::{index, Names};
 use crate::{DestinationId, KindId, ZoneId};
@@ -13,19 +13,19 @@
 
 /// Everything that the registry has told of.
 #[derive(Default)]
-pub struct Held {
+pub struct RegistryCache {
     statuses: HashMap<Key, Status>,
     passed_over: HashSet<Key>,
 }
 
 /// What an answer came to.
-pub struct Taken {
+pub struct AppliedAnswer {
     /// For the membership.
-    pub news: SourceUpdate,
+    pub update: SourceUpdate,
     /// Entries that cannot be used, with the reason; each is told of once.
-    pub passed_over: Vec<(Key, String)>,
+    pub unusable_entries: Vec<(Key, String)>,
     /// What is held hashes to what the answer says.
-    pub fits: bool,
+    pub hash_matches: bool,
 }
 
 fn key(i: &Instance) -> Key {
@@ -33,8 +33,8 @@
 }
 
 fn state(i: &Instance) -> State {
-    match (i.act, i.status) {
-        (Act::Delete, _) => State::Gone,
+    match (i.action, i.status) {
+        (Action::Delete, _) => State::Gone,
         (_, Status::Up) => State::Up,
         (_, Status::Down | Status::Starting | Status::OutOfService) => State::Leaving,
         (_, Status::Unknown) => State::Unknown,
@@ -64,13 +64,19 @@
         kind: KindId(kind),
         weight,
         state: state(i),
-        stamp: i.stamp,
+        stamp: i.modified_at_ms,
     })
 }
 
-impl Held {
+impl RegistryCache {
     /// Takes in an answer, the whole or a delta.
-    pub fn take(&mut self, answer: Applications, whole: bool, by: &MetadataNames, names: &Names) -> Taken {
+    pub fn apply(
+        &mut self,
+        answer: Applications,
+        whole: bool,
+        by: &MetadataNames,
+        names: &Names,
+    ) -> AppliedAnswer {
         let mut passed_over = Vec::new();
         let (mut listings, mut removed) = (Vec::new(), Vec::new());
         if whole {
@@ -78,16 +84,16 @@
         }
         for i in &answer.instances {
             let key = key(i);
-            match i.act {
-                Act::Delete if !whole => drop(self.statuses.remove(&key)),
+            match i.action {
+                Action::Delete if !whole => drop(self.statuses.remove(&key)),
                 _ => drop(self.statuses.insert(key.clone(), i.status)),
             }
             match listing(i, by, names) {
                 Ok(listing) => listings.push(listing),
                 // Its name is enough to take it out, whatever else it lacks.
-                Err(_) if i.act == Act::Delete => removed.push((key, i.stamp)),
+                Err(_) if i.action == Action::Delete => removed.push((key, i.modified_at_ms)),
                 Err(reason) => {
-                    removed.push((key.clone(), i.stamp));
+                    removed.push((key.clone(), i.modified_at_ms));
                     if self.passed_over.len() >= TOLD {
                         self.passed_over.clear();
                     }
@@ -104,11 +110,11 @@
         } else {
             SourceUpdate::Patch { listings, removed }
         };
-        Taken { news, passed_over, fits }
+        AppliedAnswer { update: news, unusable_entries: passed_over, hash_matches: fits }
     }
 
     /// How many entries could not be used, as far as they are remembered.
-    pub fn passed_over(&self) -> usize {
+    pub fn unusable_entry_count(&self) -> usize {
         self.passed_over.len()
     }
 }
--- a/src/net/platform/eureka/json.rs
+++ b/src/net/platform/eureka/json.rs
@@ -1,7 +1,7 @@
 //! Answers of a registry in JSON, as real servers write it: one element in place of a list, numbers as text,
 //! attributes as `"@enabled"` and `"$"`, fields that nobody knows. It gives no meaning to what it reads.
 
-use super::model::{check_names, Act, Applications, Instance, Status};
+use super::model::{check_text_lengths, Action, Applications, Instance, Status};
 use serde::de::{Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -214,11 +214,11 @@
         ip: first(raw.ip_addr.0, &raw.host_name.0),
         port: raw.port.0.or(raw.secure_port.0),
         status: Status::read(&raw.status.0),
-        stamp: raw.last_updated_timestamp.number().max(raw.last_dirty_timestamp.number()),
+        modified_at_ms: raw.last_updated_timestamp.number().max(raw.last_dirty_timestamp.number()),
         metadata: raw.metadata.0,
-        act: if raw.action_type.0 == "DELETED" { Act::Delete } else { Act::Put },
+        action: if raw.action_type.0 == "DELETED" { Action::Delete } else { Action::Upsert },
     };
-    check_names(&read)?;
+    check_text_lengths(&read)?;
     Ok(read)
 }
 
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -17,9 +17,9 @@
 use crate::Micros;
 use async_channel::Sender;
 use async_io::Timer;
-use client::{path_part, Client, Failed};
+use client::{percent_encode, RegistryClient, RegistryError};
 use counts::increment;
-use held::{Held, Taken};
+use held::{AppliedAnswer, RegistryCache};
 use model::Applications;
 use serde_json::json;
 use slog::{info, warn};
@@ -30,50 +30,51 @@
 pub struct Registry {
     settings: Arc<RegistrySettings>,
     names: Arc<Names>,
-    clients: Vec<Client>,
+    clients: Vec<RegistryClient>,
     /// What is to be asked, and when.
     pub poller: Poller,
-    held: Held,
+    held: RegistryCache,
 }
 
 impl Registry {
     /// A registry of which nothing is known.
     pub fn new(settings: Arc<RegistrySettings>, names: Arc<Names>, now: Micros) -> Self {
-        let client =
-            |a: &crate::membership::Address| Client::new(a.clone(), settings.timeout, settings.largest);
+        let client = |a: &crate::membership::Address| {
+            RegistryClient::new(a.clone(), settings.timeout, settings.largest)
+        };
         let clients = settings.addresses.iter().map(client).collect();
         let poller = Poller::new(&settings, now);
-        Registry { settings, names, clients, poller, held: Held::default() }
+        Registry { settings, names, clients, poller, held: RegistryCache::default() }
     }
 
     /// Asks one address.
-    pub async fn ask(&mut self, address: usize, question: Question) -> Result<Taken, Failed> {
+    pub async fn poll(&mut self, address: usize, question: Question) -> Result<AppliedAnswer, RegistryError> {
         let client = &mut self.clients[address];
         let answer = match (question, &self.settings.ask) {
             (Question::Delta, _) => client.applications("/apps/delta").await?,
             (Question::Whole, Ask::All) => client.applications("/apps").await?,
             (Question::Whole, Ask::Vip(vip)) => {
-                client.applications(&format!("/vips/{}", path_part(vip))).await?
+                client.applications(&format!("/vips/{}", percent_encode(vip))).await?
             }
             (Question::Whole, Ask::Apps(apps)) => {
                 let mut all = Applications::default();
                 for app in apps {
-                    match client.applications(&format!("/apps/{}", path_part(app))).await {
+                    match client.applications(&format!("/apps/{}", percent_encode(app))).await {
                         Ok(one) => all.instances.extend(one.instances),
                         // An application without instances is no failure.
-                        Err(Failed::Status(404)) => {}
+                        Err(RegistryError::Status(404)) => {}
                         Err(e) => return Err(e),
                     }
                 }
                 all
             }
         };
-        Ok(self.held.take(answer, question == Question::Whole, &self.settings.metadata, &self.names))
+        Ok(self.held.apply(answer, question == Question::Whole, &self.settings.metadata, &self.names))
     }
 
     /// How many entries could not be used.
-    pub fn passed_over(&self) -> usize {
-        self.held.passed_over()
+    pub fn unusable_entry_count(&self) -> usize {
+        self.held.unusable_entry_count()
     }
 
     /// What an address is called.
@@ -97,22 +98,22 @@
     loop {
         let next = registry.poller.next_question();
         Timer::at(clock.at(next.at)).await;
-        match registry.ask(next.address, next.question).await {
+        match registry.poll(next.address, next.question).await {
             Ok(taken) => {
                 increment(&counts.polls);
                 increment(if next.question == Question::Delta { &counts.deltas } else { &counts.complete });
                 counts.address.set(next.address);
-                for (key, reason) in &taken.passed_over {
+                for (key, reason) in &taken.unusable_entries {
                     info!(context.log, "entry passed over"; "app" => &key.group, "id" => &key.id, "reason" => reason);
                 }
-                counts.unusable_entries.set(registry.passed_over());
-                if !taken.fits {
+                counts.unusable_entries.set(registry.unusable_entry_count());
+                if !taken.hash_matches {
                     increment(&counts.mismatches);
                     info!(context.log, "the registry's hash does not fit"; "address" => registry.address(next.address));
                 }
                 let (told, doubt) = async_channel::bounded(1);
                 let news = EndpointListMessage::RegistryUpdate {
-                    update: taken.news,
+                    update: taken.update,
                     received_at: clock.now(),
                     doubted: told,
                 };
@@ -120,7 +121,7 @@
                     return;
                 }
                 let in_doubt = doubt.recv().await.unwrap_or(false);
-                registry.poller.answered(clock.now(), next.question, taken.fits, in_doubt);
+                registry.poller.answered(clock.now(), next.question, taken.hash_matches, in_doubt);
             }
             Err(e) => {
                 increment(&counts.failures);
--- a/src/net/platform/eureka/model.rs
+++ b/src/net/platform/eureka/model.rs
@@ -34,7 +34,7 @@
     }
 
     /// The protocol's word.
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Status::Up => "UP",
             Status::Down => "DOWN",
@@ -47,9 +47,9 @@
 
 /// What a delta says of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Action {
     /// It is there, new or changed.
-    Put,
+    Upsert,
     /// It is gone.
     Delete,
 }
@@ -68,11 +68,11 @@
     /// Its status.
     pub status: Status,
     /// The later of `lastUpdatedTimestamp` and `lastDirtyTimestamp`, in milliseconds.
-    pub stamp: u64,
+    pub modified_at_ms: u64,
     /// Its metadata.
     pub metadata: BTreeMap<String, String>,
     /// In a delta, what became of it.
-    pub act: Act,
+    pub action: Action,
 }
 
 /// A whole answer.
@@ -94,11 +94,11 @@
     let mut counts = [0usize; 5];
     statuses.for_each(|s| counts[BY_NAME.iter().position(|b| *b == s).expect("one of all")] += 1);
     let occurring = BY_NAME.iter().zip(counts).filter(|(_, count)| *count > 0);
-    occurring.map(|(status, count)| format!("{}_{count}_", status.word())).collect()
+    occurring.map(|(status, count)| format!("{}_{count}_", status.name())).collect()
 }
 
 /// Checks that no text of an instance is longer than any is.
-pub fn check_names(i: &Instance) -> Result<(), String> {
+pub fn check_text_lengths(i: &Instance) -> Result<(), String> {
     let texts = [&i.app, &i.id, &i.ip].into_iter().chain(i.metadata.iter().flat_map(|(k, v)| [k, v]));
     match texts.map(String::len).find(|l| *l > LONGEST_NAME) {
         Some(long) => Err(format!("a name of {long} bytes")),
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -1,7 +1,7 @@
 //! This forwarder as an entry of the registry: registered, renewed, taken out of service when it starts to end, and
 //! cancelled at its end. Nothing that it decides depends on it.
 
-use super::client::{path_part, Client, Failed};
+use super::client::{percent_encode, RegistryClient, RegistryError};
 use crate::membership::{Registration, RegistrySettings};
 use crate::net::{within, Context};
 use async_channel::{Receiver, Sender};
@@ -17,19 +17,19 @@
 /// After a failure the next address is tried after this.
 const AGAIN: Duration = Duration::from_secs(1);
 /// At the end, a word to the registry may take so long.
-pub const LAST_WORD: Duration = Duration::from_millis(150);
+pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(150);
 
 struct Entry<'a> {
     registration: &'a Registration,
     name: String,
     listen: SocketAddr,
-    clients: Vec<Client>,
+    clients: Vec<RegistryClient>,
     at: usize,
 }
 
 impl Entry<'_> {
     fn path(&self) -> String {
-        format!("/apps/{}/{}", path_part(&self.registration.app), path_part(&self.name))
+        format!("/apps/{}/{}", percent_encode(&self.registration.app), percent_encode(&self.name))
     }
 
     fn document(&self, status: &str) -> String {
@@ -45,8 +45,8 @@
         .to_string()
     }
 
-    async fn ask(&mut self, method: &str, path: &str, body: Option<&str>) -> Result<u16, Failed> {
-        let asked = self.clients[self.at].ask(method, path, body).await;
+    async fn ask(&mut self, method: &str, path: &str, body: Option<&str>) -> Result<u16, RegistryError> {
+        let asked = self.clients[self.at].send(method, path, body).await;
         if asked.is_err() {
             self.at = (self.at + 1) % self.clients.len();
         }
@@ -54,7 +54,8 @@
     }
 
     async fn register(&mut self, context: &Context) -> bool {
-        let (app, document) = (format!("/apps/{}", path_part(&self.registration.app)), self.document("UP"));
+        let (app, document) =
+            (format!("/apps/{}", percent_encode(&self.registration.app)), self.document("UP"));
         let told = match self.ask("POST", &app, Some(&document)).await {
             Ok(200..=299) => return true,
             Ok(status) => format!("status {status}"),
@@ -83,7 +84,7 @@
     let Some(registration) = &settings.register else { return };
     let clients = || {
         let all = settings.addresses.iter();
-        all.map(|a| Client::new(a.clone(), settings.timeout, settings.largest)).collect()
+        all.map(|a| RegistryClient::new(a.clone(), settings.timeout, settings.largest)).collect()
     };
     let config = context.config();
     let mut entry = Entry {
@@ -108,7 +109,7 @@
     let out = entry.ask("PUT", &format!("{path}/status?value=OUT_OF_SERVICE"), None).await;
     info!(context.log, "taken out of service"; "answer" => ?out.ok());
     let _ = end.recv().await;
-    let cancelled = within(LAST_WORD, entry.ask("DELETE", &path, None)).await;
+    let cancelled = within(CANCEL_TIMEOUT, entry.ask("DELETE", &path, None)).await;
     info!(context.log, "lease cancelled"; "answer" => ?cancelled.and_then(Result::ok));
     drop(gone);
 }
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -38,26 +38,26 @@
 }
 
 /// Where the view is kept.
-pub struct Snapshot {
+pub struct RegistrySnapshot {
     folder: PathBuf,
 }
 
 /// A view that was kept.
-pub struct Kept {
+pub struct SavedView {
     /// When it was written, in Unix time.
-    pub at: Micros,
+    pub written_at: Micros,
     /// Its entries.
     pub listings: Vec<Listing>,
 }
 
-impl Snapshot {
+impl RegistrySnapshot {
     /// In that folder.
     pub fn new(folder: &Path) -> Self {
-        Snapshot { folder: folder.to_owned() }
+        RegistrySnapshot { folder: folder.to_owned() }
     }
 
     /// Reads what was kept; nothing if there is none, an error if it is damaged.
-    pub fn read(&self) -> io::Result<Option<Kept>> {
+    pub fn read(&self) -> io::Result<Option<SavedView>> {
         let bytes = match fs::read(self.folder.join(NAME)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             read => read?,
@@ -83,7 +83,7 @@
             state: if e.up { State::Up } else { State::Leaving },
             stamp: 0,
         };
-        Ok(Some(Kept { at: file.at, listings: file.entries.into_iter().map(listing).collect() }))
+        Ok(Some(SavedView { written_at: file.at, listings: file.entries.into_iter().map(listing).collect() }))
     }
 
     /// Replaces what was kept, within a limit in bytes of the folder; how many bytes the view and its replacement
@@ -123,7 +123,7 @@
     }
 
     /// The most bytes that the view and its replacement may take of a folder.
-    pub fn room(folder_limit: u64) -> u64 {
+    pub fn max_bytes(folder_limit: u64) -> u64 {
         2 * (folder_limit / PART)
     }
 }
@@ -136,7 +136,7 @@
     fn a_view_is_kept_whole_and_a_damaged_one_is_refused() {
         let folder = std::env::temp_dir().join(format!("cedarbridge-snapshot-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
-        let snapshot = Snapshot::new(&folder);
+        let snapshot = RegistrySnapshot::new(&folder);
         assert!(snapshot.read().expect("nothing yet").is_none());
         let listing = |n: u16, state| Listing {
             key: Key { group: "APP".into(), id: format!("i{n}") },
@@ -151,10 +151,10 @@
         let all = [listing(1, State::Up), listing(2, State::Leaving)];
         assert!(snapshot.write(7, all.iter(), 1_000_000).expect("written").is_some());
         let kept = snapshot.read().expect("sound").expect("there");
-        assert_eq!((kept.at, kept.listings.as_slice()), (7, &all[..]));
+        assert_eq!((kept.written_at, kept.listings.as_slice()), (7, &all[..]));
         // One that is too large leaves the old one standing.
         assert!(snapshot.write(8, all.iter(), 64).expect("no failure").is_none());
-        assert_eq!(snapshot.read().expect("sound").expect("there").at, 7);
+        assert_eq!(snapshot.read().expect("sound").expect("there").written_at, 7);
         let path = folder.join(NAME);
         let bytes = fs::read(&path).expect("read");
         for at in [0, 5, bytes.len() / 2, bytes.len() - 1] {
--- a/src/net/platform/eureka/xml.rs
+++ b/src/net/platform/eureka/xml.rs
@@ -1,6 +1,6 @@
 //! Answers of a registry in XML, for servers that write nothing else. It gives no meaning to what it reads.
 
-use super::model::{check_names, Act, Applications, Instance, Status, LONGEST_NAME};
+use super::model::{check_text_lengths, Action, Applications, Instance, Status, LONGEST_NAME};
 use quick_xml::events::{BytesStart, Event};
 use quick_xml::Reader;
 use std::collections::BTreeMap;
@@ -32,11 +32,11 @@
             ip: first(take("ipAddr"), &host),
             port: enabled("port", port).or(enabled("securePort", secure)),
             status: Status::read(take("status").trim()),
-            stamp: number(take("lastUpdatedTimestamp")).max(number(take("lastDirtyTimestamp"))),
-            act: if take("actionType") == "DELETED" { Act::Delete } else { Act::Put },
+            modified_at_ms: number(take("lastUpdatedTimestamp")).max(number(take("lastDirtyTimestamp"))),
+            action: if take("actionType") == "DELETED" { Action::Delete } else { Action::Upsert },
             metadata: self.metadata,
         };
-        check_names(&read)?;
+        check_text_lengths(&read)?;
         Ok(read)
     }
 }
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -345,6 +345,6 @@
     /// Cancels it, and waits a moment until the registry knows.
     async fn cancel(self) {
         drop(self.cancel);
-        within(eureka::register::LAST_WORD, self.cancelled.recv()).await;
+        within(eureka::register::CANCEL_TIMEOUT, self.cancelled.recv()).await;
     }
 }
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,9 +1,9 @@
 //! The readers of a registry's answers, on what real servers write and on what nobody should.
 
 use cedarbridge::membership::{MetadataNames, SourceUpdate, State};
-use cedarbridge::net::platform::eureka::client::path_part;
-use cedarbridge::net::platform::eureka::held::Held;
-use cedarbridge::net::platform::eureka::model::{hash_code, Act, Status};
+use cedarbridge::net::platform::eureka::client::percent_encode;
+use cedarbridge::net::platform::eureka::held::RegistryCache;
+use cedarbridge::net::platform::eureka::model::{hash_code, Action, Status};
 use cedarbridge::net::platform::eureka::{json, xml};
 use cedarbridge::settings_json::Names;
 use proptest::prelude::*;
@@ -34,9 +34,12 @@
     assert_eq!(a, b);
     assert_eq!((a.version, a.hash.as_deref()), (Some(3), Some("DOWN_1_UP_1_")));
     let [one, other] = a.instances.as_slice() else { panic!("two") };
-    assert_eq!((one.id.as_str(), one.port, one.stamp, one.status), ("a:1", Some(8080), 1500, Status::Up));
+    assert_eq!(
+        (one.id.as_str(), one.port, one.modified_at_ms, one.status),
+        ("a:1", Some(8080), 1500, Status::Up)
+    );
     assert_eq!((other.app.as_str(), other.id.as_str(), other.port), ("OTHER", "b", Some(8443)));
-    assert_eq!((other.status, other.act, other.metadata.len()), (Status::Down, Act::Delete, 0));
+    assert_eq!((other.status, other.action, other.metadata.len()), (Status::Down, Action::Delete, 0));
     assert_eq!(one.metadata["weight"], "2.5");
     assert_eq!(Some(hash_code(a.instances.iter().map(|i| i.status))), a.hash);
 }
@@ -51,13 +54,13 @@
         weight: words("weight"),
     };
     let names = Names { kinds: vec![words("plain")], zones: vec![words("room")], ..Names::default() };
-    let mut held = Held::default();
+    let mut held = RegistryCache::default();
     let read = |from: &str, to: &str| json::read(JSON.replace(from, to).as_bytes()).expect("JSON");
-    let taken = held.take(read("\"ADDED\"", "\"\""), true, &by, &names);
-    let SourceUpdate::Complete { version: Some(3), listings } = taken.news else { panic!("whole") };
+    let taken = held.apply(read("\"ADDED\"", "\"\""), true, &by, &names);
+    let SourceUpdate::Complete { version: Some(3), listings } = taken.update else { panic!("whole") };
     assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, State::Up));
     assert_eq!((listings[0].weight, listings[0].address.to_string()), (2.5, "10.0.0.1:8080".into()));
-    assert!(taken.fits);
+    assert!(taken.hash_matches);
     for (from, to, why) in [
         ("\"partner\":\"7\",", "", "its metadata has no `partner`"),
         ("\"partner\":\"7\"", "\"partner\":\"seven\"", "`partner` is no number: `seven`"),
@@ -70,22 +73,22 @@
             "it has no port that is enabled",
         ),
     ] {
-        let mut held = Held::default();
-        let taken = held.take(read(from, to), false, &by, &names);
-        assert!(taken.passed_over.iter().any(|p| p.1 == why), "{why}: {:?}", taken.passed_over);
-        let SourceUpdate::Patch { listings, removed } = taken.news else { panic!("a patch") };
+        let mut held = RegistryCache::default();
+        let taken = held.apply(read(from, to), false, &by, &names);
+        assert!(taken.unusable_entries.iter().any(|p| p.1 == why), "{why}: {:?}", taken.unusable_entries);
+        let SourceUpdate::Patch { listings, removed } = taken.update else { panic!("a patch") };
         assert_eq!((listings.len(), removed.len()), (0, 2), "what was held under its name goes");
-        assert!(held.take(read(from, to), false, &by, &names).passed_over.is_empty(), "told of once");
+        assert!(held.apply(read(from, to), false, &by, &names).unusable_entries.is_empty(), "told of once");
     }
     // The hash counts every instance, also those that are no partners.
-    assert!(!held.take(read("DOWN_1_UP_1_", "UP_9_"), false, &by, &names).fits);
+    assert!(!held.apply(read("DOWN_1_UP_1_", "UP_9_"), false, &by, &names).hash_matches);
 }
 
 /// Guards against a name that ends the request's first line, or leads to another path.
 #[test]
 fn a_name_in_a_path_is_written_so_that_it_stays_one_part() {
-    assert_eq!(path_part("host-1.example:app:8080"), "host-1.example:app:8080");
-    assert_eq!(path_part("a b/c?d\r\n%"), "a%20b%2Fc%3Fd%0D%0A%25");
+    assert_eq!(percent_encode("host-1.example:app:8080"), "host-1.example:app:8080");
+    assert_eq!(percent_encode("a b/c?d\r\n%"), "a%20b%2Fc%3Fd%0D%0A%25");
 }
 
 #[test]
--- a/tests/peer.rs
+++ b/tests/peer.rs
@@ -8,9 +8,9 @@
 #[test]
 fn only_a_kept_connection_that_breaks_at_once_was_stale() {
     let outcome = |e, since| broke(&e, since).0;
-    assert_eq!(outcome(HttpError::Ended, Some(1000)), Outcome::StaleConnection);
-    assert_eq!(outcome(HttpError::Ended, Some(AT_ONCE)), Outcome::Reset);
-    assert_eq!(outcome(HttpError::Ended, None), Outcome::Reset);
+    assert_eq!(outcome(HttpError::Closed, Some(1000)), Outcome::StaleConnection);
+    assert_eq!(outcome(HttpError::Closed, Some(AT_ONCE)), Outcome::Reset);
+    assert_eq!(outcome(HttpError::Closed, None), Outcome::Reset);
     assert_eq!(outcome(HttpError::Malformed("noise"), Some(1000)), Outcome::Reset);
 }
 
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -8,7 +8,7 @@
 use cedarbridge::net::handover::frames::{HandOverState, PredecessorFrame, SuccessorFrame, FORMAT};
 use cedarbridge::net::handover::lock;
 use cedarbridge::net::operator::cordons::Cordons;
-use cedarbridge::net::platform::eureka::snapshot::Snapshot;
+use cedarbridge::net::platform::eureka::snapshot::RegistrySnapshot;
 use cedarbridge::net::storage::Folder;
 use cedarbridge::{DeliveryPolicy, DestinationId, EndpointId, KindId, MessageId, ZoneId};
 use serde::de::DeserializeOwned;
@@ -127,7 +127,7 @@
 
 #[test]
 fn the_stored_view_of_the_registry_is_read() {
-    let view = Snapshot::new(&data("")).read().expect("sound").expect("there");
+    let view = RegistrySnapshot::new(&data("")).read().expect("sound").expect("there");
     let listing = |n: u16, state| Listing {
         key: Key { group: "PARTNER".into(), id: format!("partner-{n}") },
         address: ([127, 0, 0, 1], n).into(),
@@ -138,7 +138,7 @@
         state,
         stamp: 0,
     };
-    assert_eq!(view.at, 1_800_000_000_000_007);
+    assert_eq!(view.written_at, 1_800_000_000_000_007);
     assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Leaving)]);
 }
 
