--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -249,8 +249,8 @@
 fn row(v: &Value) -> String {
     let text = |key: &str| v[key].as_str().map_or_else(|| v[key].to_string(), str::to_owned);
     format!(
-        "{:<10} {:<9} learnt at {:>12} µs   told to the module {:>8} ms later   last first byte {:>10} ms later",
-        text("id"), text("lifecycle"), text("learnt"), text("told_ms"), text("last_byte_ms")
+        "{:<10} {:<9} received at {:>12} µs   told to the module {:>8} ms later   last first byte {:>10} ms later",
+        text("id"), text("lifecycle"), text("received_at"), text("observed_ms"), text("last_byte_ms")
     )
 }
 
@@ -363,7 +363,7 @@
         }
         let micros = |key: &str| (v[key].as_f64().unwrap_or(0.0).max(0.0) * 1000.0) as u64;
         last.record(micros("last_byte_ms"))?;
-        told.record(micros("told_ms"))?;
+        told.record(micros("observed_ms"))?;
     }
     let ms = |t: u64| t as f64 / 1000.0;
     for (what, h) in [("learnt to told", &told), ("learnt to last first byte", &last)] {
--- /dev/null
+++ b/src/net/client/request.rs
@@ -0,0 +1,127 @@
+//! Reads a message from a client's request.
+
+use crate::net::config::Config;
+use crate::net::http::{Headers, RequestHead};
+use crate::net::in_flight::Request;
+use crate::settings_json::{index, Names};
+use crate::{ClassId, DestinationId, Micros, TenantId};
+
+/// The headers that a message is read from; one that comes twice says two things.
+const MESSAGE_HEADERS: [&str; 7] =
+    ["X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "X-Addressing", "Idempotency-Key", "X-Retry"];
+/// The longest request id or idempotency key, in bytes.
+const MAX_ID_BYTES: usize = 256;
+/// No deadline is further away, in microseconds: a sum with it does not overflow.
+const MAX_DEADLINE_US: f64 = 1e15;
+
+/// Why a request is answered with 400.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum BadRequest {
+    /// A header must be there and is not.
+    #[error("no {0}")]
+    MissingHeader(&'static str),
+    /// A header is there more than once.
+    #[error("{0} comes twice")]
+    RepeatedHeader(&'static str),
+    /// The request id or the idempotency key is none.
+    #[error("an id or key is not plain text of at most {MAX_ID_BYTES} characters")]
+    MalformedId,
+    /// A class or tenant that is not configured.
+    #[error("{0}")]
+    UnknownName(String),
+    /// The class deduplicates by key, and there is none.
+    #[error("no Idempotency-Key, which this class needs")]
+    MissingKey,
+    /// The addressing has no destination.
+    #[error("X-Addressing names no dest")]
+    MissingDestination,
+    /// The deadline cannot be read.
+    #[error("X-Deadline is not a time")]
+    MalformedDeadline,
+}
+
+/// Reads a message that was received at a time.
+///
+/// # Errors
+///
+/// If a header is missing, repeated or malformed, or names what is not configured.
+pub(super) fn read_message(
+    head: &RequestHead,
+    body: Vec<u8>,
+    received_at: Micros,
+    names: &Names,
+    config: &Config,
+) -> Result<Request, BadRequest> {
+    let headers = &head.headers;
+    if let Some(name) = MESSAGE_HEADERS.iter().find(|name| headers.count(name) > 1) {
+        return Err(BadRequest::RepeatedHeader(name));
+    }
+    let request_id = required(headers, "X-Request-Id")?;
+    let key = present(headers, "Idempotency-Key");
+    if !is_id(request_id) || key.is_some_and(|key| !is_id(key)) {
+        return Err(BadRequest::MalformedId);
+    }
+    let class = index(&names.classes, required(headers, "X-Class")?, "class");
+    let class = ClassId(class.map_err(BadRequest::UnknownName)?);
+    let tenant = read_tenant(headers, names)?;
+    if key.is_none() && config.keyed[class.0] {
+        return Err(BadRequest::MissingKey);
+    }
+    let destination = read_destination(required(headers, "X-Addressing")?)?;
+    let time_left = read_time(required(headers, "X-Deadline")?).ok_or(BadRequest::MalformedDeadline)?;
+    let retry = present(headers, "X-Retry");
+    Ok(Request {
+        request_id: request_id.to_owned(),
+        key: key.map(str::to_owned),
+        class,
+        tenant,
+        destination,
+        deadline: received_at + time_left.min(config.deadlines[class.0]),
+        body: body.into(),
+        client_retry: retry == Some("1"),
+        failed_over: retry == Some("again"),
+    })
+}
+
+/// The value of a header, unless it is empty.
+fn present<'a>(headers: &'a Headers, name: &'static str) -> Option<&'a str> {
+    headers.get(name).filter(|value| !value.is_empty())
+}
+
+fn required<'a>(headers: &'a Headers, name: &'static str) -> Result<&'a str, BadRequest> {
+    present(headers, name).ok_or(BadRequest::MissingHeader(name))
+}
+
+fn is_id(text: &str) -> bool {
+    text.len() <= MAX_ID_BYTES && text.bytes().all(|byte| byte.is_ascii_graphic())
+}
+
+fn read_tenant(headers: &Headers, names: &Names) -> Result<Option<TenantId>, BadRequest> {
+    match present(headers, "X-Tenant") {
+        Some(name) => {
+            let tenant = index(&names.tenants, name, "tenant").map_err(BadRequest::UnknownName)?;
+            Ok(Some(TenantId(tenant)))
+        }
+        None if names.tenants.is_empty() => Ok(None),
+        None => Err(BadRequest::MissingHeader("X-Tenant")),
+    }
+}
+
+/// Reads the destination from an addressing such as `dest=7;room=1`.
+fn read_destination(addressing: &str) -> Result<DestinationId, BadRequest> {
+    let mut parameters = addressing.split([',', ';']).filter_map(|p| p.trim().split_once('='));
+    let destination = parameters.find(|(name, _)| *name == "dest");
+    let destination = destination.and_then(|(_, value)| value.parse().ok());
+    destination.map(DestinationId).ok_or(BadRequest::MissingDestination)
+}
+
+/// Reads a number with its unit: `m` for milliseconds, `u` for microseconds.
+fn read_time(text: &str) -> Option<Micros> {
+    let (number, unit_us) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
+        (Some(number), _) => (number, 1000.0),
+        (None, Some(number)) => (number, 1.0),
+        (None, None) => return None,
+    };
+    let number = number.trim().parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0)?;
+    Some((number * unit_us).min(MAX_DEADLINE_US) as Micros)
+}
--- /dev/null
+++ b/src/net/client/response.rs
@@ -0,0 +1,51 @@
+//! Responses as they are written to clients and operators.
+
+use crate::{MessageId, Micros};
+
+/// A response to be written.
+pub struct Response {
+    status: u16,
+    /// Headers of this response alone, each with its line end.
+    headers: String,
+    body: String,
+    /// The message that it says is accepted.
+    pub(super) accepted: Option<MessageId>,
+}
+
+impl Response {
+    /// A status and a text.
+    pub fn plain(status: u16, body: impl Into<String>) -> Self {
+        Response { status, headers: String::new(), body: body.into(), accepted: None }
+    }
+
+    /// A 503: the message may be sent again after a while.
+    pub(super) fn service_unavailable(retry_after: Micros) -> Self {
+        let headers = format!("Retry-After: {:.3}\r\n", retry_after as f64 / 1e6);
+        Response { headers, ..Response::plain(503, "") }
+    }
+
+    /// A 202: the message is accepted.
+    pub(super) fn accepted(message: MessageId) -> Self {
+        Response { accepted: Some(message), ..Response::plain(202, "") }
+    }
+
+    /// What is written; unless the connection is kept alive, it says so.
+    pub fn bytes(&self, keep_alive: bool) -> String {
+        let phrase = match self.status {
+            200 => "OK",
+            202 => "Accepted",
+            400 => "Bad Request",
+            404 => "Not Found",
+            405 => "Method Not Allowed",
+            408 => "Request Timeout",
+            409 => "Conflict",
+            413 => "Content Too Large",
+            500 => "Internal Server Error",
+            507 => "Insufficient Storage",
+            _ => "Service Unavailable",
+        };
+        let (status, headers, length) = (self.status, &self.headers, self.body.len());
+        let close = if keep_alive { "" } else { "Connection: close\r\n" };
+        format!("HTTP/1.1 {status} {phrase}\r\n{headers}{close}Content-Length: {length}\r\n\r\n{}", self.body)
+    }
+}
--- a/src/net/connection_registry.rs
+++ b/src/net/connection_registry.rs
@@ -1,73 +1,80 @@
-//! Which connections are let go first where there is no room for another. It closes none itself.
+//! Which connections are closed first to make room for another. It closes none itself.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Where a connection stands that may be let go when there is no room: the first ones go first.
+/// Which connections are evicted first where the limit is reached; those of the first variant go first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionPriority {
-    /// It has its last answer.
+    /// It has its last response.
     Lingering,
     /// It never sent a request.
     NoRequestYet,
     /// It was served and is between requests.
     Idle,
-    /// Its request has begun and is not whole.
+    /// Its request has begun and is not complete.
     Reading,
 }
 
-/// All connections that may be let go, in the order in which they go.
+/// A connection's place in the order of eviction; of one priority, the earliest registered goes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Place {
+    priority: EvictionPriority,
+    number: u64,
+}
+
+/// All connections that may be evicted, in the order in which they go.
 #[derive(Default)]
 pub struct ConnectionRegistry {
-    guests: RefCell<BTreeMap<(EvictionPriority, u64), Sender<()>>>,
-    entered: Cell<u64>,
-    /// Those that were asked to go and have not yet said what becomes of it.
-    going: Cell<usize>,
+    evictable: RefCell<BTreeMap<Place, Sender<()>>>,
+    last_number: Cell<u64>,
+    evictions_pending: Cell<usize>,
 }
 
 impl ConnectionRegistry {
-    /// Takes a place, to be given up when it is dropped.
-    pub fn register(self: &Rc<Self>, stay: EvictionPriority) -> Registration {
-        let (ask, asked) = async_channel::bounded(1);
-        self.entered.set(self.entered.get() + 1);
-        let place = (stay, self.entered.get());
-        self.guests.borrow_mut().insert(place, ask);
-        Registration { lobby: self.clone(), place, asked }
+    /// Registers a connection that may be evicted, until the registration is dropped.
+    pub fn register(self: &Rc<Self>, priority: EvictionPriority) -> Registration {
+        let (evict, evicted) = async_channel::bounded(1);
+        self.last_number.set(self.last_number.get() + 1);
+        let place = Place { priority, number: self.last_number.get() };
+        self.evictable.borrow_mut().insert(place, evict);
+        Registration { registry: self.clone(), place, evicted }
     }
 
-    /// How many were asked to go and have not yet gone.
+    /// How many connections were evicted and have not yet given up their registration.
     pub fn evictions_pending(&self) -> usize {
-        self.going.get()
+        self.evictions_pending.get()
     }
 
-    /// Asks the first one to go; false if all are being served.
+    /// Evicts the first connection; false if all are being served.
     pub fn evict_one(&self) -> bool {
-        let asked = self.guests.borrow_mut().pop_first().is_some();
-        self.going.set(self.going.get() + usize::from(asked));
-        asked
+        let is_evicted = self.evictable.borrow_mut().pop_first().is_some();
+        self.evictions_pending.set(self.evictions_pending.get() + usize::from(is_evicted));
+        is_evicted
     }
 }
 
-/// A place in the lobby.
+/// A registered connection.
 pub struct Registration {
-    lobby: Rc<ConnectionRegistry>,
-    place: (EvictionPriority, u64),
-    asked: Receiver<()>,
+    registry: Rc<ConnectionRegistry>,
+    place: Place,
+    evicted: Receiver<()>,
 }
 
 impl Registration {
-    /// Comes back once this one is asked to go.
+    /// Returns once this connection is evicted.
     pub async fn evicted(&self) {
-        let _ = self.asked.recv().await;
+        // Nothing is ever sent: the registry drops the sender.
+        let _ = self.evicted.recv().await;
     }
 }
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        if self.lobby.guests.borrow_mut().remove(&self.place).is_none() {
-            self.lobby.going.set(self.lobby.going.get() - 1);
+        if self.registry.evictable.borrow_mut().remove(&self.place).is_none() {
+            self.registry.evictions_pending.set(self.registry.evictions_pending.get() - 1);
         }
     }
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -129,11 +129,16 @@
     },
 }
 
-/// How a watch was over.
+/// How a watch ended.
 pub enum WatchEnd {
-    /// The platform turned it away, maybe with a wait.
-    Rejected(u16, Option<Micros>),
-    /// Its connection was of no more use.
+    /// The platform's agent refused it.
+    Rejected {
+        /// The status of its response.
+        status: u16,
+        /// How long it asks to wait, if it does.
+        retry_after: Option<Micros>,
+    },
+    /// Its connection failed.
     Failed(HttpError),
 }
 
--- a/src/net/operator/cordons.rs
+++ b/src/net/operator/cordons.rs
@@ -1,11 +1,11 @@
-//! The cordons on disk: what operators left out stays out over a restart. It decides nothing.
+//! The cordons on disk: what operators have cordoned stays so over a restart. It decides nothing.
 
 use std::fs;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What the file may take; it is written anew beside the old one.
-const LARGEST: usize = 8 * 1024;
+/// The largest size of the file in bytes; a new one is written beside it.
+const MAX_FILE_BYTES: usize = 8 * 1024;
 
 /// The file of the cordons.
 pub struct Cordons {
@@ -18,7 +18,11 @@
         Cordons { path: folder.join("cordons") }
     }
 
-    /// The ids that were kept, one a line; none if nothing ever was.
+    /// The persisted ids, one a line; none if there is no file.
+    ///
+    /// # Errors
+    ///
+    /// If the file is there and cannot be read.
     pub fn read(&self) -> io::Result<Vec<String>> {
         match fs::read_to_string(&self.path) {
             Ok(text) => Ok(text.lines().map(str::to_owned).collect()),
@@ -27,14 +31,18 @@
         }
     }
 
-    /// Keeps these. After an error, or a kill at any moment, those kept before are there.
+    /// Persists these ids in place of the earlier ones.
+    ///
+    /// # Errors
+    ///
+    /// If they are too many or cannot be written. Then, as after a kill at any moment, the earlier ones are there.
     pub fn write<'a>(&self, ids: impl Iterator<Item = &'a str>) -> io::Result<()> {
         let text: String = ids.map(|id| format!("{id}\n")).collect();
-        if text.len() > LARGEST {
+        if text.len() > MAX_FILE_BYTES {
             return Err(io::Error::new(io::ErrorKind::StorageFull, "too many are left out"));
         }
-        let beside = self.path.with_extension("new");
-        fs::write(&beside, text)?;
-        fs::rename(&beside, &self.path)
+        let new_file = self.path.with_extension("new");
+        fs::write(&new_file, text)?;
+        fs::rename(&new_file, &self.path)
     }
 }
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -1,13 +1,12 @@
-//! Notices to the platform: how messages ended that were taken on and not delivered.
+//! Reports to the platform how accepted messages ended that were not delivered.
 
 use crate::journal::ReportedEnd;
 use crate::net::dial::connect;
 use crate::net::http::{HttpConnection, HttpError};
 use crate::net::messages::DeliveryReport;
-use crate::net::Context;
+use crate::net::{within_or_error, Context};
 use async_channel::Receiver;
 use async_io::Timer;
-use futures_lite::future;
 use serde_json::json;
 use slog::{info, warn};
 use std::collections::VecDeque;
@@ -15,11 +14,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The platform answers at once. A message is lost 300 ms after its time, so a connection that has fallen silent must leave room
-/// for another try; a notice that comes twice does no harm.
-const PATIENCE: Duration = Duration::from_millis(150);
-const PAUSE: Duration = Duration::from_millis(50);
-const BATCH: usize = 100;
+/// The platform answers at once. A message is lost 300 ms after its time, so a connection that has fallen silent must leave
+/// time for another try; a report that comes twice does no harm.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// At most so many reports are sent in one request.
+const MAX_BATCH: usize = 100;
+/// The largest body of a response that is read.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 impl DeliveryReport {
     fn line(&self) -> String {
@@ -34,81 +36,99 @@
     }
 }
 
-/// Tells notices until each is confirmed, those that have gathered together.
-pub async fn run(context: Rc<Context>, mail: Receiver<DeliveryReport>) {
-    let mut pending = VecDeque::new();
-    let mut connection = None;
-    let mut most = BATCH;
-    loop {
-        if pending.is_empty() {
-            match mail.recv().await {
-                Ok(notice) => pending.push_back(notice),
-                Err(_) => return,
-            }
+/// Sends reports until each is confirmed, in batches of those that are pending.
+pub async fn run(context: Rc<Context>, mailbox: Receiver<DeliveryReport>) {
+    let mut reporter =
+        Reporter { context, pending: VecDeque::new(), connection: None, batch_limit: MAX_BATCH };
+    while reporter.receive(&mailbox).await.is_ok() {
+        if reporter.context.lifecycle.is_handed_over() {
+            // They are in the journal, and the successor sends them.
+            return;
         }
-        while let Ok(notice) = mail.try_recv() {
-            pending.push_back(notice);
+        reporter.send_batch().await;
+    }
+}
+
+struct Reporter {
+    context: Rc<Context>,
+    pending: VecDeque<DeliveryReport>,
+    connection: Option<PlatformConnection>,
+    batch_limit: usize,
+}
+
+/// A connection that can be used again.
+struct PlatformConnection {
+    address: SocketAddr,
+    connection: HttpConnection,
+}
+
+impl Reporter {
+    /// Takes all reports from the mailbox; waits for one if none is pending.
+    async fn receive(&mut self, mailbox: &Receiver<DeliveryReport>) -> Result<(), async_channel::RecvError> {
+        if self.pending.is_empty() {
+            self.pending.push_back(mailbox.recv().await?);
         }
-        if context.lifecycle.is_handed_over() {
-            // They are in the journal, and another process tells them.
-            return;
+        while let Ok(report) = mailbox.try_recv() {
+            self.pending.push_back(report);
         }
-        let count = pending.len().min(most);
-        let late = async {
-            Timer::after(PATIENCE).await;
-            Err(HttpError::Malformed("silent"))
-        };
-        let body: String = pending.iter().take(count).map(|n| n.line() + "\n").collect();
-        match future::or(post(&context, &mut connection, &body), late).await {
-            Ok(204) => {
-                for notice in pending.drain(..count) {
-                    info!(context.log, "message"; "state" => "reported", "id" => &notice.request_id, "end" => ?notice.end);
-                    context.journal.end(notice.id);
-                    context.request_ids.release(&notice.request_id);
-                    context.counters.notices.add();
-                    context.gauges.reports_pending.decrement();
-                }
-                most = BATCH;
-            }
-            // One that cannot be read must not hold up the others: alone, it goes to the end of the line.
+        Ok(())
+    }
+
+    /// Sends a batch once; after a failure, returns when it is time to retry.
+    async fn send_batch(&mut self) {
+        let count = self.pending.len().min(self.batch_limit);
+        let body: String = self.pending.iter().take(count).map(|report| report.line() + "\n").collect();
+        match within_or_error(self.post(&body), RESPONSE_TIMEOUT).await {
+            Ok(204) => self.confirmed(count),
             Ok(status) => {
-                warn!(context.log, "notices not taken"; "status" => status, "count" => count);
+                warn!(self.context.log, "delivery reports rejected"; "status" => status, "count" => count);
+                // One that the platform cannot read must not block the others: alone, it goes to the end of the queue.
                 if count == 1 {
-                    pending.rotate_left(1);
+                    self.pending.rotate_left(1);
                 }
-                most = 1;
-                Timer::after(PAUSE).await;
+                self.batch_limit = 1;
+                Timer::after(RETRY_PAUSE).await;
             }
-            Err(e) => {
-                connection = None;
-                info!(context.log, "connection ended"; "side" => "notices", "reason" => e.code(), "error" => %e);
-                Timer::after(PAUSE).await;
+            Err(error) => {
+                self.connection = None;
+                info!(self.context.log, "connection ended"; "side" => "delivery-reports",
+                    "reason" => error.code(), "error" => %error);
+                Timer::after(RETRY_PAUSE).await;
             }
         }
     }
-}
 
-async fn post(
-    context: &Context,
-    connection: &mut Option<(SocketAddr, HttpConnection)>,
-    body: &str,
-) -> Result<u16, HttpError> {
-    // Read anew each time: what is owed goes to where the platform listens now.
-    let address = context.config().discovery;
-    if connection.take_if(|c| c.0 != address).is_some() {
-        info!(context.log, "connection ended"; "side" => "notices", "reason" => "moved");
+    fn confirmed(&mut self, count: usize) {
+        let context = &self.context;
+        for report in self.pending.drain(..count) {
+            info!(context.log, "message"; "state" => "reported", "id" => &report.request_id, "end" => ?report.end);
+            context.journal.end(report.id);
+            context.request_ids.release(&report.request_id);
+            context.counters.notices.add();
+            context.gauges.reports_pending.decrement();
+        }
+        self.batch_limit = MAX_BATCH;
     }
-    let mut wire = match connection.take() {
-        Some((_, wire)) => wire,
-        None => HttpConnection::new(connect(address).await.map_err(HttpError::Socket)?),
-    };
-    let head = format!("POST /reports HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n");
-    let request = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
-    wire.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
-    let answer = wire.read_response().await?;
-    wire.response_body(&answer, 64 * 1024).await?;
-    if answer.keep_alive {
-        *connection = Some((address, wire));
+
+    /// Sends a request and receives its response; the response's status.
+    async fn post(&mut self, body: &str) -> Result<u16, HttpError> {
+        // Read anew each time: what is owed goes to where the platform listens now.
+        let address = self.context.config().discovery;
+        if self.connection.take_if(|open| open.address != address).is_some() {
+            info!(self.context.log, "connection ended"; "side" => "delivery-reports", "reason" => "moved");
+        }
+        let mut connection = match self.connection.take() {
+            Some(open) => open.connection,
+            None => HttpConnection::new(connect(address).await?),
+        };
+        let head = format!("POST /reports HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n");
+        let request = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
+        connection.write(request.as_bytes()).await?;
+        let response = connection.read_response().await?;
+        connection.response_body(&response, MAX_RESPONSE_BYTES).await?;
+        if response.keep_alive {
+            self.connection = Some(PlatformConnection { address, connection });
+        }
+        Ok(response.status)
     }
-    Ok(answer.status)
 }
--- /dev/null
+++ b/src/net/platform/endpoint_list/cordon.rs
@@ -0,0 +1,77 @@
+//! Cordons: operators take endpoints out of the list and put them back.
+
+use super::publish::UpdateKind;
+use super::EndpointListActor;
+use crate::net::messages::AdminError;
+use crate::net::operator::cordons::Cordons;
+use async_channel::Sender;
+use async_io::Timer;
+use slog::{info, warn};
+use std::time::Duration;
+
+/// The file of the cordons is read again so often at most, with a pause between two tries.
+const MAX_READ_RETRIES: u32 = 20;
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+impl EndpointListActor {
+    /// Cordons an endpoint or ends its cordon, and replies once that is persisted and binds every first byte.
+    pub(super) async fn cordon(&mut self, id: &str, cordon: bool, reply: &Sender<Result<(), AdminError>>) {
+        let now = self.context.clock.now();
+        let was_cordoned = self.membership.cordoned().any(|cordoned| cordoned == id);
+        let changes = match cordon {
+            true => self.membership.cordon(now, id),
+            false => self.membership.uncordon(now, id),
+        };
+        let Some(changes) = changes else {
+            // Whoever asked may not wait any more; so below.
+            let _ = reply.try_send(Err(AdminError::UnknownEndpoint));
+            return;
+        };
+        if was_cordoned != cordon {
+            if let Err(error) = self.cordons_file().write(self.membership.cordoned()) {
+                warn!(self.context.log, "cordon not persisted"; "id" => id, "out" => cordon, "error" => %error);
+                // As it was: a cordon that would not outlast a kill is not confirmed.
+                match cordon {
+                    true => drop(self.membership.uncordon(now, id)),
+                    false => self.membership.restore_cordons(now, [id.to_owned()]),
+                }
+                let _ = reply.try_send(Err(AdminError::NotPersisted(error.to_string())));
+                return;
+            }
+        }
+        info!(self.context.log, "cordon"; "id" => id, "out" => cordon, "entries" => changes.len());
+        self.show_cordons();
+        for change in &changes {
+            self.write_to_table(change);
+        }
+        let _ = reply.try_send(Ok(()));
+        if !changes.is_empty() {
+            self.publish(UpdateKind::Patch, changes).await;
+        }
+    }
+
+    /// Restores the cordons that an earlier process persisted.
+    pub async fn take_cordons(&mut self) {
+        let file = self.cordons_file();
+        let mut cordoned = file.read();
+        // One error of the folder must not put back what operators took out.
+        for _ in 0..MAX_READ_RETRIES {
+            let Err(error) = &cordoned else { break };
+            warn!(self.context.log, "the cordons cannot be read"; "error" => %error);
+            Timer::after(READ_RETRY_PAUSE).await;
+            cordoned = file.read();
+        }
+        let ids = cordoned.unwrap_or_default();
+        self.membership.restore_cordons(self.context.clock.now(), ids);
+        self.show_cordons();
+    }
+
+    fn cordons_file(&self) -> Cordons {
+        Cordons::new(&self.context.config().state)
+    }
+
+    fn show_cordons(&self) {
+        let ids = self.membership.cordoned().map(str::to_owned).collect();
+        self.context.endpoint_list.set_cordoned(ids);
+    }
+}
--- /dev/null
+++ b/src/net/platform/endpoint_list/publish.rs
@@ -0,0 +1,111 @@
+//! Publishes changes of the list: to the endpoint table, the log and the delivery actor, in this order.
+
+use super::drain_log::SETTLED_AFTER_US;
+use super::EndpointListActor;
+use crate::membership::Change;
+use crate::net::endpoint::table::EndpointState;
+use crate::net::messages::DeliveryMessage;
+use crate::{EndpointEntry, EndpointId, EndpointListUpdate, Lifecycle, Micros};
+use slog::info;
+use std::collections::HashSet;
+
+/// More changes at once are logged as one line.
+const MAX_LOGGED_CHANGES: usize = 100;
+/// The table is pruned no more often than this: a large list is not gone through at each change of it.
+const PRUNE_INTERVAL_US: Micros = SETTLED_AFTER_US;
+
+/// How the delivery actor is to take changes.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum UpdateKind {
+    /// The endpoints that have changed.
+    Patch,
+    /// All endpoints; others are removed.
+    Complete,
+    /// All endpoints of a list that may be old.
+    Cached,
+}
+
+impl EndpointListActor {
+    /// Writes changes to the endpoint table, then sends them to the delivery actor.
+    pub(super) async fn publish(&mut self, kind: UpdateKind, changes: Vec<Change>) {
+        self.drain_log.log_returning(&changes);
+        let entries = match kind {
+            UpdateKind::Patch => changes.iter().map(|change| self.write_to_table(change)).collect(),
+            UpdateKind::Complete | UpdateKind::Cached => self.replace_table(&changes),
+        };
+        self.prune_table();
+        if self.registry.is_some() {
+            self.log_changes(&changes);
+        }
+        self.context.endpoint_list.set_known();
+        let update = match kind {
+            UpdateKind::Patch => EndpointListUpdate::Patch(entries),
+            UpdateKind::Complete => EndpointListUpdate::Complete(entries),
+            UpdateKind::Cached => EndpointListUpdate::Cached(entries),
+        };
+        // The delivery actor ends only with the process.
+        let _ = self.context.delivery.send(DeliveryMessage::EndpointList(update)).await;
+    }
+
+    /// Writes a change to the endpoint table; what the delivery actor is sent of it.
+    pub(super) fn write_to_table(&self, change: &Change) -> EndpointEntry {
+        let listing = &change.listing;
+        let per_endpoint_breaker = self.context.config().kinds[listing.kind.0].per_endpoint_breaker;
+        let state =
+            EndpointState::new(listing.address, listing.destination, listing.zone, per_endpoint_breaker);
+        self.context.endpoint_table.list(change.endpoint, change.lifecycle, change.observed_at, state);
+        EndpointEntry {
+            endpoint: change.endpoint,
+            destination: listing.destination,
+            zone: listing.zone,
+            kind: listing.kind,
+            lifecycle: change.lifecycle,
+            weight: listing.weight,
+        }
+    }
+
+    /// Writes changes and then the rest of the list to the endpoint table, which keeps nothing else.
+    fn replace_table(&self, changes: &[Change]) -> Vec<EndpointEntry> {
+        // An endpoint that a complete list does not name is removed by that.
+        let listed = changes.iter().filter(|change| change.lifecycle != Lifecycle::Removed);
+        let mut entries: Vec<EndpointEntry> = listed.map(|change| self.write_to_table(change)).collect();
+        let changed: HashSet<EndpointId> = changes.iter().map(|change| change.endpoint).collect();
+        let unchanged = self.membership.list().filter(|change| !changed.contains(&change.endpoint));
+        entries.extend(unchanged.map(|change| self.write_to_table(&change)));
+        let endpoints: Vec<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        self.context.endpoint_table.keep_only(&endpoints);
+        entries
+    }
+
+    fn prune_table(&mut self) {
+        let now = self.context.clock.now();
+        if now < self.pruned_at + PRUNE_INTERVAL_US {
+            return;
+        }
+        self.pruned_at = now;
+        let table = &self.context.endpoint_table;
+        // With thousands of endpoints that costs more than all else that a change does.
+        if table.prune(now) {
+            self.membership.keep_ids(|id| table.get(id).is_some());
+        }
+    }
+
+    /// Logs one line for each change, and remembers endpoints that left for the drain log.
+    fn log_changes(&mut self, changes: &[Change]) {
+        // A complete registry that comes at once is one line, but for the endpoints that leave.
+        let many = changes.len() > MAX_LOGGED_CHANGES;
+        if many {
+            info!(self.context.log, "endpoint list changed"; "entries" => changes.len());
+        }
+        for change in changes.iter().filter(|change| !many || change.lifecycle != Lifecycle::Listed) {
+            let source = self.membership.name(change.source);
+            info!(self.context.log, "endpoint list changed"; "endpoint" => change.endpoint.0,
+                "id" => &change.listing.key.id, "address" => %change.listing.address,
+                "lifecycle" => ?change.lifecycle, "why" => change.why, "source" => source,
+                "received_at" => change.observed_at);
+            if change.lifecycle != Lifecycle::Listed {
+                self.drain_log.push(change);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/net/platform/endpoint_list/watching.rs
@@ -0,0 +1,224 @@
+//! Which watch the list comes from: opening one, replacing one that fell silent, and taking their lines.
+
+use super::decode::{DecodeError, ListVersion, RawList};
+use super::publish::UpdateKind;
+use super::watch::{Watch, WatchRequest};
+use super::{EndpointListActor, PUSHED};
+use crate::membership::SourceUpdate;
+use crate::net::http::HttpError;
+use crate::net::messages::{EndpointListMessage, WatchEnd};
+use crate::Micros;
+use async_io::Timer;
+use slog::{info, warn};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// At most so many watches are being opened at once.
+const MAX_CONNECTING: usize = 3;
+/// A watch that another has replaced is still read for so long.
+const REPLACED_READ_FOR: Duration = Duration::from_millis(200);
+
+/// The watches that are open or being opened.
+#[derive(Default)]
+pub(super) struct Watches {
+    /// The one that the list comes from.
+    pub current: Option<Watch>,
+    /// The one before it, for a moment: what it had sent and was not read yet was sent all the same.
+    pub replaced: Option<Watch>,
+    /// Those of which the first to send its list becomes the current one, the newest last.
+    pub connecting: VecDeque<Watch>,
+    /// The number of the newest.
+    last_number: u64,
+}
+
+impl Watches {
+    /// Whether the list comes, or is about to come, from anywhere.
+    pub fn is_empty(&self) -> bool {
+        self.current.is_none() && self.connecting.is_empty()
+    }
+
+    fn is_current(&self, number: u64) -> bool {
+        self.current.as_ref().is_some_and(|watch| watch.number == number)
+    }
+
+    fn is_replaced(&self, number: u64) -> bool {
+        self.replaced.as_ref().is_some_and(|watch| watch.number == number)
+    }
+
+    fn is_newest(&self, number: u64) -> bool {
+        let newest = self.connecting.back().or(self.current.as_ref());
+        newest.is_some_and(|watch| watch.number == number)
+    }
+
+    fn watches(&self, address: SocketAddr) -> bool {
+        self.current.as_ref().is_some_and(|watch| watch.address == address)
+    }
+
+    fn remove(&mut self, number: u64) {
+        let has_number = |watch: &mut Watch| watch.number == number;
+        self.replaced.take_if(has_number);
+        self.current.take_if(has_number);
+        self.connecting.retain_mut(|watch| !has_number(watch));
+    }
+}
+
+impl EndpointListActor {
+    /// Opens a watch where the platform's agent listens, unless one is open there or on its way.
+    pub(super) fn reconnect(&mut self) {
+        let wanted = self.context.config().discovery;
+        self.watches.connecting.retain(|watch| watch.address == wanted);
+        if self.watches.watches(wanted) {
+            self.watches.connecting.clear();
+        } else if self.watches.connecting.is_empty() {
+            self.open_watch(0);
+        }
+    }
+
+    /// Opens a watch after a delay; of too many that are being opened the oldest is dropped.
+    pub(super) fn open_watch(&mut self, delay_us: Micros) {
+        let address = self.context.config().discovery;
+        // A generation means nothing at an address that did not give it: there, the complete list is asked for.
+        let from_here = self.generation_source.is_none_or(|source| source == address);
+        self.watches.last_number += 1;
+        let request = WatchRequest {
+            number: self.watches.last_number,
+            address,
+            after_generation: self.generation.filter(|_| from_here),
+            delay: Duration::from_micros(delay_us),
+        };
+        let watch = Watch::start(&self.context, &self.own, request);
+        self.watches.connecting.push_back(watch);
+        if self.watches.connecting.len() > MAX_CONNECTING {
+            self.watches.connecting.pop_front();
+        }
+    }
+
+    /// A watch has fallen silent. Another is opened beside it, unless a newer one is on its way.
+    pub(super) fn watch_silent(&mut self, number: u64) {
+        if self.watches.is_newest(number) {
+            info!(self.context.log, "the watch is silent, opening another";
+                "side" => "endpoint-list", "reason" => "silent");
+            self.open_watch(0);
+        }
+    }
+
+    /// A watch has ended. While another address is wanted than the one that is watched, only a watch there counts.
+    pub(super) fn watch_ended(&mut self, number: u64, end: WatchEnd) {
+        self.watches.remove(number);
+        // The agent is there and sends nothing: that is no reason to keep calls waiting.
+        self.context.endpoint_list.set_received();
+        if !self.watches.connecting.is_empty() || self.watches.watches(self.context.config().discovery) {
+            return;
+        }
+        let delay_us = match end {
+            WatchEnd::Rejected { retry_after, .. } => self.approach.turned_away(retry_after, fastrand::f64()),
+            WatchEnd::Failed(_) => self.approach.broke(fastrand::f64()),
+        };
+        self.open_watch(delay_us);
+    }
+
+    /// The time for which a replaced watch was still read is over.
+    pub(super) fn replaced_watch_expired(&mut self, number: u64) {
+        self.watches.replaced.take_if(|watch| watch.number == number);
+    }
+
+    /// Takes a line of a watch, which is empty where only the connection is kept alive.
+    pub(super) async fn take_line(&mut self, number: u64, line: &[u8]) {
+        if self.watches.is_replaced(number) {
+            return self.take_line_of_replaced(line).await;
+        }
+        let is_current = self.watches.is_current(number);
+        let connecting = self.watches.connecting.iter().position(|watch| watch.number == number);
+        let now = self.context.stall_detector.arrived_since(self.context.clock.now());
+        // What a new watch sends first may have been there since the last one was heard from.
+        let received_at = if connecting.is_some() { self.last_line_at } else { now };
+        if is_current {
+            self.last_line_at = now;
+        }
+        if line.iter().all(u8::is_ascii_whitespace) || !(is_current || connecting.is_some()) {
+            return;
+        }
+        let version = match RawList::parse(line).and_then(|list| self.decode(list)) {
+            Ok(version) => version,
+            Err(error) => {
+                warn!(self.context.log, "endpoint list malformed"; "error" => %error);
+                let error = HttpError::Malformed("the list makes no sense");
+                return self.watch_ended(number, WatchEnd::Failed(error));
+            }
+        };
+        if let Some(index) = connecting {
+            self.make_current(index);
+        }
+        self.last_line_at = now;
+        self.take_version(received_at, version).await;
+    }
+
+    /// Applies a version of the list that the current watch has sent.
+    async fn take_version(&mut self, received_at: Micros, version: ListVersion) {
+        let ListVersion { generation, complete, listings, .. } = version;
+        self.generation = Some(generation);
+        self.approach.told();
+        self.generation_source = self.watches.current.as_ref().map(|watch| watch.address);
+        info!(self.context.log, "endpoint list received"; "generation" => generation, "complete" => complete,
+            "entries" => listings.len());
+        self.context.counters.lists.add();
+        let (update, kind) = match complete {
+            true => (SourceUpdate::Complete { version: None, listings }, UpdateKind::Complete),
+            false => (SourceUpdate::Patch { listings, removed: Vec::new() }, UpdateKind::Patch),
+        };
+        let changes = self.membership.take(received_at, PUSHED, update);
+        self.publish(kind, changes).await;
+        // Only now: the endpoint table has it.
+        self.context.endpoint_list.set_received();
+    }
+
+    /// What a replaced watch still sends counts if it is newer than what the current one has sent.
+    async fn take_line_of_replaced(&mut self, line: &[u8]) {
+        let Ok(list) = RawList::parse(line) else { return };
+        let newer = list.generation() > self.generation;
+        if !newer || list.is_complete() {
+            return;
+        }
+        // The generation stays: the current watch goes on from what it has sent itself.
+        let Ok(ListVersion { generation, listings, .. }) = self.decode(list) else { return };
+        let update = SourceUpdate::Patch { listings, removed: Vec::new() };
+        let received_at = self.context.stall_detector.arrived_since(self.context.clock.now());
+        let changes = self.membership.take(received_at, PUSHED, update);
+        info!(self.context.log, "endpoint list received"; "generation" => generation, "replaced" => true);
+        self.publish(UpdateKind::Patch, changes).await;
+    }
+
+    /// Decodes a version of the list and logs the entries that cannot be used.
+    pub(super) fn decode(&self, list: RawList) -> Result<ListVersion, DecodeError> {
+        let version = list.decode(&self.names)?;
+        for error in &version.unusable_entries {
+            warn!(self.context.log, "entry ignored"; "error" => %error);
+        }
+        Ok(version)
+    }
+
+    /// Puts a watch that has sent its list in the place of the current one. Only now that one is replaced: nothing that it
+    /// sent meanwhile was missed.
+    fn make_current(&mut self, index: usize) {
+        let next = self.watches.connecting.remove(index);
+        self.watches.connecting.clear();
+        if let Some(previous) = std::mem::replace(&mut self.watches.current, next) {
+            self.keep_replaced(previous);
+        }
+    }
+
+    /// Reads a replaced watch for a moment more. Guards against lines that lay unread on it, as after a stall, and that the
+    /// current one does not have yet.
+    fn keep_replaced(&mut self, watch: Watch) {
+        info!(self.context.log, "connection ended"; "side" => "endpoint-list", "reason" => "moved");
+        let (own, number) = (self.own.clone(), watch.number);
+        self.watches.replaced = Some(watch);
+        let expiry = async move {
+            Timer::after(REPLACED_READ_FOR).await;
+            // Without the actor the watch is gone, too.
+            let _ = own.send(EndpointListMessage::ReplacedWatchExpired { watch: number }).await;
+        };
+        self.context.executor.spawn(expiry).detach();
+    }
+}
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -122,7 +122,7 @@
          begin
          u1 send m1
          u1 expect 202
-         log reason: unheard
+         log reason: initial-list-timeout
          e1 expect m1
          e1 send m1 200
          wait delivered=1
@@ -253,7 +253,7 @@
          continue
          u1 expect 503 Retry-After close
          u1 expect end
-         log reason: agent-gone
+         log reason: client-gone
          wait taken=0 attempts=0 user_agents=1",
     );
 }
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -108,7 +108,7 @@
          kill
          p send e1=active
          start
-         log notices not taken
+         log delivery reports rejected
          p speak
          p expect m1 returned
          wait notices_owed=0 attempts=0 restored=1",
@@ -394,7 +394,7 @@
          u1 send m1
          u1 close
          continue
-         log agent-gone
+         log client-gone
          wait taken=0 open=0
          u2 send m2
          u2 expect 202
@@ -417,7 +417,7 @@
          wait open=1
          u1 close
          wait withdrawn=1 open=0
-         log agent-gone
+         log client-gone
          u2 send m2
          u2 expect 202
          e1 expect m2
@@ -595,7 +595,7 @@
          p send e2=active
          wait lists=2
          p unhold
-         log reason: moved, side: membership
+         log reason: moved, side: endpoint-list
          p let-go
          p send e3=active
          wait lists>=4
@@ -622,7 +622,7 @@
          p mute
          u1 send m1 deadline=500m
          u1 expect 202
-         log notices not taken
+         log delivery reports rejected
          p move
          p speak
          reload
@@ -731,7 +731,7 @@
          u1 send m1
          u1 expect 202
          crowd 300
-         log reason: crowded
+         log reason: evicted
          u2 send m2
          u2 expect 202
          u1 send m3
@@ -774,7 +774,7 @@
          u2 send m1 dest=9
          u2 close
          continue
-         log reason: agent-gone
+         log reason: client-gone
          wait open=1 withdrawn=0 taken=1
          p send e1=active
          e1 expect m1
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -97,7 +97,7 @@
         "r put e1
          start
          wait registry/entries=1
-         log list changed
+         log endpoint list changed
          state-holds registry.view
          kill
          r silent
