--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use cedarbridge::membership::{HoldDown, Membership, MetadataNames, Policy, Shrink, SourceId};
-use cedarbridge::net::platform::eureka::{held::RegistryCache, json};
+use cedarbridge::net::platform::eureka::{cache::RegistryCache, json};
 use cedarbridge::settings_json::Names;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::fmt::Write;
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -3,7 +3,7 @@
 use super::{lines, print, Failed, Files};
 use crate::membership::Question;
 use crate::membership::{Change, Membership, RegistrySettings, SourceId, SourceUpdate};
-use crate::net::platform::eureka::held::AppliedAnswer;
+use crate::net::platform::eureka::cache::{AppliedAnswer, UnusableEntry};
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
 use crate::settings_json::Names;
@@ -89,9 +89,11 @@
     }
 
     fn passed_over(&self, taken: &AppliedAnswer) {
-        for (key, reason) in &taken.unusable_entries {
+        for UnusableEntry { key, reason } in &taken.unusable_entries {
             match self.json {
-                true => self.show(&json!({"app": key.group, "id": key.id, "passed_over": reason})),
+                true => {
+                    self.show(&json!({"app": key.group, "id": key.id, "passed_over": reason.to_string()}));
+                }
                 false => print(&format!("{}  passed over: {reason}", key.id)),
             }
         }
--- a/src/net/platform/eureka/json.rs
+++ b/src/net/platform/eureka/json.rs
@@ -1,7 +1,7 @@
 //! Answers of a registry in JSON, as real servers write it: one element in place of a list, numbers as text,
 //! attributes as `"@enabled"` and `"$"`, fields that nobody knows. It gives no meaning to what it reads.
 
-use super::model::{check_text_lengths, Action, Applications, Instance, Status};
+use super::model::{check_text_lengths, Action, Applications, DecodeError, Instance, Status};
 use serde::de::{Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -10,97 +10,97 @@
 
 /// A text or a number, as text.
 #[derive(Default)]
-struct Word(String);
+struct LooseText(String);
 
-struct WordVisitor;
+struct LooseTextVisitor;
 
-impl Visitor<'_> for WordVisitor {
-    type Value = Word;
+impl Visitor<'_> for LooseTextVisitor {
+    type Value = LooseText;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a text, a number, true or false")
     }
 
-    fn visit_str<E>(self, v: &str) -> Result<Word, E> {
-        Ok(Word(v.to_owned()))
+    fn visit_str<E>(self, v: &str) -> Result<LooseText, E> {
+        Ok(LooseText(v.to_owned()))
     }
 
-    fn visit_string<E>(self, v: String) -> Result<Word, E> {
-        Ok(Word(v))
+    fn visit_string<E>(self, v: String) -> Result<LooseText, E> {
+        Ok(LooseText(v))
     }
 
-    fn visit_u64<E>(self, v: u64) -> Result<Word, E> {
-        Ok(Word(v.to_string()))
+    fn visit_u64<E>(self, v: u64) -> Result<LooseText, E> {
+        Ok(LooseText(v.to_string()))
     }
 
-    fn visit_i64<E>(self, v: i64) -> Result<Word, E> {
-        Ok(Word(v.to_string()))
+    fn visit_i64<E>(self, v: i64) -> Result<LooseText, E> {
+        Ok(LooseText(v.to_string()))
     }
 
-    fn visit_f64<E>(self, v: f64) -> Result<Word, E> {
-        Ok(Word(v.to_string()))
+    fn visit_f64<E>(self, v: f64) -> Result<LooseText, E> {
+        Ok(LooseText(v.to_string()))
     }
 
-    fn visit_bool<E>(self, v: bool) -> Result<Word, E> {
-        Ok(Word(v.to_string()))
+    fn visit_bool<E>(self, v: bool) -> Result<LooseText, E> {
+        Ok(LooseText(v.to_string()))
     }
 
-    fn visit_unit<E>(self) -> Result<Word, E> {
-        Ok(Word::default())
+    fn visit_unit<E>(self) -> Result<LooseText, E> {
+        Ok(LooseText::default())
     }
 }
 
-impl<'de> Deserialize<'de> for Word {
+impl<'de> Deserialize<'de> for LooseText {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        d.deserialize_any(WordVisitor)
+        d.deserialize_any(LooseTextVisitor)
     }
 }
 
-impl Word {
+impl LooseText {
     fn number(&self) -> u64 {
         self.0.trim().parse().unwrap_or(0)
     }
 }
 
 /// A list, or the one element that stands in its place.
-struct Many<T>(Vec<T>);
+struct OneOrMany<T>(Vec<T>);
 
-impl<T> Default for Many<T> {
+impl<T> Default for OneOrMany<T> {
     fn default() -> Self {
-        Many(Vec::new())
+        OneOrMany(Vec::new())
     }
 }
 
-struct ManyVisitor<T>(PhantomData<T>);
+struct OneOrManyVisitor<T>(PhantomData<T>);
 
-impl<'de, T: Deserialize<'de>> Visitor<'de> for ManyVisitor<T> {
-    type Value = Many<T>;
+impl<'de, T: Deserialize<'de>> Visitor<'de> for OneOrManyVisitor<T> {
+    type Value = OneOrMany<T>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a list or one element")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Many<T>, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<OneOrMany<T>, A::Error> {
         let mut all = Vec::new();
         while let Some(one) = seq.next_element()? {
             all.push(one);
         }
-        Ok(Many(all))
+        Ok(OneOrMany(all))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Many<T>, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<OneOrMany<T>, A::Error> {
         let one = T::deserialize(serde::de::value::MapAccessDeserializer::new(map))?;
-        Ok(Many(vec![one]))
+        Ok(OneOrMany(vec![one]))
     }
 
-    fn visit_unit<E>(self) -> Result<Many<T>, E> {
-        Ok(Many::default())
+    fn visit_unit<E>(self) -> Result<OneOrMany<T>, E> {
+        Ok(OneOrMany::default())
     }
 }
 
-impl<'de, T: Deserialize<'de>> Deserialize<'de> for Many<T> {
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for OneOrMany<T> {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        d.deserialize_any(ManyVisitor(PhantomData))
+        d.deserialize_any(OneOrManyVisitor(PhantomData))
     }
 }
 
@@ -133,8 +133,8 @@
         let (mut port, mut enabled) = (None, true);
         while let Some(key) = map.next_key::<String>()? {
             match key.as_str() {
-                "$" => port = map.next_value::<Word>()?.0.trim().parse().ok(),
-                "@enabled" => enabled = map.next_value::<Word>()?.0 != "false",
+                "$" => port = map.next_value::<LooseText>()?.0.trim().parse().ok(),
+                "@enabled" => enabled = map.next_value::<LooseText>()?.0 != "false",
                 _ => drop(map.next_value::<IgnoredAny>()?),
             }
         }
@@ -169,76 +169,83 @@
 #[serde(rename_all = "camelCase", default)]
 #[derive(Default)]
 struct RawInstance {
-    instance_id: Word,
-    host_name: Word,
-    app: Word,
-    ip_addr: Word,
-    status: Word,
+    instance_id: LooseText,
+    host_name: LooseText,
+    app: LooseText,
+    ip_addr: LooseText,
+    status: LooseText,
     port: Port,
     secure_port: Port,
     metadata: Metadata,
-    last_updated_timestamp: Word,
-    last_dirty_timestamp: Word,
-    action_type: Word,
+    last_updated_timestamp: LooseText,
+    last_dirty_timestamp: LooseText,
+    action_type: LooseText,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct RawApplication {
-    name: Word,
-    instance: Many<RawInstance>,
+    name: LooseText,
+    instance: OneOrMany<RawInstance>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct RawApplications {
     #[serde(rename = "versions__delta")]
-    version: Word,
+    version: LooseText,
     #[serde(rename = "apps__hashcode")]
-    hash: Option<Word>,
-    application: Many<RawApplication>,
+    hash: Option<LooseText>,
+    application: OneOrMany<RawApplication>,
 }
 
 /// What may stand at the top: all applications, one, or one instance.
 #[derive(Deserialize)]
-struct Top {
+struct Document {
     applications: Option<RawApplications>,
     application: Option<RawApplication>,
 }
 
-fn instance(raw: RawInstance, app: &str) -> Result<Instance, String> {
-    let first = |a: String, b: &str| if a.is_empty() { b.to_owned() } else { a };
-    let read = Instance {
-        app: first(raw.app.0, app).to_uppercase(),
-        id: first(raw.instance_id.0, &raw.host_name.0),
-        ip: first(raw.ip_addr.0, &raw.host_name.0),
+fn instance(raw: RawInstance, app: &str) -> Result<Instance, DecodeError> {
+    let non_empty_or = |text: String, default: &str| if text.is_empty() { default.to_owned() } else { text };
+    let deleted = raw.action_type.0 == "DELETED";
+    let instance = Instance {
+        app: non_empty_or(raw.app.0, app).to_uppercase(),
+        id: non_empty_or(raw.instance_id.0, &raw.host_name.0),
+        ip: non_empty_or(raw.ip_addr.0, &raw.host_name.0),
         port: raw.port.0.or(raw.secure_port.0),
         status: Status::read(&raw.status.0),
         modified_at_ms: raw.last_updated_timestamp.number().max(raw.last_dirty_timestamp.number()),
         metadata: raw.metadata.0,
-        action: if raw.action_type.0 == "DELETED" { Action::Delete } else { Action::Upsert },
+        action: if deleted { Action::Delete } else { Action::Upsert },
     };
-    check_text_lengths(&read)?;
-    Ok(read)
+    check_text_lengths(&instance)?;
+    Ok(instance)
 }
 
 /// Reads an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
-pub fn read(body: &[u8]) -> Result<Applications, String> {
-    let top: Top = serde_json::from_slice(body).map_err(|e| format!("not as JSON should be: {e}"))?;
-    let raw = match (top.applications, top.application) {
-        (Some(all), _) => all,
-        (None, Some(one)) => RawApplications { application: Many(vec![one]), ..RawApplications::default() },
-        (None, None) => return Err("neither `applications` nor `application`".into()),
+///
+/// # Errors
+///
+/// If it is no JSON, has overlong names, or is no answer of a registry.
+pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
+    let document: Document = serde_json::from_slice(body).map_err(DecodeError::Json)?;
+    let raw = match (document.applications, document.application) {
+        (Some(applications), _) => applications,
+        (None, Some(application)) => {
+            RawApplications { application: OneOrMany(vec![application]), ..RawApplications::default() }
+        }
+        (None, None) => return Err(DecodeError::NoApplications),
     };
-    let mut all = Applications {
+    let mut answer = Applications {
         version: raw.version.0.trim().parse().ok(),
-        hash: raw.hash.map(|h| h.0),
+        hash: raw.hash.map(|hash| hash.0),
         instances: Vec::new(),
     };
-    for app in raw.application.0 {
-        for raw in app.instance.0 {
-            all.instances.push(instance(raw, &app.name.0)?);
+    for application in raw.application.0 {
+        for raw in application.instance.0 {
+            answer.instances.push(instance(raw, &application.name.0)?);
         }
     }
-    Ok(all)
+    Ok(answer)
 }
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -1,134 +1,165 @@
-//! The registry as a source of the list: asked again and again, its answers handed to the membership's actor. What is believed of
-//! them is decided in [`crate::membership`]. Source of the protocol: Eureka's published REST operations.
+//! The registry as a source of the endpoint list: polled again and again, its answers sent to the endpoint list actor. What is
+//! believed of them is decided in [`crate::membership`]. Source of the protocol: Eureka's published REST operations.
 
+pub mod cache;
 pub mod client;
 pub mod counts;
-pub mod held;
 pub mod json;
 pub mod model;
 pub mod register;
 pub mod snapshot;
 pub mod xml;
 
-use crate::membership::{Ask, Poller, Question, RegistrySettings};
+use crate::membership::{Address, Ask, Poller, Question, RegistrySettings};
 use crate::net::messages::EndpointListMessage;
 use crate::net::Context;
 use crate::settings_json::Names;
 use crate::Micros;
 use async_channel::Sender;
 use async_io::Timer;
+use cache::{AppliedAnswer, RegistryCache};
 use client::{percent_encode, RegistryClient, RegistryError};
 use counts::increment;
-use held::{AppliedAnswer, RegistryCache};
 use model::Applications;
 use serde_json::json;
 use slog::{info, warn};
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A registry, asked as the poller says. It is used by the forwarder and by the commands alike.
+/// A registry, polled as the poller says. It is used by the forwarder and by the commands alike.
 pub struct Registry {
     settings: Arc<RegistrySettings>,
     names: Arc<Names>,
     clients: Vec<RegistryClient>,
     /// What is to be asked, and when.
     pub poller: Poller,
-    held: RegistryCache,
+    cache: RegistryCache,
 }
 
 impl Registry {
     /// A registry of which nothing is known.
     pub fn new(settings: Arc<RegistrySettings>, names: Arc<Names>, now: Micros) -> Self {
-        let client = |a: &crate::membership::Address| {
-            RegistryClient::new(a.clone(), settings.timeout, settings.largest)
-        };
-        let clients = settings.addresses.iter().map(client).collect();
+        let clients = clients(&settings);
         let poller = Poller::new(&settings, now);
-        Registry { settings, names, clients, poller, held: RegistryCache::default() }
+        Registry { settings, names, clients, poller, cache: RegistryCache::default() }
     }
 
-    /// Asks one address.
+    /// Polls one address, by its index among the addresses.
+    ///
+    /// # Errors
+    ///
+    /// If there is no answer that can be read.
     pub async fn poll(&mut self, address: usize, question: Question) -> Result<AppliedAnswer, RegistryError> {
+        let answer = match question {
+            Question::Delta => self.clients[address].applications("/apps/delta").await?,
+            Question::Whole => self.poll_complete(address).await?,
+        };
+        let complete = question == Question::Whole;
+        Ok(self.cache.apply(answer, complete, &self.settings.metadata, &self.names))
+    }
+
+    async fn poll_complete(&mut self, address: usize) -> Result<Applications, RegistryError> {
         let client = &mut self.clients[address];
-        let answer = match (question, &self.settings.ask) {
-            (Question::Delta, _) => client.applications("/apps/delta").await?,
-            (Question::Whole, Ask::All) => client.applications("/apps").await?,
-            (Question::Whole, Ask::Vip(vip)) => {
-                client.applications(&format!("/vips/{}", percent_encode(vip))).await?
-            }
-            (Question::Whole, Ask::Apps(apps)) => {
-                let mut all = Applications::default();
-                for app in apps {
-                    match client.applications(&format!("/apps/{}", percent_encode(app))).await {
-                        Ok(one) => all.instances.extend(one.instances),
-                        // An application without instances is no failure.
-                        Err(RegistryError::Status(404)) => {}
-                        Err(e) => return Err(e),
-                    }
-                }
-                all
-            }
+        let apps = match &self.settings.ask {
+            Ask::All => return client.applications("/apps").await,
+            Ask::Vip(vip) => return client.applications(&format!("/vips/{}", percent_encode(vip))).await,
+            Ask::Apps(apps) => apps,
         };
-        Ok(self.held.apply(answer, question == Question::Whole, &self.settings.metadata, &self.names))
+        let mut all = Applications::default();
+        for app in apps {
+            match client.applications(&format!("/apps/{}", percent_encode(app))).await {
+                Ok(one) => all.instances.extend(one.instances),
+                // An application without instances is no failure.
+                Err(RegistryError::Status(404)) => {}
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(all)
     }
 
     /// How many entries could not be used.
     pub fn unusable_entry_count(&self) -> usize {
-        self.held.unusable_entry_count()
+        self.cache.unusable_entry_count()
     }
 
-    /// What an address is called.
-    pub fn address(&self, at: usize) -> String {
-        let a = &self.settings.addresses[at];
-        format!("{}:{}", a.host, a.port)
+    /// Host and port of an address, by its index among the addresses.
+    pub fn address(&self, index: usize) -> String {
+        let address = &self.settings.addresses[index];
+        format!("{}:{}", address.host, address.port)
     }
 }
 
-/// Asks without end and hands on what comes; ended by being dropped.
+/// A client for each address, in their order.
+fn clients(settings: &RegistrySettings) -> Vec<RegistryClient> {
+    let client = |address: &Address| RegistryClient::new(address.clone(), settings.timeout, settings.largest);
+    settings.addresses.iter().map(client).collect()
+}
+
+/// Polls without end and sends the answers to the endpoint list actor; ended by being dropped.
 pub async fn run(
     context: Rc<Context>,
     settings: Arc<RegistrySettings>,
-    members: Sender<EndpointListMessage>,
+    endpoint_list: Sender<EndpointListMessage>,
 ) {
     let names = context.config().names.clone();
     let clock = context.clock;
-    let counts = &context.registry;
-    let mut draws = fastrand::Rng::with_seed(context.config().seed);
+    let mut rng = fastrand::Rng::with_seed(context.config().seed);
     let mut registry = Registry::new(settings, names, clock.now());
     loop {
         let next = registry.poller.next_question();
         Timer::at(clock.at(next.at)).await;
         match registry.poll(next.address, next.question).await {
-            Ok(taken) => {
-                increment(&counts.polls);
-                increment(if next.question == Question::Delta { &counts.deltas } else { &counts.complete });
-                counts.address.set(next.address);
-                for (key, reason) in &taken.unusable_entries {
-                    info!(context.log, "entry passed over"; "app" => &key.group, "id" => &key.id, "reason" => reason);
-                }
-                counts.unusable_entries.set(registry.unusable_entry_count());
-                if !taken.hash_matches {
-                    increment(&counts.mismatches);
-                    info!(context.log, "the registry's hash does not fit"; "address" => registry.address(next.address));
-                }
-                let (told, doubt) = async_channel::bounded(1);
-                let news = EndpointListMessage::RegistryUpdate {
-                    update: taken.update,
-                    received_at: clock.now(),
-                    doubted: told,
-                };
-                if members.send(news).await.is_err() {
-                    return;
-                }
-                let in_doubt = doubt.recv().await.unwrap_or(false);
-                registry.poller.answered(clock.now(), next.question, taken.hash_matches, in_doubt);
+            Ok(answer) => {
+                record_answer(&context, &registry, &answer, next.address, next.question);
+                let hash_matches = answer.hash_matches;
+                let Some(in_doubt) = send_update(&context, &endpoint_list, answer).await else { return };
+                registry.poller.answered(clock.now(), next.question, hash_matches, in_doubt);
             }
-            Err(e) => {
-                increment(&counts.failures);
+            Err(error) => {
+                increment(&context.registry.failures);
                 let address = registry.address(next.address);
-                warn!(context.log, "the registry did not answer"; "address" => address, "error" => %e);
-                registry.poller.failed(clock.now(), draws.f64());
+                warn!(context.log, "the registry did not answer"; "address" => address, "error" => %error);
+                registry.poller.failed(clock.now(), rng.f64());
             }
         }
     }
 }
+
+/// Counts and logs an answer.
+fn record_answer(
+    context: &Context,
+    registry: &Registry,
+    answer: &AppliedAnswer,
+    address: usize,
+    question: Question,
+) {
+    let counts = &context.registry;
+    increment(&counts.polls);
+    increment(if question == Question::Delta { &counts.deltas } else { &counts.complete });
+    counts.address.set(address);
+    for entry in &answer.unusable_entries {
+        info!(context.log, "entry ignored"; "app" => &entry.key.group, "id" => &entry.key.id,
+            "reason" => %entry.reason);
+    }
+    counts.unusable_entries.set(registry.unusable_entry_count());
+    if !answer.hash_matches {
+        increment(&counts.mismatches);
+        info!(context.log, "the registry's hash does not match"; "address" => registry.address(address));
+    }
+}
+
+/// Sends an answer to the endpoint list actor; whether something of it is in doubt, or `None` without the actor.
+async fn send_update(
+    context: &Context,
+    endpoint_list: &Sender<EndpointListMessage>,
+    answer: AppliedAnswer,
+) -> Option<bool> {
+    let (doubted, in_doubt) = async_channel::bounded(1);
+    let message = EndpointListMessage::RegistryUpdate {
+        update: answer.update,
+        received_at: context.clock.now(),
+        doubted,
+    };
+    endpoint_list.send(message).await.ok()?;
+    Some(in_doubt.recv().await.unwrap_or(false))
+}
--- a/src/net/platform/eureka/model.rs
+++ b/src/net/platform/eureka/model.rs
@@ -3,6 +3,32 @@
 
 use std::collections::BTreeMap;
 
+/// Why an answer cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum DecodeError {
+    /// It is no JSON, or has other types than an answer.
+    #[error("not as JSON should be: {0}")]
+    Json(serde_json::Error),
+    /// It is no XML.
+    #[error("not as XML should be: {0}")]
+    Xml(String),
+    /// It has elements within elements beyond this depth.
+    #[error("it nests deeper than {0}")]
+    TooDeep(usize),
+    /// It refers to an entity that XML does not have.
+    #[error("the unknown entity `{0}`")]
+    UnknownEntity(String),
+    /// It ends within an element.
+    #[error("it ends in its middle")]
+    Incomplete,
+    /// It is no answer of a registry.
+    #[error("neither `applications` nor `application`")]
+    NoApplications,
+    /// A name or value has so many bytes, which is too many.
+    #[error("a name of {0} bytes")]
+    NameTooLong(usize),
+}
+
 /// The longest name or value that is taken; no registry has longer ones.
 pub const LONGEST_NAME: usize = 4 * 1024;
 
@@ -22,9 +48,9 @@
 }
 
 impl Status {
-    /// From the protocol's word; what is no word of it is unknown.
-    pub fn read(word: &str) -> Status {
-        match word.to_ascii_uppercase().as_str() {
+    /// From the protocol's name; any other name is unknown.
+    pub fn read(name: &str) -> Status {
+        match name.to_ascii_uppercase().as_str() {
             "UP" => Status::Up,
             "DOWN" => Status::Down,
             "STARTING" => Status::Starting,
@@ -33,7 +59,7 @@
         }
     }
 
-    /// The protocol's word.
+    /// The protocol's name.
     pub fn name(self) -> &'static str {
         match self {
             Status::Up => "UP",
@@ -75,7 +101,7 @@
     pub action: Action,
 }
 
-/// A whole answer.
+/// An answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Applications {
     /// `versions__delta`, if it is a number.
@@ -92,16 +118,24 @@
     const BY_NAME: [Status; 5] =
         [Status::Down, Status::OutOfService, Status::Starting, Status::Unknown, Status::Up];
     let mut counts = [0usize; 5];
-    statuses.for_each(|s| counts[BY_NAME.iter().position(|b| *b == s).expect("one of all")] += 1);
+    for status in statuses {
+        let position = BY_NAME.iter().position(|by_name| *by_name == status);
+        counts[position.expect("all statuses are listed above")] += 1;
+    }
     let occurring = BY_NAME.iter().zip(counts).filter(|(_, count)| *count > 0);
     occurring.map(|(status, count)| format!("{}_{count}_", status.name())).collect()
 }
 
-/// Checks that no text of an instance is longer than any is.
-pub fn check_text_lengths(i: &Instance) -> Result<(), String> {
-    let texts = [&i.app, &i.id, &i.ip].into_iter().chain(i.metadata.iter().flat_map(|(k, v)| [k, v]));
-    match texts.map(String::len).find(|l| *l > LONGEST_NAME) {
-        Some(long) => Err(format!("a name of {long} bytes")),
+/// Checks that no text of an instance is longer than any registry's is.
+///
+/// # Errors
+///
+/// If one is.
+pub fn check_text_lengths(instance: &Instance) -> Result<(), DecodeError> {
+    let metadata = instance.metadata.iter().flat_map(|(name, value)| [name, value]);
+    let mut texts = [&instance.app, &instance.id, &instance.ip].into_iter().chain(metadata);
+    match texts.find(|text| text.len() > LONGEST_NAME) {
+        Some(text) => Err(DecodeError::NameTooLong(text.len())),
         None => Ok(()),
     }
 }
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -1,7 +1,8 @@
-//! This forwarder as an entry of the registry: registered, renewed, taken out of service when it starts to end, and
-//! cancelled at its end. Nothing that it decides depends on it.
+//! This forwarder's own entry in the registry: registered, renewed, taken out of service when the shutdown begins, and
+//! cancelled at its end. No decision depends on it.
 
 use super::client::{percent_encode, RegistryClient, RegistryError};
+use super::clients;
 use crate::membership::{Registration, RegistrySettings};
 use crate::net::{within, Context};
 use async_channel::{Receiver, Sender};
@@ -15,59 +16,71 @@
 use std::time::Duration;
 
 /// After a failure the next address is tried after this.
-const AGAIN: Duration = Duration::from_secs(1);
-/// At the end, a word to the registry may take so long.
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
+/// At the end, the request that cancels the lease may take so long.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(150);
 
 struct Entry<'a> {
     registration: &'a Registration,
+    /// This forwarder's name.
     name: String,
+    /// Where its clients connect.
     listen: SocketAddr,
     clients: Vec<RegistryClient>,
-    at: usize,
+    /// The index of the address that is in use.
+    address: usize,
 }
 
 impl Entry<'_> {
+    fn app_path(&self) -> String {
+        format!("/apps/{}", percent_encode(&self.registration.app))
+    }
+
     fn path(&self) -> String {
-        format!("/apps/{}/{}", percent_encode(&self.registration.app), percent_encode(&self.name))
+        format!("{}/{}", self.app_path(), percent_encode(&self.name))
     }
 
     fn document(&self, status: &str) -> String {
-        let r = self.registration;
+        let registration = self.registration;
+        let ip = self.listen.ip().to_string();
         json!({"instance": {
-            "instanceId": self.name, "hostName": self.listen.ip().to_string(), "app": r.app,
-            "ipAddr": self.listen.ip().to_string(), "vipAddress": r.app, "status": status,
+            "instanceId": self.name, "hostName": ip, "app": registration.app,
+            "ipAddr": ip, "vipAddress": registration.app, "status": status,
             "port": {"$": self.listen.port(), "@enabled": "true"},
             "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-            "leaseInfo": {"renewalIntervalInSecs": r.renew.div_ceil(1_000_000), "durationInSecs": r.lease.div_ceil(1_000_000)},
-            "metadata": r.metadata,
+            "leaseInfo": {
+                "renewalIntervalInSecs": registration.renew.div_ceil(1_000_000),
+                "durationInSecs": registration.lease.div_ceil(1_000_000),
+            },
+            "metadata": registration.metadata,
         }})
         .to_string()
     }
 
-    async fn ask(&mut self, method: &str, path: &str, body: Option<&str>) -> Result<u16, RegistryError> {
-        let asked = self.clients[self.at].send(method, path, body).await;
-        if asked.is_err() {
-            self.at = (self.at + 1) % self.clients.len();
+    /// Sends a request; the status of its response. After a failure the next request goes to the next address.
+    async fn send(&mut self, method: &str, path: &str, body: Option<&str>) -> Result<u16, RegistryError> {
+        let result = self.clients[self.address].send(method, path, body).await;
+        if result.is_err() {
+            self.address = (self.address + 1) % self.clients.len();
         }
-        asked.map(|a| a.0)
+        result.map(|response| response.status)
     }
 
+    /// Registers the entry; whether the registry has the lease.
     async fn register(&mut self, context: &Context) -> bool {
-        let (app, document) =
-            (format!("/apps/{}", percent_encode(&self.registration.app)), self.document("UP"));
-        let told = match self.ask("POST", &app, Some(&document)).await {
+        let document = self.document("UP");
+        let error = match self.send("POST", &self.app_path(), Some(&document)).await {
             Ok(200..=299) => return true,
             Ok(status) => format!("status {status}"),
-            Err(e) => e.to_string(),
+            Err(error) => error.to_string(),
         };
-        warn!(context.log, "not registered"; "error" => told);
+        warn!(context.log, "not registered"; "error" => error);
         false
     }
 
-    /// True while the registry has the lease; a lost one is registered again.
+    /// Renews the lease, or registers the entry again if it was lost; whether the registry has the lease.
     async fn renew(&mut self, context: &Context) -> bool {
-        match self.ask("PUT", &self.path(), None).await {
+        match self.send("PUT", &self.path(), None).await {
             Ok(200..=299) => true,
             Ok(404) => {
                 info!(context.log, "the lease was lost");
@@ -76,40 +89,42 @@
             Ok(_) | Err(_) => false,
         }
     }
+
+    /// Registers the entry and renews its lease without end.
+    async fn keep_registered(&mut self, context: &Context) {
+        let renewal_interval = Duration::from_micros(self.registration.renew);
+        let mut has_lease = self.register(context).await;
+        loop {
+            Timer::after(if has_lease { renewal_interval } else { RETRY_PAUSE }).await;
+            has_lease = match has_lease {
+                true => self.renew(context).await,
+                false => self.register(context).await,
+            };
+        }
+    }
 }
 
-/// Keeps the entry until the program starts to end, then takes it out of service; cancels it once `end` is closed.
-/// `gone` is closed when nothing more is to be done.
-pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, end: Receiver<()>, gone: Sender<()>) {
+/// Keeps the entry until the shutdown begins, then takes it out of service; cancels it once `end` is closed.
+/// `done` is closed when nothing more is to be done.
+pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, end: Receiver<()>, done: Sender<()>) {
     let Some(registration) = &settings.register else { return };
-    let clients = || {
-        let all = settings.addresses.iter();
-        all.map(|a| RegistryClient::new(a.clone(), settings.timeout, settings.largest)).collect()
-    };
     let config = context.config();
     let mut entry = Entry {
         registration,
         name: config.name.clone(),
         listen: context.listen(),
-        clients: clients(),
-        at: 0,
-    };
-    let keeping = async {
-        let mut held = entry.register(&context).await;
-        loop {
-            let pause = if held { Duration::from_micros(registration.renew) } else { AGAIN };
-            Timer::after(pause).await;
-            held = if held { entry.renew(&context).await } else { entry.register(&context).await };
-        }
+        clients: clients(&settings),
+        address: 0,
     };
-    future::or(keeping, context.lifecycle.until_closing()).await;
-    // A question may have been cut short: its connection is of no more use.
-    entry.clients = clients();
+    future::or(entry.keep_registered(&context), context.lifecycle.until_closing()).await;
+    // A request may have been cut short: its connection is of no more use.
+    entry.clients = clients(&settings);
     let path = entry.path();
-    let out = entry.ask("PUT", &format!("{path}/status?value=OUT_OF_SERVICE"), None).await;
-    info!(context.log, "taken out of service"; "answer" => ?out.ok());
+    let response = entry.send("PUT", &format!("{path}/status?value=OUT_OF_SERVICE"), None).await;
+    info!(context.log, "taken out of service"; "answer" => ?response.ok());
+    // Nothing is ever sent: it is closed.
     let _ = end.recv().await;
-    let cancelled = within(CANCEL_TIMEOUT, entry.ask("DELETE", &path, None)).await;
-    info!(context.log, "lease cancelled"; "answer" => ?cancelled.and_then(Result::ok));
-    drop(gone);
+    let response = within(CANCEL_TIMEOUT, entry.send("DELETE", &path, None)).await;
+    info!(context.log, "lease cancelled"; "answer" => ?response.and_then(Result::ok));
+    drop(done);
 }
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -1,5 +1,5 @@
-//! The last view of the registry, kept in the state folder for a start while the registry is silent. It is checked
-//! as it is read, and replaced as a whole.
+//! The last view of the registry, persisted in the state folder for a start while the registry is silent. Its checksum is
+//! verified as it is read, and it is replaced atomically.
 
 use crate::membership::{Key, Listing, State};
 use crate::{DestinationId, KindId, Micros, ZoneId};
@@ -10,12 +10,16 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-const NAME: &str = "registry.view";
-const NEXT: &str = "registry.next";
-/// No view unpacks to more.
-const LARGEST: u64 = 64 * 1024 * 1024;
-/// Of the folder's room, the view and its replacement may each take this part.
-const PART: u64 = 16;
+const FILE_NAME: &str = "registry.view";
+const NEXT_FILE_NAME: &str = "registry.next";
+/// The format of the file.
+const VERSION: u32 = 1;
+/// The checksum in front of the compressed view.
+const CHECKSUM_BYTES: usize = 4;
+/// No view decompresses to more.
+const MAX_PLAIN_BYTES: u64 = 64 * 1024 * 1024;
+/// The view and its replacement may each take this fraction of the folder's limit: one sixteenth.
+const FOLDER_DIVISOR: u64 = 16;
 
 #[derive(Serialize, Deserialize)]
 struct Entry {
@@ -32,19 +36,20 @@
 #[derive(Serialize, Deserialize)]
 struct File {
     version: u32,
-    /// When it was written, in Unix time.
-    at: Micros,
+    /// When it was written, in microseconds of Unix time.
+    #[serde(rename = "at")]
+    written_at: Micros,
     entries: Vec<Entry>,
 }
 
-/// Where the view is kept.
+/// Where the view is persisted.
 pub struct RegistrySnapshot {
     folder: PathBuf,
 }
 
-/// A view that was kept.
+/// A view that was persisted.
 pub struct SavedView {
-    /// When it was written, in Unix time.
+    /// When it was written, in microseconds of Unix time.
     pub written_at: Micros,
     /// Its entries.
     pub listings: Vec<Listing>,
@@ -56,115 +61,111 @@
         RegistrySnapshot { folder: folder.to_owned() }
     }
 
-    /// Reads what was kept; nothing if there is none, an error if it is damaged.
+    /// Reads the persisted view; `None` if there is none.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be read or is damaged.
     pub fn read(&self) -> io::Result<Option<SavedView>> {
-        let bytes = match fs::read(self.folder.join(NAME)) {
+        let bytes = match fs::read(self.folder.join(FILE_NAME)) {
             Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
             read => read?,
         };
-        let damaged = |what: &str| io::Error::new(io::ErrorKind::InvalidData, what.to_owned());
-        let (sum, packed) = bytes.split_at_checked(4).ok_or_else(|| damaged("it is cut"))?;
-        if sum != crc32fast::hash(packed).to_le_bytes() {
-            return Err(damaged("its sum does not fit"));
+        let (checksum, packed) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(Damage::Cut)?;
+        if checksum != crc32fast::hash(packed).to_le_bytes() {
+            return Err(Damage::Checksum.into());
         }
         let mut plain = Vec::new();
-        GzDecoder::new(packed).take(LARGEST).read_to_end(&mut plain)?;
-        let file: File = serde_json::from_slice(&plain).map_err(|e| damaged(&e.to_string()))?;
-        if file.version != 1 {
-            return Err(damaged("its version is not known"));
+        GzDecoder::new(packed).take(MAX_PLAIN_BYTES).read_to_end(&mut plain)?;
+        let file: File = serde_json::from_slice(&plain).map_err(Damage::Json)?;
+        if file.version != VERSION {
+            return Err(Damage::Version.into());
         }
-        let listing = |e: Entry| Listing {
-            key: Key { group: e.app, id: e.id },
-            address: e.address,
-            destination: DestinationId(e.destination),
-            zone: ZoneId(e.zone),
-            kind: KindId(e.kind),
-            weight: e.weight,
-            state: if e.up { State::Up } else { State::Leaving },
-            stamp: 0,
-        };
-        Ok(Some(SavedView { written_at: file.at, listings: file.entries.into_iter().map(listing).collect() }))
+        let listings = file.entries.into_iter().map(Listing::from).collect();
+        Ok(Some(SavedView { written_at: file.written_at, listings }))
     }
 
-    /// Replaces what was kept, within a limit in bytes of the folder; how many bytes the view and its replacement
-    /// take at the most, or none if it is too large to be kept.
+    /// Replaces the persisted view, within a limit in bytes of the folder; how many bytes the view and its replacement
+    /// take at the most, or `None` if it is too large to be persisted.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be written; the persisted view stays then.
     pub fn write<'a>(
         &self,
-        at: Micros,
+        written_at: Micros,
         listings: impl Iterator<Item = &'a Listing>,
         folder_limit: u64,
     ) -> io::Result<Option<u64>> {
-        let entry = |l: &Listing| Entry {
-            app: l.key.group.clone(),
-            id: l.key.id.clone(),
-            address: l.address,
-            destination: l.destination.0,
-            zone: l.zone.0,
-            kind: l.kind.0,
-            weight: l.weight,
-            up: l.state == State::Up,
-        };
-        let mut entries: Vec<Entry> = listings.map(entry).collect();
+        let mut entries: Vec<Entry> = listings.map(Entry::from).collect();
         entries.sort_by(|a, b| (&a.app, &a.id).cmp(&(&b.app, &b.id)));
-        let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
-        serde_json::to_writer(&mut packer, &File { version: 1, at, entries })?;
-        let packed = packer.finish()?;
-        let size = packed.len() as u64 + 4;
-        if size > folder_limit / PART {
+        let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
+        serde_json::to_writer(&mut encoder, &File { version: VERSION, written_at, entries })?;
+        let packed = encoder.finish()?;
+        let size = (packed.len() + CHECKSUM_BYTES) as u64;
+        if size > folder_limit / FOLDER_DIVISOR {
             return Ok(None);
         }
-        let next = self.folder.join(NEXT);
+        let next = self.folder.join(NEXT_FILE_NAME);
         let mut file = fs::File::create(&next)?;
         file.write_all(&crc32fast::hash(&packed).to_le_bytes())?;
         file.write_all(&packed)?;
         drop(file);
-        fs::rename(&next, self.folder.join(NAME))?;
+        fs::rename(&next, self.folder.join(FILE_NAME))?;
         Ok(Some(2 * size))
     }
 
-    /// The most bytes that the view and its replacement may take of a folder.
+    /// The most bytes that the view and its replacement may take of a folder with a limit in bytes.
     pub fn max_bytes(folder_limit: u64) -> u64 {
-        2 * (folder_limit / PART)
+        2 * (folder_limit / FOLDER_DIVISOR)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// How a persisted view is damaged.
+#[derive(Debug, thiserror::Error)]
+enum Damage {
+    #[error("it is cut")]
+    Cut,
+    #[error("its sum does not fit")]
+    Checksum,
+    #[error("{0}")]
+    Json(serde_json::Error),
+    #[error("its version is not known")]
+    Version,
+}
+
+impl From<Damage> for io::Error {
+    fn from(damage: Damage) -> Self {
+        io::Error::new(io::ErrorKind::InvalidData, damage)
+    }
+}
 
-    #[test]
-    fn a_view_is_kept_whole_and_a_damaged_one_is_refused() {
-        let folder = std::env::temp_dir().join(format!("cedarbridge-snapshot-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
-        let snapshot = RegistrySnapshot::new(&folder);
-        assert!(snapshot.read().expect("nothing yet").is_none());
-        let listing = |n: u16, state| Listing {
-            key: Key { group: "APP".into(), id: format!("i{n}") },
-            address: SocketAddr::from(([127, 0, 0, 1], n)),
-            destination: DestinationId(u64::from(n)),
-            zone: ZoneId(0),
-            kind: KindId(1),
-            weight: 2.5,
-            state,
+impl From<Entry> for Listing {
+    fn from(entry: Entry) -> Self {
+        Listing {
+            key: Key { group: entry.app, id: entry.id },
+            address: entry.address,
+            destination: DestinationId(entry.destination),
+            zone: ZoneId(entry.zone),
+            kind: KindId(entry.kind),
+            weight: entry.weight,
+            state: if entry.up { State::Up } else { State::Leaving },
             stamp: 0,
-        };
-        let all = [listing(1, State::Up), listing(2, State::Leaving)];
-        assert!(snapshot.write(7, all.iter(), 1_000_000).expect("written").is_some());
-        let kept = snapshot.read().expect("sound").expect("there");
-        assert_eq!((kept.written_at, kept.listings.as_slice()), (7, &all[..]));
-        // One that is too large leaves the old one standing.
-        assert!(snapshot.write(8, all.iter(), 64).expect("no failure").is_none());
-        assert_eq!(snapshot.read().expect("sound").expect("there").written_at, 7);
-        let path = folder.join(NAME);
-        let bytes = fs::read(&path).expect("read");
-        for at in [0, 5, bytes.len() / 2, bytes.len() - 1] {
-            let mut odd = bytes.clone();
-            odd[at] ^= 0x40;
-            fs::write(&path, odd).expect("written");
-            assert!(snapshot.read().is_err(), "a flip at {at}");
-            fs::write(&path, &bytes[..at]).expect("written");
-            assert!(snapshot.read().is_err(), "a cut at {at}");
         }
-        fs::remove_dir_all(folder).expect("removed");
+    }
+}
+
+impl From<&Listing> for Entry {
+    fn from(listing: &Listing) -> Self {
+        Entry {
+            app: listing.key.group.clone(),
+            id: listing.key.id.clone(),
+            address: listing.address,
+            destination: listing.destination.0,
+            zone: listing.zone.0,
+            kind: listing.kind.0,
+            weight: listing.weight,
+            up: listing.state == State::Up,
+        }
     }
 }
--- a/src/net/platform/eureka/xml.rs
+++ b/src/net/platform/eureka/xml.rs
@@ -1,130 +1,183 @@
 //! Answers of a registry in XML, for servers that write nothing else. It gives no meaning to what it reads.
 
-use super::model::{check_text_lengths, Action, Applications, Instance, Status, LONGEST_NAME};
-use quick_xml::events::{BytesStart, Event};
+use super::model::{check_text_lengths, Action, Applications, DecodeError, Instance, Status, LONGEST_NAME};
+use quick_xml::events::{BytesRef, BytesStart, Event};
 use quick_xml::Reader;
 use std::collections::BTreeMap;
+use std::fmt::Display;
 
 /// No answer nests deeper: applications, application, instance, metadata, a name.
-const DEEPEST: usize = 16;
+const MAX_DEPTH: usize = 16;
 
-/// An instance of which fields have come.
+/// Reads an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
+///
+/// # Errors
+///
+/// If it is no XML, nests too deeply, has overlong names or entities of its own, or is no answer of a registry.
+pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
+    let mut reader = Reader::from_reader(body);
+    let mut decoder = Decoder::default();
+    loop {
+        match reader.read_event().map_err(malformed)? {
+            Event::Start(tag) => decoder.start(&tag)?,
+            Event::Text(text) => decoder.text.push_str(&text.decode().map_err(malformed)?),
+            Event::CData(text) => decoder.text.push_str(&text.decode().map_err(malformed)?),
+            Event::GeneralRef(reference) => decoder.reference(&reference)?,
+            Event::End(_) => decoder.end()?,
+            Event::Eof => return decoder.finish(),
+            _ => {}
+        }
+    }
+}
+
+fn malformed(error: impl Display) -> DecodeError {
+    DecodeError::Xml(error.to_string())
+}
+
+/// What has been read of an answer.
 #[derive(Default)]
-struct Partial {
+struct Decoder {
+    answer: Applications,
+    /// The open elements, the innermost last.
+    path: Vec<String>,
+    /// The name of the open application.
+    app: String,
+    /// The open instance.
+    instance: Option<PartialInstance>,
+    /// The text since the last start or end of an element.
+    text: String,
+    has_applications: bool,
+}
+
+impl Decoder {
+    fn start(&mut self, tag: &BytesStart<'_>) -> Result<(), DecodeError> {
+        if self.path.len() == MAX_DEPTH {
+            return Err(DecodeError::TooDeep(MAX_DEPTH));
+        }
+        let name = element_name(tag)?;
+        match name.as_str() {
+            "applications" | "application" if self.path.len() <= 1 => {
+                self.has_applications = true;
+                self.app.clear();
+            }
+            "instance" => self.instance = Some(PartialInstance::default()),
+            field => {
+                if let Some(instance) = self.instance.as_mut().filter(|_| is_disabled(tag)) {
+                    instance.disabled.push(field.to_owned());
+                }
+            }
+        }
+        self.text.clear();
+        self.path.push(name);
+        Ok(())
+    }
+
+    fn reference(&mut self, reference: &BytesRef<'_>) -> Result<(), DecodeError> {
+        let entity = reference.decode().map_err(malformed)?;
+        let character = reference.resolve_char_ref().map_err(malformed)?;
+        match (quick_xml::escape::resolve_predefined_entity(&entity), character) {
+            (Some(text), _) => self.text.push_str(text),
+            (None, Some(character)) => self.text.push(character),
+            // Entities of a document's own are how small files grow without end.
+            (None, None) => return Err(DecodeError::UnknownEntity(entity.into_owned())),
+        }
+        Ok(())
+    }
+
+    fn end(&mut self) -> Result<(), DecodeError> {
+        let name = self.path.pop().unwrap_or_default();
+        let value = std::mem::take(&mut self.text);
+        if name == "instance" {
+            if let Some(instance) = self.instance.take() {
+                self.answer.instances.push(instance.finish(&self.app)?);
+            }
+            return Ok(());
+        }
+        let parent = self.path.last().map(String::as_str);
+        match (&mut self.instance, name.as_str(), parent) {
+            (Some(instance), _, Some("instance")) => drop(instance.fields.insert(name, value)),
+            (Some(instance), _, Some("metadata")) => drop(instance.metadata.insert(name, value)),
+            (None, "versions__delta", _) => self.answer.version = value.trim().parse().ok(),
+            (None, "apps__hashcode", _) => self.answer.hash = Some(value.trim().to_owned()),
+            (None, "name", Some("application")) => self.app = value,
+            _ => {}
+        }
+        Ok(())
+    }
+
+    fn finish(self) -> Result<Applications, DecodeError> {
+        if !self.path.is_empty() {
+            return Err(DecodeError::Incomplete);
+        }
+        if !self.has_applications {
+            return Err(DecodeError::NoApplications);
+        }
+        Ok(self.answer)
+    }
+}
+
+/// An instance of which some fields have been read.
+#[derive(Default)]
+struct PartialInstance {
     fields: BTreeMap<String, String>,
     metadata: BTreeMap<String, String>,
+    /// The fields that say of themselves that they are not enabled.
     disabled: Vec<String>,
 }
 
-impl Partial {
-    fn finish(mut self, app: &str) -> Result<Instance, String> {
-        let mut take = |name: &str| self.fields.remove(name).unwrap_or_default();
-        let first = |a: String, b: &str| if a.is_empty() { b.to_owned() } else { a };
-        let host = take("hostName");
-        let number = |text: String| text.trim().parse::<u64>().unwrap_or(0);
-        let (port, secure) = (take("port"), take("securePort"));
-        let enabled = |name: &str, text: String| {
-            text.trim().parse().ok().filter(|_| !self.disabled.iter().any(|d| d == name))
-        };
-        let read = Instance {
-            app: first(take("app"), app).to_uppercase(),
-            id: first(take("instanceId"), &host),
-            ip: first(take("ipAddr"), &host),
-            port: enabled("port", port).or(enabled("securePort", secure)),
-            status: Status::read(take("status").trim()),
-            modified_at_ms: number(take("lastUpdatedTimestamp")).max(number(take("lastDirtyTimestamp"))),
-            action: if take("actionType") == "DELETED" { Action::Delete } else { Action::Upsert },
+impl PartialInstance {
+    fn finish(mut self, app: &str) -> Result<Instance, DecodeError> {
+        let host = self.take("hostName");
+        let port = self.take_port("port");
+        let secure_port = self.take_port("securePort");
+        let instance = Instance {
+            app: non_empty_or(self.take("app"), app).to_uppercase(),
+            id: non_empty_or(self.take("instanceId"), &host),
+            ip: non_empty_or(self.take("ipAddr"), &host),
+            port: port.or(secure_port),
+            status: Status::read(self.take("status").trim()),
+            modified_at_ms: self
+                .take_number("lastUpdatedTimestamp")
+                .max(self.take_number("lastDirtyTimestamp")),
+            action: if self.take("actionType") == "DELETED" { Action::Delete } else { Action::Upsert },
             metadata: self.metadata,
         };
-        check_text_lengths(&read)?;
-        Ok(read)
+        check_text_lengths(&instance)?;
+        Ok(instance)
+    }
+
+    fn take(&mut self, name: &str) -> String {
+        self.fields.remove(name).unwrap_or_default()
+    }
+
+    fn take_number(&mut self, name: &str) -> u64 {
+        self.take(name).trim().parse().unwrap_or(0)
+    }
+
+    fn take_port(&mut self, name: &str) -> Option<u16> {
+        let port = self.take(name).trim().parse().ok();
+        port.filter(|_| !self.disabled.iter().any(|disabled| disabled == name))
     }
 }
 
-fn name(tag: &BytesStart<'_>) -> Result<String, String> {
+fn non_empty_or(text: String, default: &str) -> String {
+    if text.is_empty() {
+        default.to_owned()
+    } else {
+        text
+    }
+}
+
+fn element_name(tag: &BytesStart<'_>) -> Result<String, DecodeError> {
     let name = tag.local_name();
     if name.as_ref().len() > LONGEST_NAME {
-        return Err(format!("a name of {} bytes", name.as_ref().len()));
+        return Err(DecodeError::NameTooLong(name.as_ref().len()));
     }
     Ok(String::from_utf8_lossy(name.as_ref()).into_owned())
 }
 
-fn disabled(tag: &BytesStart<'_>) -> bool {
+fn is_disabled(tag: &BytesStart<'_>) -> bool {
     tag.attributes()
         .flatten()
         .any(|a| a.key.local_name().as_ref() == b"enabled" && a.value.as_ref() == b"false")
 }
-
-/// Reads an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
-pub fn read(body: &[u8]) -> Result<Applications, String> {
-    let wrong = |e: &dyn std::fmt::Display| format!("not as XML should be: {e}");
-    let mut reader = Reader::from_reader(body);
-    let mut all = Applications::default();
-    let mut path: Vec<String> = Vec::new();
-    let (mut app, mut instance, mut text) = (String::new(), None::<Partial>, String::new());
-    let mut seen = false;
-    loop {
-        match reader.read_event().map_err(|e| wrong(&e))? {
-            Event::Start(tag) => {
-                if path.len() == DEEPEST {
-                    return Err(format!("it nests deeper than {DEEPEST}"));
-                }
-                let name = name(&tag)?;
-                match name.as_str() {
-                    "applications" | "application" if path.len() <= 1 => {
-                        seen = true;
-                        app.clear();
-                    }
-                    "instance" => instance = Some(Partial::default()),
-                    field => {
-                        if let Some(i) = instance.as_mut().filter(|_| disabled(&tag)) {
-                            i.disabled.push(field.to_owned());
-                        }
-                    }
-                }
-                text.clear();
-                path.push(name);
-            }
-            Event::Text(t) => text.push_str(&t.decode().map_err(|e| wrong(&e))?),
-            Event::CData(t) => text.push_str(&t.decode().map_err(|e| wrong(&e))?),
-            Event::GeneralRef(r) => {
-                let entity = r.decode().map_err(|e| wrong(&e))?;
-                let known = quick_xml::escape::resolve_predefined_entity(&entity);
-                let char = r.resolve_char_ref().map_err(|e| wrong(&e))?;
-                match (known, char) {
-                    (Some(known), _) => text.push_str(known),
-                    (None, Some(char)) => text.push(char),
-                    // Entities of a document's own are how small files grow without end.
-                    (None, None) => return Err(format!("the unknown entity `{entity}`")),
-                }
-            }
-            Event::End(_) => {
-                let name = path.pop().unwrap_or_default();
-                let inside = path.last().map(String::as_str);
-                let value = std::mem::take(&mut text);
-                match (&mut instance, name.as_str(), inside) {
-                    (_, "instance", _) => {
-                        if let Some(partial) = instance.take() {
-                            all.instances.push(partial.finish(&app)?);
-                        }
-                    }
-                    (Some(i), _, Some("instance")) => drop(i.fields.insert(name, value)),
-                    (Some(i), _, Some("metadata")) => drop(i.metadata.insert(name, value)),
-                    (None, "versions__delta", _) => all.version = value.trim().parse().ok(),
-                    (None, "apps__hashcode", _) => all.hash = Some(value.trim().to_owned()),
-                    (None, "name", Some("application")) => app = value,
-                    _ => {}
-                }
-            }
-            Event::Eof => break,
-            _ => {}
-        }
-    }
-    if !path.is_empty() {
-        return Err("it ends in its middle".into());
-    }
-    if !seen {
-        return Err("neither `applications` nor `application`".into());
-    }
-    Ok(all)
-}
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,8 +1,8 @@
 //! The readers of a registry's answers, on what real servers write and on what nobody should.
 
 use cedarbridge::membership::{MetadataNames, SourceUpdate, State};
+use cedarbridge::net::platform::eureka::cache::RegistryCache;
 use cedarbridge::net::platform::eureka::client::percent_encode;
-use cedarbridge::net::platform::eureka::held::RegistryCache;
 use cedarbridge::net::platform::eureka::model::{hash_code, Action, Status};
 use cedarbridge::net::platform::eureka::{json, xml};
 use cedarbridge::settings_json::Names;
@@ -75,7 +75,11 @@
     ] {
         let mut held = RegistryCache::default();
         let taken = held.apply(read(from, to), false, &by, &names);
-        assert!(taken.unusable_entries.iter().any(|p| p.1 == why), "{why}: {:?}", taken.unusable_entries);
+        assert!(
+            taken.unusable_entries.iter().any(|entry| entry.reason.to_string() == why),
+            "{why}: {:?}",
+            taken.unusable_entries
+        );
         let SourceUpdate::Patch { listings, removed } = taken.update else { panic!("a patch") };
         assert_eq!((listings.len(), removed.len()), (0, 2), "what was held under its name goes");
         assert!(held.apply(read(from, to), false, &by, &names).unusable_entries.is_empty(), "told of once");
