--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -8,6 +8,7 @@
 use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
 use crate::net::http::{HttpConnection, HttpError, RequestHead};
 use crate::net::messages::{DeliveryMessage, DEFAULT_RETRY_AFTER};
+use crate::net::runtime::lifecycle::Lifecycle;
 use crate::net::Context;
 use crate::settings_json::Names;
 use crate::Micros;
@@ -117,17 +118,7 @@
         let is_new = priority == EvictionPriority::NoRequestYet;
         let registration = self.registry.register(priority);
         let closing = async {
-            self.context.lifecycle.until_closing().await;
-            if self.context.lifecycle.is_handed_over() {
-                // The successor is there for clients that connect again; the next response says so.
-                Timer::after(HANDED_OVER_GRACE).await;
-            } else if is_new {
-                // Its request is on its way, and has nowhere else to go: nobody may send it a second time unasked.
-                future::or(self.context.lifecycle.until_stopped(), async {
-                    Timer::after(FIRST_REQUEST_GRACE).await;
-                })
-                .await;
-            }
+            until_closing_grace_ends(&self.context.lifecycle, is_new).await;
             Err(ConnectionEnd::Closed(CloseReason::Closing))
         };
         let expired = async {
@@ -325,6 +316,21 @@
     }
 }
 
+/// Returns when the program ends and a connection between requests has had its time to begin another.
+async fn until_closing_grace_ends(lifecycle: &Lifecycle, is_new: bool) {
+    lifecycle.until_closing().await;
+    if lifecycle.is_handed_over() {
+        // The successor is there for clients that connect again; the next response says so.
+        Timer::after(HANDED_OVER_GRACE).await;
+    } else if is_new {
+        // Its request is on its way, and has nowhere else to go: nobody may send it a second time unasked.
+        let grace_ended = async {
+            Timer::after(FIRST_REQUEST_GRACE).await;
+        };
+        future::or(lifecycle.until_stopped(), grace_ended).await;
+    }
+}
+
 /// Reads a request, and asks for its body where the client waits for that.
 async fn read_request(connection: &mut HttpConnection) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let head = connection.read_request().await?;
--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -6,6 +6,7 @@
 use crate::net::in_flight::Request;
 use crate::net::messages::{DeliveryMessage, SubmitReply, DEFAULT_RETRY_AFTER};
 use crate::MessageId;
+use async_channel::Receiver;
 use futures_lite::future;
 use std::cell::Cell;
 
@@ -19,6 +20,13 @@
     Disconnected,
 }
 
+/// How the wait for the decision on a message went.
+struct Wait {
+    end: WaitEnd,
+    /// More was received before the response.
+    is_pipelined: bool,
+}
+
 impl ClientConnection {
     /// Submits a message. A client that goes meanwhile withdraws its message.
     pub(super) async fn submit(&mut self, request: Request) -> Result<Response, ConnectionEnd> {
@@ -26,35 +34,21 @@
         if self.context.delivery.send(DeliveryMessage::Submit { request, reply }).await.is_err() {
             return Ok(Response::service_unavailable(DEFAULT_RETRY_AFTER));
         }
-        let decided = async { WaitEnd::Decided(decision.recv().await.ok()) };
-        let followed = Cell::new(false);
-        let connection = &mut self.connection;
-        let interrupted = async {
-            match connection.fill().await {
-                Ok(0) => WaitEnd::EndedSending,
-                Ok(_) => {
-                    followed.set(true);
-                    future::pending().await
-                }
-                Err(_) => WaitEnd::Disconnected,
-            }
-        };
-        // Polled first, so that a client that went as the decision was made is not counted as notified.
-        let wait_end = future::or(interrupted, decided).await;
+        let Wait { end, is_pipelined } = self.wait_for(&decision).await;
         // From here on no reply can be sent that nobody reads: it is here, or the delivery actor finds the channel closed.
         decision.close();
-        let reply = match wait_end {
+        let reply = match end {
             WaitEnd::Decided(reply) => reply,
             WaitEnd::EndedSending | WaitEnd::Disconnected => decision.try_recv().ok(),
         };
-        let is_lost = matches!(wait_end, WaitEnd::Disconnected) || followed.get();
+        let is_lost = matches!(end, WaitEnd::Disconnected) || is_pipelined;
         if let Some(SubmitReply::Accepted(id)) = reply.filter(|_| is_lost) {
             self.withdraw(id).await;
         }
-        match wait_end {
+        match end {
             WaitEnd::Disconnected => Err(ConnectionEnd::Disconnected(CloseReason::ClientGone)),
-            _ if followed.get() => Err(self.reject_pipelined().await),
-            // It may still read: undecided, its message is withdrawn, and it is told that it was not accepted.
+            _ if is_pipelined => Err(self.reject_pipelined().await),
+            // It may still read: undecided, its message is withdrawn, and the response says that it was not accepted.
             WaitEnd::EndedSending if reply.is_none() => {
                 self.context.counters.unavailable.add();
                 let response = Response::service_unavailable(DEFAULT_RETRY_AFTER);
@@ -64,6 +58,25 @@
         }
     }
 
+    /// Waits for the decision, or the client's end.
+    async fn wait_for(&mut self, decision: &Receiver<SubmitReply>) -> Wait {
+        let is_pipelined = Cell::new(false);
+        let decided = async { WaitEnd::Decided(decision.recv().await.ok()) };
+        let interrupted = async {
+            match self.connection.fill().await {
+                Ok(0) => WaitEnd::EndedSending,
+                Ok(_) => {
+                    is_pipelined.set(true);
+                    future::pending().await
+                }
+                Err(_) => WaitEnd::Disconnected,
+            }
+        };
+        // Polled first, so that a client that went as the decision was made is not counted as notified.
+        let end = future::or(interrupted, decided).await;
+        Wait { end, is_pipelined: is_pipelined.get() }
+    }
+
     fn response_to(&self, reply: Option<SubmitReply>) -> Response {
         match reply {
             Some(SubmitReply::Accepted(id)) => Response::accepted(id),
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -1,4 +1,4 @@
-//! Opens connections. It goes through the C library, as all other socket calls of the program do, so that tests can make each
+//! Opens connections. This goes through the C library, as all other socket calls of the program do, so that tests can make each
 //! step fail.
 
 use crate::net::http::HttpError;
@@ -10,17 +10,23 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The pause after a try that failed for want of something on this machine: the first, and the longest.
-const SHORTAGE: (Duration, Duration) = (Duration::from_millis(5), Duration::from_millis(100));
+/// The pause after the first try that failed because this machine ran out of something; it doubles with each.
+const FIRST_SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
+/// The longest such pause.
+const MAX_SHORTAGE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Opens a connection, or says why that failed; it may take as long as the system tries.
+/// Opens a connection; it may take as long as the system tries.
+///
+/// # Errors
+///
+/// Those of the socket.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
-        // An interrupted one goes on as well.
-        Err(e) if is(&e, &[Errno::INPROGRESS, Errno::INTR]) => {}
+        // An interrupted connect goes on as well.
+        Err(e) if has_errno(&e, &[Errno::INPROGRESS, Errno::INTR]) => {}
         Err(e) => return Err(e),
     }
     let stream = Async::new(TcpStream::from(socket))?;
@@ -31,29 +37,35 @@
     }
 }
 
-/// The same within a span. What this machine is short of for a moment says nothing of the other side and is tried again.
-pub async fn connect_within(address: SocketAddr, span: Duration) -> Result<Async<TcpStream>, HttpError> {
-    let opening = async {
-        let mut pause = SHORTAGE.0;
+/// Opens a connection within a time. What this machine runs out of for a moment says nothing of the other side, so the
+/// connect is tried again.
+///
+/// # Errors
+///
+/// Those of the socket; silence up to the limit is a malformed answer.
+pub async fn connect_within(address: SocketAddr, limit: Duration) -> Result<Async<TcpStream>, HttpError> {
+    let connecting = async {
+        let mut pause = FIRST_SHORTAGE_PAUSE;
         loop {
             match connect(address).await {
                 Err(e) if is_shortage(&e) => {
                     Timer::after(pause).await;
-                    pause = (2 * pause).min(SHORTAGE.1);
+                    pause = (2 * pause).min(MAX_SHORTAGE_PAUSE);
                 }
-                result => return result.map_err(HttpError::Socket),
+                result => return Ok(result?),
             }
         }
     };
-    within_or_error(opening, span).await
+    within_or_error(connecting, limit).await
 }
 
-fn is(error: &io::Error, numbers: &[Errno]) -> bool {
+fn has_errno(error: &io::Error, numbers: &[Errno]) -> bool {
     error.raw_os_error().is_some_and(|number| numbers.contains(&Errno::from_raw_os_error(number)))
 }
 
 /// Descriptors, memory or ports have run out on this machine.
 fn is_shortage(error: &io::Error) -> bool {
-    let short = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
-    is(error, &short)
+    let shortages =
+        [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
+    has_errno(error, &shortages)
 }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -70,11 +70,11 @@
 /// The advice to come again where the module had no say.
 pub const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
 
-/// What the membership's actor can be told.
+/// What the endpoint list actor can be sent.
 pub enum EndpointListMessage {
-    /// To watch now, without a pause.
+    /// Watch the list now, without a delay.
     Resubscribe,
-    /// To look where the platform's agent and the registry listen: the configuration was read again.
+    /// The configuration was reloaded: the platform's agent and the registry may be elsewhere.
     ConfigReloaded,
     /// A watch has a line.
     WatchLine {
@@ -83,12 +83,12 @@
         /// The line.
         line: Vec<u8>,
     },
-    /// A watch has fallen silent; it is still listened to.
+    /// A watch has fallen silent; it is still read.
     WatchSilent {
         /// Which watch.
         watch: u64,
     },
-    /// The watch before has had its moment.
+    /// The time for which a replaced watch was still read is over.
     ReplacedWatchExpired {
         /// Which watch.
         watch: u64,
@@ -102,29 +102,29 @@
     },
     /// A new process has waited long enough for its first list.
     InitialListTimeout,
-    /// Another process goes on with the list: nothing changes here any more.
+    /// A successor keeps the list: nothing changes here any more.
     HandOver {
-        /// Where to say what the list is.
+        /// Where to send the list.
         reply: Sender<MembershipSnapshot>,
     },
-    /// It did not go on with it: changes are taken in again.
+    /// The successor did not take over: the list is kept here again.
     HandOverAborted,
-    /// Operators want an endpoint left out, or back.
+    /// An operator cordons an endpoint, or ends its cordon.
     Cordon {
-        /// What the list calls it.
+        /// Its id in the list.
         id: String,
-        /// Left out, or back.
+        /// Cordoned, or no longer.
         cordoned: bool,
-        /// Where to say whether that holds from now on.
+        /// Where to send whether that holds from now on.
         reply: Sender<Result<(), AdminError>>,
     },
     /// The registry has answered.
     RegistryUpdate {
-        /// What it says.
+        /// Its answer.
         update: SourceUpdate,
-        /// When that came.
+        /// When it was received.
         received_at: Micros,
-        /// Where to say whether something of it is in doubt.
+        /// Where to send whether something of it is in doubt.
         doubted: Sender<bool>,
     },
 }
@@ -152,42 +152,42 @@
     ReturnConnection(HttpConnection),
 }
 
-/// An end to be told.
+/// How an accepted message ended, to be reported to the platform.
 pub struct DeliveryReport {
     /// The program's id of the message.
     pub id: MessageId,
-    /// The user agent's.
+    /// The client's id of the message.
     pub request_id: String,
     /// How it ended.
     pub end: ReportedEnd,
 }
 
-/// What an operator wants.
+/// What an operator commands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminCommand {
-    /// An endpoint left out, or back.
+    /// An endpoint is cordoned, or no longer.
     Cordon {
-        /// What the list calls it.
+        /// Its id in the list.
         id: String,
-        /// Left out, or back.
+        /// Cordoned, or no longer.
         #[serde(rename = "out")]
         cordoned: bool,
     },
-    /// User agents sent away, or taken.
+    /// Clients are quiesced, or accepted again.
     #[serde(rename = "SendAway")]
     Quiesce(bool),
 }
 
-/// Why a call is answered with no.
+/// Why a command does not hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminError {
     /// The list knows no such endpoint.
     #[serde(rename = "Unknown")]
     UnknownEndpoint,
-    /// It cannot be kept, so it would not hold.
+    /// It cannot be persisted, so it would not hold after a restart.
     #[serde(rename = "NotKept")]
     NotPersisted(String),
-    /// Nobody is there any more to do it.
+    /// The program is ending.
     #[serde(rename = "Gone")]
     ShuttingDown,
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform around the forwarder is asked and told: the endpoint list, delivery reports, the registry.
+//! What is exchanged with the platform around the forwarder: the endpoint list, delivery reports, the registry.
 
 pub mod delivery_reports;
 pub mod endpoint_list;
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,4 +1,4 @@
-//! The readers of a registry's answers, on what real servers write and on what nobody should.
+//! The decoders of a registry's answers, on what real servers write and on what nobody should.
 
 use cedarbridge::membership::{MetadataNames, SourceUpdate, State};
 use cedarbridge::net::platform::eureka::cache::RegistryCache;
@@ -29,7 +29,7 @@
  </applications>"#;
 
 #[test]
-fn json_and_xml_say_the_same() {
+fn json_and_xml_of_the_same_answer_are_read_alike() {
     let (a, b) = (json::read(JSON.as_bytes()).expect("JSON"), xml::read(XML.as_bytes()).expect("XML"));
     assert_eq!(a, b);
     assert_eq!((a.version, a.hash.as_deref()), (Some(3), Some("DOWN_1_UP_1_")));
@@ -45,22 +45,22 @@
 }
 
 #[test]
-fn entries_without_their_figures_are_passed_over_once_and_never_guessed() {
-    let words = |w: &str| w.to_owned();
+fn entries_without_their_figures_are_reported_once_and_never_guessed() {
+    let text = |t: &str| t.to_owned();
     let by = MetadataNames {
-        destination: words("partner"),
-        kind: words("kind"),
-        zone: words("zone"),
-        weight: words("weight"),
+        destination: text("partner"),
+        kind: text("kind"),
+        zone: text("zone"),
+        weight: text("weight"),
     };
-    let names = Names { kinds: vec![words("plain")], zones: vec![words("room")], ..Names::default() };
-    let mut held = RegistryCache::default();
+    let names = Names { kinds: vec![text("plain")], zones: vec![text("room")], ..Names::default() };
+    let mut cache = RegistryCache::default();
     let read = |from: &str, to: &str| json::read(JSON.replace(from, to).as_bytes()).expect("JSON");
-    let taken = held.apply(read("\"ADDED\"", "\"\""), true, &by, &names);
-    let SourceUpdate::Complete { version: Some(3), listings } = taken.update else { panic!("whole") };
+    let applied = cache.apply(read("\"ADDED\"", "\"\""), true, &by, &names);
+    let SourceUpdate::Complete { version: Some(3), listings } = applied.update else { panic!("whole") };
     assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, State::Up));
     assert_eq!((listings[0].weight, listings[0].address.to_string()), (2.5, "10.0.0.1:8080".into()));
-    assert!(taken.hash_matches);
+    assert!(applied.hash_matches);
     for (from, to, why) in [
         ("\"partner\":\"7\",", "", "its metadata has no `partner`"),
         ("\"partner\":\"7\"", "\"partner\":\"seven\"", "`partner` is no number: `seven`"),
@@ -73,30 +73,30 @@
             "it has no port that is enabled",
         ),
     ] {
-        let mut held = RegistryCache::default();
-        let taken = held.apply(read(from, to), false, &by, &names);
+        let mut cache = RegistryCache::default();
+        let applied = cache.apply(read(from, to), false, &by, &names);
         assert!(
-            taken.unusable_entries.iter().any(|entry| entry.reason.to_string() == why),
+            applied.unusable_entries.iter().any(|entry| entry.reason.to_string() == why),
             "{why}: {:?}",
-            taken.unusable_entries
+            applied.unusable_entries
         );
-        let SourceUpdate::Patch { listings, removed } = taken.update else { panic!("a patch") };
-        assert_eq!((listings.len(), removed.len()), (0, 2), "what was held under its name goes");
-        assert!(held.apply(read(from, to), false, &by, &names).unusable_entries.is_empty(), "told of once");
+        let SourceUpdate::Patch { listings, removed } = applied.update else { panic!("a patch") };
+        assert_eq!((listings.len(), removed.len()), (0, 2), "what was cached under its name is removed");
+        assert!(cache.apply(read(from, to), false, &by, &names).unusable_entries.is_empty(), "reported once");
     }
-    // The hash counts every instance, also those that are no partners.
-    assert!(!held.apply(read("DOWN_1_UP_1_", "UP_9_"), false, &by, &names).hash_matches);
+    // The hash counts every instance, also those that are no endpoints of ours.
+    assert!(!cache.apply(read("DOWN_1_UP_1_", "UP_9_"), false, &by, &names).hash_matches);
 }
 
 /// Guards against a name that ends the request's first line, or leads to another path.
 #[test]
-fn a_name_in_a_path_is_written_so_that_it_stays_one_part() {
+fn a_name_in_a_path_is_encoded_so_that_it_stays_one_segment() {
     assert_eq!(percent_encode("host-1.example:app:8080"), "host-1.example:app:8080");
     assert_eq!(percent_encode("a b/c?d\r\n%"), "a%20b%2Fc%3Fd%0D%0A%25");
 }
 
 #[test]
-fn what_is_no_answer_is_refused() {
+fn what_is_no_answer_is_rejected() {
     let deep = format!("{}{}", "<applications>".repeat(100), "</applications>".repeat(100));
     for text in [
         "",
@@ -125,7 +125,7 @@
 
     /// The bounded run of what `fuzz/` does without end: no bytes make a reader panic.
     #[test]
-    fn any_bytes_are_read_or_refused(
+    fn any_bytes_are_read_or_rejected(
         changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0u8..4), 0..12),
         xml_too in any::<bool>(),
     ) {
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,29 +1,29 @@
-//! Heads and bodies as they are read from a connection, cut at every place and malformed in many ways.
+//! Heads and bodies as they are read from a connection, cut at every byte and malformed in many ways.
 
 use async_io::Async;
 use cedarbridge::net::http::{HttpConnection, HttpError, RequestHead};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-/// What a request of those bytes, sent in two parts at every place, is read as.
+/// How a request is read whose bytes are sent in two writes.
 fn read(bytes: &[u8], cut: usize) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let mut there = TcpStream::connect(listener.local_addr().expect("bound")).expect("connects");
-    let here = listener.accept().expect("accepts").0;
+    let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connects");
+    let server = listener.accept().expect("accepts").0;
     let bytes = bytes.to_vec();
     let sender = std::thread::spawn(move || {
         for part in [&bytes[..cut], &bytes[cut..]] {
-            let _ = there.write_all(part);
+            let _ = client.write_all(part);
         }
     });
-    let got = async_io::block_on(async {
-        let mut wire = HttpConnection::new(Async::new(here).expect("not blocking"));
-        let head = wire.read_request().await?;
-        let body = wire.request_body(&head, 64).await?;
+    let request = async_io::block_on(async {
+        let mut connection = HttpConnection::new(Async::new(server).expect("not blocking"));
+        let head = connection.read_request().await?;
+        let body = connection.request_body(&head, 64).await?;
         Ok((head, body))
     });
     sender.join().expect("sent");
-    got
+    request
 }
 
 #[test]
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn what_is_malformed_or_too_large_is_told_apart() {
+fn malformed_too_large_and_torn_requests_each_have_a_code() {
     let code = |b: &[u8]| read(b, b.len() / 2).map(|_| ()).map_err(|e| e.code());
     assert_eq!(code(b"GET / HTTP/1.1\r\n\r\n"), Ok(()));
     assert_eq!(code(b"GET /\x01 HTTP/9\r\n\r\n"), Err("malformed"));
     assert_eq!(code(b"POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\nhello"), Err("malformed"));
     assert_eq!(code(b"POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n"), Err("too-large"));
-    // Guards against a body that two readers mark off in two ways: what one takes for its rest, the other
-    // takes for a request.
+    // Guards against a body that two readers delimit in two ways: what one reads as its rest, the other reads as a
+    // request.
     for marks in [
         "Content-Length: 1\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 1",
