--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -195,11 +195,15 @@
         if keep_alive {
             return Ok(());
         }
-        Err(ConnectionEnd::Closed(match () {
-            () if self.context.lifecycle.is_closing() => CloseReason::Closing,
-            () if self.context.closes_after_response() => CloseReason::Quiesced,
-            () => CloseReason::Answered,
-        }))
+        // Read again: the program may have begun to end while the response was written.
+        let reason = if self.context.lifecycle.is_closing() {
+            CloseReason::Closing
+        } else if self.context.closes_after_response() {
+            CloseReason::Quiesced
+        } else {
+            CloseReason::Answered
+        };
+        Err(ConnectionEnd::Closed(reason))
     }
 
     async fn answer(&mut self, request: ReceivedRequest) -> Result<Response, ConnectionEnd> {
--- a/src/net/platform/endpoint_list/cordon.rs
+++ b/src/net/platform/endpoint_list/cordon.rs
@@ -51,7 +51,7 @@
     }
 
     /// Restores the cordons that an earlier process persisted.
-    pub async fn take_cordons(&mut self) {
+    pub async fn restore_cordons(&mut self) {
         let file = self.cordons_file();
         let mut cordoned = file.read();
         // One error of the folder must not put back what operators took out.
--- a/src/net/platform/endpoint_list/drain_log.rs
+++ b/src/net/platform/endpoint_list/drain_log.rs
@@ -4,11 +4,10 @@
 use crate::membership::Change;
 use crate::net::Context;
 use crate::Micros;
+use slog::info;
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
 
-use slog::info;
-
 /// An endpoint's last call is looked up so long after the endpoint left.
 pub const SETTLED_AFTER_US: Micros = 1_000_000;
 /// At most so many endpoints that left are looked up; in a storm the rest is not.
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Takes the list that the configuration brings; it may be old.
-    pub async fn take_known(&mut self, known: &Value) {
+    /// Restores the list that the configuration brings; it may be old.
+    pub async fn restore_known(&mut self, known: &Value) {
         match RawList::from_value(known.clone()).and_then(|list| self.decode(list)) {
             Ok(version) => {
                 self.generation = Some(version.generation);
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -206,7 +206,7 @@
         DeliveryActor::new(context.clone(), policy, reports, endpoint_list.clone(), restored.last_id);
     let mut endpoint_list_actor = EndpointListActor::new(context.clone(), endpoint_list.clone());
     if config.operator.is_some() {
-        endpoint_list_actor.take_cordons().await;
+        endpoint_list_actor.restore_cordons().await;
     }
     match (state, predecessor) {
         (Some(state), Some(predecessor)) => {
@@ -215,7 +215,7 @@
         }
         _ => {
             if let Some(known) = &config.known {
-                endpoint_list_actor.take_known(known).await;
+                endpoint_list_actor.restore_known(known).await;
             }
             delivery_actor.restore(restored.messages).await;
         }
