--- a/src/net/client/request.rs
+++ b/src/net/client/request.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// Reads the destination from an addressing such as `dest=7;room=1`.
+/// Reads the destination from an addressing such as `dest=7`, among other parameters.
 fn read_destination(addressing: &str) -> Result<DestinationId, BadRequest> {
     let mut parameters = addressing.split([',', ';']).filter_map(|p| p.trim().split_once('='));
     let destination = parameters.find(|(name, _)| *name == "dest");
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -9,7 +9,7 @@
 use crate::net::delivery::DeliveryActor;
 use crate::net::dial::connect;
 use crate::net::handover::lock::{Lock, Owner};
-use crate::net::http::{frame, write_all, HttpConnection, HttpError};
+use crate::net::http::{frame, write_all, Frame, HttpConnection, HttpError};
 use crate::net::messages::{
     AdminError, DeliveryMessage, EndpointListMessage, SubmitReply, Successor, DEFAULT_RETRY_AFTER,
 };
@@ -86,7 +86,7 @@
     }
 
     async fn read<T: DeserializeOwned>(&mut self) -> Result<(T, Vec<u8>), HttpError> {
-        let (head, body) = self.wire.read_frame(LARGEST).await?;
+        let Frame { head, body } = self.wire.read_frame(LARGEST).await?;
         let head =
             serde_json::from_slice(&head).map_err(|_| HttpError::Malformed("a frame cannot be read"))?;
         Ok((head, body))
--- a/src/net/http/frame.rs
+++ b/src/net/http/frame.rs
@@ -2,7 +2,15 @@
 
 use super::{HttpConnection, HttpError};
 
-/// A head and a body, after the length of both.
+/// A frame that was received.
+pub struct Frame {
+    /// Its head.
+    pub head: Vec<u8>,
+    /// Its body.
+    pub body: Vec<u8>,
+}
+
+/// The bytes of a frame: the lengths of head and body, as little-endian 32-bit numbers, then both.
 pub fn frame(head: &[u8], body: &[u8]) -> Vec<u8> {
     let lengths = [head, body].map(|bytes| (bytes.len() as u32).to_le_bytes());
     [lengths.concat().as_slice(), head, body].concat()
@@ -15,7 +23,7 @@
     /// # Errors
     ///
     /// If the connection ends or stalls before the frame is complete, or head or body is over the limit.
-    pub async fn read_frame(&mut self, limit: usize) -> Result<(Vec<u8>, Vec<u8>), HttpError> {
+    pub async fn read_frame(&mut self, limit: usize) -> Result<Frame, HttpError> {
         loop {
             if let Some((lengths, rest)) = self.buffer.bytes().split_first_chunk::<8>() {
                 let [a, b, c, d, e, f, g, h] = *lengths;
@@ -29,7 +37,7 @@
                     let head = rest[..head_length].to_vec();
                     let body = rest[head_length..length].to_vec();
                     self.buffer.consume(lengths.len() + length);
-                    return Ok((head, body));
+                    return Ok(Frame { head, body });
                 }
             }
             self.receive_head().await?;
--- a/src/net/http/mod.rs
+++ b/src/net/http/mod.rs
@@ -10,5 +10,5 @@
 pub use buffer::Buffer;
 pub use connection::{write_all, HttpConnection};
 pub use error::HttpError;
-pub use frame::frame;
+pub use frame::{frame, Frame};
 pub use head::{Headers, RequestHead, ResponseHead, HEAD_LIMIT};
