--- a/crates/soak-test/src/client.rs
+++ b/crates/soak-test/src/client.rs
@@ -93,12 +93,12 @@
     let ends_sending = new && world.chance(HALF_CLOSE_SHARE);
     let written = connection.write(text.as_bytes()).await.is_ok();
     if ends_sending {
-        connection.end_sending();
+        connection.shutdown_write();
     }
     let answered = async {
-        match connection.read_answer().await {
-            Ok(head) => match connection.answer_body(&head, 4096).await {
-                Ok(_) => Response::Received { status: head.status, keeps_alive: head.keeps },
+        match connection.read_response().await {
+            Ok(head) => match connection.response_body(&head, 4096).await {
+                Ok(_) => Response::Received { status: head.status, keeps_alive: head.keep_alive },
                 Err(_) => Response::Closed,
             },
             Err(_) => Response::Closed,
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -157,8 +157,8 @@
             let mut connection = HttpConnection::new(Async::<TcpStream>::connect(self.listen).await.ok()?);
             let text = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
             connection.write(text.as_bytes()).await.ok()?;
-            let head = connection.read_answer().await.ok().filter(|h| h.status == 200)?;
-            String::from_utf8(connection.answer_body(&head, 1 << 20).await.ok()?).ok()
+            let head = connection.read_response().await.ok().filter(|h| h.status == 200)?;
+            String::from_utf8(connection.response_body(&head, 1 << 20).await.ok()?).ok()
         };
         let late = async {
             sleep(Duration::from_millis(500)).await;
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -147,7 +147,9 @@
         let result = response::read_result(self.context, self.call, response, retry_after, self.reused);
         let refused = result.attempts.iter().any(|attempt| attempt.outcome == Outcome::ConnectFailed);
         match (connection, pool) {
-            (Some(connection), Some(pool)) if response.head.keeps && connection.buffer.bytes().is_empty() => {
+            (Some(connection), Some(pool))
+                if response.head.keep_alive && connection.buffer.bytes().is_empty() =>
+            {
                 return_to_pool(connection, &pool).await
             }
             _ if refused => self.log_closed(ConnectionEnd::ConnectionLimit),
--- a/src/net/endpoint/connection_end.rs
+++ b/src/net/endpoint/connection_end.rs
@@ -33,7 +33,7 @@
     /// unnoticed, which says little of the endpoint.
     pub fn of_connection(error: &HttpError, since_written: Option<Micros>) -> Self {
         match error {
-            HttpError::Ended | HttpError::Socket(_)
+            HttpError::Closed | HttpError::Socket(_)
                 if since_written.is_some_and(|time| time < STALE_WITHIN) =>
             {
                 CallFailure::StaleConnection
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -58,7 +58,7 @@
         Some(idle) => idle,
         None => slot.insert(connect(context, call.endpoint).await?),
     };
-    connection.stall = Some(RESPONSE_STALL);
+    connection.stall_timeout = Some(RESPONSE_STALL);
     context.endpoint_list.until_received().await;
     context.stall_detector.until_caught_up(&context.clock).await;
     check_sendable(context, call, progress)?;
@@ -160,14 +160,14 @@
     call: &Call,
     progress: &Progress,
 ) -> Result<Response, CallEnd> {
-    let head = connection.read_answer().await?;
+    let head = connection.read_response().await?;
     progress.status.set(Some(head.status));
     // It binds whatever becomes of the body.
     progress.retry_after.set(read_retry_after(&head));
     if head.status == 200 && call.attempts.len() == 1 {
         // The message is delivered; the rest only decides whether the connection can be reused.
-        connection.stall = Some(DELIVERED_BODY_STALL);
+        connection.stall_timeout = Some(DELIVERED_BODY_STALL);
     }
-    let body = connection.answer_body(&head, MAX_RESPONSE_BYTES).await?;
+    let body = connection.response_body(&head, MAX_RESPONSE_BYTES).await?;
     Ok(Response { head, body })
 }
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -22,12 +22,12 @@
     if readers.get() >= context.config().max_concurrent_calls {
         return;
     }
-    connection.end_sending();
+    connection.shutdown_write();
     readers.increment();
     let executor = context.executor.clone();
     let context = context.clone();
     let reading = async move {
-        let head = within(READ_FOR, async { connection.read_answer().await.ok() }).await.flatten();
+        let head = within(READ_FOR, async { connection.read_response().await.ok() }).await.flatten();
         if let Some(retry_after) = head.as_ref().and_then(read_retry_after) {
             info!(context.log, "late retry_after received"; "endpoint" => endpoint.0, "ms" => retry_after / 1000);
             context.endpoint_table.retry_after(endpoint, retry_after);
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -72,7 +72,7 @@
                 now,
                 until: idle.reusable_until,
                 at_its_address: idle.address == address,
-                disturbed: idle.connection.poll_disturbed(&mut task),
+                disturbed: idle.connection.poll_idle_end(&mut task),
             };
             if let Err(reason) = may_reuse(&facts) {
                 drop(self.remove(index));
@@ -92,7 +92,7 @@
         };
         let idle = &mut self.idle;
         let disturbed = future::poll_fn(|task| {
-            match idle.iter_mut().any(|idle| idle.connection.poll_disturbed(task).is_some()) {
+            match idle.iter_mut().any(|idle| idle.connection.poll_idle_end(task).is_some()) {
                 true => Poll::Ready(()),
                 false => Poll::Pending,
             }
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -20,7 +20,7 @@
 
 /// The wait that the head of a response asks for.
 pub(super) fn read_retry_after(head: &ResponseHead) -> Option<Micros> {
-    let wait_ms = head.fields.get("X-RateLimit-Wait-Ms").and_then(|text| text.parse::<f64>().ok());
+    let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|text| text.parse::<f64>().ok());
     let wait_ms = wait_ms.filter(|wait_ms| wait_ms.is_finite() && *wait_ms > 0.0);
     wait_ms.map(|wait_ms| (wait_ms.min(MAX_RETRY_AFTER_MS) * 1000.0) as Micros)
 }
@@ -41,7 +41,7 @@
     retry_after: Option<Micros>,
     reused: bool,
 ) -> CallResult {
-    let report = response.head.fields.get("X-Load").and_then(read_load);
+    let report = response.head.headers.get("X-Load").and_then(read_load);
     let of_status = match response.head.status {
         200 if call.attempts.len() > 1 => None,
         _ => Some(result_of_status(context, call, &response.head, retry_after, reused)),
@@ -64,9 +64,11 @@
 ) -> AttemptResult {
     match head.status {
         200 => AttemptResult::of(Outcome::Ok),
-        503 if head.fields.get("X-Over-Slots").is_some_and(|value| value != "0") => not_run(false),
+        503 if head.headers.get("X-Over-Slots").is_some_and(|value| value != "0") => not_run(false),
         // The endpoint has too many connections: it closes a new one, where one that is full keeps it.
-        503 if !reused && !head.keeps && retry_after.is_none() => AttemptResult::of(Outcome::ConnectFailed),
+        503 if !reused && !head.keep_alive && retry_after.is_none() => {
+            AttemptResult::of(Outcome::ConnectFailed)
+        }
         429 | 503 => AttemptResult::of(Outcome::Rejected(retry_after)),
         504 => not_run(false),
         410 => not_run(true),
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -1,7 +1,7 @@
 //! The connection between predecessor and successor, and the framing on it.
 
 use super::frames::SuccessorFrame;
-use crate::net::http::{frame, write_all, HttpConnection, HttpError};
+use crate::net::http::{frame, write_all, Frame, HttpConnection, HttpError};
 use crate::net::Context;
 use crate::MessageId;
 use async_channel::{Receiver, Sender};
@@ -89,7 +89,7 @@
         body: &[u8],
     ) -> Result<(), HandOverError> {
         let head = serde_json::to_vec(head).map_err(|_| HandOverError::FrameNotWritten)?;
-        self.frames.send(frame(&head, body)).await.map_err(|_| HttpError::Torn.into())
+        self.frames.send(frame(&head, body)).await.map_err(|_| HttpError::UnexpectedEnd.into())
     }
 
     /// A channel that, when closed or dropped, has the predecessor cancel an attempt which is in flight there.
@@ -124,7 +124,7 @@
 
     /// The next frame.
     pub async fn read<T: DeserializeOwned>(&mut self) -> Result<ReceivedFrame<T>, HandOverError> {
-        let (head, body) = self.connection.read_frame(MAX_FRAME_BYTES).await?;
+        let Frame { head, body } = self.connection.read_frame(MAX_FRAME_BYTES).await?;
         let head = serde_json::from_slice(&head).map_err(|_| HandOverError::FrameNotRead)?;
         Ok(ReceivedFrame { head, body })
     }
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -29,7 +29,7 @@
     let context = actor.context().clone();
     let begun = Instant::now();
     let handing_over = within(OWNED_WITHIN, send_state(actor, &context, successor)).await;
-    let link = match handing_over.unwrap_or(Err(HttpError::Stalled.into())) {
+    let link = match handing_over.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(link) => link,
         Err(error) => {
             warn!(context.log, "hand-over failed, serving on"; "reason" => error.code(), "error" => %error);
@@ -62,7 +62,7 @@
 ) -> Result<Link, HandOverError> {
     // What could not be written would not be in the folder that the successor reads.
     context.journal.pause().map_err(|_| HandOverError::JournalNotWritable)?;
-    let mut link = Link::new(successor.wire, &context.executor)?;
+    let mut link = Link::new(successor.connection, &context.executor)?;
     let state = Box::new(actor.state(successor.list));
     link.frames.send(&PredecessorFrame::State(state)).await?;
     match link.read().await?.head {
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -66,7 +66,7 @@
         }
         if let Some(predecessor) = lock::read_owner(&config.state).filter(|_| asks) {
             let asking = within(ANSWERED_WITHIN, request_state(&predecessor, executor)).await;
-            match asking.unwrap_or(Err(HttpError::Stalled.into())) {
+            match asking.unwrap_or(Err(HttpError::TimedOut.into())) {
                 Ok((inherited, link)) => {
                     let (link, inherited) = (Some(link), Some(inherited));
                     return Ok(FolderClaim { _next: next, owner, link, inherited });
@@ -105,10 +105,10 @@
          X-Format: {FORMAT}\r\nContent-Length: 0\r\n\r\n"
     );
     connection.write(request.as_bytes()).await.map_err(HttpError::Socket)?;
-    match connection.read_answer().await?.status {
+    match connection.read_response().await?.status {
         200 => {}
         415 => return Err(HandOverError::FormatDiffers),
-        _ => return Err(HttpError::Torn.into()),
+        _ => return Err(HttpError::UnexpectedEnd.into()),
     }
     let mut link = Link::new(connection, executor)?;
     let ReceivedFrame { head: PredecessorFrame::State(mut state), .. } = link.read().await? else {
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -235,7 +235,7 @@
 ) {
     let config = delivery.context().config();
     if config.operator.is_some() {
-        endpoint_list.take_cordons().await;
+        endpoint_list.restore_cordons().await;
     }
     match inherited {
         Some((state, predecessor)) => {
@@ -244,7 +244,7 @@
         }
         None => {
             if let Some(known) = &config.known {
-                endpoint_list.take_known(known).await;
+                endpoint_list.restore_known(known).await;
             }
             delivery.restore(messages).await;
         }
@@ -375,6 +375,6 @@
     /// Cancels it, and waits a moment until the registry knows.
     async fn cancel(self) {
         drop(self.cancel);
-        within(eureka::register::LAST_WORD, self.cancelled.recv()).await;
+        within(eureka::register::CANCEL_TIMEOUT, self.cancelled.recv()).await;
     }
 }
--- a/tests/endpoint_responses.rs
+++ b/tests/endpoint_responses.rs
@@ -9,9 +9,9 @@
 #[test]
 fn only_a_reused_connection_that_fails_at_once_was_stale() {
     let outcome = |error, since_written| CallFailure::of_connection(&error, since_written).outcome();
-    assert_eq!(outcome(HttpError::Ended, Some(1000)), Outcome::StaleConnection);
-    assert_eq!(outcome(HttpError::Ended, Some(STALE_WITHIN)), Outcome::Reset);
-    assert_eq!(outcome(HttpError::Ended, None), Outcome::Reset);
+    assert_eq!(outcome(HttpError::Closed, Some(1000)), Outcome::StaleConnection);
+    assert_eq!(outcome(HttpError::Closed, Some(STALE_WITHIN)), Outcome::Reset);
+    assert_eq!(outcome(HttpError::Closed, None), Outcome::Reset);
     assert_eq!(outcome(HttpError::Malformed("noise"), Some(1000)), Outcome::Reset);
 }
 
