--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -113,7 +113,7 @@
     #[test]
     fn a_log_becomes_a_day_that_can_be_kept_and_read_again() {
         let log = "{\"msg\":\"handed in\",\"wall_ms\":1005.5,\"destination\":7,\"channel\":\"b\"}\nnot json\n\
-                   {\"msg\":\"serving\"}\n{\"msg\":\"handed in\",\"wall_ms\":1000.0,\"destination\":2,\"channel\":\"a\"}\n";
+                   {\"msg\":\"serving\"}\n{\"msg\":\"message received\",\"wall_ms\":1000.0,\"destination\":2,\"channel\":\"a\"}\n";
         let (day, odd) = Captured::from_log(log.as_bytes()).expect("a log");
         assert_eq!(odd, 1);
         let path = std::env::temp_dir().join(format!("cedarbridge-capture-{}.zst", std::process::id()));
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -99,9 +99,8 @@
         let rules = self.context.config().repeats[message.request.class.0];
         let first_attempt = message.first_attempt.map(|(at, zone)| (at, Some(zone)));
         let in_flight = attempt.as_ref().map(|attempt| attempt.number);
-        let mut ledger = self.context.ledger.borrow_mut();
-        ledger.hold(message.id, rules, message.attempts(), first_attempt, in_flight);
-        drop(ledger);
+        let attempts = message.attempts();
+        self.context.ledger.borrow_mut().hold(message.id, rules, attempts, first_attempt, in_flight);
         self.messages.insert(message.id, OpenMessage { message: Rc::new(message), attempt, reply });
         self.context.gauges.open_messages.increment();
     }
--- a/src/net/runtime/background.rs
+++ b/src/net/runtime/background.rs
@@ -2,6 +2,7 @@
 
 use super::stall_detector::HEARTBEAT;
 use crate::journal::JournalError;
+use crate::net::journal_handle::JournalHandle;
 use crate::net::messages::DeliveryMessage;
 use crate::net::Context;
 use async_io::Timer;
@@ -25,25 +26,32 @@
     }
 }
 
-/// Writes the journal again after each failure, for as long as the process runs.
+/// Retries whenever the journal could not be written, for as long as the process runs.
 pub async fn retry_journal(context: Rc<Context>) {
     let journal = &context.journal;
     loop {
         journal.until_failing().await;
-        let since = Instant::now();
+        let failing_since = Instant::now();
         context.counters.journal_failures.add();
-        warn!(context.log, "the journal cannot be written, nothing is accepted and no attempt begins";
+        warn!(context.log, "the journal cannot be written, no message is accepted and no attempt starts";
             "reason" => "journal", "open" => context.gauges.open_messages.get());
-        let mut pause = JOURNAL_RETRY_FIRST;
-        loop {
-            Timer::after(pause).await;
-            match journal.retry() {
-                Ok(()) | Err(JournalError::HandedOver) => break,
-                Err(_) => pause = (2 * pause).min(JOURNAL_RETRY_LONGEST),
-            }
-        }
+        retry_until_writable(journal).await;
         journal.clear_failing();
-        info!(context.log, "the journal can be written again"; "ms" => since.elapsed().as_millis() as u64);
+        let duration_ms = failing_since.elapsed().as_millis() as u64;
+        info!(context.log, "the journal can be written again"; "ms" => duration_ms);
+        // The delivery actor ends only with the process: nobody is left to notify.
         let _ = context.delivery.send(DeliveryMessage::JournalWritable).await;
     }
 }
+
+/// Retries with a growing pause; ends early once the folder is handed over, as another process writes to it then.
+async fn retry_until_writable(journal: &JournalHandle) {
+    let mut pause = JOURNAL_RETRY_FIRST;
+    loop {
+        Timer::after(pause).await;
+        match journal.retry() {
+            Ok(()) | Err(JournalError::HandedOver) => return,
+            Err(_) => pause = (2 * pause).min(JOURNAL_RETRY_LONGEST),
+        }
+    }
+}
--- a/src/net/runtime/deadline.rs
+++ b/src/net/runtime/deadline.rs
@@ -27,7 +27,7 @@
     within(limit, exchange).await.unwrap_or_else(|| Err(HttpError::Malformed("silent").into()))
 }
 
-/// Does in a thread of its own what would hold up the actors; `None` if the work panicked.
+/// Runs in a thread of its own what would block the actors; `None` if the work panicked.
 pub async fn run_blocking<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> Option<T> {
     let (done, result) = async_channel::bounded(1);
     std::thread::spawn(move || {
