--- a/src/bin/cedarbridge-simhost/main.rs
+++ b/src/bin/cedarbridge-simhost/main.rs
@@ -4,17 +4,32 @@
 
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
+use thiserror::Error;
+use wire::{BatchError, Host};
 
-fn serve() -> Result<(), String> {
-    let mut host = wire::Host::default();
+/// Why the host ends before its input does.
+#[derive(Debug, Error)]
+enum ServeError {
+    #[error("cannot read line {line}: {error}")]
+    Read { line: usize, error: io::Error },
+    #[error("line {line}: {error}")]
+    Batch { line: usize, error: BatchError },
+    #[error("cannot reply: {0}")]
+    Reply(#[from] io::Error),
+}
+
+fn serve() -> Result<(), ServeError> {
+    let mut host = Host::default();
     let mut out = BufWriter::new(io::stdout().lock());
-    for (number, line) in io::stdin().lock().lines().enumerate() {
-        let line = line.map_err(|e| format!("cannot read line {}: {e}", number + 1))?;
-        if line.trim().is_empty() {
+    for (index, text) in io::stdin().lock().lines().enumerate() {
+        let line = index + 1;
+        let text = text.map_err(|error| ServeError::Read { line, error })?;
+        if text.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&line).map_err(|e| format!("line {}: {e}", number + 1))?;
-        writeln!(out, "{reply}").and_then(|()| out.flush()).map_err(|e| format!("cannot reply: {e}"))?;
+        let reply = host.batch(&text).map_err(|error| ServeError::Batch { line, error })?;
+        writeln!(out, "{reply}")?;
+        out.flush()?;
     }
     Ok(())
 }
@@ -22,8 +37,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("cedarbridge-simhost: {message}");
+        Err(error) => {
+            eprintln!("cedarbridge-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/src/bin/cedarbridge-simhost/wire/events.rs
@@ -0,0 +1,147 @@
+//! From the events of the wire to those of the delivery policy.
+
+use super::error::{EventError, FieldError};
+use super::fields::Fields;
+use super::instance::Instance;
+use super::EndpointLists;
+use cedarbridge::settings_json::{entry, flag, index, micros, number, text, whole};
+use cedarbridge::{
+    ClassId, DestinationId, EndpointListUpdate, Event, LoadReport, NewMessage, OrderKey, Outcome, TenantId,
+};
+use serde_json::Value;
+
+/// Bit of a message's attributes: it was taken over from a forwarder that died.
+const FAILED_OVER: u64 = 16;
+/// Bit of a message's attributes: its client marked it as a retry.
+const CLIENT_RETRY: u64 = 2;
+
+/// Reads an event for an instance; none if it means nothing to a delivery policy.
+pub fn read(
+    name: &str,
+    fields: Fields,
+    instance: &mut Instance,
+    lists: &EndpointLists,
+) -> Result<Option<Event>, EventError> {
+    let event = match name {
+        "discovery" => Event::EndpointList(endpoint_list_update(fields, instance, lists)?),
+        "job-in" => Event::Message(new_message(fields, instance)?),
+        "head-received" => started(fields, instance)?,
+        "result" => attempt_ended(fields, instance)?,
+        "echo" => health_checked(fields)?,
+        "hangup" => Event::Withdrawn { id: instance.id_of(fields.text(1, "corr")?) },
+        "bell" => Event::Timer { token: fields.whole(1, "ctx")? },
+        "peer" => {
+            fields.whole(1, "by")?;
+            fields.text(2, "bytes")?;
+            return Ok(None);
+        }
+        _ => return Err(EventError::UnknownEvent),
+    };
+    Ok(Some(event))
+}
+
+fn endpoint_list_update(
+    fields: Fields,
+    instance: &Instance,
+    lists: &EndpointLists,
+) -> Result<EndpointListUpdate, EventError> {
+    let scope = fields.text(1, "scope")?;
+    fields.whole(2, "stamp")?;
+    if scope == "broken" {
+        return Ok(EndpointListUpdate::WatchFailed);
+    }
+    let number = fields.whole(3, "bank")?;
+    let list = lists.get(&number).ok_or(EventError::NoList(number))?;
+    let entries = list.iter().map(|e| entry(e, &instance.names));
+    let entries = entries.collect::<Result<_, _>>().map_err(FieldError::new)?;
+    match scope.as_str() {
+        "patch" => Ok(EndpointListUpdate::Patch(entries)),
+        "whole" => Ok(EndpointListUpdate::Complete(entries)),
+        "stale_copy" => Ok(EndpointListUpdate::Cached(entries)),
+        _ => Err(EventError::UnknownScope(scope)),
+    }
+}
+
+fn new_message(fields: Fields, instance: &mut Instance) -> Result<NewMessage, EventError> {
+    let names = &instance.names;
+    let class = index(&names.classes, &fields.text(2, "service")?, "class").map_err(FieldError::new)?;
+    let tenant = fields.optional(3).and_then(Value::as_str);
+    let tenant = tenant.map(|name| index(&names.tenants, name, "tenant").map(TenantId)).transpose();
+    let tenant = tenant.map_err(FieldError::new)?;
+    let key = fields.optional(4).map(order_key).transpose()?;
+    let name = fields.text(1, "corr")?;
+    let attributes = fields.optional(8).map_or(Ok(0), whole).map_err(FieldError::new)?;
+    Ok(NewMessage {
+        id: instance.add(name),
+        class: ClassId(class),
+        tenant,
+        key,
+        time_left: fields.micros(5, "time-left")?,
+        destination: DestinationId(fields.whole(7, "terminates-at")?),
+        failed_over: attributes & FAILED_OVER != 0,
+        first_attempt: None,
+        client_retry: attributes & CLIENT_RETRY != 0,
+        restored: false,
+        attempts: 0,
+    })
+}
+
+fn order_key(value: &Value) -> Result<OrderKey, EventError> {
+    let digits = text(value).map_err(FieldError::new)?;
+    let key = u64::from_str_radix(&digits, 16);
+    key.map(OrderKey).map_err(|_| EventError::KeyNotHexadecimal(value.clone()))
+}
+
+fn started(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
+    fields.micros(2, "elapsed")?;
+    fields.whole(3, "endpoint")?;
+    fields.whole(4, "round-no")?;
+    Ok(Event::Started { id: instance.id_of(fields.text(1, "corr")?) })
+}
+
+fn attempt_ended(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
+    Ok(Event::AttemptEnded {
+        id: instance.id_of(fields.text(1, "corr")?),
+        attempt: fields.whole(2, "round-no")? as u32,
+        endpoint: fields.endpoint(3)?,
+        outcome: outcome(fields.required(4, "code")?, fields.optional(7))?,
+        elapsed: fields.micros(5, "elapsed")?,
+        ended: fields.read(6, "ended", flag)?,
+        report: load_report(fields.optional(8))?,
+    })
+}
+
+fn health_checked(fields: Fields) -> Result<Event, EventError> {
+    Ok(Event::HealthChecked {
+        endpoint: fields.endpoint(1)?,
+        outcome: outcome(fields.required(2, "code")?, None)?,
+        elapsed: fields.micros(3, "elapsed")?,
+        report: load_report(fields.optional(4))?,
+    })
+}
+
+/// An outcome from its code; the note of a rejection is its retry-after, 0 for none.
+fn outcome(code: &Value, note: Option<&Value>) -> Result<Outcome, EventError> {
+    let retry_after = note.map_or(Ok(0), micros).map_err(|e| EventError::Note(FieldError::new(e)))?;
+    Ok(match whole(code).map_err(FieldError::new)? {
+        200 => Outcome::Ok,
+        500 => Outcome::Error,
+        503 => Outcome::Rejected((retry_after > 0).then_some(retry_after)),
+        504 => Outcome::TimedOut,
+        502 => Outcome::ConnectFailed,
+        598 => Outcome::Reset,
+        499 => Outcome::Cancelled,
+        410 => Outcome::NotSent,
+        other => return Err(EventError::UnknownOutcome(other)),
+    })
+}
+
+/// The load report of an answer: `x0` is the remaining share, `x1` the rate. None unless it has both.
+fn load_report(stats: Option<&Value>) -> Result<Option<LoadReport>, EventError> {
+    let Some(stats) = stats else { return Ok(None) };
+    let stats = stats.as_object().ok_or_else(|| EventError::StatsNotAnObject(stats.clone()))?;
+    let (Some(share), Some(rate)) = (stats.get("x0"), stats.get("x1")) else { return Ok(None) };
+    let remaining_share = number(share).map_err(FieldError::new)?;
+    let rate = number(rate).map_err(FieldError::new)?;
+    Ok(Some(LoadReport { remaining_share, rate }))
+}
--- /dev/null
+++ b/src/bin/cedarbridge-simhost/wire/mod.rs
@@ -0,0 +1,112 @@
+//! The simulator's wire: batches of events in, replies of actions out.
+
+mod error;
+mod events;
+mod fields;
+mod instance;
+
+pub use error::BatchError;
+
+use cedarbridge::settings_json::{micros, settings, whole};
+use cedarbridge::{DeliveryPolicy, Event};
+use error::{EventError, FieldError};
+use fields::Fields;
+use instance::Instance;
+use serde_json::{json, Value};
+use std::collections::BTreeMap;
+
+/// Endpoint lists by number, which events refer to.
+type EndpointLists = BTreeMap<u64, Vec<Value>>;
+
+/// All instances of this process and the endpoint lists that were sent for them.
+#[derive(Default)]
+pub struct Host {
+    instances: BTreeMap<u64, Instance>,
+    lists: EndpointLists,
+}
+
+impl Host {
+    /// Answers one line.
+    ///
+    /// # Errors
+    ///
+    /// If the line is not a batch, or one of its events cannot be taken.
+    pub fn batch(&mut self, line: &str) -> Result<String, BatchError> {
+        let batch: Value = serde_json::from_str(line).map_err(BatchError::NotJson)?;
+        let clock = batch.get("t").ok_or(BatchError::NoClock)?;
+        let now = micros(clock).map_err(|e| BatchError::Clock(FieldError::new(e)))?;
+        let parts = batch.get("parts").and_then(Value::as_array).ok_or(BatchError::NoParts)?;
+        let mut replies = Vec::new();
+        for part in parts {
+            let id = part.get("courier-id").ok_or(BatchError::NoInstanceId)?;
+            let id = whole(id).map_err(|e| BatchError::InstanceId(FieldError::new(e)))?;
+            let events = self.read_events(id, part)?;
+            let Some(instance) = self.instances.get_mut(&id) else { continue };
+            let outbox = instance.step(now, &events);
+            if !outbox.is_empty() {
+                replies.push(json!({"courier-id": id, "outbox": outbox}));
+            }
+        }
+        Ok(json!({ "parts": replies }).to_string())
+    }
+
+    /// The messages of an instance that are not forgotten.
+    #[allow(dead_code, reason = "for the test that messages are forgotten")]
+    pub fn message_count(&self, id: u64) -> Option<usize> {
+        self.instances.get(&id).map(Instance::message_count)
+    }
+
+    /// The events of one instance for its policy; those that concern the host take effect at once.
+    fn read_events(&mut self, id: u64, part: &Value) -> Result<Vec<Event>, BatchError> {
+        let news = part.get("news").and_then(Value::as_array).ok_or(BatchError::NoEvents)?;
+        let mut events = Vec::new();
+        for event in news {
+            let name = event.get(0).and_then(Value::as_str).ok_or(BatchError::NoEventName)?;
+            self.read_event(id, name, Fields(event), &mut events)
+                .map_err(|error| BatchError::Event { name: name.to_owned(), error })?;
+        }
+        Ok(events)
+    }
+
+    fn read_event(
+        &mut self,
+        id: u64,
+        name: &str,
+        fields: Fields,
+        events: &mut Vec<Event>,
+    ) -> Result<(), EventError> {
+        match name {
+            "catalog" => self.store_list(fields)?,
+            // What an earlier instance of this id was sent does not concern the new one.
+            "create" => {
+                self.create(id, fields)?;
+                events.clear();
+            }
+            "stop" => {
+                self.instances.remove(&id);
+                events.clear();
+            }
+            _ => {
+                let instance = self.instances.get_mut(&id).ok_or(EventError::NoInstance(id))?;
+                events.extend(events::read(name, fields, instance, &self.lists)?);
+            }
+        }
+        Ok(())
+    }
+
+    fn store_list(&mut self, fields: Fields) -> Result<(), EventError> {
+        let number = fields.whole(1, "bank")?;
+        let entries = fields.required(2, "entries")?.as_array().ok_or(EventError::EntriesNotAnArray)?;
+        self.lists.insert(number, entries.clone());
+        Ok(())
+    }
+
+    fn create(&mut self, id: u64, fields: Fields) -> Result<(), EventError> {
+        let seed = fields.required(1, "salt")?;
+        let seed = seed.as_u64().or(seed.as_i64().map(|n| n as u64)).ok_or(EventError::SeedNotWhole)?;
+        let (settings, names) = fields.read(2, "params", settings)?;
+        let policy = DeliveryPolicy::new(settings, seed)?;
+        self.instances.insert(id, Instance::new(policy, names));
+        Ok(())
+    }
+}
