--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -1,4 +1,4 @@
-//! How long a registry's answers take from bytes to the merged list. Sizes are in the names.
+//! How long a registry's answers take from bytes to the merged endpoint list. Sizes are in the names.
 #![allow(missing_docs)]
 
 use cedarbridge::membership::{HoldDown, Membership, MetadataNames, Policy, Shrink, SourceId};
@@ -9,15 +9,15 @@
 use std::hint::black_box;
 
 const APPS: usize = 1_000;
-const EACH: usize = 10;
+const INSTANCES_PER_APP: usize = 10;
 
 /// An answer with these instances, each as a real server writes it.
 fn answer(instances: impl Iterator<Item = usize>, stamp: usize, action: &str) -> String {
-    let mut all = String::new();
+    let mut apps = String::new();
     for n in instances {
-        let app = n / EACH;
+        let app = n / INSTANCES_PER_APP;
         let _ = write!(
-            all,
+            apps,
             "{}{{\"name\":\"APP{app}\",\"instance\":[{{\"instanceId\":\"host-{n}.example:app{app}:8080\",\"hostName\":\
              \"host-{n}.example\",\"app\":\"APP{app}\",\"ipAddr\":\"10.{}.{}.{}\",\"status\":\"UP\",\"overriddenStatus\":\
              \"UNKNOWN\",\"port\":{{\"$\":8080,\"@enabled\":\"true\"}},\"securePort\":{{\"$\":443,\"@enabled\":\"false\"}},\
@@ -28,49 +28,49 @@
              \"room\",\"weight\":\"5.0\"}},\"homePageUrl\":\"http://host-{n}.example:8080/\",\"vipAddress\":\"app{app}\",\
              \"isCoordinatingDiscoveryServer\":\"false\",\"lastUpdatedTimestamp\":\"{stamp}\",\
              \"lastDirtyTimestamp\":\"{stamp}\",\"actionType\":\"{action}\"}}]}}",
-            if all.is_empty() { "" } else { "," },
+            if apps.is_empty() { "" } else { "," },
             n >> 16 & 255,
             n >> 8 & 255,
             n & 255
         );
     }
-    format!("{{\"applications\":{{\"versions__delta\":\"1\",\"application\":[{all}]}}}}")
+    format!("{{\"applications\":{{\"versions__delta\":\"1\",\"application\":[{apps}]}}}}")
 }
 
 fn registry(c: &mut Criterion) {
-    let words = |w: &str| w.to_owned();
-    let by = MetadataNames {
-        destination: words("partner"),
-        kind: words("kind"),
-        zone: words("zone"),
-        weight: words("weight"),
+    let metadata_names = MetadataNames {
+        destination: "partner".to_owned(),
+        kind: "kind".to_owned(),
+        zone: "zone".to_owned(),
+        weight: "weight".to_owned(),
     };
-    let names = Names { kinds: vec![words("plain")], zones: vec![words("room")], ..Names::default() };
+    let names = Names { kinds: vec!["plain".to_owned()], zones: vec!["room".to_owned()], ..Names::default() };
     let policy = || Policy {
         hold_down: Some(HoldDown { first: 1_000_000, longest: 30_000_000, forget: 60_000_000 }),
         shrink: Some(Shrink { share: 0.3, confirm: 10_000_000 }),
         by_address: true,
     };
     let fresh = || (Held::default(), Membership::new(vec![("registry", policy())]));
-    let whole = answer(0..APPS * EACH, 1_700_000_000_000, "ADDED");
-    println!("the whole list: {} instances, {} bytes", APPS * EACH, whole.len());
+    let complete = answer(0..APPS * INSTANCES_PER_APP, 1_700_000_000_000, "ADDED");
+    println!("the complete list: {} instances, {} bytes", APPS * INSTANCES_PER_APP, complete.len());
     c.bench_function("whole list, 10,000 instances, read", |b| {
-        b.iter(|| json::read(black_box(whole.as_bytes())))
+        b.iter(|| json::read(black_box(complete.as_bytes())))
     });
     c.bench_function("whole list, 10,000 instances, read and taken in", |b| {
         b.iter_batched(
             fresh,
             |(mut held, mut membership)| {
-                let answer = json::read(whole.as_bytes()).expect("JSON");
-                let news = held.take(answer, true, &by, &names).news;
+                let answer = json::read(complete.as_bytes()).expect("JSON");
+                let news = held.take(answer, true, &metadata_names, &names).news;
                 membership.take(0, SourceId(0), news).len()
             },
             BatchSize::LargeInput,
         )
     });
     let (mut held, mut membership) = fresh();
-    let all = held.take(json::read(whole.as_bytes()).expect("JSON"), true, &by, &names).news;
-    membership.take(0, SourceId(0), all);
+    let update =
+        held.take(json::read(complete.as_bytes()).expect("JSON"), true, &metadata_names, &names).news;
+    membership.take(0, SourceId(0), update);
     let mut stamp = 1_700_000_000_000;
     c.bench_function("delta of 10 among 10,000 instances, read and taken in", |b| {
         b.iter_batched(
@@ -80,7 +80,7 @@
             },
             |delta| {
                 let answer = json::read(delta.as_bytes()).expect("JSON");
-                let news = held.take(answer, false, &by, &names).news;
+                let news = held.take(answer, false, &metadata_names, &names).news;
                 membership.take(0, SourceId(0), news).len()
             },
             BatchSize::SmallInput,
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -1,6 +1,6 @@
-//! A toy platform with two partners, to try the forwarder by hand. It prints each call and each notice.
+//! A toy platform with two endpoints, to try the forwarder by hand. It prints each call and each report.
 //!
-//! Partner 1 delivers everything. Partner 2 turns each first call away and takes the next one.
+//! Endpoint 1 accepts everything. Endpoint 2 rejects the first call of each request and accepts the next one.
 
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,10 +15,19 @@
  {"instanceId":"s-2","hostPort":"127.0.0.1:8602","zone":"room","machineType":"small-partner","cell":2,
   "lifecycle":"active","weight":5.0,"startedAtMs":0}]}"#;
 
-/// Reads one request: its first line, its id and its body.
-fn request(from: &mut BufReader<TcpStream>) -> Option<(String, String, String)> {
-    let (mut first, mut id, mut length) = (String::new(), String::from("-"), 0);
-    from.read_line(&mut first).ok().filter(|n| *n > 0)?;
+/// A request.
+struct Request {
+    /// Its request line.
+    line: String,
+    /// Its `X-Request-Id`, or `-`.
+    id: String,
+    body: String,
+}
+
+/// Reads one request; none at the end of the connection, or if it is malformed.
+fn read_request(from: &mut BufReader<TcpStream>) -> Option<Request> {
+    let (mut request_line, mut id, mut length) = (String::new(), String::from("-"), 0);
+    from.read_line(&mut request_line).ok().filter(|n| *n > 0)?;
     loop {
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
@@ -33,75 +42,79 @@
     }
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
-    Some((first.trim().to_owned(), id, String::from_utf8_lossy(&body).into_owned()))
+    let line = request_line.trim().to_owned();
+    Some(Request { line, id, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
-/// Answers the requests of one connection as long as there are any.
-fn converse(stream: TcpStream, answer: impl Fn(&str, &str, &str) -> String) {
+/// Answers the requests of one connection until it ends.
+fn serve_connection(stream: TcpStream, answer: impl Fn(&Request) -> String) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
     let mut stream = stream;
-    while let Some((first, id, body)) = request(&mut reader) {
-        if stream.write_all(answer(&first, &id, &body).as_bytes()).is_err() {
+    while let Some(request) = read_request(&mut reader) {
+        if stream.write_all(answer(&request).as_bytes()).is_err() {
             return;
         }
     }
 }
 
-fn serve(address: &'static str, each: fn(TcpStream)) -> thread::JoinHandle<()> {
+fn serve(address: &'static str, handle: fn(TcpStream)) -> thread::JoinHandle<()> {
     let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("{address}: {e}"));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            thread::spawn(move || each(stream));
+            thread::spawn(move || handle(stream));
         }
     })
 }
 
 fn platform(stream: TcpStream) {
-    let mut open = stream.try_clone().expect("a handle");
-    let watch = Mutex::new(&mut open);
-    converse(stream, |first, _, body| {
-        if first.starts_with("POST /reports") {
-            body.lines().for_each(|l| println!("notice: {l}"));
+    let watch = Mutex::new(stream.try_clone().expect("a handle"));
+    serve_connection(stream, |request| {
+        if request.line.starts_with("POST /reports") {
+            request.body.lines().for_each(|l| println!("report: {l}"));
             return "HTTP/1.1 204 No Content\r\n\r\n".into();
         }
         // A watch lasts as long as its connection, with an empty line now and then.
         let list = LIST.replace('\n', "") + "\n";
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let mut watch = watch.lock().expect("unpoisoned");
-        let mut going = write!(watch, "{head}{:x}\r\n{list}\r\n", list.len());
-        while going.is_ok() {
+        let mut written = write!(watch, "{head}{:x}\r\n{list}\r\n", list.len());
+        while written.is_ok() {
             thread::sleep(Duration::from_secs(2));
-            going = watch.write_all(b"1\r\n\n\r\n");
+            written = watch.write_all(b"1\r\n\n\r\n");
         }
         String::new()
     });
 }
 
-fn partner_one(stream: TcpStream) {
-    converse(stream, |first, id, body| {
-        println!("partner 1: {first}: {id}: {}: delivered", body.replace("\r\n", " "));
-        let lines = body.lines().filter_map(|l| l.split_once(" ")).map(|l| format!("{} delivered\r\n", l.0));
-        let ends: String = if first.contains(":batch") { lines.collect() } else { String::new() };
-        format!("HTTP/1.1 200 OK\r\nX-Load: x0=0.9,x1=20\r\nContent-Length: {}\r\n\r\n{ends}", ends.len())
+fn endpoint_one(stream: TcpStream) {
+    serve_connection(stream, |Request { line, id, body }| {
+        println!("endpoint 1: {line}: {id}: {}: delivered", body.replace("\r\n", " "));
+        let delivered =
+            body.lines().filter_map(|l| l.split_once(" ")).map(|l| format!("{} delivered\r\n", l.0));
+        let results: String = if line.contains(":batch") { delivered.collect() } else { String::new() };
+        format!(
+            "HTTP/1.1 200 OK\r\nX-Load: x0=0.9,x1=20\r\nContent-Length: {}\r\n\r\n{results}",
+            results.len()
+        )
     });
 }
 
-fn partner_two(stream: TcpStream) {
+fn endpoint_two(stream: TcpStream) {
     static SEEN: Mutex<Option<HashSet<String>>> = Mutex::new(None);
-    converse(stream, |_, id, body| {
-        let first = SEEN.lock().expect("unpoisoned").get_or_insert_default().insert(id.to_owned());
-        println!("partner 2: {id}: {body}: {}", if first { "turned away" } else { "delivered" });
-        let status = if first { "429 Later\r\nX-RateLimit-Wait-Ms: 1000" } else { "200 OK" };
+    serve_connection(stream, |Request { id, body, .. }| {
+        let is_first = SEEN.lock().expect("unpoisoned").get_or_insert_default().insert(id.to_owned());
+        println!("endpoint 2: {id}: {body}: {}", if is_first { "rejected" } else { "delivered" });
+        let status = if is_first { "429 Later\r\nX-RateLimit-Wait-Ms: 1000" } else { "200 OK" };
         format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n")
     });
 }
 
 fn main() {
-    let all = [
+    let servers = [
         serve("127.0.0.1:8500", platform),
-        serve("127.0.0.1:8601", partner_one),
-        serve("127.0.0.1:8602", partner_two),
+        serve("127.0.0.1:8601", endpoint_one),
+        serve("127.0.0.1:8602", endpoint_two),
     ];
-    println!("the platform listens on 127.0.0.1:8500, partners 1 and 2 on ports 8601 and 8602");
-    all.into_iter().for_each(|a| a.join().expect("it serves"));
+    println!("the platform listens on 127.0.0.1:8500, endpoints 1 and 2 on ports 8601 and 8602");
+    servers.into_iter().for_each(|server| server.join().expect("it serves"));
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -3,7 +3,7 @@
 
 use super::admission::Admission;
 use super::constants::*;
-use super::records::{destination, Message};
+use super::records::{destination, Endpoint, Message};
 use super::DeliveryPolicy;
 use crate::api::*;
 use crate::routes::Timing;
@@ -131,20 +131,31 @@
         if !destination.is_trial && (is_stalled || is_suspect && !is_trial && in_flight > 0) {
             return None;
         }
-        let zone = endpoint.entry.zone;
-        let crosses_zones = self.settings.cross_zone_cost > 0.0 && zone != self.settings.zone;
-        let failures = admission.circuit.failure_count.min(9) as usize;
-        let zone_cost = self.settings.zone_costs.get(zone.0).filter(|_| destination.per_endpoint_breaker);
+        let is_risky = is_trial || destination.is_suspect || is_suspect;
+        let endpoint = &self.endpoints[&id];
         Some(Candidate {
             endpoint: id,
-            zone_cost: zone_cost.map_or(0, |cost| (cost * VALUE_SCALE) as i64),
-            load: 4 * failures + 2 * in_flight + usize::from(crosses_zones),
+            zone_cost: if destination.per_endpoint_breaker { self.zone_cost(endpoint) } else { 0 },
+            load: self.load(endpoint, in_flight),
             last_used_at: endpoint.last_used_at,
             is_trial,
-            is_risky: is_trial || destination.is_suspect || is_suspect,
+            is_risky,
         })
     }
 
+    /// In whole multiples of one part in [`VALUE_SCALE`].
+    fn zone_cost(&self, endpoint: &Endpoint) -> i64 {
+        let cost = self.settings.zone_costs.get(endpoint.entry.zone.0);
+        cost.map_or(0, |cost| (cost * VALUE_SCALE) as i64)
+    }
+
+    /// Rises with the endpoint's failures, then with its calls in flight, then if it is in another zone.
+    fn load(&self, endpoint: &Endpoint, in_flight: usize) -> usize {
+        let failures = endpoint.admission.circuit.failure_count.min(9) as usize;
+        let crosses_zones = self.settings.cross_zone_cost > 0.0 && endpoint.entry.zone != self.settings.zone;
+        4 * failures + 2 * in_flight + usize::from(crosses_zones)
+    }
+
     /// The message that gains most by going now: by the value it loses over the time that the queue takes. If
     /// the call is risky, the message cheapest to lose. A call carries only messages of one timeout.
     pub(super) fn select_message(
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,9 +1,9 @@
-//! Holds the form of the decision modules and of the deploy file.
+//! The form of the policy modules and of the deploy file.
 
 use std::path::Path;
 
-/// The files that the deploy file names as those that decide.
-fn policy() -> Vec<String> {
+/// The files that the deploy file names as the policy.
+fn policy_files() -> Vec<String> {
     let text = include_str!("../deploy/balancer.toml");
     let list = text.split("policy = [").nth(1).and_then(|rest| rest.split(']').next()).expect("a list");
     list.split('"').skip(1).step_by(2).map(str::to_owned).collect()
@@ -13,14 +13,14 @@
     std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(path)).expect("a file")
 }
 
-/// In place of a limit of 1,000 lines for one file, which the operators have withdrawn: each decision module stays small, says
-/// what it is, and has no clock, chance, file or socket of its own.
+/// In place of a limit of 1,000 lines for one file, which the operators have withdrawn: each policy module stays small,
+/// says what it is, and has no clock, random numbers, files or sockets of its own.
 #[test]
-fn decision_modules_are_small_and_have_no_input_or_output() {
-    assert!(policy().len() > 3);
+fn policy_modules_are_small_and_have_no_input_or_output() {
+    assert!(policy_files().len() > 3);
     let head = read("src/policy/mod.rs");
     assert!(head.lines().take(5).any(|l| l.contains("src/api.rs")), "the head names the interface");
-    for path in policy() {
+    for path in policy_files() {
         let text = read(&path);
         assert!(text.starts_with("//! "), "{path} says what it does");
         let lines = text.lines().filter(|l| !l.trim().is_empty()).count();
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn the_deploy_file_builds_locked_and_names_every_decision_module() {
+fn the_deploy_file_builds_locked_and_names_every_policy_module() {
     assert!(include_str!("../deploy/balancer.toml").contains("--locked"));
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy");
     for entry in std::fs::read_dir(folder).expect("a folder") {
         let name = entry.expect("an entry").file_name().into_string().expect("text");
         let path = format!("src/policy/{name}");
-        assert!(policy().contains(&path), "{path} is not named");
+        assert!(policy_files().contains(&path), "{path} is not named");
     }
 }
