--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -18,8 +18,8 @@
 stored_as_array!(ConnectionLoss { on_fresh: f64, on_reused: f64 });
 
 impl ConnectionLoss {
-    /// Idle connections die unnoticed (a firewall, an endpoint that drops them).
-    pub(super) fn are_idle_ones_stale(&self) -> bool {
+    /// Calls on reused connections go unanswered so much more often that idle ones are likely stale.
+    pub(super) fn is_high_on_reused(&self) -> bool {
         self.on_reused - self.on_fresh > STALE_EXCESS_LOSS
     }
 
@@ -88,7 +88,7 @@
             return None;
         }
         let has_idle = self.endpoints[&id].has_idle_connection;
-        if has_idle && self.connection_loss.are_idle_ones_stale() {
+        if has_idle && self.connection_loss.is_high_on_reused() {
             self.actions.push(Action::CloseIdle { endpoint: id });
             return Some(false);
         }
--- a/src/policy/enqueue.rs
+++ b/src/policy/enqueue.rs
@@ -1,4 +1,4 @@
-//! Takes in a new message: its age, the weight that its tenant's quota leaves it, its place in its queues.
+//! Receives a message: its age, its weight within its tenant's quota, and the queues that it joins.
 
 use super::constants::*;
 use super::records::{destination, Message, PossibleEffect};
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -113,9 +113,9 @@
 }
 
 impl AdmissionControl {
-    /// Calls a second that count as this forwarder's own: what it delivered while the destination was
-    /// healthy, which that can take however the traffic is spread over forwarders, or its even share if that
-    /// is more.
+    /// Calls a second that count as this forwarder's own: the rate it delivered while the destination was
+    /// healthy, which the destination can take however traffic is spread over forwarders, or its even share
+    /// if that is more.
     pub(super) fn own_rate(&self, now: Micros, settings: &Settings) -> f64 {
         let delivered = self.pacer.delivered.per_second(self.circuit.healthy_for(now), OPEN_TIMEOUT);
         let fleet_rate = self.pacer.fleet_rate(settings);
@@ -144,7 +144,7 @@
         let tokens_per_us = self.rate(now, settings) / SECOND as f64;
         let bucket = &mut self.pacer.bucket;
         bucket.refill(now, tokens_per_us);
-        // Rounding errors of the refill count as full.
+        // A token that is short by a rounding error of the refill counts.
         if bucket.tokens >= 1.0 - 1e-6 {
             return Admission::Admitted;
         }
--- a/src/policy/records.rs
+++ b/src/policy/records.rs
@@ -2,6 +2,7 @@
 //! earlier releases, as the state is part of the hand-over.
 
 use super::admission::AdmissionControl;
+use super::constants::SECOND;
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -182,7 +183,7 @@
     /// Returns false if there was none.
     pub(super) fn take(&mut self, now: Micros, tokens_per_us: f64) -> bool {
         let refilled = self.tokens + tokens_per_us * (now - self.refilled_at) as f64;
-        self.tokens = refilled.min(1.0 + tokens_per_us * super::constants::SECOND as f64);
+        self.tokens = refilled.min(1.0 + tokens_per_us * SECOND as f64);
         self.refilled_at = now;
         let within_quota = self.tokens >= 1.0;
         if within_quota {
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -56,7 +56,7 @@
         let timeout_at = (now + timing.cut(adaptive_timeout)).min(latest_timeout);
         let final_attempt = timeout_at == latest_timeout;
         let zone = self.endpoints[&endpoint].entry.zone;
-        let message = self.messages.get_mut(&id).expect("it was found above");
+        let message = self.messages.get_mut(&id).expect("looked up above");
         let attempt = message.attempts;
         message.final_deadline = final_attempt.then_some(end);
         message.in_flight = Some(InFlightAttempt { attempt, call });
--- a/src/policy/stuck_calls.rs
+++ b/src/policy/stuck_calls.rs
@@ -1,7 +1,7 @@
 //! Calls that are in flight for too long: which are cancelled, and which endpoints get no more calls.
 
 use super::constants::*;
-use super::records::{Call, Endpoint};
+use super::records::{Call, CallAttempt, Endpoint};
 use super::DeliveryPolicy;
 use crate::api::*;
 
@@ -50,7 +50,7 @@
     fn cancel_call(&mut self, number: u64) {
         let Some(call) = self.calls.get_mut(&number) else { return };
         call.cancelled = true;
-        let cancel = |a: &super::records::CallAttempt| Action::Cancel { id: a.id, attempt: a.attempt };
+        let cancel = |attempt: &CallAttempt| Action::Cancel { id: attempt.id, attempt: attempt.attempt };
         self.actions.extend(call.attempts.iter().map(cancel));
     }
 
