--- /dev/null
+++ b/src/journal/encoding.rs
@@ -0,0 +1,244 @@
+//! The bytes of a record: a frame of length and CRC-32, then the content. All numbers are little-endian.
+
+use super::record::{AttemptStart, JournalRecord, JournaledMessage, Progress, ProgressStep, ReportedEnd};
+
+/// The size of the frame, the length and the checksum in front of a record's content, in bytes.
+pub const FRAME_BYTES: usize = 8;
+/// The largest content in bytes; a larger length is a damaged one.
+const MAX_CONTENT_BYTES: usize = 1 << 20;
+
+const KIND_RECEIVED: u8 = 1;
+const KIND_ATTEMPT_STARTED: u8 = 2;
+const KIND_ATTEMPT_NEVER_RAN: u8 = 3;
+const KIND_ENDED: u8 = 4;
+const KIND_COMPLETED: u8 = 5;
+const KIND_PROBE: u8 = 6;
+
+const FLAG_EARLIER_ATTEMPT_MAY_HAVE_RUN: u8 = 1;
+const FLAG_ATTEMPT_IN_FLIGHT: u8 = 1 << 1;
+const FLAG_HAS_KEY: u8 = 1 << 2;
+const FLAG_HAS_TENANT: u8 = 1 << 3;
+/// Written for readers of later releases; this one sees by the record's end whether a start follows.
+const FLAG_HAS_FIRST_ATTEMPT: u8 = 1 << 4;
+
+const REPORT_NONE: u8 = 0;
+const REPORT_FAILED: u8 = 1;
+const REPORT_RETURNED: u8 = 2;
+const REPORT_RETURNED_WITH_RETRY_AFTER: u8 = 3;
+
+/// A record that was decoded from the start of some bytes.
+#[derive(Debug)]
+pub struct DecodedFrame {
+    /// The message's id.
+    pub message_id: u64,
+    /// What it says.
+    pub record: JournalRecord,
+    /// The length of its content in bytes.
+    pub content_length: usize,
+}
+
+fn checksum(salt: u32, content: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new_with_initial(salt);
+    hasher.update(content);
+    hasher.finalize()
+}
+
+/// The bytes of a framed record; its checksum begins from the segment's salt.
+pub fn encode(salt: u32, message_id: u64, record: &JournalRecord) -> Vec<u8> {
+    let mut bytes = vec![0; FRAME_BYTES];
+    bytes.extend_from_slice(&message_id.to_le_bytes());
+    match record {
+        JournalRecord::Received(message) => {
+            bytes.push(KIND_RECEIVED);
+            put_message(&mut bytes, message);
+        }
+        JournalRecord::Progressed(ProgressStep::AttemptStarted { number, start }) => {
+            bytes.push(KIND_ATTEMPT_STARTED);
+            bytes.extend_from_slice(&number.to_le_bytes());
+            put_attempt_start(&mut bytes, start.as_ref());
+        }
+        JournalRecord::Progressed(ProgressStep::AttemptNeverRan) => bytes.push(KIND_ATTEMPT_NEVER_RAN),
+        JournalRecord::Progressed(ProgressStep::Ended(end)) => {
+            bytes.push(KIND_ENDED);
+            put_report(&mut bytes, Some(*end));
+        }
+        JournalRecord::Completed => bytes.push(KIND_COMPLETED),
+        JournalRecord::Probe => bytes.push(KIND_PROBE),
+    }
+    let content_length = (bytes.len() - FRAME_BYTES) as u32;
+    let content_checksum = checksum(salt, &bytes[FRAME_BYTES..]);
+    bytes[..4].copy_from_slice(&content_length.to_le_bytes());
+    bytes[4..FRAME_BYTES].copy_from_slice(&content_checksum.to_le_bytes());
+    bytes
+}
+
+/// The size of a framed record in bytes.
+pub fn encoded_size(message_id: u64, record: &JournalRecord) -> u64 {
+    encode(0, message_id, record).len() as u64
+}
+
+fn put_bytes(to: &mut Vec<u8>, bytes: &[u8]) {
+    to.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
+    to.extend_from_slice(bytes);
+}
+
+fn put_message(to: &mut Vec<u8>, message: &JournaledMessage) {
+    to.extend_from_slice(&message.destination.to_le_bytes());
+    to.extend_from_slice(&message.deadline.to_le_bytes());
+    to.extend_from_slice(&message.progress.attempts.to_le_bytes());
+    to.push(flags(message));
+    put_report(to, message.progress.report);
+    put_bytes(to, message.request_id.as_bytes());
+    put_bytes(to, message.class.as_bytes());
+    for optional in [&message.key, &message.tenant].into_iter().flatten() {
+        put_bytes(to, optional.as_bytes());
+    }
+    put_bytes(to, &message.body);
+    put_attempt_start(to, message.progress.first_attempt.as_ref());
+}
+
+fn flags(message: &JournaledMessage) -> u8 {
+    let progress = &message.progress;
+    let flags = [
+        (FLAG_EARLIER_ATTEMPT_MAY_HAVE_RUN, progress.earlier_attempt_may_have_run),
+        (FLAG_ATTEMPT_IN_FLIGHT, progress.attempt_in_flight),
+        (FLAG_HAS_KEY, message.key.is_some()),
+        (FLAG_HAS_TENANT, message.tenant.is_some()),
+        (FLAG_HAS_FIRST_ATTEMPT, progress.first_attempt.is_some()),
+    ];
+    flags.into_iter().filter(|(_, is_set)| *is_set).map(|(flag, _)| flag).sum()
+}
+
+fn put_report(to: &mut Vec<u8>, report: Option<ReportedEnd>) {
+    let (kind, retry_after_ms) = match report {
+        None => (REPORT_NONE, 0),
+        Some(ReportedEnd::Failed) => (REPORT_FAILED, 0),
+        Some(ReportedEnd::Returned(None)) => (REPORT_RETURNED, 0),
+        Some(ReportedEnd::Returned(Some(retry_after_ms))) => {
+            (REPORT_RETURNED_WITH_RETRY_AFTER, retry_after_ms)
+        }
+    };
+    to.push(kind);
+    to.extend_from_slice(&retry_after_ms.to_le_bytes());
+}
+
+fn put_attempt_start(to: &mut Vec<u8>, start: Option<&AttemptStart>) {
+    if let Some(start) = start {
+        to.extend_from_slice(&start.started_at.to_le_bytes());
+        put_bytes(to, start.zone.as_bytes());
+    }
+}
+
+/// The length of content in bytes that the record at the start of some bytes claims, if that many are there.
+pub fn claimed_content_length(bytes: &[u8]) -> Option<usize> {
+    let length = ByteReader(bytes).u32()? as usize;
+    (length <= MAX_CONTENT_BYTES && FRAME_BYTES + length <= bytes.len()).then_some(length)
+}
+
+/// The record at the start of some bytes, if it is complete and undamaged.
+pub fn decode(salt: u32, bytes: &[u8]) -> Option<DecodedFrame> {
+    let content_length = claimed_content_length(bytes)?;
+    let mut frame = ByteReader(bytes);
+    let (_, expected_checksum) = (frame.u32()?, frame.u32()?);
+    let content = frame.bytes(content_length)?;
+    if checksum(salt, content) != expected_checksum {
+        return None;
+    }
+    let mut reader = ByteReader(content);
+    let message_id = reader.u64()?;
+    let record = reader.record()?;
+    Some(DecodedFrame { message_id, record, content_length })
+}
+
+/// Takes values off the front of some bytes; each method returns none where the bytes are too few or mean nothing.
+pub struct ByteReader<'a>(pub &'a [u8]);
+
+impl<'a> ByteReader<'a> {
+    /// So many bytes.
+    pub fn bytes(&mut self, count: usize) -> Option<&'a [u8]> {
+        let (front, rest) = self.0.split_at_checked(count)?;
+        self.0 = rest;
+        Some(front)
+    }
+
+    fn byte(&mut self) -> Option<u8> {
+        Some(self.bytes(1)?[0])
+    }
+
+    /// A number of four bytes.
+    pub fn u32(&mut self) -> Option<u32> {
+        Some(u32::from_le_bytes(self.bytes(4)?.try_into().ok()?))
+    }
+
+    /// A number of eight bytes.
+    pub fn u64(&mut self) -> Option<u64> {
+        Some(u64::from_le_bytes(self.bytes(8)?.try_into().ok()?))
+    }
+
+    fn text(&mut self) -> Option<String> {
+        let length = self.u32()? as usize;
+        String::from_utf8(self.bytes(length)?.to_vec()).ok()
+    }
+
+    fn optional_text(&mut self, is_present: bool) -> Option<Option<String>> {
+        if !is_present {
+            return Some(None);
+        }
+        self.text().map(Some)
+    }
+
+    fn record(&mut self) -> Option<JournalRecord> {
+        Some(match self.byte()? {
+            KIND_RECEIVED => JournalRecord::Received(Box::new(self.message()?)),
+            KIND_ATTEMPT_STARTED => {
+                let (number, start) = (self.u32()?, self.attempt_start()?);
+                JournalRecord::Progressed(ProgressStep::AttemptStarted { number, start })
+            }
+            KIND_ATTEMPT_NEVER_RAN => JournalRecord::Progressed(ProgressStep::AttemptNeverRan),
+            KIND_ENDED => JournalRecord::Progressed(ProgressStep::Ended(self.report()??)),
+            KIND_COMPLETED => JournalRecord::Completed,
+            KIND_PROBE => JournalRecord::Probe,
+            _ => return None,
+        })
+    }
+
+    fn message(&mut self) -> Option<JournaledMessage> {
+        let (destination, deadline) = (self.u64()?, self.u64()?);
+        let attempts = self.u32()?;
+        let flags = self.byte()?;
+        let is_set = |flag: u8| flags & flag != 0;
+        let report = self.report()?;
+        let (request_id, class) = (self.text()?, self.text()?);
+        let key = self.optional_text(is_set(FLAG_HAS_KEY))?;
+        let tenant = self.optional_text(is_set(FLAG_HAS_TENANT))?;
+        let body_length = self.u32()? as usize;
+        let body = self.bytes(body_length)?.to_vec();
+        let progress = Progress {
+            attempts,
+            earlier_attempt_may_have_run: is_set(FLAG_EARLIER_ATTEMPT_MAY_HAVE_RUN),
+            attempt_in_flight: is_set(FLAG_ATTEMPT_IN_FLIGHT),
+            first_attempt: self.attempt_start()?,
+            report,
+        };
+        Some(JournaledMessage { request_id, key, class, tenant, destination, deadline, body, progress })
+    }
+
+    /// The records of an older release end without it.
+    fn attempt_start(&mut self) -> Option<Option<AttemptStart>> {
+        if self.0.is_empty() {
+            return Some(None);
+        }
+        Some(Some(AttemptStart { started_at: self.u64()?, zone: self.text()? }))
+    }
+
+    fn report(&mut self) -> Option<Option<ReportedEnd>> {
+        let (kind, retry_after_ms) = (self.byte()?, self.u64()?);
+        Some(match kind {
+            REPORT_NONE => None,
+            REPORT_FAILED => Some(ReportedEnd::Failed),
+            REPORT_RETURNED => Some(ReportedEnd::Returned(None)),
+            REPORT_RETURNED_WITH_RETRY_AFTER => Some(ReportedEnd::Returned(Some(retry_after_ms))),
+            _ => return None,
+        })
+    }
+}
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -138,14 +138,14 @@
                 self.notify(id, kept.request_id, end).await;
                 continue;
             }
-            let Progress { attempts, first, .. } = kept.progress.clone();
+            let Progress { attempts, first_attempt: first, .. } = kept.progress.clone();
             let request = self.request(kept, class.unwrap_or_default(), may_have_run);
             let mut transaction = InFlightMessage::new(id, request, attempts);
             transaction.restored = true;
             transaction.first_attempt = first.map(|sent| {
                 // A zone that is no more takes no repeat.
                 let zone = self.names.zones.iter().position(|z| *z == sent.zone).unwrap_or(usize::MAX);
-                (sent.at, ZoneId(zone))
+                (sent.started_at, ZoneId(zone))
             });
             self.hold(transaction, None);
         }
@@ -403,10 +403,10 @@
             destination: request.destination.0,
             deadline: request.deadline,
             body: request.body.to_vec(),
-            progress: Progress { ran: request.failed_over, ..Progress::default() },
+            progress: Progress { earlier_attempt_may_have_run: request.failed_over, ..Progress::default() },
         };
         self.next += 1;
-        match self.context.journal.take(MessageId(self.next), &message) {
+        match self.context.journal.record_received(MessageId(self.next), &message) {
             Ok(()) => {}
             Err(JournalError::Full) => {
                 return self.reject(&request.request_id, Rejection::JournalFull, &reply)
@@ -433,7 +433,7 @@
 
     fn withdraw(&mut self, id: MessageId) {
         if self.finish(id, "withdrawn") {
-            self.context.journal.end(id);
+            self.context.journal.record_completed(id);
             self.context.counters.withdrawn.add();
             self.events.push(Event::Withdrawn { id });
             self.forget(id);
@@ -532,12 +532,12 @@
                         self.context.routes.delivered(stats, self.context.clock.now().saturating_sub(since));
                     }
                 }
-                self.context.journal.end(id);
+                self.context.journal.record_completed(id);
             } else if matches!(
                 end.outcome,
                 Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotJournaled
             ) {
-                self.context.journal.never_ran(id, attempt);
+                self.context.journal.record_never_ran(id, attempt);
             }
             self.forget(id);
             let (outcome, ended, report) = (end.outcome, end.ended, ended.report);
@@ -717,7 +717,7 @@
         let word = held.transaction.request.request_id.clone();
         info!(self.context.log, "message"; "state" => "given-up", "id" => &word, "reason" => reason.name());
         if let Some(reply) = held.reply.take() {
-            self.context.journal.end(id);
+            self.context.journal.record_completed(id);
             let answer = match refused {
                 Some(after) => SubmitReply::Unavailable(after.unwrap_or(DEFAULT_RETRY_AFTER)),
                 None => SubmitReply::Failed,
@@ -735,7 +735,7 @@
     }
 
     async fn notify(&mut self, id: MessageId, word: String, end: ReportedEnd) {
-        self.context.journal.report(id, end);
+        self.context.journal.record_end(id, end);
         match end {
             ReportedEnd::Failed => self.context.counters.failed.add(),
             ReportedEnd::Returned(_) => self.context.counters.returned.add(),
--- a/src/net/endpoint/mod.rs
+++ b/src/net/endpoint/mod.rs
@@ -355,8 +355,8 @@
     let zone = context.endpoint_table.get(pass.endpoint).map(|k| k.zone);
     let zone_name = zone.map(|z| context.config().names.zones[z.0].clone()).unwrap_or_default();
     for part in &pass.attempts {
-        let start = AttemptStart { at: pass.sent, zone: zone_name.clone() };
-        if context.journal.attempt(part.message.id, part.number, start).is_err() {
+        let start = AttemptStart { started_at: pass.sent, zone: zone_name.clone() };
+        if context.journal.record_attempt(part.message.id, part.number, start).is_err() {
             return not_sent(context, pass, stage, SendRefusal::JournalFailing);
         }
     }
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -1,7 +1,7 @@
-//! The journal as the actors use it, and the task that tries again while it cannot be written.
+//! The journal as the actors use it, and the task that retries while it cannot be written.
 //!
-//! While it fails, what is held waits and what comes is refused; what has happened already is owed and written first. The
-//! service comes back by itself.
+//! While it fails, open messages wait and new ones are rejected; what has happened already is queued and written first once the
+//! journal can be written again.
 
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
 use crate::net::messages::DeliveryMessage;
@@ -14,9 +14,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The first and the longest pause between two tries: a storage that is full for a moment is soon used again, and one that
-/// stays so is not kept busy.
-const RETRY: (Duration, Duration) = (Duration::from_millis(10), Duration::from_millis(100));
+/// The first pause between two retries: a storage that is full for a moment is soon used again.
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// The longest pause between two retries: a storage that stays full is not kept busy.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// How much the journal holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JournalUsage {
+    /// The size of the folder in bytes.
+    pub disk_bytes: u64,
+    /// Records of what has happened that are not written yet.
+    pub unwritten_records: usize,
+}
 
 /// The journal of this process.
 pub struct JournalHandle {
@@ -25,23 +35,26 @@
 }
 
 impl JournalHandle {
-    /// Keeps a journal.
+    /// A handle to an opened journal.
     pub fn new(journal: Journal) -> Self {
-        let keeper = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
-        keeper.with(|_| ());
-        keeper
+        let handle = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
+        handle.notice_failure();
+        handle
     }
 
-    fn with<T>(&self, use_it: impl FnOnce(&mut Journal) -> T) -> T {
-        let mut journal = self.journal.borrow_mut();
-        let result = use_it(&mut journal);
-        if journal.is_failing() {
+    fn notice_failure(&self) {
+        if self.journal.borrow().is_failing() {
             self.failing.set();
         }
+    }
+
+    fn with<T>(&self, operation: impl FnOnce(&mut Journal) -> T) -> T {
+        let result = operation(&mut self.journal.borrow_mut());
+        self.notice_failure();
         result
     }
 
-    /// Something may be begun that must be written first.
+    /// Something may be started that must be recorded first.
     pub fn is_writable(&self) -> bool {
         !self.journal.borrow().is_failing()
     }
@@ -52,28 +65,33 @@
     }
 
     /// See [`Journal::take`].
-    pub fn take(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
-        self.with(|journal| journal.take(id.0, message))
+    pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
+        self.with(|journal| journal.record_received(id.0, message))
     }
 
     /// See [`Journal::attempt`].
-    pub fn attempt(&self, id: MessageId, number: u32, start: AttemptStart) -> Result<(), JournalError> {
-        self.with(|journal| journal.attempt(id.0, number, start))
+    pub fn record_attempt(
+        &self,
+        id: MessageId,
+        number: u32,
+        start: AttemptStart,
+    ) -> Result<(), JournalError> {
+        self.with(|journal| journal.record_attempt(id.0, number, start))
     }
 
     /// See [`Journal::never_ran`].
-    pub fn never_ran(&self, id: MessageId, number: u32) {
-        self.with(|journal| journal.never_ran(id.0, number));
+    pub fn record_never_ran(&self, id: MessageId, number: u32) {
+        self.with(|journal| journal.record_never_ran(id.0, number));
     }
 
     /// See [`Journal::report`].
-    pub fn report(&self, id: MessageId, end: ReportedEnd) {
-        self.with(|journal| journal.report(id.0, end));
+    pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
+        self.with(|journal| journal.record_end(id.0, end));
     }
 
     /// See [`Journal::end`].
-    pub fn end(&self, id: MessageId) {
-        self.with(|journal| journal.end(id.0));
+    pub fn record_completed(&self, id: MessageId) {
+        self.with(|journal| journal.record_completed(id.0));
     }
 
     /// See [`Journal::set_limit`].
@@ -96,32 +114,39 @@
         self.with(Journal::retry)
     }
 
-    /// Bytes that the folder holds, and what has happened and is not written yet.
-    pub fn sizes(&self) -> (u64, usize) {
+    /// How much the journal holds.
+    pub fn usage(&self) -> JournalUsage {
         let journal = self.journal.borrow();
-        (journal.disk(), journal.owed())
+        JournalUsage { disk_bytes: journal.disk_bytes(), unwritten_records: journal.unwritten_records() }
     }
 }
 
-/// Tries again whenever the journal could not be written, for as long as the process runs.
+/// Retries whenever the journal could not be written, for as long as the process runs.
 pub async fn run(context: Rc<Context>) {
-    let keeper = &context.journal;
+    let handle = &context.journal;
     loop {
-        keeper.failing.wait().await;
-        let since = Instant::now();
+        handle.failing.wait().await;
+        let failing_since = Instant::now();
         context.counters.journal_failures.add();
-        warn!(context.log, "the journal cannot be written, nothing is taken on and no attempt begins";
+        warn!(context.log, "the journal cannot be written, no message is accepted and no attempt starts";
             "reason" => "journal", "open" => context.open_messages.get());
-        let mut pause = RETRY.0;
-        loop {
-            Timer::after(pause).await;
-            match keeper.retry() {
-                Ok(()) | Err(JournalError::HandedOver) => break,
-                Err(_) => pause = (2 * pause).min(RETRY.1),
-            }
-        }
-        keeper.failing.clear();
-        info!(context.log, "the journal can be written again"; "ms" => since.elapsed().as_millis() as u64);
+        retry_until_writable(handle).await;
+        handle.failing.clear();
+        let duration_ms = failing_since.elapsed().as_millis() as u64;
+        info!(context.log, "the journal can be written again"; "duration_ms" => duration_ms);
+        // It fails only once the process ends, and nothing is to be resumed then.
         let _ = context.delivery.send(DeliveryMessage::JournalWritable).await;
     }
 }
+
+/// Retries with a growing pause; ends early once the folder is handed over, as another process writes to it then.
+async fn retry_until_writable(handle: &JournalHandle) {
+    let mut pause = FIRST_RETRY_PAUSE;
+    loop {
+        Timer::after(pause).await;
+        match handle.retry() {
+            Ok(()) | Err(JournalError::HandedOver) => return,
+            Err(JournalError::Failing(_) | JournalError::Full) => pause = (2 * pause).min(MAX_RETRY_PAUSE),
+        }
+    }
+}
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,7 +20,7 @@
 pub mod storage;
 
 use crate::invariants::{Ledger, Rejection, Violation};
-use crate::journal::{Journal, Restored, Unreadable};
+use crate::journal::{Journal, Restored, UnreadableSegmentPolicy};
 use crate::net::messages::{DeliveryMessage, EndpointListMessage};
 use crate::{DeliveryPolicy, EndpointId, Settings};
 use async_channel::{Receiver, Sender};
@@ -48,7 +48,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use storage::Folder;
+use storage::FolderStorage;
 
 /// How the program ends, from the signal on: connections are still taken for the first span, then the module
 /// still decides up to the second, and what is out may come back up to the last. The platform kills after
@@ -187,9 +187,9 @@
         report["user_agents"] = self.client_connections.get().into();
         report["open"] = self.open_messages.get().into();
         report["notices_owed"] = self.reports_pending.get().into();
-        let (bytes, owed) = self.journal.sizes();
-        report["journal_bytes"] = bytes.into();
-        report["journal_owed"] = owed.into();
+        let journal = self.journal.usage();
+        report["journal_bytes"] = journal.disk_bytes.into();
+        report["journal_owed"] = journal.unwritten_records.into();
         report["journal_writable"] = self.journal.is_writable().into();
         report
     }
@@ -318,7 +318,7 @@
     context.executor.spawn(runtime::stall_detector::run(context.clone())).detach();
     context.executor.spawn(journal_handle::run(context.clone())).detach();
     let mut decider =
-        DeliveryActor::new(context.clone(), policy, notices, members_box.clone(), restored.last_id);
+        DeliveryActor::new(context.clone(), policy, notices, members_box.clone(), restored.highest_id);
     let mut members = EndpointListActor::new(context.clone(), members_box.clone());
     if config.operator.is_some() {
         members.take_cordons().await;
@@ -386,8 +386,8 @@
     let begun = Instant::now();
     loop {
         let unreadable = match begun.elapsed() < READABLE {
-            true => Unreadable::Fail,
-            false => Unreadable::Keep,
+            true => UnreadableSegmentPolicy::Fail,
+            false => UnreadableSegmentPolicy::KeepForLaterStart,
         };
         let error = match open_once(config, clock, unreadable, log, executor).await {
             Ok(Some(opened)) => return Ok(opened),
@@ -408,7 +408,7 @@
 async fn open_once(
     config: &Config,
     clock: Clock,
-    unreadable: Unreadable,
+    unreadable: UnreadableSegmentPolicy,
     log: &Logger,
     executor: &LocalExecutor<'static>,
 ) -> Result<Option<Opened>, StartError> {
@@ -417,7 +417,7 @@
         Some(_) => Some(handover::claim(config, log, executor).await.map_err(folder)?),
         None => None,
     };
-    let storage = Folder::open(&config.state).map_err(folder)?;
+    let storage = FolderStorage::open(&config.state).map_err(folder)?;
     let (limit, salt) = (config.journal_disk(), fastrand::u32(..));
     let opened = Journal::open(Box::new(storage), limit, move || clock.moment(), salt, unreadable);
     let (journal, restored) = opened.map_err(folder)?;
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -63,7 +63,7 @@
             Ok(204) => {
                 for notice in pending.drain(..count) {
                     info!(context.log, "message"; "state" => "reported", "id" => &notice.request_id, "end" => ?notice.end);
-                    context.journal.end(notice.id);
+                    context.journal.record_completed(notice.id);
                     context.release_request_id(&notice.request_id);
                     context.counters.notices.add();
                     context.reports_pending.set(context.reports_pending.get().saturating_sub(1));
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -5,7 +5,7 @@
 //! to the wall clock. So a time that the journal keeps is read by the next process as it stands. It does not count while the
 //! machine sleeps, as no timer of the program does. Beyond a start of the machine the wall clock is all there is.
 
-use crate::journal::Moment;
+use crate::journal::ClockReading;
 use crate::Micros;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -39,8 +39,8 @@
     }
 
     /// Now, in a form that another process can read.
-    pub fn moment(&self) -> Moment {
-        Moment { boot: self.boot, clock: self.now(), wall: wall() }
+    pub fn moment(&self) -> ClockReading {
+        ClockReading { boot_id: self.boot, monotonic_us: self.now(), wall_us: wall() }
     }
 
     /// When a point of this clock comes.
--- a/src/net/storage.rs
+++ b/src/net/storage.rs
@@ -1,4 +1,4 @@
-//! The journal's storage on a folder of the machine.
+//! The journal's storage in a folder of the file system.
 
 use crate::journal::storage::Storage;
 use std::fs::{self, File, OpenOptions};
@@ -6,29 +6,33 @@
 use std::path::{Path, PathBuf};
 
 /// A folder, and the file in it that is being appended to.
-pub struct Folder {
+pub struct FolderStorage {
     path: PathBuf,
     newest: Option<File>,
 }
 
-impl Folder {
-    /// The folder of a path, which is made if it is not there.
-    pub fn open(path: &Path) -> io::Result<Folder> {
+impl FolderStorage {
+    /// Opens the folder at a path, and creates it if it is not there.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be created.
+    pub fn open(path: &Path) -> io::Result<FolderStorage> {
         fs::create_dir_all(path)?;
-        Ok(Folder { path: path.to_owned(), newest: None })
+        Ok(FolderStorage { path: path.to_owned(), newest: None })
     }
 
     fn newest(&mut self) -> io::Result<&mut File> {
-        self.newest.as_mut().ok_or_else(|| io::Error::other("no file was begun"))
+        self.newest.as_mut().ok_or_else(|| io::Error::other("no file was created"))
     }
 }
 
-impl Storage for Folder {
+impl Storage for FolderStorage {
     fn list(&mut self) -> io::Result<Vec<(String, u64)>> {
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // The journal's own names are plain text; another file counts by its size alone.
+            // The journal's own names are ASCII; of any other file only the size counts.
             let name = entry.file_name().to_string_lossy().into_owned();
             files.push((name, entry.metadata()?.len()));
         }
@@ -39,7 +43,7 @@
         fs::read(self.path.join(name))
     }
 
-    fn begin(&mut self, name: &str) -> io::Result<()> {
+    fn create(&mut self, name: &str) -> io::Result<()> {
         self.newest = None;
         let file = OpenOptions::new().create_new(true).append(true).open(self.path.join(name))?;
         self.newest = Some(file);
@@ -50,17 +54,17 @@
         self.newest()?.write_all(bytes)
     }
 
-    fn cut(&mut self, size: u64) -> io::Result<()> {
+    fn truncate_newest(&mut self, size: u64) -> io::Result<()> {
         self.newest()?.set_len(size)
     }
 
-    fn cut_file(&mut self, name: &str, size: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
         OpenOptions::new().write(true).open(self.path.join(name))?.set_len(size)
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         match fs::remove_file(self.path.join(name)) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Ok(()),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(()),
             result => result,
         }
     }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,27 +1,29 @@
-//! The journal on a folder of its own: what comes back after a crash, damage and a folder that is nearly full.
+//! The journal in a folder of its own: recovery after a crash and after damage, and a folder that is nearly full.
 
+use cedarbridge::journal::encoding::encode;
+use cedarbridge::journal::record::{JournalRecord, ProgressStep};
 use cedarbridge::journal::{
-    AttemptStart, Journal, JournalError, JournaledMessage, Moment, Progress, ReportedEnd, Restored,
-    Unreadable,
+    AttemptStart, ClockReading, Journal, JournalError, JournaledMessage, Progress, ReportedEnd, Restored,
+    UnreadableSegmentPolicy,
 };
-use cedarbridge::net::storage;
+use cedarbridge::net::storage::FolderStorage;
 use std::collections::VecDeque;
 use std::fs;
 use std::path::PathBuf;
 
-/// The unit in which the platform counts files.
-const UNIT: u64 = 512;
+/// The platform counts files in whole blocks of this many bytes.
+const DISK_BLOCK_BYTES: u64 = 512;
 
-fn units(size: u64) -> u64 {
-    size.div_ceil(UNIT) * UNIT
+fn size_on_disk(size: u64) -> u64 {
+    size.div_ceil(DISK_BLOCK_BYTES) * DISK_BLOCK_BYTES
 }
 
-fn sent(at: u64, zone: &str) -> AttemptStart {
-    AttemptStart { at, zone: zone.into() }
+fn attempt_start(started_at: u64, zone: &str) -> AttemptStart {
+    AttemptStart { started_at, zone: zone.into() }
 }
 
-/// The moment at which journals are opened and written here, unless a test says otherwise.
-const NOW: Moment = Moment { boot: 7, clock: 1_000, wall: 5_000_000 };
+/// The clocks as journals are opened and written here, unless a test says otherwise.
+const NOW: ClockReading = ClockReading { boot_id: 7, monotonic_us: 1_000, wall_us: 5_000_000 };
 
 struct Folder(PathBuf);
 
@@ -36,9 +38,10 @@
         self.open_at(limit, NOW)
     }
 
-    fn open_at(&self, limit: u64, now: Moment) -> (Journal, Restored) {
-        let storage = storage::Folder::open(&self.0).expect("a folder");
-        Journal::open(Box::new(storage), limit, move || now, 99, Unreadable::Fail).expect("opens")
+    fn open_at(&self, limit: u64, now: ClockReading) -> (Journal, Restored) {
+        let storage = FolderStorage::open(&self.0).expect("a folder");
+        Journal::open(Box::new(storage), limit, move || now, 99, UnreadableSegmentPolicy::Fail)
+            .expect("opens")
     }
 
     fn files(&self) -> Vec<PathBuf> {
@@ -49,7 +52,7 @@
     }
 
     fn size(&self) -> u64 {
-        self.files().iter().map(|f| units(fs::metadata(f).expect("a file").len())).sum()
+        self.files().iter().map(|f| size_on_disk(fs::metadata(f).expect("a file").len())).sum()
     }
 }
 
@@ -70,56 +73,66 @@
 }
 
 #[test]
-fn what_is_unended_comes_back_with_its_attempts() {
+fn messages_that_are_not_completed_are_restored_with_their_attempts() {
     let folder = Folder::new("unended");
-    let (mut j, _) = folder.open(1 << 20);
+    let (mut journal, _) = folder.open(1 << 20);
     for id in 1..=4 {
-        j.take(id, &message(&format!("m{id}"), 10)).expect("room");
+        journal.record_received(id, &message(&format!("m{id}"), 10)).expect("space");
     }
-    j.attempt(1, 0, sent(5, "east")).expect("written");
-    j.never_ran(1, 0);
-    j.attempt(2, 0, sent(6, "east")).expect("written");
-    // The second is called back before it was written: the first may still have run.
-    j.never_ran(2, 1);
-    j.attempt(2, 1, sent(7, "west")).expect("written");
-    j.report(3, ReportedEnd::Returned(Some(500)));
-    j.end(4);
-    assert_eq!(j.owed(), 0, "all is written");
-    drop(j);
+    journal.record_attempt(1, 0, attempt_start(5, "east")).expect("written");
+    journal.record_never_ran(1, 0);
+    journal.record_attempt(2, 0, attempt_start(6, "east")).expect("written");
+    // The second attempt was withdrawn before it was recorded: the first may still have run.
+    journal.record_never_ran(2, 1);
+    journal.record_attempt(2, 1, attempt_start(7, "west")).expect("written");
+    journal.record_end(3, ReportedEnd::Returned(Some(500)));
+    journal.record_completed(4);
+    assert_eq!(journal.unwritten_records(), 0, "all is written");
+    drop(journal);
     let (_, restored) = folder.open(1 << 20);
-    let seen: Vec<_> = restored.messages.iter().map(|(id, k)| (*id, k.progress.clone())).collect();
+    let found: Vec<_> = restored.messages.iter().map(|(id, m)| (*id, m.progress.clone())).collect();
     let report = Some(ReportedEnd::Returned(Some(500)));
-    // Taken back, the first is not where repeats would be dropped; of the second it is the first attempt.
-    let wanted = [
+    // As it never ran, the first message's attempt does not bound repeats; the second message's first attempt does.
+    let expected = [
         (1, Progress { attempts: 1, ..Progress::default() }),
-        (2, Progress { attempts: 2, ran: true, out: true, first: Some(sent(6, "east")), report: None }),
+        (
+            2,
+            Progress {
+                attempts: 2,
+                earlier_attempt_may_have_run: true,
+                attempt_in_flight: true,
+                first_attempt: Some(attempt_start(6, "east")),
+                report: None,
+            },
+        ),
         (3, Progress { report, ..Progress::default() }),
     ];
-    assert_eq!(seen, wanted);
-    assert_eq!((restored.last_id, restored.messages[0].1.body.len()), (4, 10));
+    assert_eq!(found, expected);
+    assert_eq!((restored.highest_id, restored.messages[0].1.body.len()), (4, 10));
 }
 
 /// Guards against a crash loop: a tail that a dying write or a bad block left must not stop the start.
 #[test]
-fn a_torn_or_damaged_tail_is_cut_wherever_it_is() {
+fn a_torn_or_damaged_tail_is_truncated_wherever_it_begins() {
     let folder = Folder::new("torn");
-    let (mut j, _) = folder.open(1 << 20);
-    j.take(1, &message("one", 40)).expect("room");
-    let whole = fs::metadata(folder.files().pop().expect("a segment")).expect("a file").len() as usize;
-    j.take(2, &message("two", 40)).expect("room");
-    drop(j);
+    let (mut journal, _) = folder.open(1 << 20);
+    journal.record_received(1, &message("one", 40)).expect("space");
+    let first_record_end =
+        fs::metadata(folder.files().pop().expect("a segment")).expect("a file").len() as usize;
+    journal.record_received(2, &message("two", 40)).expect("space");
+    drop(journal);
     let file = folder.files().pop().expect("a segment");
     let bytes = fs::read(&file).expect("read");
-    for cut in whole + 1..bytes.len() {
+    for cut in first_record_end + 1..bytes.len() {
         let mut spoilt = bytes.clone();
         spoilt[cut] ^= 0x40;
         for damaged in [&bytes[..cut], &spoilt] {
             fs::write(&file, damaged).expect("written");
-            let (mut j, restored) = folder.open(1 << 20);
+            let (mut journal, restored) = folder.open(1 << 20);
             assert_eq!(restored.messages.iter().map(|k| k.0).collect::<Vec<_>>(), [1]);
             assert_eq!(restored.damage.len(), 1);
-            j.take(3, &message("three", 40)).expect("room");
-            drop(j);
+            journal.record_received(3, &message("three", 40)).expect("space");
+            drop(journal);
             let (_, again) = folder.open(1 << 20);
             assert_eq!((again.messages.len(), again.damage.len()), (2, 0));
             for extra in folder.files().into_iter().filter(|f| f != &file) {
@@ -129,23 +142,23 @@
     }
 }
 
-/// Guards against messages that are lost behind one bad block: what follows it in the segment is whole.
+/// Guards against messages that are lost behind one bad block: what follows it in the segment is complete.
 #[test]
-fn recovery_goes_past_a_damaged_record() {
+fn recovery_goes_on_behind_a_damaged_record() {
     let folder = Folder::new("past");
-    let (mut j, _) = folder.open(1 << 20);
+    let (mut journal, _) = folder.open(1 << 20);
     let file = folder.files();
-    assert!(file.is_empty(), "a segment is begun by its first record");
-    j.take(1, &message("one", 40)).expect("room");
+    assert!(file.is_empty(), "a segment is created by its first record");
+    journal.record_received(1, &message("one", 40)).expect("space");
     let file = folder.files().pop().expect("a segment");
-    let first = fs::metadata(&file).expect("a file").len() as usize;
-    // Its body looks like a record of its own; without the segment's number it is none.
-    let forged = cedarbridge::journal::record::encode(0, 1, &cedarbridge::journal::record::Change::End);
-    j.take(2, &JournaledMessage { body: forged, ..message("two", 0) }).expect("room");
-    j.take(3, &message("three", 40)).expect("room");
-    drop(j);
+    let first_record_end = fs::metadata(&file).expect("a file").len() as usize;
+    // Its body looks like a record of its own; without the segment's salt it is none.
+    let forged = encode(0, 1, &JournalRecord::Completed);
+    journal.record_received(2, &JournaledMessage { body: forged, ..message("two", 0) }).expect("space");
+    journal.record_received(3, &message("three", 40)).expect("space");
+    drop(journal);
     let mut bytes = fs::read(&file).expect("read");
-    bytes[first + 20] ^= 0x40;
+    bytes[first_record_end + 20] ^= 0x40;
     fs::write(&file, &bytes).expect("written");
     let (_, restored) = folder.open(1 << 20);
     assert_eq!(restored.messages.iter().map(|m| m.0).collect::<Vec<_>>(), [1, 3]);
@@ -154,98 +167,117 @@
 
 /// Guards against deadlines and windows that move with the wall clock.
 #[test]
-fn times_are_read_by_the_clock_that_both_processes_share_and_else_by_the_wall_clock() {
+fn times_are_read_by_the_monotonic_clock_within_one_boot_and_else_by_the_wall_clock() {
     let deadline = |boot, clock, wall| {
         let folder = Folder::new(&format!("times-{boot}-{clock}"));
-        let (mut j, _) = folder.open_at(1 << 20, Moment { boot: 7, clock: 1_000, wall: 5_000_000 });
-        j.take(1, &JournaledMessage { deadline: 9_000, ..message("one", 4) }).expect("room");
-        j.attempt(1, 0, sent(1_500, "east")).expect("written");
-        drop(j);
-        let kept = folder.open_at(1 << 20, Moment { boot, clock, wall }).1.messages;
-        (kept[0].1.deadline, kept[0].1.progress.first.as_ref().expect("an attempt").at)
+        let (mut journal, _) =
+            folder.open_at(1 << 20, ClockReading { boot_id: 7, monotonic_us: 1_000, wall_us: 5_000_000 });
+        journal
+            .record_received(1, &JournaledMessage { deadline: 9_000, ..message("one", 4) })
+            .expect("space");
+        journal.record_attempt(1, 0, attempt_start(1_500, "east")).expect("written");
+        drop(journal);
+        let messages = folder
+            .open_at(1 << 20, ClockReading { boot_id: boot, monotonic_us: clock, wall_us: wall })
+            .1
+            .messages;
+        (
+            messages[0].1.deadline,
+            messages[0].1.progress.first_attempt.as_ref().expect("an attempt").started_at,
+        )
     };
     let same_boot = (9_000, 1_500);
     assert_eq!(deadline(7, 2_000, 5_001_000), same_boot);
     assert_eq!(deadline(7, 2_001, 9_999_999_999), same_boot, "the wall clock was set forward");
     assert_eq!(deadline(7, 2_002, 1), same_boot, "and back");
-    // The machine was started anew and 3,000 us went by: 8,000 were left at first, so 5,000 are now.
+    // The machine was restarted and 3,000 us went by: 8,000 were left at first, so 5,000 are now.
     assert_eq!(deadline(8, 200, 5_003_000), (5_200, 0));
     assert_eq!(deadline(0, 100_000, 5_003_000), (105_000, 97_500), "the boot is not known");
 }
 
-/// A folder of the version before keeps Unix time and has no heads.
+/// Segments of the older format keep Unix time and have no headers.
 #[test]
-fn a_segment_of_the_older_form_is_read_by_the_wall_clock() {
-    use cedarbridge::journal::record::{encode, Change, Step};
+fn a_segment_of_the_older_format_is_read_by_the_wall_clock() {
     let folder = Folder::new("older");
     fs::create_dir_all(&folder.0).expect("a folder");
-    let taken = JournaledMessage { deadline: 5_020_000, ..message("one", 4) };
-    let mut bytes = encode(0, 4, &Change::Taken(Box::new(taken)));
-    bytes.extend(encode(0, 4, &Change::Step(Step::Attempt(0, Some(sent(4_999_500, "west"))))));
+    let received = JournaledMessage { deadline: 5_020_000, ..message("one", 4) };
+    let mut bytes = encode(0, 4, &JournalRecord::Received(Box::new(received)));
+    let attempt = ProgressStep::AttemptStarted { number: 0, start: Some(attempt_start(4_999_500, "west")) };
+    bytes.extend(encode(0, 4, &JournalRecord::Progressed(attempt)));
     fs::write(folder.0.join("0000000003.journal"), bytes).expect("written");
-    let (mut j, restored) = folder.open(60_000);
-    let (id, kept) = &restored.messages[0];
-    assert_eq!((*id, kept.deadline, kept.progress.first.clone()), (4, 21_000, Some(sent(500, "west"))));
-    // The same after it was copied to a segment of the new form.
+    let (mut journal, restored) = folder.open(60_000);
+    let (id, message_found) = &restored.messages[0];
+    assert_eq!(
+        (*id, message_found.deadline, message_found.progress.first_attempt.clone()),
+        (4, 21_000, Some(attempt_start(500, "west")))
+    );
+    // Then the same after it was copied to a segment of the new format.
     for id in 5..400 {
-        j.take(id, &message("other", 300)).expect("room");
-        j.end(id);
+        journal.record_received(id, &message("other", 300)).expect("space");
+        journal.record_completed(id);
     }
-    drop(j);
+    drop(journal);
     let (_, again) = folder.open(60_000);
     assert_eq!(again.messages, restored.messages);
 }
 
-/// Guards against passing the limit while survivors are copied, with bodies large against it.
+/// Guards against passing the limit during compaction, with bodies that are large against it.
 #[test]
-fn the_folder_stays_under_its_limit_and_keeps_what_lives() {
+fn the_folder_stays_under_its_limit_and_keeps_what_is_not_completed() {
     for (limit, body) in [(3_000_000u64, 65_536usize), (1_000_000, 65_536), (60_000, 300)] {
         let folder = Folder::new(&format!("limit-{limit}"));
-        let (mut j, _) = folder.open(limit);
-        let (mut held, mut refused) = (VecDeque::new(), 0);
+        let (mut journal, _) = folder.open(limit);
+        let (mut open_ids, mut rejected) = (VecDeque::new(), 0);
         for id in 1..600u64 {
-            match j.take(id, &message(&format!("m{id}"), body)) {
-                Ok(()) => held.push_back(id),
+            match journal.record_received(id, &message(&format!("m{id}"), body)) {
+                Ok(()) => open_ids.push_back(id),
                 Err(JournalError::Failing(e)) => panic!("{e}"),
                 Err(_) => {
-                    refused += 1;
-                    // The first of all stays to the end, so that it has to be copied over and over.
+                    rejected += 1;
+                    // The first of all stays open to the end, so that it has to be copied over and over.
                     for _ in 0..2 {
-                        let gone = held.remove(1).expect("several fit");
-                        j.attempt(gone, 0, sent(1, "east")).expect("there is always room for what follows");
-                        j.end(gone);
-                        assert_eq!(j.owed(), 0, "there is always room for an end");
+                        let completed = open_ids.remove(1).expect("several fit");
+                        journal
+                            .record_attempt(completed, 0, attempt_start(1, "east"))
+                            .expect("there is always space for what follows");
+                        journal.record_completed(completed);
+                        assert_eq!(journal.unwritten_records(), 0, "there is always space for a completion");
                     }
                 }
             }
             assert!(folder.size() <= limit, "{} of {limit} at {id}", folder.size());
         }
-        assert!(refused > 0);
-        drop(j);
+        assert!(rejected > 0);
+        drop(journal);
         let (_, restored) = folder.open(limit);
-        assert_eq!(restored.messages.iter().map(|k| k.0).collect::<VecDeque<_>>(), held);
+        assert_eq!(restored.messages.iter().map(|k| k.0).collect::<VecDeque<_>>(), open_ids);
         assert!(restored.messages.iter().all(|(id, k)| *k == message(&format!("m{id}"), body)));
     }
 }
 
 /// Guards against repeats of a message whose record was copied to another segment, in a zone that does not drop them.
 #[test]
-fn where_the_first_attempt_went_outlasts_copies_and_later_attempts() {
+fn the_first_attempt_is_kept_through_compaction_and_later_attempts() {
     let folder = Folder::new("first");
-    let (mut j, _) = folder.open(60_000);
-    j.take(1, &message("stays", 300)).expect("room");
-    j.attempt(1, 0, sent(11, "north-hall")).expect("written");
-    let first = folder.files();
+    let (mut journal, _) = folder.open(60_000);
+    journal.record_received(1, &message("stays", 300)).expect("space");
+    journal.record_attempt(1, 0, attempt_start(11, "north-hall")).expect("written");
+    let first_segments = folder.files();
     let mut id = 1;
-    while folder.files().iter().any(|f| first.contains(f)) {
+    while folder.files().iter().any(|f| first_segments.contains(f)) {
         id += 1;
-        j.take(id, &message(&format!("m{id}"), 300)).expect("room");
-        j.end(id);
+        journal.record_received(id, &message(&format!("m{id}"), 300)).expect("space");
+        journal.record_completed(id);
     }
-    j.attempt(1, 1, sent(12, "south-hall")).expect("written");
-    drop(j);
+    journal.record_attempt(1, 1, attempt_start(12, "south-hall")).expect("written");
+    drop(journal);
     let (_, restored) = folder.open(60_000);
-    let progress =
-        Progress { attempts: 2, ran: true, out: true, first: Some(sent(11, "north-hall")), report: None };
+    let progress = Progress {
+        attempts: 2,
+        earlier_attempt_may_have_run: true,
+        attempt_in_flight: true,
+        first_attempt: Some(attempt_start(11, "north-hall")),
+        report: None,
+    };
     assert_eq!(restored.messages, [(1, JournaledMessage { progress, ..message("stays", 300) })]);
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -2,14 +2,15 @@
 //! data was made.
 
 use cedarbridge::journal::{
-    AttemptStart, Journal, JournaledMessage, Moment, Progress, ReportedEnd, Restored, Unreadable,
+    AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, Restored,
+    UnreadableSegmentPolicy,
 };
 use cedarbridge::membership::{Key, Listing, MembershipSnapshot, State};
 use cedarbridge::net::handover::frames::{HandOverState, PredecessorFrame, SuccessorFrame, FORMAT};
 use cedarbridge::net::handover::lock;
 use cedarbridge::net::operator::cordons::Cordons;
 use cedarbridge::net::platform::eureka::snapshot::Snapshot;
-use cedarbridge::net::storage::Folder;
+use cedarbridge::net::storage::FolderStorage;
 use cedarbridge::{DeliveryPolicy, DestinationId, EndpointId, KindId, MessageId, ZoneId};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -19,21 +20,23 @@
 use std::path::{Path, PathBuf};
 
 /// The moment at which the data was written.
-const WRITTEN: Moment = Moment { boot: 7, clock: 50_000_000, wall: 1_800_000_000_000_000 };
+const WRITTEN: ClockReading =
+    ClockReading { boot_id: 7, monotonic_us: 50_000_000, wall_us: 1_800_000_000_000_000 };
 
 fn data(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
 /// Opens a copy of a stored journal at a moment.
-fn restored(name: &str, test: &str, now: Moment) -> Restored {
+fn restored(name: &str, test: &str, now: ClockReading) -> Restored {
     let folder = std::env::temp_dir().join(format!("cedarbridge-stored-{test}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     let segment = "0000000001.journal";
     fs::copy(data(name).join(segment), folder.join(segment)).expect("copied");
-    let storage = Folder::open(&folder).expect("a folder");
-    let opened = Journal::open(Box::new(storage), 1 << 20, move || now, 1, Unreadable::Fail).expect("opens");
+    let storage = FolderStorage::open(&folder).expect("a folder");
+    let opened = Journal::open(Box::new(storage), 1 << 20, move || now, 1, UnreadableSegmentPolicy::Fail)
+        .expect("opens");
     let _ = fs::remove_dir_all(&folder);
     opened.1
 }
@@ -52,7 +55,7 @@
 }
 
 fn start(at: u64, zone: &str) -> Option<AttemptStart> {
-    Some(AttemptStart { at, zone: zone.into() })
+    Some(AttemptStart { started_at: at, zone: zone.into() })
 }
 
 /// All that the journal holds, its times moved by so many microseconds.
@@ -60,13 +63,23 @@
     let none = Progress::default;
     let ended = |end| Progress { report: Some(end), ..none() };
     let plain = JournaledMessage { key: None, tenant: None, ..stored("plain", shift, none()) };
-    let sent = Progress { attempts: 1, out: true, first: start(11_000_000 + shift, "east"), ..none() };
-    let retried = Progress { attempts: 2, ran: true, first: start(13_000_000 + shift, "east"), ..none() };
+    let sent = Progress {
+        attempts: 1,
+        attempt_in_flight: true,
+        first_attempt: start(11_000_000 + shift, "east"),
+        ..none()
+    };
+    let retried = Progress {
+        attempts: 2,
+        earlier_attempt_may_have_run: true,
+        first_attempt: start(13_000_000 + shift, "east"),
+        ..none()
+    };
     let carried = Progress {
         attempts: 4,
-        ran: true,
-        out: false,
-        first: start(9_000_000 + shift, "west"),
+        earlier_attempt_may_have_run: true,
+        attempt_in_flight: false,
+        first_attempt: start(9_000_000 + shift, "west"),
         report: Some(ReportedEnd::Returned(Some(20))),
     };
     vec![
@@ -84,21 +97,22 @@
 
 #[test]
 fn a_stored_journal_is_read_with_every_record() {
-    let restored = restored("journal", "whole", Moment { clock: 60_000_000, ..WRITTEN });
+    let restored = restored("journal", "whole", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
     assert_eq!(restored.messages, expected(0));
-    assert_eq!((restored.last_id, restored.damage), (10, vec![]));
+    assert_eq!((restored.highest_id, restored.damage), (10, vec![]));
 }
 
 /// After a start of the machine only the wall clock tells how much time has gone by.
 #[test]
 fn a_stored_journal_is_read_on_another_boot_with_its_times_moved() {
-    let now = Moment { boot: 8, clock: 70_000_000, wall: WRITTEN.wall + 5_000_000 };
+    let now = ClockReading { boot_id: 8, monotonic_us: 70_000_000, wall_us: WRITTEN.wall_us + 5_000_000 };
     assert_eq!(restored("journal", "boot", now).messages, expected(15_000_000));
 }
 
 #[test]
 fn a_stored_journal_with_a_flipped_bit_loses_that_message_alone() {
-    let restored = restored("journal-flipped", "flipped", Moment { clock: 60_000_000, ..WRITTEN });
+    let restored =
+        restored("journal-flipped", "flipped", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
     let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 2).collect();
     assert_eq!(restored.messages, rest);
     assert_eq!(restored.damage.len(), 1);
@@ -106,7 +120,7 @@
 
 #[test]
 fn a_stored_journal_that_is_cut_loses_its_last_record_alone() {
-    let restored = restored("journal-cut", "cut", Moment { clock: 60_000_000, ..WRITTEN });
+    let restored = restored("journal-cut", "cut", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
     let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 10).collect();
     assert_eq!(restored.messages, rest);
     assert_eq!(restored.damage.len(), 1);
@@ -114,7 +128,7 @@
 
 #[test]
 fn a_stored_journal_of_the_form_before_heads_is_read_by_the_wall_clock() {
-    let progress = Progress { attempts: 1, out: true, ..Progress::default() };
+    let progress = Progress { attempts: 1, attempt_in_flight: true, ..Progress::default() };
     let restored = restored("journal-headless", "headless", WRITTEN);
     assert_eq!(restored.messages, vec![(1, stored("headless", 0, progress))]);
 }
