--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -1,7 +1,7 @@
 //! How long a registry's answers take from bytes to the merged list. Sizes are in the names.
 #![allow(missing_docs)]
 
-use cedarbridge::membership::{HoldDown, Membership, MetadataNames, Policy, Shrink, SourceId};
+use cedarbridge::membership::{HoldDown, Membership, MetadataNames, ShrinkGuard, SourceId, SourcePolicy};
 use cedarbridge::net::platform::eureka::{held::Held, json};
 use cedarbridge::settings_json::Names;
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
@@ -46,9 +46,9 @@
         weight: words("weight"),
     };
     let names = Names { kinds: vec![words("plain")], zones: vec![words("room")], ..Names::default() };
-    let policy = || Policy {
-        hold_down: Some(HoldDown { first: 1_000_000, longest: 30_000_000, forget: 60_000_000 }),
-        shrink: Some(Shrink { share: 0.3, confirm: 10_000_000 }),
+    let policy = || SourcePolicy {
+        hold_down: Some(HoldDown { first: 1_000_000, max: 30_000_000, forget_after: 60_000_000 }),
+        shrink_guard: Some(ShrinkGuard { max_missing_share: 0.3, confirm_after: 10_000_000 }),
         by_address: true,
     };
     let fresh = || (Held::default(), Membership::new(vec![("registry", policy())]));
@@ -63,14 +63,14 @@
             |(mut held, mut membership)| {
                 let answer = json::read(whole.as_bytes()).expect("JSON");
                 let news = held.take(answer, true, &by, &names).news;
-                membership.take(0, SourceId(0), news).len()
+                membership.apply(0, SourceId(0), news).len()
             },
             BatchSize::LargeInput,
         )
     });
     let (mut held, mut membership) = fresh();
     let all = held.take(json::read(whole.as_bytes()).expect("JSON"), true, &by, &names).news;
-    membership.take(0, SourceId(0), all);
+    membership.apply(0, SourceId(0), all);
     let mut stamp = 1_700_000_000_000;
     c.bench_function("delta of 10 among 10,000 instances, read and taken in", |b| {
         b.iter_batched(
@@ -81,7 +81,7 @@
             |delta| {
                 let answer = json::read(delta.as_bytes()).expect("JSON");
                 let news = held.take(answer, false, &by, &names).news;
-                membership.take(0, SourceId(0), news).len()
+                membership.apply(0, SourceId(0), news).len()
             },
             BatchSize::SmallInput,
         )
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -1,8 +1,8 @@
 //! `registry`: what the forwarder would hold of a registry, and why each entry is what it is.
 
 use super::{lines, print, Failed, Files};
-use crate::membership::Question;
-use crate::membership::{Change, Membership, RegistrySettings, SourceId, SourceUpdate};
+use crate::membership::PollKind;
+use crate::membership::{Membership, MembershipChange, RegistrySettings, SourceId, SourceUpdate};
 use crate::net::platform::eureka::held::Taken;
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
@@ -59,7 +59,7 @@
     }
 }
 
-fn told(change: &Change, names: &Names) -> Value {
+fn told(change: &MembershipChange, names: &Names) -> Value {
     let l = &change.listing;
     let lifecycle = match change.lifecycle {
         Lifecycle::Listed => "listed",
@@ -69,7 +69,7 @@
     json!({
         "app": l.key.group, "id": l.key.id, "address": l.address.to_string(), "destination": l.destination.0,
         "kind": names.kinds[l.kind.0], "zone": names.zones[l.zone.0], "weight": l.weight, "lifecycle": lifecycle,
-        "why": change.why,
+        "why": change.reason,
     })
 }
 
@@ -85,7 +85,7 @@
     }
 
     fn membership(&self) -> Membership {
-        Membership::new(vec![("registry", self.settings.policy())])
+        Membership::new(vec![("registry", self.settings.source_policy())])
     }
 
     fn passed_over(&self, taken: &Taken) {
@@ -102,13 +102,13 @@
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let mut why = String::new();
         for at in 0..self.settings.addresses.len() {
-            match registry.ask(at, Question::Whole).await {
+            match registry.ask(at, PollKind::Complete).await {
                 Ok(taken) => {
                     let mut membership = self.membership();
                     // What is not up is never added; it is shown all the same.
                     let apart: Vec<_> = listings(&taken.news).cloned().collect();
                     self.passed_over(&taken);
-                    membership.take(clock.now(), REGISTRY, taken.news);
+                    membership.apply(clock.now(), REGISTRY, taken.news);
                     let mut shown: BTreeMap<_, Value> = BTreeMap::new();
                     for l in apart {
                         let (listing, key) = (l.clone(), (l.key, l.address));
@@ -117,17 +117,17 @@
                         } else {
                             "not in service, so not added"
                         };
-                        let none = Change {
+                        let none = MembershipChange {
                             endpoint: Default::default(),
                             listing,
                             lifecycle: Lifecycle::Removed,
                             observed_at: 0,
                             source: REGISTRY,
-                            why,
+                            reason: why,
                         };
                         shown.insert(key, told(&none, &self.names));
                     }
-                    for c in membership.list() {
+                    for c in membership.endpoints() {
                         shown.insert((c.listing.key.clone(), c.listing.address), told(&c, &self.names));
                     }
                     shown.values().for_each(|v| self.show(v));
@@ -146,7 +146,7 @@
         let mut membership = self.membership();
         let mut draws = fastrand::Rng::new();
         loop {
-            let next = registry.poller.next_question();
+            let next = registry.poller.next_request();
             let wake = membership.next_tick().map_or(next.at, |t| t.min(next.at));
             if end.is_some_and(|e| wake >= e) {
                 return Ok(());
@@ -154,15 +154,15 @@
             Timer::at(clock.at(wake)).await;
             let mut changes = membership.tick(clock.now());
             if wake == next.at {
-                match registry.ask(next.address, next.question).await {
+                match registry.ask(next.address_index, next.kind).await {
                     Ok(taken) => {
                         self.passed_over(&taken);
-                        changes.extend(membership.take(clock.now(), REGISTRY, taken.news));
-                        let doubt = membership.in_doubt(REGISTRY);
-                        registry.poller.answered(clock.now(), next.question, taken.fits, doubt);
+                        changes.extend(membership.apply(clock.now(), REGISTRY, taken.news));
+                        let doubt = membership.needs_complete_poll(REGISTRY);
+                        registry.poller.succeeded(clock.now(), next.kind, taken.fits, doubt);
                     }
                     Err(e) => {
-                        eprintln!("cedarbridge: {}: {e}", registry.address(next.address));
+                        eprintln!("cedarbridge: {}: {e}", registry.address(next.address_index));
                         registry.poller.failed(clock.now(), draws.f64());
                     }
                 }
@@ -178,10 +178,10 @@
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let mut failed = Vec::new();
         for at in 0..count {
-            match registry.ask(at, Question::Whole).await {
+            match registry.ask(at, PollKind::Complete).await {
                 Ok(taken) => {
                     for l in listings(&taken.news) {
-                        let state = format!("{:?} at {}, stamp {}", l.state, l.address, l.stamp);
+                        let state = format!("{} at {}, stamp {}", l.state.name(), l.address, l.stamp);
                         let name = format!("{}/{}", l.key.group, l.key.id);
                         all.entry(name).or_default().insert(at, state);
                     }
@@ -235,7 +235,7 @@
                 let read = |t: String| time(&t).map_err(|(_, why)| Failed::Call(format!("--for: {why}")));
                 let lasts = lasts.map(read).transpose()?;
                 let asking = files.registry()?;
-                let each = written(asking.settings.poll);
+                let each = written(asking.settings.poll_interval);
                 eprintln!("cedarbridge: asking every {each}");
                 async_io::block_on(asking.watch(lasts))
             }
--- a/src/invariants/admission.rs
+++ b/src/invariants/admission.rs
@@ -1,38 +1,38 @@
-//! Whether a message that a client hands in may be taken on now.
+//! Whether a message that was received from a client may be admitted now.
 
-/// What binds the taking on of a message.
+/// What the admission of a message depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionFacts {
-    /// The program decides no more.
-    pub closed: bool,
-    /// A message of the same id is not over yet.
+    /// The program makes no more decisions: it shuts down, or its successor decides.
+    pub draining: bool,
+    /// An open message has the same id.
     pub id_in_use: bool,
-    /// Messages held, and how many may be.
-    pub open: usize,
-    /// See above.
-    pub max_open: usize,
+    /// Messages that are open now.
+    pub open_messages: usize,
+    /// How many messages may be open.
+    pub max_open_messages: usize,
     /// The journal can be written.
     pub journal_writable: bool,
 }
 
-/// Why a message is not taken on.
+/// Why a message is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rejection {
-    /// Neither may it replace the other of its id, nor may one end be told for both.
+    /// Another open message has its id: neither may it replace that one, nor may one end be reported for both.
     IdInUse,
-    /// The program is ending.
-    Closing,
-    /// As many are held as may be.
-    TooManyOpen,
-    /// What outlasts the process cannot be written.
+    /// The program is shutting down.
+    Draining,
+    /// As many messages are open as may be.
+    TooManyOpenMessages,
+    /// The journal cannot be written.
     JournalFailing,
-    /// The journal has no room.
+    /// The journal has no space.
     JournalFull,
-    /// The list has not named its destination of late.
+    /// The endpoint list has not named its destination lately.
     UnknownDestination,
-    /// Its client had ended its sending, and may be gone.
+    /// Its client has ended its side of the connection, and may be gone.
     ClientGone,
-    /// The policy refused it at once.
+    /// The policy rejected it at once.
     Policy,
 }
 
@@ -41,8 +41,8 @@
     pub fn name(self) -> &'static str {
         match self {
             Rejection::IdInUse => "id-in-use",
-            Rejection::Closing => "closing",
-            Rejection::TooManyOpen => "too-many-open",
+            Rejection::Draining => "closing",
+            Rejection::TooManyOpenMessages => "too-many-open",
             Rejection::JournalFailing => "journal",
             Rejection::JournalFull => "journal-full",
             Rejection::UnknownDestination => "unknown-destination",
@@ -52,16 +52,20 @@
     }
 }
 
-/// Whether a message may be taken on, before it is written to the journal.
-pub fn may_take_on(facts: &AdmissionFacts) -> Result<(), Rejection> {
+/// Whether a message may be admitted, before it is journaled.
+///
+/// # Errors
+///
+/// The first reason against it.
+pub fn may_admit(facts: &AdmissionFacts) -> Result<(), Rejection> {
     if facts.id_in_use {
         return Err(Rejection::IdInUse);
     }
-    if facts.closed {
-        return Err(Rejection::Closing);
+    if facts.draining {
+        return Err(Rejection::Draining);
     }
-    if facts.open >= facts.max_open {
-        return Err(Rejection::TooManyOpen);
+    if facts.open_messages >= facts.max_open_messages {
+        return Err(Rejection::TooManyOpenMessages);
     }
     if !facts.journal_writable {
         return Err(Rejection::JournalFailing);
--- a/src/invariants/connection.rs
+++ b/src/invariants/connection.rs
@@ -1,8 +1,8 @@
-//! Whether a connection to an endpoint that carries nothing may carry the next call.
+//! Whether an idle connection to an endpoint may carry the next call.
 
 use crate::Micros;
 
-/// A connection is given up so long before the endpoint may close it: a request must not cross that.
+/// An idle connection is closed so long before the endpoint may close it: a request must not cross that.
 const IDLE_MARGIN: Micros = 250_000;
 
 /// What is known of an idle connection.
@@ -10,21 +10,21 @@
 pub struct IdleFacts {
     /// Now.
     pub now: Micros,
-    /// Up to when it may stay.
-    pub until: Micros,
-    /// It leads to where the list says that the endpoint listens.
-    pub at_its_address: bool,
-    /// Its other side has ended it, or has sent something unasked: why it is of no more use.
-    pub disturbed: Option<&'static str>,
+    /// Up to when it may be reused: see [`reusable_until`].
+    pub reusable_until: Micros,
+    /// It leads to the address that the endpoint list has for the endpoint.
+    pub address_is_current: bool,
+    /// Why the connection is of no more use: its other side has closed it, or has sent something unasked.
+    pub disturbance: Option<&'static str>,
 }
 
-/// Why a connection to an endpoint is closed that carries nothing.
+/// Why an idle connection to an endpoint is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It has stood idle for too long.
-    Idle,
-    /// Its endpoint listens elsewhere now.
-    Moved,
+    /// It was idle for too long.
+    IdleTimeout,
+    /// Its endpoint has another address now.
+    EndpointMoved,
     /// What its other side did.
     Disturbed(&'static str),
 }
@@ -33,26 +33,30 @@
     /// Its name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::Idle => "idle",
-            CloseReason::Moved => "moved",
-            CloseReason::Disturbed(what) => what,
+            CloseReason::IdleTimeout => "idle",
+            CloseReason::EndpointMoved => "moved",
+            CloseReason::Disturbed(disturbance) => disturbance,
         }
     }
 }
 
-/// Up to when a connection that became idle now may be kept, where its endpoint may close it after a span.
-pub fn idle_until(now: Micros, span: Micros) -> Micros {
-    now + span.saturating_sub(IDLE_MARGIN.min(span / 4))
+/// Up to when a connection that became idle now may be reused, where its endpoint closes it after `idle_timeout`.
+pub fn reusable_until(now: Micros, idle_timeout: Micros) -> Micros {
+    now + idle_timeout.saturating_sub(IDLE_MARGIN.min(idle_timeout / 4))
 }
 
 /// Whether an idle connection may carry a call.
+///
+/// # Errors
+///
+/// The first reason to close it instead.
 pub fn may_reuse(facts: &IdleFacts) -> Result<(), CloseReason> {
-    if facts.now >= facts.until {
-        return Err(CloseReason::Idle);
+    if facts.now >= facts.reusable_until {
+        return Err(CloseReason::IdleTimeout);
     }
-    if !facts.at_its_address {
-        return Err(CloseReason::Moved);
+    if !facts.address_is_current {
+        return Err(CloseReason::EndpointMoved);
     }
-    // What came unasked would be read as the answer to the next call.
-    facts.disturbed.map_or(Ok(()), |what| Err(CloseReason::Disturbed(what)))
+    // What was sent unasked would be read as the answer to the next call.
+    facts.disturbance.map_or(Ok(()), |disturbance| Err(CloseReason::Disturbed(disturbance)))
 }
--- a/src/membership/approach.rs
+++ b/src/membership/approach.rs
@@ -17,28 +17,28 @@
 
 /// How the last watches went.
 #[derive(Clone, Copy, Debug)]
-pub struct Approach {
+pub struct WatchBackoff {
     first: Micros,
     /// Those in a row that were turned away, and that broke.
     failures: u32,
     breaks: u32,
 }
 
-impl Approach {
+impl WatchBackoff {
     /// One of so many forwarders.
     pub fn new(fleet: usize) -> Self {
         let first = (fleet as f64 / FLEET_ASKS * 1e6) as Micros;
-        Approach { first: first.clamp(PAUSE.0, PAUSE.1), failures: 0, breaks: 0 }
+        WatchBackoff { first: first.clamp(PAUSE.0, PAUSE.1), failures: 0, breaks: 0 }
     }
 
     /// A watch has told something.
-    pub fn told(&mut self) {
+    pub fn received(&mut self) {
         (self.failures, self.breaks) = (0, 0);
     }
 
     /// A watch was turned away: how long the next one waits, with the wait that the platform asked for, and a number from
     /// 0 to 1 drawn for it.
-    pub fn turned_away(&mut self, asked: Option<Micros>, draw: f64) -> Micros {
+    pub fn after_rejection(&mut self, asked: Option<Micros>, draw: f64) -> Micros {
         self.failures += 1;
         if self.failures == 1 && asked.is_none() {
             return (self.first as f64 * SPREAD * draw) as Micros;
@@ -49,7 +49,7 @@
     }
 
     /// A watch broke, or could not be opened: how long the next one waits, with a number from 0 to 1 drawn for it.
-    pub fn broke(&mut self, draw: f64) -> Micros {
+    pub fn after_failure(&mut self, draw: f64) -> Micros {
         let pause = drawn(doubled(BROKE.0, self.breaks).min(BROKE.1), draw);
         self.breaks += 1;
         pause
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -15,25 +15,39 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 
-pub use approach::Approach;
-pub use poll::{Poller, Question};
-pub use settings::{Address, Ask, MetadataNames, Registration, RegistrySettings};
-pub use view::{Counts, HoldDown, Shrink};
+pub use approach::WatchBackoff;
+pub use poll::{PollKind, Poller};
+pub use settings::{MetadataNames, PollScope, Registration, RegistryAddress, RegistrySettings};
 use view::{Effective, View};
+pub use view::{HoldDown, ShrinkGuard, SourceStats};
 
 /// What a source says of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
     /// In service.
     Up,
-    /// Nothing new should go there.
-    Leaving,
+    /// Nothing new should be sent there.
+    #[serde(rename = "Leaving")]
+    Draining,
     /// Removed.
-    Gone,
-    /// Not known: whatever held before still holds.
+    #[serde(rename = "Gone")]
+    Removed,
+    /// Not known: whatever the source said before still holds.
     Unknown,
 }
 
+impl State {
+    /// Its name in what the program prints.
+    pub fn name(self) -> &'static str {
+        match self {
+            State::Up => "Up",
+            State::Draining => "Leaving",
+            State::Removed => "Gone",
+            State::Unknown => "Unknown",
+        }
+    }
+}
+
 /// What an entry is called: within its source, by group (an application of the registry; empty where there are no
 /// groups) and id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -86,11 +100,11 @@
 
 /// How far a source is believed.
 #[derive(Clone, Debug, Default)]
-pub struct Policy {
+pub struct SourcePolicy {
     /// What comes back waits, so that flapping costs neither late drains nor stampedes.
     pub hold_down: Option<HoldDown>,
     /// A full answer that lacks too much is not believed at once.
-    pub shrink: Option<Shrink>,
+    pub shrink_guard: Option<ShrinkGuard>,
     /// An entry is its id at its address: an id elsewhere, or another id there, is another endpoint. Without it an
     /// id is one endpoint wherever it listens.
     pub by_address: bool,
@@ -102,7 +116,7 @@
 
 /// A change of the merged list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct MembershipChange {
     /// Which endpoint.
     pub endpoint: EndpointId,
     /// The entry that it comes from.
@@ -114,7 +128,7 @@
     /// From which source.
     pub source: SourceId,
     /// Why it is what it is.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// What an endpoint goes by.
@@ -146,7 +160,7 @@
     ids: HashMap<Slot, EndpointId>,
     last_id: u32,
     /// What the sources say now.
-    told: BTreeMap<Slot, Change>,
+    told: BTreeMap<Slot, MembershipChange>,
     /// What operators want left out, by id, and since when: laid over whatever the sources say.
     cordons: BTreeMap<String, Micros>,
     /// At each address, the slots there that were told and are not gone.
@@ -155,7 +169,7 @@
 
 impl Membership {
     /// No entries yet, from these sources, each with its name.
-    pub fn new(sources: Vec<(&'static str, Policy)>) -> Self {
+    pub fn new(sources: Vec<(&'static str, SourcePolicy)>) -> Self {
         let names = sources.iter().map(|s| s.0).collect();
         let views = sources.into_iter().map(|s| View::new(s.1)).collect();
         let (places, named, ids, told, told_at, cordons) = Default::default();
@@ -164,7 +178,7 @@
 
     /// The entries of that id are left out until they are called back, whatever sources say; what changes by it. None
     /// if the list knows no such id. Two calls out are undone by one back.
-    pub fn cordon(&mut self, now: Micros, id: &str) -> Option<Vec<Change>> {
+    pub fn cordon(&mut self, now: Micros, id: &str) -> Option<Vec<MembershipChange>> {
         if !self.cordons.contains_key(id) && !self.names_id(id) {
             return None;
         }
@@ -174,11 +188,11 @@
     }
 
     /// The entries of that id may serve again, as far as sources say so. None if it is neither cordoned nor known.
-    pub fn uncordon(&mut self, now: Micros, id: &str) -> Option<Vec<Change>> {
+    pub fn uncordon(&mut self, now: Micros, id: &str) -> Option<Vec<MembershipChange>> {
         if self.cordons.remove(id).is_none() {
             return self.names_id(id).then(Vec::new);
         }
-        let back = |c: Change| Change { observed_at: now, ..c };
+        let back = |c: MembershipChange| MembershipChange { observed_at: now, ..c };
         Some(self.of_id(id, "uncordoned").into_iter().map(back).collect())
     }
 
@@ -196,18 +210,18 @@
         self.told.values().any(|c| c.listing.key.id == id)
     }
 
-    fn of_id(&self, id: &str, why: &'static str) -> Vec<Change> {
+    fn of_id(&self, id: &str, why: &'static str) -> Vec<MembershipChange> {
         let entries = self.told.values().filter(|c| c.listing.key.id == id);
-        entries.map(|c| Change { why, ..self.laid_over(c) }).collect()
+        entries.map(|c| MembershipChange { reason: why, ..self.laid_over(c) }).collect()
     }
 
     /// What holds for an entry with what operators want laid over it.
-    fn laid_over(&self, change: &Change) -> Change {
+    fn laid_over(&self, change: &MembershipChange) -> MembershipChange {
         match self.cordons.get(&change.listing.key.id) {
-            Some(since) if change.lifecycle == Lifecycle::Listed => Change {
+            Some(since) if change.lifecycle == Lifecycle::Listed => MembershipChange {
                 lifecycle: Lifecycle::Draining,
                 observed_at: *since,
-                why: "cordoned",
+                reason: "cordoned",
                 ..change.clone()
             },
             _ => change.clone(),
@@ -215,42 +229,47 @@
     }
 
     /// What a source is called.
-    pub fn name(&self, source: SourceId) -> &'static str {
+    pub fn source_name(&self, source: SourceId) -> &'static str {
         self.names[source.0]
     }
 
     /// Other figures hold for a source; what it has told stays.
-    pub fn set_policy(&mut self, source: SourceId, policy: Policy) {
+    pub fn set_policy(&mut self, source: SourceId, policy: SourcePolicy) {
         self.views[source.0].policy = policy;
     }
 
     /// What the process that replaces this one goes on with.
-    pub fn carried(&self) -> MembershipSnapshot {
+    pub fn snapshot(&self) -> MembershipSnapshot {
         let ids = self.ids.iter().map(|(slot, id)| (slot.clone(), *id)).collect();
         let views = self.views.iter().map(|v| v.listings().cloned().collect()).collect();
         MembershipSnapshot { ids, last_id: self.last_id, views }
     }
 
     /// Goes on with the numbers of the process that this one replaces; before any entry is told.
-    pub fn adopt(&mut self, carried: &MembershipSnapshot) {
+    pub fn adopt_ids(&mut self, carried: &MembershipSnapshot) {
         self.ids = carried.ids.iter().cloned().collect();
         self.last_id = carried.last_id;
     }
 
     /// Takes in what a source has told and tells what changes by it, in the order in which it was told.
-    pub fn take(&mut self, now: Micros, source: SourceId, news: SourceUpdate) -> Vec<Change> {
+    pub fn apply(&mut self, now: Micros, source: SourceId, news: SourceUpdate) -> Vec<MembershipChange> {
         let touched = self.views[source.0].take(now, news);
         self.settle(now, source, touched)
     }
 
     /// What a source told long ago, as it was kept: held as its view until it says something itself.
-    pub fn restore(&mut self, now: Micros, source: SourceId, listings: Vec<Listing>) -> Vec<Change> {
+    pub fn restore(
+        &mut self,
+        now: Micros,
+        source: SourceId,
+        listings: Vec<Listing>,
+    ) -> Vec<MembershipChange> {
         let touched = self.views[source.0].restore(now, listings);
         self.settle(now, source, touched)
     }
 
     /// Tells what changes by the mere passing of time.
-    pub fn tick(&mut self, now: Micros) -> Vec<Change> {
+    pub fn tick(&mut self, now: Micros) -> Vec<MembershipChange> {
         let sources = (0..self.views.len()).map(SourceId);
         let due: Vec<_> = sources.map(|s| (s, self.views[s.0].due(now))).collect();
         due.into_iter().flat_map(|(s, touched)| self.settle(now, s, touched)).collect()
@@ -262,27 +281,27 @@
     }
 
     /// A full answer of this source is wanted, whatever partial ones say: something is in doubt.
-    pub fn in_doubt(&self, source: SourceId) -> bool {
+    pub fn needs_complete_poll(&self, source: SourceId) -> bool {
         self.views[source.0].in_doubt()
     }
 
     /// What a source's answers have come to.
-    pub fn counts(&self, source: SourceId) -> Counts {
+    pub fn stats(&self, source: SourceId) -> SourceStats {
         self.views[source.0].counts
     }
 
     /// The entries of a source that are held, as it told them.
-    pub fn view(&self, source: SourceId) -> impl Iterator<Item = &Listing> {
+    pub fn source_listings(&self, source: SourceId) -> impl Iterator<Item = &Listing> {
         self.views[source.0].listings()
     }
 
     /// The merged list: every endpoint that is not gone.
-    pub fn list(&self) -> impl Iterator<Item = Change> + '_ {
+    pub fn endpoints(&self) -> impl Iterator<Item = MembershipChange> + '_ {
         self.told.values().map(|c| self.laid_over(c))
     }
 
     /// Forgets the numbers of endpoints that nobody knows any more.
-    pub fn keep_ids(&mut self, known: impl Fn(EndpointId) -> bool) {
+    pub fn retain_ids(&mut self, known: impl Fn(EndpointId) -> bool) {
         let told = &self.told;
         self.ids.retain(|slot, id| told.contains_key(slot) || known(*id));
     }
@@ -293,7 +312,7 @@
         now: Micros,
         source: SourceId,
         touched: Vec<(Key, Option<SocketAddr>)>,
-    ) -> Vec<Change> {
+    ) -> Vec<MembershipChange> {
         let mut changes = Vec::new();
         if !self.views[source.0].policy.by_address {
             for (key, before) in touched {
@@ -325,7 +344,7 @@
         source: SourceId,
         key: Key,
         before: Option<SocketAddr>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<MembershipChange>,
     ) {
         let slot = Slot::Named(source, key.clone());
         let (after, effective) = {
@@ -351,7 +370,7 @@
     /// Who stands at an address, of the sources that go by it: of several ids the one that changed last; of one
     /// id in several groups the newest entry, and a drain if any of them says so. Where a source that goes by id
     /// names the address, its word holds alone.
-    fn settle_place(&mut self, now: Micros, address: SocketAddr, changes: &mut Vec<Change>) {
+    fn settle_place(&mut self, now: Micros, address: SocketAddr, changes: &mut Vec<MembershipChange>) {
         let mut best: Option<(Listing, Effective, SourceId)> = None;
         if !self.named.contains_key(&address) {
             for (source, key) in self.places.get(&address).into_iter().flatten() {
@@ -394,7 +413,7 @@
         listing: Listing,
         effective: Effective,
         source: SourceId,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<MembershipChange>,
     ) {
         let last = &mut self.last_id;
         let endpoint = *self.ids.entry(slot.clone()).or_insert_with(|| {
@@ -402,7 +421,8 @@
             EndpointId(*last)
         });
         let Effective { lifecycle, learnt, why } = effective;
-        let change = Change { endpoint, listing, lifecycle, observed_at: learnt, source, why };
+        let change =
+            MembershipChange { endpoint, listing, lifecycle, observed_at: learnt, source, reason: why };
         let known = self.told.get(&slot);
         if known.is_some_and(|k| k.listing.address != change.listing.address) {
             let old = known.expect("just seen").listing.address;
@@ -428,11 +448,17 @@
         slot: &Slot,
         source: SourceId,
         why: &'static str,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<MembershipChange>,
     ) {
         let Some(known) = self.told.remove(slot) else { return };
         leave(&mut self.told_at, known.listing.address, slot);
-        changes.push(Change { lifecycle: Lifecycle::Removed, observed_at: now, source, why, ..known });
+        changes.push(MembershipChange {
+            lifecycle: Lifecycle::Removed,
+            observed_at: now,
+            source,
+            reason: why,
+            ..known
+        });
     }
 }
 
--- a/src/membership/poll.rs
+++ b/src/membership/poll.rs
@@ -6,22 +6,22 @@
 
 /// What is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Question {
+pub enum PollKind {
     /// The whole list.
-    Whole,
+    Complete,
     /// What changed lately.
     Delta,
 }
 
 /// The next question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Next {
+pub struct PollRequest {
     /// When.
     pub at: Micros,
     /// Which of the addresses.
-    pub address: usize,
+    pub address_index: usize,
     /// What.
-    pub question: Question,
+    pub kind: PollKind,
 }
 
 /// What has come of the questions so far, and what follows from it.
@@ -45,10 +45,10 @@
     pub fn new(s: &RegistrySettings, now: Micros) -> Self {
         Poller {
             addresses: s.addresses.len(),
-            poll: s.poll,
+            poll: s.poll_interval,
             back_off: s.back_off,
-            prefer_after: s.prefer_after,
-            deltas: s.ask == super::Ask::All,
+            prefer_after: s.preferred_retry_after,
+            deltas: s.scope == super::PollScope::All,
             current: 0,
             failures: 0,
             preferred_failed: None,
@@ -58,24 +58,24 @@
     }
 
     /// The next question.
-    pub fn next_question(&mut self) -> Next {
+    pub fn next_request(&mut self) -> PollRequest {
         if self.current != 0 && self.preferred_failed.is_none_or(|t| self.at >= t + self.prefer_after) {
             // Another replica may know other things: there, everything is asked for.
             (self.current, self.whole) = (0, true);
         }
-        let question = if self.whole || !self.deltas { Question::Whole } else { Question::Delta };
-        Next { at: self.at, address: self.current, question }
+        let question = if self.whole || !self.deltas { PollKind::Complete } else { PollKind::Delta };
+        PollRequest { at: self.at, address_index: self.current, kind: question }
     }
 
     /// The question was answered. What does not fit, or is in doubt, asks for everything at the next turn; a delta
     /// that does not fit, at once.
-    pub fn answered(&mut self, now: Micros, asked: Question, fits: bool, in_doubt: bool) {
+    pub fn succeeded(&mut self, now: Micros, asked: PollKind, fits: bool, in_doubt: bool) {
         self.failures = 0;
         if self.current == 0 {
             self.preferred_failed = None;
         }
         self.whole = !fits || in_doubt;
-        let at_once = !fits && asked == Question::Delta;
+        let at_once = !fits && asked == PollKind::Delta;
         self.at = if at_once { now } else { now + self.poll };
     }
 
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -1,6 +1,6 @@
 //! One source's view: what it has told, what of that is believed, and since when. It knows nothing of the others.
 
-use super::{Key, Listing, Policy, SourceUpdate, State};
+use super::{Key, Listing, SourcePolicy, SourceUpdate, State};
 use crate::{Lifecycle, Micros};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,33 +11,33 @@
     /// After the first time that it left service; doubled with each further one ...
     pub first: Micros,
     /// ... up to this.
-    pub longest: Micros,
+    pub max: Micros,
     /// One time is forgotten for each such span without another.
-    pub forget: Micros,
+    pub forget_after: Micros,
 }
 
 /// What a full answer may lack before it is doubted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Shrink {
+pub struct ShrinkGuard {
     /// More than this share of what is held.
-    pub share: f64,
+    pub max_missing_share: f64,
     /// What is missing in a doubted answer is gone if it is missing still, in an answer so long after.
-    pub confirm: Micros,
+    pub confirm_after: Micros,
 }
 
 /// What a source's answers have come to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct SourceStats {
     /// Entries that were older than what was held.
-    pub stale: u64,
+    pub stale_entries: u64,
     /// Times that something left service.
     pub flaps: u64,
     /// Times that something came back and was held down.
     pub held_down: u64,
     /// Full answers whose gaps were not believed at once.
-    pub doubted: u64,
+    pub doubted_updates: u64,
     /// When it last told something, if it ever did.
-    pub heard: Option<Micros>,
+    pub last_update_at: Option<Micros>,
 }
 
 /// What holds for an entry now.
@@ -76,15 +76,15 @@
 
 impl Flaps {
     fn now(&self, now: Micros, h: &HoldDown) -> u32 {
-        let forgotten = now.saturating_sub(self.at) / h.forget.max(1);
+        let forgotten = now.saturating_sub(self.at) / h.forget_after.max(1);
         self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
     }
 }
 
 /// What a source has told, by key.
 pub struct View {
-    pub policy: Policy,
-    pub counts: Counts,
+    pub policy: SourcePolicy,
+    pub counts: SourceStats,
     entries: HashMap<Key, Held>,
     flaps: HashMap<Key, Flaps>,
     /// Entries that are gone, with their stamps: an older answer does not bring them back.
@@ -102,7 +102,7 @@
 type Touched = Vec<(Key, Option<SocketAddr>)>;
 
 impl View {
-    pub fn new(policy: Policy) -> Self {
+    pub fn new(policy: SourcePolicy) -> Self {
         let (counts, entries, flaps, tombs, missing, version) = Default::default();
         let (back_since, timers) = Default::default();
         View { policy, counts, entries, flaps, tombs, missing, version, back_since, newest: 0, timers }
@@ -158,7 +158,7 @@
     }
 
     pub fn take(&mut self, now: Micros, news: SourceUpdate) -> Touched {
-        self.counts.heard = Some(now);
+        self.counts.last_update_at = Some(now);
         self.forget(now);
         let mut touched = Vec::new();
         match news {
@@ -166,7 +166,7 @@
                 listings.into_iter().for_each(|l| self.apply(now, l, &mut touched));
                 for (key, stamp) in removed {
                     match self.entries.get(&key).is_some_and(|h| stamp > 0 && stamp < h.listing.stamp) {
-                        true => self.counts.stale += 1,
+                        true => self.counts.stale_entries += 1,
                         false => self.remove(now, &key, Some(stamp), &mut touched),
                     }
                 }
@@ -179,7 +179,7 @@
     }
 
     fn confirm(&self) -> Micros {
-        self.policy.shrink.map_or(0, |s| s.confirm)
+        self.policy.shrink_guard.map_or(0, |s| s.confirm_after)
     }
 
     /// What is remembered has an end: tombstones and flaps that no longer bind are let go.
@@ -203,8 +203,8 @@
         if back {
             let since = *self.back_since.get_or_insert(now);
             if now < since + self.confirm() {
-                self.counts.stale += 1;
-                self.counts.doubted += 1;
+                self.counts.stale_entries += 1;
+                self.counts.doubted_updates += 1;
                 return;
             }
         }
@@ -215,11 +215,11 @@
         let mut lacks: Vec<Key> = self.entries.keys().filter(|k| !named.contains(*k)).cloned().collect();
         lacks.sort();
         let held = self.entries.len();
-        let doubted = self.policy.shrink.is_some_and(|s| {
-            let much = lacks.len() as f64 > s.share * held as f64;
+        let doubted = self.policy.shrink_guard.is_some_and(|s| {
+            let much = lacks.len() as f64 > s.max_missing_share * held as f64;
             !lacks.is_empty() && (much || newest < self.newest)
         });
-        self.counts.doubted += u64::from(doubted);
+        self.counts.doubted_updates += u64::from(doubted);
         listings.into_iter().for_each(|l| self.apply(now, l, touched));
         self.missing.retain(|k, _| !named.contains(k));
         for key in lacks {
@@ -240,7 +240,7 @@
         }
         let key = listing.key.clone();
         let known = self.entries.get(&key);
-        if known.is_none() && listing.state == State::Gone {
+        if known.is_none() && listing.state == State::Removed {
             return;
         }
         // A delta says the same again for minutes. Who goes by id is passed on as it is told.
@@ -254,10 +254,10 @@
         let stale = listing.stamp > 0
             && (held.is_some_and(|s| listing.stamp < s) || buried.is_some_and(|s| listing.stamp <= s));
         if stale {
-            self.counts.stale += 1;
+            self.counts.stale_entries += 1;
             return;
         }
-        if listing.state == State::Gone {
+        if listing.state == State::Removed {
             return self.remove(now, &key, Some(listing.stamp), touched);
         }
         self.missing.remove(&key);
@@ -296,7 +296,7 @@
         let h = self.policy.hold_down?;
         let count = self.flaps.get(key).map(|f| f.now(now, &h)).filter(|c| *c > 0)?;
         let doubled = 1u64.checked_shl(count - 1).unwrap_or(u64::MAX);
-        let until = now + h.first.saturating_mul(doubled).min(h.longest);
+        let until = now + h.first.saturating_mul(doubled).min(h.max);
         self.counts.held_down += 1;
         self.timers.insert((until, key.clone()));
         Some(until)
@@ -309,7 +309,7 @@
             self.flapped(now, key);
         }
         // One that an answer lacked may be there at the next: only a removal by name is remembered.
-        if let Some(stamp) = stamp.filter(|_| self.policy.shrink.is_some()) {
+        if let Some(stamp) = stamp.filter(|_| self.policy.shrink_guard.is_some()) {
             self.tombs.insert(key.clone(), (stamp.max(held.listing.stamp), now));
         }
         touched.push((key.clone(), Some(held.listing.address)));
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,6 +1,6 @@
 //! What the program is told at its start.
 
-use crate::invariants::RepeatRules;
+use crate::invariants::RepeatPolicy;
 use crate::membership::RegistrySettings;
 use crate::net::platform::eureka::snapshot::Snapshot;
 use crate::settings_json::{field, in_field, micros, own_number, settings, text, whole, Names};
@@ -62,7 +62,7 @@
     /// Whether a message of each class must never run twice, by class.
     pub non_idempotent: Vec<bool>,
     /// How messages of each class may be repeated, by class.
-    pub repeats: Vec<RepeatRules>,
+    pub repeats: Vec<RepeatPolicy>,
     /// A registry that the list also comes from.
     pub registry: Option<Arc<RegistrySettings>>,
     /// The longest time for which a message of each class is held, by class.
@@ -97,9 +97,13 @@
     Ok((settings, names))
 }
 
-fn repeat_rules(class: &Class, settings: &Settings) -> RepeatRules {
-    let Class { idempotency: effect, dedup_scope: scope, deduplication_window: window, .. } = *class;
-    RepeatRules { effect, scope, window, max_attempts: settings.max_attempts }
+fn repeat_policy(class: &Class, settings: &Settings) -> RepeatPolicy {
+    RepeatPolicy {
+        idempotency: class.idempotency,
+        dedup_scope: class.dedup_scope,
+        dedup_window: class.deduplication_window,
+        max_attempts: settings.max_attempts,
+    }
 }
 
 impl Config {
@@ -149,7 +153,7 @@
             names: Arc::new(names),
             keyed: of(crate::Idempotency::WithKey),
             non_idempotent: of(crate::Idempotency::NonIdempotent),
-            repeats: settings.classes.iter().map(|c| repeat_rules(c, &settings)).collect(),
+            repeats: settings.classes.iter().map(|c| repeat_policy(c, &settings)).collect(),
             registry: None,
             deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
         };
@@ -176,7 +180,7 @@
                 "names of classes, tenants, zones and kinds, and what repeats do, change only at a start",
             );
         }
-        let register = |c: &Config| c.registry.as_ref().and_then(|r| r.register.clone());
+        let register = |c: &Config| c.registry.as_ref().and_then(|r| r.registration.clone());
         (register(self) != register(other)).then_some("`register` of the registry changes only at a start")
     }
 
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -1,6 +1,6 @@
 //! The module's actor: it brings events to the decisions and carries out what they say.
 
-use crate::invariants::{may_take_on, AdmissionFacts, Rejection};
+use crate::invariants::{may_admit, AdmissionFacts, Rejection, TrackedAttempt, TrackedMessage};
 use crate::journal::{JournalError, JournaledMessage, Progress, ReportedEnd};
 use crate::membership::MembershipSnapshot;
 use crate::net::call::{Attempt, AttemptResult, Call, CallCompletion, CallResult};
@@ -274,10 +274,15 @@
 
     fn enter(&mut self, transaction: InFlightMessage, out: Option<Out>, reply: Option<Sender<SubmitReply>>) {
         self.context.keep_request_id(&transaction.request.request_id);
-        let rules = self.context.config().repeats[transaction.request.class.0];
-        let first = transaction.first_attempt.map(|(at, zone)| (at, Some(zone)));
-        let attempt = out.as_ref().map(|o| o.attempt);
-        self.context.ledger.borrow_mut().hold(transaction.id, rules, transaction.attempts(), first, attempt);
+        let first_attempt = transaction.first_attempt;
+        let tracked = TrackedMessage {
+            repeats: self.context.config().repeats[transaction.request.class.0],
+            attempts: transaction.attempts(),
+            first_attempt: first_attempt
+                .map(|(started_at, zone)| TrackedAttempt { started_at, zone: Some(zone) }),
+            in_flight: out.as_ref().map(|o| o.attempt),
+        };
+        self.context.ledger.borrow_mut().track(transaction.id, tracked);
         let held = Held { transaction: Rc::new(transaction), out, reply };
         self.held.insert(held.transaction.id, held);
         self.open += 1;
@@ -385,13 +390,13 @@
             "channel" => request.tenant.and_then(|t| self.names.tenants.get(t.0)),
             "wall_ms" => FnValue(|_| crate::net::runtime::clock::wall() as f64 / 1e3));
         let facts = AdmissionFacts {
-            closed: self.closed,
+            draining: self.closed,
             id_in_use: self.context.request_id_in_use(&request.request_id),
-            open: self.open,
-            max_open: self.context.config().max_open_messages,
+            open_messages: self.open,
+            max_open_messages: self.context.config().max_open_messages,
             journal_writable: self.context.journal.is_writable(),
         };
-        if let Err(why) = may_take_on(&facts) {
+        if let Err(why) = may_admit(&facts) {
             return self.reject(&request.request_id, why, &reply);
         }
         let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
@@ -449,7 +454,7 @@
         self.context.open_messages.set(self.open);
         let word = &held.transaction.request.request_id;
         info!(self.context.log, "message"; "state" => how, "id" => word, "attempts" => held.transaction.attempts());
-        let violation = self.context.ledger.borrow_mut().end(id, how == RETURNED);
+        let violation = self.context.ledger.borrow_mut().completed(id, how == RETURNED);
         violation.into_iter().for_each(|v| self.context.violated(v, word, None));
         true
     }
--- a/src/net/endpoint/mod.rs
+++ b/src/net/endpoint/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod table;
 
-use crate::invariants::connection::idle_until;
+use crate::invariants::connection::reusable_until;
 use crate::invariants::{may_reuse, may_send, IdleFacts, SendFacts, SendPermit, SendRefusal, Violation};
 use crate::journal::AttemptStart;
 use crate::net::call::{AttemptResult, Call, CallCompletion, CallResult};
@@ -54,7 +54,7 @@
         }
         kept.set(kept.get() + 1);
         let span = self.context.config().endpoint_idle_timeout;
-        let until = idle_until(self.context.clock.now(), span);
+        let until = reusable_until(self.context.clock.now(), span);
         let address = wire.peer();
         self.idle.push(Idle { wire, address, until });
     }
@@ -91,9 +91,9 @@
             let idle = &mut self.idle[at];
             let facts = IdleFacts {
                 now,
-                until: idle.until,
-                at_its_address: idle.address == address,
-                disturbed: idle.wire.poll_disturbed(&mut cx),
+                reusable_until: idle.until,
+                address_is_current: idle.address == address,
+                disturbance: idle.wire.poll_disturbed(&mut cx),
             };
             if let Err(reason) = may_reuse(&facts) {
                 drop(self.remove(at));
@@ -393,10 +393,10 @@
 fn send_facts(context: &Context, pass: &Call) -> SendFacts {
     SendFacts {
         now: context.clock.now(),
-        message_over: pass.attempts.iter().any(|p| p.message.is_over()),
+        message_complete: pass.attempts.iter().any(|p| p.message.is_over()),
         handed_over: context.journal.is_paused(),
         journal_writable: context.journal.is_writable(),
-        cut_at: pass.first_timeout(&vec![true; pass.attempts.len()]),
+        abandon_at: pass.first_timeout(&vec![true; pass.attempts.len()]),
         send_by: pass.send_by(),
         drain_grace: context.endpoint_table.grace(),
         endpoint: context.endpoint_table.facts(pass.endpoint),
@@ -422,12 +422,12 @@
     let now = context.clock.now();
     let facts = context.endpoint_table.facts(pass.endpoint);
     let leaves =
-        facts.and_then(|f| f.leaving_since).is_some_and(|t| now > t + context.endpoint_table.grace());
+        facts.and_then(|f| f.draining_since).is_some_and(|t| now > t + context.endpoint_table.grace());
     let waits = facts.and_then(|f| f.retry_after).is_some_and(|t| now < t);
     for part in &pass.attempts {
         let id = &part.message.request.request_id;
-        let done = context.ledger.borrow_mut().attempt(part.message.id, part.number, now, zone);
-        let leaves = leaves.then_some(Violation::SentToLeaving);
+        let done = context.ledger.borrow_mut().attempt_started(part.message.id, part.number, now, zone);
+        let leaves = leaves.then_some(Violation::SentToDraining);
         let waits = waits.then_some(Violation::SentWithinRetryAfter);
         for violation in [done, leaves, waits].into_iter().flatten() {
             context.violated(violation, id, Some(pass.endpoint));
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -175,6 +175,6 @@
     pub fn facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
         let leaving_since = self.get(endpoint)?.draining_since;
         let retry_after = self.waiter(endpoint).and_then(|w| self.waits.borrow().get(&w).copied());
-        Some(EndpointFacts { leaving_since, retry_after })
+        Some(EndpointFacts { draining_since: leaving_since, retry_after })
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -479,7 +479,7 @@
 
 /// Registers this forwarder, where the site file says so: dropping the first ends it, the second closes then.
 fn register(context: &Rc<Context>) -> Option<(Sender<()>, Receiver<()>)> {
-    let settings = context.config().registry.clone().filter(|r| r.register.is_some())?;
+    let settings = context.config().registry.clone().filter(|r| r.registration.is_some())?;
     let (end, ending) = async_channel::bounded(1);
     let (going, gone) = async_channel::bounded(1);
     let keeping = platform::eureka::register::run(context.clone(), settings, ending, going);
--- a/src/net/platform/endpoint_list.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The membership's actor: the platform's list of endpoints, watched as long as the program runs.
 
 use crate::membership::{
-    Approach, Change, Key, Listing, Membership, MembershipSnapshot, Policy, RegistrySettings, SourceId,
-    SourceUpdate, State,
+    Key, Listing, Membership, MembershipChange, MembershipSnapshot, RegistrySettings, SourceId, SourcePolicy,
+    SourceUpdate, State, WatchBackoff,
 };
 use crate::net::dial::connect;
 use crate::net::endpoint::table::EndpointState;
@@ -108,13 +108,13 @@
     /// When something was last heard on the watch that the list comes from. All that the agent had by then has been told; what
     /// the next watch tells first may have been there ever since, and counts as told then.
     heard: Micros,
-    approach: Approach,
+    approach: WatchBackoff,
     generation: Option<u64>,
     /// Where that version comes from; not known of the list that the configuration brings.
     source: Option<SocketAddr>,
     registry: Option<Asked>,
     /// Endpoints that left, and when that was learnt; looked at once more when it is settled.
-    left: VecDeque<(Micros, Change)>,
+    left: VecDeque<(Micros, MembershipChange)>,
     /// When what is forgotten was last gone through.
     pruned: Micros,
     /// Another process goes on with the list.
@@ -125,8 +125,8 @@
     /// An actor that holds nothing yet; its mailbox is for its watches.
     pub fn new(context: Rc<Context>, own: Sender<EndpointListMessage>) -> Self {
         let names = context.config().names.clone();
-        let approach = Approach::new(context.config().forwarders);
-        let sources = vec![("pushed", Policy::default()), ("registry", by_address())];
+        let approach = WatchBackoff::new(context.config().forwarders);
+        let sources = vec![("pushed", SourcePolicy::default()), ("registry", by_address())];
         let membership = Membership::new(sources);
         let (held, parting, opening, generation, source, registry, left) = Default::default();
         let heard = context.clock.now().saturating_sub(BEFORE_START);
@@ -163,7 +163,7 @@
 
     /// Goes on with the list of the process that this one replaces, under the same numbers.
     pub async fn inherit(&mut self, carried: MembershipSnapshot) {
-        self.membership.adopt(&carried);
+        self.membership.adopt_ids(&carried);
         self.context.list_received.set();
         let now = self.context.clock.now();
         for (source, listings) in carried.views.into_iter().enumerate() {
@@ -174,7 +174,7 @@
     }
 
     /// Writes changes on the board, then tells the module.
-    async fn tell(&mut self, how: Telling, changes: Vec<Change>) {
+    async fn tell(&mut self, how: Telling, changes: Vec<MembershipChange>) {
         // One that is back before it was looked at again is looked at now: the board forgets that it left.
         if !self.left.is_empty() {
             let named: HashSet<EndpointId> = changes.iter().map(|c| c.endpoint).collect();
@@ -185,7 +185,7 @@
         }
         let board = &self.context.endpoint_table;
         let mut entries = Vec::with_capacity(changes.len());
-        let mut write = |change: &Change| entries.push(self.write_on_board(change));
+        let mut write = |change: &MembershipChange| entries.push(self.write_on_board(change));
         for change in &changes {
             // What a complete list does not name is gone by that.
             if how == Telling::Patch || change.lifecycle != Lifecycle::Removed {
@@ -194,7 +194,7 @@
         }
         if how != Telling::Patch {
             let told: HashSet<EndpointId> = changes.iter().map(|c| c.endpoint).collect();
-            self.membership.list().filter(|c| !told.contains(&c.endpoint)).for_each(|c| write(&c));
+            self.membership.endpoints().filter(|c| !told.contains(&c.endpoint)).for_each(|c| write(&c));
             let named: Vec<_> = entries.iter().map(|e| e.endpoint).collect();
             board.keep_only(&named);
         }
@@ -204,7 +204,7 @@
             self.pruned = now;
             // With thousands of endpoints that costs more than all else that a change does.
             if board.prune(now) {
-                self.membership.keep_ids(|id| board.get(id).is_some());
+                self.membership.retain_ids(|id| board.get(id).is_some());
             }
         }
         if self.registry.is_some() {
@@ -220,16 +220,16 @@
     }
 
     /// One line a change, and for what leaves a second look later.
-    fn note(&mut self, changes: &[Change]) {
+    fn note(&mut self, changes: &[MembershipChange]) {
         // A whole registry that comes at once is one line, but for what leaves.
         let many = changes.len() > LINES;
         if many {
             info!(self.context.log, "list changed"; "entries" => changes.len());
         }
         for change in changes.iter().filter(|c| !many || c.lifecycle != Lifecycle::Listed) {
-            let source = self.membership.name(change.source);
+            let source = self.membership.source_name(change.source);
             info!(self.context.log, "list changed"; "endpoint" => change.endpoint.0, "id" => &change.listing.key.id,
-                "address" => %change.listing.address, "lifecycle" => ?change.lifecycle, "why" => change.why,
+                "address" => %change.listing.address, "lifecycle" => ?change.lifecycle, "why" => change.reason,
                 "source" => source, "learnt" => change.observed_at);
             if change.lifecycle != Lifecycle::Listed && self.left.len() < LEFT {
                 self.left.push_back((change.observed_at, change.clone()));
@@ -245,7 +245,7 @@
         }
     }
 
-    fn settle(&self, learnt: Micros, change: &Change) {
+    fn settle(&self, learnt: Micros, change: &MembershipChange) {
         let known = self.context.endpoint_table.get(change.endpoint);
         // One that drained before it went is told of once.
         let Some(known) = known.filter(|k| k.draining_since == Some(learnt)) else { return };
@@ -279,8 +279,8 @@
             in_field(v, "hostPort", text)?.parse().map_err(|_| format!("`{id}` has no address"))?;
         let state = match in_field(v, "lifecycle", text)?.as_str() {
             "active" => State::Up,
-            "leaving" => State::Leaving,
-            "left" => State::Gone,
+            "leaving" => State::Draining,
+            "left" => State::Removed,
             other => return Err(format!("`{id}` has the unknown lifecycle `{other}`")),
         };
         let kind = index(&self.names.kinds, &in_field(v, "machineType", text)?, "kind")?;
@@ -357,7 +357,7 @@
             EndpointListMessage::InitialListTimeout => {}
             EndpointListMessage::HandOver { reply } => {
                 self.handed_over = true;
-                let _ = reply.try_send(self.membership.carried());
+                let _ = reply.try_send(self.membership.snapshot());
             }
             EndpointListMessage::HandOverAborted => {
                 // What was told meanwhile was missed: all is asked for anew.
@@ -368,7 +368,7 @@
             }
             EndpointListMessage::Cordon { id, cordoned: out, reply } => self.cordon(&id, out, &reply).await,
             EndpointListMessage::RegistryUpdate { update: news, received_at: learnt, doubted: doubt } => {
-                let changes = self.membership.take(learnt, REGISTRY, news);
+                let changes = self.membership.apply(learnt, REGISTRY, news);
                 if let Some(asked) = &mut self.registry {
                     if !changes.is_empty() {
                         asked.keep_at.get_or_insert(learnt + KEEP_EVERY);
@@ -379,7 +379,7 @@
                 if !changes.is_empty() || !self.context.has_endpoint_list.get() {
                     self.tell(Telling::Patch, changes).await;
                 }
-                let _ = doubt.try_send(self.membership.in_doubt(REGISTRY));
+                let _ = doubt.try_send(self.membership.needs_complete_poll(REGISTRY));
                 self.show();
             }
         }
@@ -438,8 +438,8 @@
     }
 
     /// Writes a change on the board; what the module is told of it.
-    fn write_on_board(&self, change: &Change) -> EndpointEntry {
-        let Change { endpoint, listing: l, lifecycle, observed_at: learnt, .. } = change;
+    fn write_on_board(&self, change: &MembershipChange) -> EndpointEntry {
+        let MembershipChange { endpoint, listing: l, lifecycle, observed_at: learnt, .. } = change;
         let (endpoint, lifecycle) = (*endpoint, *lifecycle);
         let apart = self.context.config().kinds[l.kind.0].per_endpoint_breaker;
         let known = EndpointState::new(l.address, l.destination, l.zone, apart);
@@ -477,7 +477,7 @@
         }
         if asked.keep_at.take_if(|t| *t <= now).is_some() {
             let limit = self.context.config().disk;
-            match asked.snapshot.write(wall(), self.membership.view(REGISTRY), limit) {
+            match asked.snapshot.write(wall(), self.membership.source_listings(REGISTRY), limit) {
                 Ok(Some(_)) => {}
                 Ok(None) => warn!(self.context.log, "the registry's view is too large to be kept"),
                 Err(e) => warn!(self.context.log, "the registry's view is not kept"; "error" => %e),
@@ -487,11 +487,11 @@
 
     /// Shows operators what of the list comes from the registry.
     fn show(&self) {
-        let counts = self.membership.counts(REGISTRY);
+        let counts = self.membership.stats(REGISTRY);
         let stale = self.registry.as_ref().is_some_and(|a| a.stale);
         let view = json!({
-            "entries": self.membership.view(REGISTRY).count(), "stale_entries": counts.stale, "flaps": counts.flaps,
-            "held_down": counts.held_down, "shrinks_not_believed": counts.doubted, "heard": counts.heard,
+            "entries": self.membership.source_listings(REGISTRY).count(), "stale_entries": counts.stale_entries, "flaps": counts.flaps,
+            "held_down": counts.held_down, "shrinks_not_believed": counts.doubted_updates, "heard": counts.last_update_at,
             "serves_kept_view": stale,
         });
         *self.context.registry_view.borrow_mut() = Some(view);
@@ -508,17 +508,17 @@
         let Some(settings) = wanted else {
             self.membership.set_policy(REGISTRY, by_address());
             let nothing = SourceUpdate::Complete { version: None, listings: Vec::new() };
-            let changes = self.membership.take(self.context.clock.now(), REGISTRY, nothing);
+            let changes = self.membership.apply(self.context.clock.now(), REGISTRY, nothing);
             self.tell(Telling::Patch, changes).await;
             self.registry = None;
             *self.context.registry_view.borrow_mut() = None;
             return;
         };
-        self.membership.set_policy(REGISTRY, settings.policy());
+        self.membership.set_policy(REGISTRY, settings.source_policy());
         let asking =
             crate::net::platform::eureka::run(self.context.clone(), settings.clone(), self.own.clone());
-        let heard = self.membership.counts(REGISTRY).heard.is_some();
-        let serve_at = (!heard).then(|| self.context.clock.now() + settings.snapshot_after);
+        let heard = self.membership.stats(REGISTRY).last_update_at.is_some();
+        let serve_at = (!heard).then(|| self.context.clock.now() + settings.use_snapshot_after);
         let snapshot = Snapshot::new(&self.context.config().state);
         let task = self.context.executor.spawn(asking);
         self.registry =
@@ -586,8 +586,8 @@
         let wanted = self.context.config().discovery;
         if self.opening.is_empty() && self.held.as_ref().is_none_or(|w| w.address != wanted) {
             let pause = match over {
-                WatchEnd::TurnedAway(_, asked) => self.approach.turned_away(asked, fastrand::f64()),
-                WatchEnd::Broke(_) => self.approach.broke(fastrand::f64()),
+                WatchEnd::TurnedAway(_, asked) => self.approach.after_rejection(asked, fastrand::f64()),
+                WatchEnd::Broke(_) => self.approach.after_failure(fastrand::f64()),
             };
             self.open(pause);
         }
@@ -620,7 +620,7 @@
         self.generation = known;
         let news = SourceUpdate::Patch { listings, removed: Vec::new() };
         let learnt = self.context.stall_detector.since(self.context.clock.now());
-        let changes = self.membership.take(learnt, PUSHED, news);
+        let changes = self.membership.apply(learnt, PUSHED, news);
         info!(self.context.log, "list"; "generation" => told["generation"].as_u64(), "parting" => true);
         self.tell(Telling::Patch, changes).await;
     }
@@ -656,7 +656,7 @@
             }
         }
         self.heard = now;
-        self.approach.told();
+        self.approach.received();
         self.source = self.held.as_ref().map(|w| w.address);
         info!(self.context.log, "list"; "generation" => self.generation, "complete" => complete, "entries" => listings.len());
         self.context.counters.lists.add();
@@ -664,15 +664,15 @@
             true => SourceUpdate::Complete { version: None, listings },
             false => SourceUpdate::Patch { listings, removed: Vec::new() },
         };
-        let changes = self.membership.take(learnt, PUSHED, news);
+        let changes = self.membership.apply(learnt, PUSHED, news);
         self.tell(if complete { Telling::Whole } else { Telling::Patch }, changes).await;
         // Only now: the board has it.
         self.context.list_received.set();
     }
 }
 
-fn by_address() -> Policy {
-    Policy { by_address: true, ..Policy::default() }
+fn by_address() -> SourcePolicy {
+    SourcePolicy { by_address: true, ..SourcePolicy::default() }
 }
 
 /// What is heard on a watch. Its silence is told after a first span, and breaks it only long after.
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -2,7 +2,7 @@
 
 use super::model::Applications;
 use super::{json, xml};
-use crate::membership::Address;
+use crate::membership::RegistryAddress;
 use crate::net::dial::connect;
 use crate::net::http::{HttpConnection, HttpError};
 use crate::net::{run_blocking, within_or_error};
@@ -39,13 +39,13 @@
 
 /// A registry address, with its connection while that can be used again.
 pub struct Client {
-    address: Address,
+    address: RegistryAddress,
     timeout: Duration,
     largest: usize,
     wire: Option<HttpConnection>,
 }
 
-async fn resolve(address: &Address) -> Result<SocketAddr, Failed> {
+async fn resolve(address: &RegistryAddress) -> Result<SocketAddr, Failed> {
     if let Ok(ip) = address.host.parse::<IpAddr>() {
         return Ok(SocketAddr::new(ip, address.port));
     }
@@ -58,7 +58,7 @@
 
 impl Client {
     /// Asks that address, each time for so long at most, reading so many bytes at most.
-    pub fn new(address: Address, timeout: Micros, largest: usize) -> Self {
+    pub fn new(address: RegistryAddress, timeout: Micros, largest: usize) -> Self {
         Client { address, timeout: Duration::from_micros(timeout), largest, wire: None }
     }
 
@@ -95,7 +95,7 @@
                 HttpConnection::new(connect(to).await.map_err(HttpError::Socket)?)
             }
         };
-        let Address { host, port, prefix } = &self.address;
+        let RegistryAddress { host, port, path_prefix: prefix } = &self.address;
         let mut request = format!(
             "{method} {prefix}{path} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json, application/xml;q=0.5\r\n\
              Accept-Encoding: gzip\r\n"
--- a/src/net/platform/eureka/held.rs
+++ b/src/net/platform/eureka/held.rs
@@ -34,9 +34,9 @@
 
 fn state(i: &Instance) -> State {
     match (i.act, i.status) {
-        (Act::Delete, _) => State::Gone,
+        (Act::Delete, _) => State::Removed,
         (_, Status::Up) => State::Up,
-        (_, Status::Down | Status::Starting | Status::OutOfService) => State::Leaving,
+        (_, Status::Down | Status::Starting | Status::OutOfService) => State::Draining,
         (_, Status::Unknown) => State::Unknown,
     }
 }
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -9,7 +9,7 @@
 pub mod snapshot;
 pub mod xml;
 
-use crate::membership::{Ask, Poller, Question, RegistrySettings};
+use crate::membership::{PollKind, PollScope, Poller, RegistrySettings};
 use crate::net::messages::EndpointListMessage;
 use crate::net::Context;
 use crate::settings_json::Names;
@@ -78,23 +78,24 @@
 impl Registry {
     /// A registry of which nothing is known.
     pub fn new(settings: Arc<RegistrySettings>, names: Arc<Names>, now: Micros) -> Self {
-        let client =
-            |a: &crate::membership::Address| Client::new(a.clone(), settings.timeout, settings.largest);
+        let client = |a: &crate::membership::RegistryAddress| {
+            Client::new(a.clone(), settings.timeout, settings.max_response_bytes)
+        };
         let clients = settings.addresses.iter().map(client).collect();
         let poller = Poller::new(&settings, now);
         Registry { settings, names, clients, poller, held: Held::default() }
     }
 
     /// Asks one address.
-    pub async fn ask(&mut self, address: usize, question: Question) -> Result<Taken, Failed> {
+    pub async fn ask(&mut self, address: usize, question: PollKind) -> Result<Taken, Failed> {
         let client = &mut self.clients[address];
-        let answer = match (question, &self.settings.ask) {
-            (Question::Delta, _) => client.applications("/apps/delta").await?,
-            (Question::Whole, Ask::All) => client.applications("/apps").await?,
-            (Question::Whole, Ask::Vip(vip)) => {
+        let answer = match (question, &self.settings.scope) {
+            (PollKind::Delta, _) => client.applications("/apps/delta").await?,
+            (PollKind::Complete, PollScope::All) => client.applications("/apps").await?,
+            (PollKind::Complete, PollScope::VirtualAddress(vip)) => {
                 client.applications(&format!("/vips/{}", path_part(vip))).await?
             }
-            (Question::Whole, Ask::Apps(apps)) => {
+            (PollKind::Complete, PollScope::Applications(apps)) => {
                 let mut all = Applications::default();
                 for app in apps {
                     match client.applications(&format!("/apps/{}", path_part(app))).await {
@@ -107,7 +108,7 @@
                 all
             }
         };
-        Ok(self.held.take(answer, question == Question::Whole, &self.settings.metadata, &self.names))
+        Ok(self.held.take(answer, question == PollKind::Complete, &self.settings.metadata, &self.names))
     }
 
     /// How many entries could not be used.
@@ -134,20 +135,20 @@
     let mut draws = fastrand::Rng::with_seed(context.config().seed);
     let mut registry = Registry::new(settings, names, clock.now());
     loop {
-        let next = registry.poller.next_question();
+        let next = registry.poller.next_request();
         Timer::at(clock.at(next.at)).await;
-        match registry.ask(next.address, next.question).await {
+        match registry.ask(next.address_index, next.kind).await {
             Ok(taken) => {
                 more(&counts.polls);
-                more(if next.question == Question::Delta { &counts.deltas } else { &counts.wholes });
-                counts.address.set(next.address);
+                more(if next.kind == PollKind::Delta { &counts.deltas } else { &counts.wholes });
+                counts.address.set(next.address_index);
                 for (key, reason) in &taken.passed_over {
                     info!(context.log, "entry passed over"; "app" => &key.group, "id" => &key.id, "reason" => reason);
                 }
                 counts.passed_over.set(registry.passed_over());
                 if !taken.fits {
                     more(&counts.mismatches);
-                    info!(context.log, "the registry's hash does not fit"; "address" => registry.address(next.address));
+                    info!(context.log, "the registry's hash does not fit"; "address" => registry.address(next.address_index));
                 }
                 let (told, doubt) = async_channel::bounded(1);
                 let news = EndpointListMessage::RegistryUpdate {
@@ -159,11 +160,11 @@
                     return;
                 }
                 let in_doubt = doubt.recv().await.unwrap_or(false);
-                registry.poller.answered(clock.now(), next.question, taken.fits, in_doubt);
+                registry.poller.succeeded(clock.now(), next.kind, taken.fits, in_doubt);
             }
             Err(e) => {
                 more(&counts.failures);
-                let address = registry.address(next.address);
+                let address = registry.address(next.address_index);
                 warn!(context.log, "the registry did not answer"; "address" => address, "error" => %e);
                 registry.poller.failed(clock.now(), draws.f64());
             }
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -29,17 +29,17 @@
 
 impl Entry<'_> {
     fn path(&self) -> String {
-        format!("/apps/{}/{}", path_part(&self.registration.app), path_part(&self.name))
+        format!("/apps/{}/{}", path_part(&self.registration.application), path_part(&self.name))
     }
 
     fn document(&self, status: &str) -> String {
         let r = self.registration;
         json!({"instance": {
-            "instanceId": self.name, "hostName": self.listen.ip().to_string(), "app": r.app,
-            "ipAddr": self.listen.ip().to_string(), "vipAddress": r.app, "status": status,
+            "instanceId": self.name, "hostName": self.listen.ip().to_string(), "app": r.application,
+            "ipAddr": self.listen.ip().to_string(), "vipAddress": r.application, "status": status,
             "port": {"$": self.listen.port(), "@enabled": "true"},
             "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-            "leaseInfo": {"renewalIntervalInSecs": r.renew.div_ceil(1_000_000), "durationInSecs": r.lease.div_ceil(1_000_000)},
+            "leaseInfo": {"renewalIntervalInSecs": r.renewal_interval.div_ceil(1_000_000), "durationInSecs": r.lease_duration.div_ceil(1_000_000)},
             "metadata": r.metadata,
         }})
         .to_string()
@@ -54,7 +54,8 @@
     }
 
     async fn register(&mut self, context: &Context) -> bool {
-        let (app, document) = (format!("/apps/{}", path_part(&self.registration.app)), self.document("UP"));
+        let (app, document) =
+            (format!("/apps/{}", path_part(&self.registration.application)), self.document("UP"));
         let told = match self.ask("POST", &app, Some(&document)).await {
             Ok(200..=299) => return true,
             Ok(status) => format!("status {status}"),
@@ -80,10 +81,10 @@
 /// Keeps the entry until the program starts to end, then takes it out of service; cancels it once `end` is closed.
 /// `gone` is closed when nothing more is to be done.
 pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, end: Receiver<()>, gone: Sender<()>) {
-    let Some(registration) = &settings.register else { return };
+    let Some(registration) = &settings.registration else { return };
     let clients = || {
         let all = settings.addresses.iter();
-        all.map(|a| Client::new(a.clone(), settings.timeout, settings.largest)).collect()
+        all.map(|a| Client::new(a.clone(), settings.timeout, settings.max_response_bytes)).collect()
     };
     let config = context.config();
     let mut entry = Entry {
@@ -96,7 +97,7 @@
     let keeping = async {
         let mut held = entry.register(&context).await;
         loop {
-            let pause = if held { Duration::from_micros(registration.renew) } else { AGAIN };
+            let pause = if held { Duration::from_micros(registration.renewal_interval) } else { AGAIN };
             Timer::after(pause).await;
             held = if held { entry.renew(&context).await } else { entry.register(&context).await };
         }
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -80,7 +80,7 @@
             zone: ZoneId(e.zone),
             kind: KindId(e.kind),
             weight: e.weight,
-            state: if e.up { State::Up } else { State::Leaving },
+            state: if e.up { State::Up } else { State::Draining },
             stamp: 0,
         };
         Ok(Some(Kept { at: file.at, listings: file.entries.into_iter().map(listing).collect() }))
@@ -148,7 +148,7 @@
             state,
             stamp: 0,
         };
-        let all = [listing(1, State::Up), listing(2, State::Leaving)];
+        let all = [listing(1, State::Up), listing(2, State::Draining)];
         assert!(snapshot.write(7, all.iter(), 1_000_000).expect("written").is_some());
         let kept = snapshot.read().expect("sound").expect("there");
         assert_eq!((kept.at, kept.listings.as_slice()), (7, &all[..]));
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -3,7 +3,9 @@
 use super::fields::{items, span, text, whole, written, wrong, Fields};
 use super::node::{Node, Shape};
 use crate::config_error::{ConfigError, ErrorCode, Located};
-use crate::membership::{Address, Ask, HoldDown, MetadataNames, Registration, RegistrySettings, Shrink};
+use crate::membership::{
+    HoldDown, MetadataNames, PollScope, Registration, RegistryAddress, RegistrySettings, ShrinkGuard,
+};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -54,7 +56,7 @@
     (a, b)
 }
 
-fn address(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Located<Address>> {
+fn address(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Located<RegistryAddress>> {
     let given = text(node, "an address", breaches)?;
     let read = || {
         let rest = given.value.strip_prefix("http://")?;
@@ -64,7 +66,8 @@
         let path = path.trim_end_matches('/');
         let plain = |s: &str| s.chars().all(|c| c.is_ascii_graphic());
         let prefix = if path.is_empty() { String::new() } else { format!("/{path}") };
-        let address = Address { host: host.to_owned(), port: port.parse().ok()?, prefix };
+        let address =
+            RegistryAddress { host: host.to_owned(), port: port.parse().ok()?, path_prefix: prefix };
         (!host.is_empty() && plain(host) && plain(path)).then_some(address)
     };
     let read = read();
@@ -79,13 +82,13 @@
     read.map(|value| Located { value, at: given.at })
 }
 
-fn addresses(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Vec<Address> {
+fn addresses(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Vec<RegistryAddress> {
     let Some(node) = section.needed("addresses", breaches) else { return Vec::new() };
     let Some(all) = items(node, "`addresses`", breaches) else { return Vec::new() };
     if all.is_empty() {
         breaches.push(ConfigError::new(node.at, ErrorCode::Address, "`addresses` lists no registry"));
     }
-    let read: Vec<Located<Address>> = all.iter().filter_map(|n| address(n, breaches)).collect();
+    let read: Vec<Located<RegistryAddress>> = all.iter().filter_map(|n| address(n, breaches)).collect();
     for (n, a) in read.iter().enumerate() {
         if let Some(first) = read[..n].iter().find(|b| b.value == a.value) {
             let reason = format!("this address stands in line {} already", first.at.line);
@@ -95,7 +98,7 @@
     read.into_iter().map(|a| a.value).collect()
 }
 
-fn ask(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Ask {
+fn ask(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> PollScope {
     let apps = section.get("apps").and_then(|n| items(n, "`apps`", breaches));
     let apps: Vec<String> = apps
         .unwrap_or_default()
@@ -108,12 +111,12 @@
             let reason = "`vip` and `apps` cannot both be asked for; leave one out";
             breaches.push(ConfigError::new(vip.at, ErrorCode::Type, reason));
         }
-        return Ask::Vip(vip.value);
+        return PollScope::VirtualAddress(vip.value);
     }
     if apps.is_empty() {
-        Ask::All
+        PollScope::All
     } else {
-        Ask::Apps(apps)
+        PollScope::Applications(apps)
     }
 }
 
@@ -135,17 +138,17 @@
     names
 }
 
-fn shrink(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Shrink {
-    let mut shrink = Shrink { share: 0.3, confirm: 10_000_000 };
+fn shrink(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> ShrinkGuard {
+    let mut shrink = ShrinkGuard { max_missing_share: 0.3, confirm_after: 10_000_000 };
     let Some(node) = section.get("shrink") else { return shrink };
     let Some(fields) = Fields::open(node, "`shrink`", &["share", "confirm"], breaches) else { return shrink };
     if let Some(share) = fields.get("share") {
         match share.shape {
-            Shape::Real(x) if x > 0.0 && x < 1.0 => shrink.share = x,
+            Shape::Real(x) if x > 0.0 && x < 1.0 => shrink.max_missing_share = x,
             _ => wrong(share, "`share`", "a share between 0 and 1", breaches),
         }
     }
-    shrink.confirm = time(&fields, "confirm", shrink.confirm, breaches);
+    shrink.confirm_after = time(&fields, "confirm", shrink.confirm_after, breaches);
     shrink
 }
 
@@ -174,7 +177,12 @@
             _ => wrong(node, "`metadata`", "a map", breaches),
         }
     }
-    Some(Registration { app: app?.value, renew, lease, metadata: told })
+    Some(Registration {
+        application: app?.value,
+        renewal_interval: renew,
+        lease_duration: lease,
+        metadata: told,
+    })
 }
 
 /// Reads the section; what it leaves out has the figures that Eureka's own clients use, or milder ones.
@@ -202,16 +210,16 @@
     let forget = forget.and_then(|n| span(n, "`forget`", breaches)).map_or(60_000_000, |t| t.value);
     Some(RegistrySettings {
         addresses: addresses(&section, breaches),
-        ask: ask(&section, breaches),
-        poll,
+        scope: ask(&section, breaches),
+        poll_interval: poll,
         timeout: time(&section, "timeout", 2_000_000, breaches),
         back_off: pair(&section, "back-off", (200_000, 10_000_000), &[], breaches),
-        prefer_after: time(&section, "prefer-after", 60_000_000, breaches),
-        largest: (largest.unwrap_or(32) * MB) as usize,
+        preferred_retry_after: time(&section, "prefer-after", 60_000_000, breaches),
+        max_response_bytes: (largest.unwrap_or(32) * MB) as usize,
         metadata: metadata(&section, breaches),
-        hold_down: HoldDown { first: hold.0, longest: hold.1, forget },
-        shrink: shrink(&section, breaches),
-        snapshot_after: time(&section, "snapshot-after", 3_000_000, breaches),
-        register: register(&section, breaches),
+        hold_down: HoldDown { first: hold.0, max: hold.1, forget_after: forget },
+        shrink_guard: shrink(&section, breaches),
+        use_snapshot_after: time(&section, "snapshot-after", 3_000_000, breaches),
+        registration: register(&section, breaches),
     })
 }
--- a/tests/approach.rs
+++ b/tests/approach.rs
@@ -1,6 +1,6 @@
 //! The pauses between watches, with draws set by hand or from a fixed seed.
 
-use cedarbridge::membership::Approach;
+use cedarbridge::membership::WatchBackoff;
 use cedarbridge::Micros;
 
 const SECOND: Micros = 1_000_000;
@@ -9,15 +9,15 @@
 
 #[test]
 fn the_pauses_grow_to_their_longest_and_start_anew_once_something_was_told() {
-    let mut a = Approach::new(3);
-    let away: Vec<Micros> = (0..10).map(|_| a.turned_away(None, 0.5)).collect();
-    let broke: Vec<Micros> = (0..10).map(|_| a.broke(0.5)).collect();
+    let mut a = WatchBackoff::new(3);
+    let away: Vec<Micros> = (0..10).map(|_| a.after_rejection(None, 0.5)).collect();
+    let broke: Vec<Micros> = (0..10).map(|_| a.after_failure(0.5)).collect();
     for (pauses, longest) in [(&away, LONGEST.0), (&broke, LONGEST.1)] {
         assert!(pauses.windows(2).all(|p| p[0] <= p[1]), "{pauses:?}");
         assert_eq!(pauses[9], longest * 3 / 4);
     }
-    a.told();
-    assert_eq!((a.turned_away(None, 0.5), a.broke(0.5)), (away[0], broke[0]));
+    a.received();
+    assert_eq!((a.after_rejection(None, 0.5), a.after_failure(0.5)), (away[0], broke[0]));
 }
 
 /// Guards against a fleet whose own questions keep the platform from answering any: seen with 48 forwarders that each
@@ -29,10 +29,10 @@
     for fleet in [8, 48, 300] {
         let mut calls = vec![0; 30];
         for _ in 0..fleet {
-            let (mut a, mut at) = (Approach::new(fleet), 0);
-            assert!(a.broke(rng.f64()) < SECOND / 10, "the first one comes at once");
+            let (mut a, mut at) = (WatchBackoff::new(fleet), 0);
+            assert!(a.after_failure(rng.f64()) < SECOND / 10, "the first one comes at once");
             while at < 30 * SECOND {
-                at += a.turned_away(None, rng.f64());
+                at += a.after_rejection(None, rng.f64());
                 calls[(at / SECOND).min(29) as usize] += 1;
             }
         }
@@ -45,17 +45,17 @@
 #[test]
 fn one_whose_watch_breaks_each_time_asks_once_a_second_or_two_in_the_end() {
     for draw in [0.0, 1.0] {
-        let mut a = Approach::new(300);
-        let spent: Micros = (0..100).map(|_| a.broke(draw)).sum();
+        let mut a = WatchBackoff::new(300);
+        let spent: Micros = (0..100).map(|_| a.after_failure(draw)).sum();
         assert!((40 * SECOND..100 * SECOND).contains(&spent), "{spent}");
     }
 }
 
 #[test]
 fn a_wait_that_was_asked_for_is_kept() {
-    let mut a = Approach::new(3);
+    let mut a = WatchBackoff::new(3);
     for _ in 0..20 {
-        assert!(a.turned_away(Some(5 * SECOND), 1.0) >= 5 * SECOND);
+        assert!(a.after_rejection(Some(5 * SECOND), 1.0) >= 5 * SECOND);
     }
-    assert!(a.turned_away(Some(Micros::MAX), 1.0) == Micros::MAX);
+    assert!(a.after_rejection(Some(Micros::MAX), 1.0) == Micros::MAX);
 }
--- a/tests/board.rs
+++ b/tests/board.rs
@@ -33,10 +33,10 @@
     let bars = |endpoint| {
         let open = SendFacts {
             now: clock.now(),
-            message_over: false,
+            message_complete: false,
             handed_over: false,
             journal_writable: true,
-            cut_at: u64::MAX,
+            abandon_at: u64::MAX,
             send_by: u64::MAX,
             drain_grace: board.grace(),
             endpoint: board.facts(endpoint),
@@ -46,7 +46,7 @@
     let known =
         EndpointState::new("127.0.0.1:1".parse().expect("an address"), DestinationId(1), ZoneId(0), false);
     board.list(EndpointId(1), Lifecycle::Draining, clock.now() - (grace - HELD_UP), known.clone());
-    assert_eq!(bars(EndpointId(1)), Some(SendRefusal::Leaving), "a byte held up would come past the grace");
+    assert_eq!(bars(EndpointId(1)), Some(SendRefusal::Draining), "a byte held up would come past the grace");
     board.list(EndpointId(2), Lifecycle::Draining, clock.now(), known);
     assert_eq!(bars(EndpointId(2)), None, "what was under way goes through");
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,7 +1,7 @@
-//! What may be done now, and what is told when something was done that may not: each reason once, and nothing else.
+//! What may be done now, and which violation is named when something was done that may not: each reason once, and nothing else.
 
-use cedarbridge::invariants::connection::idle_until;
-use cedarbridge::invariants::send::{last_begin, HELD_UP};
+use cedarbridge::invariants::connection::reusable_until;
+use cedarbridge::invariants::send::{latest_start, WRITE_DELAY_ALLOWANCE};
 use cedarbridge::invariants::*;
 use cedarbridge::{DedupScope, Idempotency, MessageId, Outcome, ZoneId};
 
@@ -9,13 +9,13 @@
 const EAST: ZoneId = ZoneId(0);
 const WEST: ZoneId = ZoneId(1);
 
-fn free() -> SendFacts {
+fn sendable() -> SendFacts {
     SendFacts {
         now: 1_000_000,
-        message_over: false,
+        message_complete: false,
         handed_over: false,
         journal_writable: true,
-        cut_at: 1_000_001,
+        abandon_at: 1_000_001,
         send_by: 1_000_001,
         drain_grace: 250_000,
         endpoint: Some(EndpointFacts::default()),
@@ -23,110 +23,133 @@
 }
 
 #[test]
-fn a_call_goes_out_unless_one_of_eight_reasons_holds_it_back() {
-    assert!(may_send(&free()).is_ok());
-    let leaving = |since| Some(EndpointFacts { leaving_since: Some(since), ..EndpointFacts::default() });
-    let asked = |until| Some(EndpointFacts { retry_after: Some(until), ..EndpointFacts::default() });
+fn a_call_may_be_sent_unless_one_of_eight_reasons_refuses_it() {
+    assert!(may_send(&sendable()).is_ok());
+    let draining = |since| Some(EndpointFacts { draining_since: Some(since), ..EndpointFacts::default() });
+    let retry_after = |until| Some(EndpointFacts { retry_after: Some(until), ..EndpointFacts::default() });
     let cases = [
-        (SendFacts { message_over: true, ..free() }, SendRefusal::MessageOver),
-        (SendFacts { handed_over: true, ..free() }, SendRefusal::HandedOver),
-        (SendFacts { journal_writable: false, ..free() }, SendRefusal::JournalFailing),
-        (SendFacts { cut_at: 1_000_000, ..free() }, SendRefusal::Cut),
-        (SendFacts { send_by: 1_000_000, ..free() }, SendRefusal::TooLate),
-        (SendFacts { endpoint: None, ..free() }, SendRefusal::UnknownEndpoint),
-        (SendFacts { endpoint: leaving(920_000), ..free() }, SendRefusal::Leaving),
-        (SendFacts { endpoint: asked(1_000_001), ..free() }, SendRefusal::RetryAfter),
+        (SendFacts { message_complete: true, ..sendable() }, SendRefusal::MessageComplete),
+        (SendFacts { handed_over: true, ..sendable() }, SendRefusal::HandedOver),
+        (SendFacts { journal_writable: false, ..sendable() }, SendRefusal::JournalFailing),
+        (SendFacts { abandon_at: 1_000_000, ..sendable() }, SendRefusal::Abandoned),
+        (SendFacts { send_by: 1_000_000, ..sendable() }, SendRefusal::TooLate),
+        (SendFacts { endpoint: None, ..sendable() }, SendRefusal::UnknownEndpoint),
+        (SendFacts { endpoint: draining(920_000), ..sendable() }, SendRefusal::Draining),
+        (SendFacts { endpoint: retry_after(1_000_001), ..sendable() }, SendRefusal::RetryAfter),
     ];
     for (facts, refusal) in cases {
         assert_eq!(may_send(&facts).err(), Some(refusal));
     }
-    assert!(may_send(&SendFacts { endpoint: leaving(920_001), ..free() }).is_ok(), "within the grace");
-    assert!(may_send(&SendFacts { endpoint: asked(1_000_000), ..free() }).is_ok(), "the pause is over");
+    assert!(may_send(&SendFacts { endpoint: draining(920_001), ..sendable() }).is_ok(), "within the grace");
+    assert!(
+        may_send(&SendFacts { endpoint: retry_after(1_000_000), ..sendable() }).is_ok(),
+        "the Retry-After is over"
+    );
     for grace in [0, 100_000, 250_000, 2_000_000] {
-        assert!(last_begin(grace) == 0 || last_begin(grace) + HELD_UP <= grace);
+        assert!(latest_start(grace) == 0 || latest_start(grace) + WRITE_DELAY_ALLOWANCE <= grace);
     }
 }
 
 #[test]
-fn a_message_is_taken_on_unless_there_is_a_reason_not_to() {
-    let free =
-        AdmissionFacts { closed: false, id_in_use: false, open: 7, max_open: 8, journal_writable: true };
-    assert_eq!(may_take_on(&free), Ok(()));
-    assert_eq!(may_take_on(&AdmissionFacts { closed: true, ..free }), Err(Rejection::Closing));
-    assert_eq!(may_take_on(&AdmissionFacts { id_in_use: true, ..free }), Err(Rejection::IdInUse));
-    assert_eq!(may_take_on(&AdmissionFacts { open: 8, ..free }), Err(Rejection::TooManyOpen));
+fn a_message_is_admitted_unless_there_is_a_reason_to_reject_it() {
+    let admissible = AdmissionFacts {
+        draining: false,
+        id_in_use: false,
+        open_messages: 7,
+        max_open_messages: 8,
+        journal_writable: true,
+    };
+    assert_eq!(may_admit(&admissible), Ok(()));
+    assert_eq!(may_admit(&AdmissionFacts { draining: true, ..admissible }), Err(Rejection::Draining));
+    assert_eq!(may_admit(&AdmissionFacts { id_in_use: true, ..admissible }), Err(Rejection::IdInUse));
+    assert_eq!(
+        may_admit(&AdmissionFacts { open_messages: 8, ..admissible }),
+        Err(Rejection::TooManyOpenMessages)
+    );
     assert_eq!(
-        may_take_on(&AdmissionFacts { journal_writable: false, ..free }),
+        may_admit(&AdmissionFacts { journal_writable: false, ..admissible }),
         Err(Rejection::JournalFailing)
     );
 }
 
 #[test]
-fn an_idle_connection_is_used_again_only_while_nothing_speaks_against_it() {
-    let free = IdleFacts { now: 10, until: idle_until(0, 5_000_000), at_its_address: true, disturbed: None };
-    assert_eq!(may_reuse(&free), Ok(()));
-    assert_eq!(may_reuse(&IdleFacts { now: 4_750_000, ..free }), Err(CloseReason::Idle));
-    assert_eq!(may_reuse(&IdleFacts { at_its_address: false, ..free }), Err(CloseReason::Moved));
-    let disturbed = IdleFacts { disturbed: Some("unasked"), ..free };
+fn an_idle_connection_is_reused_only_while_its_timeout_address_and_peer_allow_it() {
+    let reusable = IdleFacts {
+        now: 10,
+        reusable_until: reusable_until(0, 5_000_000),
+        address_is_current: true,
+        disturbance: None,
+    };
+    assert_eq!(may_reuse(&reusable), Ok(()));
+    assert_eq!(may_reuse(&IdleFacts { now: 4_750_000, ..reusable }), Err(CloseReason::IdleTimeout));
+    assert_eq!(
+        may_reuse(&IdleFacts { address_is_current: false, ..reusable }),
+        Err(CloseReason::EndpointMoved)
+    );
+    let disturbed = IdleFacts { disturbance: Some("unasked"), ..reusable };
     assert_eq!(may_reuse(&disturbed), Err(CloseReason::Disturbed("unasked")));
-    assert_eq!(idle_until(0, 100), 75, "a short span leaves a quarter");
+    assert_eq!(reusable_until(0, 100), 75, "of a short timeout a quarter is kept as margin");
 }
 
-fn ledger(effect: Idempotency) -> Ledger {
-    let rules = RepeatRules { effect, scope: DedupScope::Zone, window: 1_000, max_attempts: 3 };
+fn ledger(idempotency: Idempotency) -> Ledger {
+    let repeats =
+        RepeatPolicy { idempotency, dedup_scope: DedupScope::Zone, dedup_window: 1_000, max_attempts: 3 };
     let mut ledger = Ledger::default();
-    ledger.hold(ID, rules, 0, None, None);
+    ledger.track(ID, TrackedMessage { repeats, attempts: 0, first_attempt: None, in_flight: None });
     ledger
 }
 
 /// A first attempt of which the end is not known.
-fn may_have_run(effect: Idempotency) -> Ledger {
-    let mut ledger = ledger(effect);
-    assert_eq!(ledger.attempt(ID, 0, 100, EAST), None);
+fn may_have_run(idempotency: Idempotency) -> Ledger {
+    let mut ledger = ledger(idempotency);
+    assert_eq!(ledger.attempt_started(ID, 0, 100, EAST), None);
     ledger.attempt_ended(ID, 0, Outcome::Reset);
     ledger
 }
 
 /// A check that cannot fail would prove nothing: each rule is broken once.
 #[test]
-fn each_rule_that_is_broken_is_told_by_its_name() {
+fn each_broken_rule_is_reported_by_its_violation() {
     let mut fresh = ledger(Idempotency::Idempotent);
-    assert_eq!(fresh.attempt(MessageId(2), 0, 0, EAST), Some(Violation::UnknownMessage));
-    assert_eq!(fresh.attempt(ID, 0, 0, EAST), None);
-    assert_eq!(fresh.attempt(ID, 1, 0, EAST), Some(Violation::TwoAttemptsOut));
+    assert_eq!(fresh.attempt_started(MessageId(2), 0, 0, EAST), Some(Violation::UnknownMessage));
+    assert_eq!(fresh.attempt_started(ID, 0, 0, EAST), None);
+    assert_eq!(fresh.attempt_started(ID, 1, 0, EAST), Some(Violation::TwoAttemptsInFlight));
     fresh.attempt_ended(ID, 1, Outcome::Rejected(None));
-    assert_eq!(fresh.attempt(ID, 2, 0, EAST), None);
+    assert_eq!(fresh.attempt_started(ID, 2, 0, EAST), None);
     fresh.attempt_ended(ID, 2, Outcome::Rejected(None));
-    assert_eq!(fresh.attempt(ID, 3, 0, EAST), Some(Violation::TooManyAttempts));
+    assert_eq!(fresh.attempt_started(ID, 3, 0, EAST), Some(Violation::TooManyAttempts));
     fresh.attempt_ended(ID, 3, Outcome::Rejected(None));
-    assert_eq!(fresh.end(ID, true), None);
-    assert_eq!(fresh.end(ID, true), Some(Violation::SecondEnd));
-    assert_eq!(fresh.attempt(ID, 4, 0, EAST), Some(Violation::AttemptAfterEnd));
+    assert_eq!(fresh.completed(ID, true), None);
+    assert_eq!(fresh.completed(ID, true), Some(Violation::CompletedTwice));
+    assert_eq!(fresh.attempt_started(ID, 4, 0, EAST), Some(Violation::AttemptAfterCompletion));
     fresh.forget(ID);
     assert!(fresh.is_empty());
 
     assert_eq!(
-        may_have_run(Idempotency::NonIdempotent).attempt(ID, 1, 101, EAST),
+        may_have_run(Idempotency::NonIdempotent).attempt_started(ID, 1, 101, EAST),
         Some(Violation::RepeatForbidden)
     );
     assert_eq!(
-        may_have_run(Idempotency::WithKey).attempt(ID, 1, 101, WEST),
-        Some(Violation::RepeatElsewhere)
+        may_have_run(Idempotency::WithKey).attempt_started(ID, 1, 101, WEST),
+        Some(Violation::RepeatInAnotherZone)
+    );
+    assert_eq!(
+        may_have_run(Idempotency::WithKey).attempt_started(ID, 1, 1_100, EAST),
+        Some(Violation::RepeatAfterWindow)
     );
     assert_eq!(
-        may_have_run(Idempotency::WithKey).attempt(ID, 1, 1_100, EAST),
-        Some(Violation::RepeatTooLate)
+        may_have_run(Idempotency::WithKey).completed(ID, true),
+        Some(Violation::ReturnedAlthoughItMayHaveRun)
     );
-    assert_eq!(may_have_run(Idempotency::WithKey).end(ID, true), Some(Violation::ReturnedThoughItMayHaveRun));
 }
 
 #[test]
 fn what_is_allowed_is_no_violation() {
-    assert_eq!(may_have_run(Idempotency::WithKey).attempt(ID, 1, 1_099, EAST), None);
-    assert_eq!(may_have_run(Idempotency::Idempotent).attempt(ID, 1, 9_999, WEST), None);
-    assert_eq!(may_have_run(Idempotency::WithKey).end(ID, false), None);
-    let mut refused = ledger(Idempotency::NonIdempotent);
-    refused.attempt(ID, 0, 100, EAST);
-    refused.attempt_ended(ID, 0, Outcome::ConnectFailed);
-    assert_eq!((refused.attempt(ID, 1, 101, WEST), refused.len()), (None, 1));
+    assert_eq!(may_have_run(Idempotency::WithKey).attempt_started(ID, 1, 1_099, EAST), None);
+    assert_eq!(may_have_run(Idempotency::Idempotent).attempt_started(ID, 1, 9_999, WEST), None);
+    assert_eq!(may_have_run(Idempotency::WithKey).completed(ID, false), None);
+    let mut never_ran = ledger(Idempotency::NonIdempotent);
+    never_ran.attempt_started(ID, 0, 100, EAST);
+    never_ran.attempt_ended(ID, 0, Outcome::ConnectFailed);
+    assert_eq!((never_ran.attempt_started(ID, 1, 101, WEST), never_ran.len()), (None, 1));
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -367,10 +367,10 @@
     // What the operators' page says holds where a key is left out.
     let bare = read("poll: 1s").expect("accepted");
     assert_eq!(
-        (&bare.hold_down, &bare.shrink, bare.back_off),
-        (&shipped.hold_down, &shipped.shrink, shipped.back_off)
+        (&bare.hold_down, &bare.shrink_guard, bare.back_off),
+        (&shipped.hold_down, &shipped.shrink_guard, shipped.back_off)
     );
-    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].prefix.as_str()), ("h", "/p"));
+    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].path_prefix.as_str()), ("h", "/p"));
     for (rest, wanted) in [
         ("poll: 50ms", "time"),
         ("poll: 1", "unit"),
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -153,7 +153,7 @@
         stamp: 0,
     };
     assert_eq!(view.at, 1_800_000_000_000_007);
-    assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Leaving)]);
+    assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Draining)]);
 }
 
 #[test]
