--- /dev/null
+++ b/src/membership/merge.rs
@@ -0,0 +1,206 @@
+//! Which entries of the sources' views make an endpoint of the merged list, and what changes by an update.
+
+use super::listing::{Listing, MembershipChange, SourceId};
+use super::merged_list::{EndpointIdentity, Membership};
+use super::source_view::{Effective, TouchedEntry};
+use crate::{EndpointId, Lifecycle, Micros};
+use std::collections::{BTreeSet, HashMap, HashSet};
+use std::net::SocketAddr;
+
+/// An entry that may be the endpoint at an address.
+struct Candidate {
+    listing: Listing,
+    effective: Effective,
+    source: SourceId,
+}
+
+impl Candidate {
+    /// The better of two: of several ids the one that changed last; of one id in several groups the newest entry, and draining
+    /// if either is.
+    fn better(self, other: Candidate) -> Candidate {
+        let is_newer = other.listing.stamp > self.listing.stamp;
+        if self.listing.key.id != other.listing.key.id {
+            return if is_newer { other } else { self };
+        }
+        let effective = other.effective.most_restrictive(self.effective);
+        let newest = if is_newer { other } else { self };
+        Candidate { effective, ..newest }
+    }
+}
+
+impl Membership {
+    /// Works out what changes by the entries that an update touched.
+    pub(super) fn merge(
+        &mut self,
+        now: Micros,
+        source: SourceId,
+        touched: Vec<TouchedEntry>,
+    ) -> Vec<MembershipChange> {
+        let mut changes = Vec::new();
+        if self.views[source.0].policy.by_address {
+            for address in self.move_entries(source, touched) {
+                self.merge_address(now, address, &mut changes);
+            }
+        } else {
+            for entry in touched {
+                self.merge_keyed(now, source, entry, &mut changes);
+            }
+        }
+        changes
+    }
+
+    /// Notes where the entries of a source that identifies by address are now; returns the addresses concerned, each once.
+    fn move_entries(&mut self, source: SourceId, touched: Vec<TouchedEntry>) -> Vec<SocketAddr> {
+        let mut addresses: Vec<SocketAddr> = Vec::new();
+        for TouchedEntry { key, previous_address } in touched {
+            let current_address = self.views[source.0].get(&key).map(|listing| listing.address);
+            if let Some(left) = previous_address.filter(|previous| Some(*previous) != current_address) {
+                remove_at(&mut self.by_address_entries, left, &(source, key.clone()));
+                addresses.push(left);
+            }
+            if let Some(current) = current_address {
+                self.by_address_entries.entry(current).or_default().insert((source, key));
+                addresses.push(current);
+            }
+        }
+        let mut seen = HashSet::new();
+        addresses.retain(|address| seen.insert(*address));
+        addresses
+    }
+
+    /// Merges an entry of a source that identifies by key.
+    fn merge_keyed(
+        &mut self,
+        now: Micros,
+        source: SourceId,
+        entry: TouchedEntry,
+        changes: &mut Vec<MembershipChange>,
+    ) {
+        let TouchedEntry { key, previous_address } = entry;
+        let identity = EndpointIdentity::ByKey(source, key.clone());
+        let view = &self.views[source.0];
+        let current = view.get(&key).cloned().zip(view.effective(&key, now));
+        let current_address = current.as_ref().map(|(listing, _)| listing.address);
+        let left_address = previous_address.filter(|previous| Some(*previous) != current_address);
+        if let Some(left) = left_address {
+            remove_at(&mut self.by_key_entries, left, &(source, key.clone()));
+        }
+        match current {
+            Some((listing, effective)) => {
+                self.by_key_entries.entry(listing.address).or_default().insert((source, key));
+                self.publish(identity, Candidate { listing, effective, source }, changes);
+            }
+            None => self.publish_removal(now, &identity, source, "missing", changes),
+        }
+        // What other sources list at these addresses may hold again, or no longer.
+        for address in left_address.into_iter().chain(current_address) {
+            self.merge_address(now, address, changes);
+        }
+    }
+
+    /// Merges the entries at an address, of the sources that identify by address. Where a source that identifies by key lists
+    /// the address, that entry holds alone.
+    fn merge_address(&mut self, now: Micros, address: SocketAddr, changes: &mut Vec<MembershipChange>) {
+        let best = self.best_candidate(now, address);
+        let best_identity =
+            best.as_ref().map(|best| EndpointIdentity::ByAddress(address, best.listing.key.id.clone()));
+        let reason = if best.is_some() { "replaced at its address" } else { "missing" };
+        let published = self.published_at.get(&address).into_iter().flatten();
+        let replaced: Vec<EndpointIdentity> = published
+            .filter(|identity| matches!(identity, EndpointIdentity::ByAddress(..)))
+            .filter(|identity| Some(*identity) != best_identity.as_ref())
+            .cloned()
+            .collect();
+        for identity in replaced {
+            let source = self.published[&identity].source;
+            self.publish_removal(now, &identity, source, reason, changes);
+        }
+        let Some((best, identity)) = best.zip(best_identity) else { return };
+        // What drains and was never in service is not added.
+        if best.effective.lifecycle == Lifecycle::Listed || self.published.contains_key(&identity) {
+            self.publish(identity, best, changes);
+        }
+    }
+
+    fn best_candidate(&self, now: Micros, address: SocketAddr) -> Option<Candidate> {
+        if self.by_key_entries.contains_key(&address) {
+            return None;
+        }
+        let entries = self.by_address_entries.get(&address)?.iter();
+        let candidates = entries.filter_map(|(source, key)| {
+            let view = &self.views[source.0];
+            let (listing, effective) = view.get(key).zip(view.effective(key, now))?;
+            Some(Candidate { listing: listing.clone(), effective, source: *source })
+        });
+        candidates.reduce(Candidate::better)
+    }
+
+    fn publish(
+        &mut self,
+        identity: EndpointIdentity,
+        candidate: Candidate,
+        changes: &mut Vec<MembershipChange>,
+    ) {
+        let endpoint = self.endpoint_id(&identity);
+        let Candidate { listing, effective, source } = candidate;
+        let Effective { lifecycle, observed_at, reason } = effective;
+        let change = MembershipChange { endpoint, listing, lifecycle, observed_at, source, reason };
+        let known = self.published.get(&identity);
+        // A source that identifies by key is passed on as it sends; of the others only what changes.
+        let is_news = matches!(identity, EndpointIdentity::ByKey(..))
+            || known.is_none_or(|known| differs(known, &change));
+        let known_address = known.map(|known| known.listing.address);
+        if let Some(left) = known_address.filter(|known| *known != change.listing.address) {
+            remove_at(&mut self.published_at, left, &identity);
+        }
+        self.published_at.entry(change.listing.address).or_default().insert(identity.clone());
+        if is_news {
+            changes.push(self.with_cordon(&change));
+            self.published.insert(identity, change);
+        }
+    }
+
+    fn endpoint_id(&mut self, identity: &EndpointIdentity) -> EndpointId {
+        if let Some(id) = self.ids.get(identity) {
+            return *id;
+        }
+        self.last_id += 1;
+        let id = EndpointId(self.last_id);
+        self.ids.insert(identity.clone(), id);
+        id
+    }
+
+    fn publish_removal(
+        &mut self,
+        now: Micros,
+        identity: &EndpointIdentity,
+        source: SourceId,
+        reason: &'static str,
+        changes: &mut Vec<MembershipChange>,
+    ) {
+        let Some(known) = self.published.remove(identity) else { return };
+        remove_at(&mut self.published_at, known.listing.address, identity);
+        let lifecycle = Lifecycle::Removed;
+        changes.push(MembershipChange { lifecycle, observed_at: now, source, reason, ..known });
+    }
+}
+
+/// A change means something else for the endpoint than the last one did.
+fn differs(known: &MembershipChange, change: &MembershipChange) -> bool {
+    let (old, new) = (&known.listing, &change.listing);
+    known.lifecycle != change.lifecycle
+        || old.destination != new.destination
+        || old.zone != new.zone
+        || old.kind != new.kind
+        || old.weight != new.weight
+}
+
+/// Removes a value from the set at an address; no empty set is kept.
+fn remove_at<T: Ord>(sets: &mut HashMap<SocketAddr, BTreeSet<T>>, address: SocketAddr, value: &T) {
+    if let Some(set) = sets.get_mut(&address) {
+        set.remove(value);
+        if set.is_empty() {
+            sets.remove(&address);
+        }
+    }
+}
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -1,6 +1,6 @@
-//! What our own file says of a registry, checked. It knows nothing of the protocol.
+//! What the site file says of a registry, checked. It knows nothing of the protocol.
 
-use super::{HoldDown, ShrinkGuard, SourcePolicy};
+use super::source_view::{HoldDown, ShrinkGuard, SourcePolicy};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -15,25 +15,25 @@
     pub path_prefix: String,
 }
 
-/// What is asked for.
+/// What is polled for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollScope {
-    /// Everything, then its changes.
+    /// The complete list, then its changes.
     All,
-    /// These applications, each as a whole.
+    /// These applications, each completely.
     Applications(Vec<String>),
-    /// What serves this virtual address, as a whole.
+    /// What serves this virtual address, completely.
     VirtualAddress(String),
 }
 
-/// In which of an instance's metadata the figures of a partner stand.
+/// The keys of an instance's metadata under which the figures of an endpoint are.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetadataNames {
-    /// The partner's number.
+    /// The number of its destination.
     pub destination: String,
-    /// Its kind, by its name in the platform's settings.
+    /// The name of its kind in the platform's settings.
     pub kind: String,
-    /// Its zone, by its name there.
+    /// The name of its zone there.
     pub zone: String,
     /// Its weight.
     pub weight: String,
@@ -48,34 +48,43 @@
     pub renewal_interval: Micros,
     /// How long a lease lasts without one.
     pub lease_duration: Micros,
-    /// What else it tells of itself.
+    /// What else it publishes of itself.
     pub metadata: BTreeMap<String, String>,
 }
 
+/// The first and the longest pause after failed polls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PollBackoff {
+    /// After the first round of failures; doubled with each further one, and drawn up to half shorter ...
+    pub first: Micros,
+    /// ... up to this.
+    pub max: Micros,
+}
+
 /// The section `registry`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
     /// Where it listens, the preferred one first.
     pub addresses: Vec<RegistryAddress>,
-    /// What is asked for.
+    /// What is polled for.
     pub scope: PollScope,
-    /// From one answer to the next question.
+    /// From one answer to the next poll.
     pub poll_interval: Micros,
-    /// How long one question may take.
+    /// How long one poll may take.
     pub timeout: Micros,
-    /// After a failure: the first pause and the longest, drawn up to half shorter.
-    pub back_off: (Micros, Micros),
+    /// The pauses after failures.
+    pub backoff: PollBackoff,
     /// So long after it failed, the preferred address is tried again.
     pub preferred_retry_after: Micros,
-    /// The largest answer that is read, in bytes after unpacking.
+    /// The largest answer that is read, in bytes after decompression.
     pub max_response_bytes: usize,
-    /// In which metadata a partner's figures stand.
+    /// Under which metadata the figures of an endpoint are.
     pub metadata: MetadataNames,
-    /// What comes back waits.
+    /// How long what comes back into service waits.
     pub hold_down: HoldDown,
-    /// Full answers that lack much are doubted.
+    /// When complete answers that lack much are doubted.
     pub shrink_guard: ShrinkGuard,
-    /// With no word from the registry for so long after a start, the last view that was kept is served.
+    /// With no answer from the registry for so long after a start, the last persisted view is used.
     pub use_snapshot_after: Micros,
     /// This forwarder's own entry there.
     pub registration: Option<Registration>,
--- /dev/null
+++ b/src/membership/source_view.rs
@@ -0,0 +1,365 @@
+//! The view of one source: what it has sent, what of that is believed, and since when. It knows nothing of the other sources.
+
+use super::listing::{Key, Listing, SourceUpdate, State};
+use crate::{Lifecycle, Micros};
+use std::collections::{BTreeSet, HashMap, HashSet};
+use std::net::SocketAddr;
+
+/// How far a source is believed.
+#[derive(Clone, Debug, Default)]
+pub struct SourcePolicy {
+    /// What comes back into service waits, so that flapping costs neither late drains nor stampedes.
+    pub hold_down: Option<HoldDown>,
+    /// A complete update that lacks too much is not believed at once.
+    pub shrink_guard: Option<ShrinkGuard>,
+    /// An entry is identified by its id and its address: an id elsewhere, or another id there, is another endpoint. Without it
+    /// an id is one endpoint wherever it listens.
+    pub by_address: bool,
+}
+
+/// How long what comes back into service waits before it is used again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HoldDown {
+    /// After the first time that it left service; doubled with each further one ...
+    pub first: Micros,
+    /// ... up to this.
+    pub max: Micros,
+    /// One time is forgotten for each such span without another.
+    pub forget_after: Micros,
+}
+
+/// What a complete update may lack before it is doubted.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShrinkGuard {
+    /// More than this share of the view's entries.
+    pub max_missing_share: f64,
+    /// What is missing in a doubted update is removed if it is still missing in an update so long after.
+    pub confirm_after: Micros,
+}
+
+/// What was counted of a source's updates.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SourceStats {
+    /// Entries that were older than the view's.
+    pub stale_entries: u64,
+    /// Times that an entry left service.
+    pub flaps: u64,
+    /// Times that an entry came back into service and was held down.
+    pub held_down: u64,
+    /// Complete updates whose gaps were not believed at once.
+    pub doubted_updates: u64,
+    /// When the source last sent something, if it ever did.
+    pub last_update_at: Option<Micros>,
+}
+
+/// What holds for an entry now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct Effective {
+    /// Listed or draining; what is removed has none.
+    pub lifecycle: Lifecycle,
+    /// Since when.
+    pub observed_at: Micros,
+    /// Why it is so.
+    pub reason: &'static str,
+}
+
+impl Effective {
+    /// The one of two that allows less; this one if both allow the same.
+    pub fn most_restrictive(self, other: Effective) -> Effective {
+        match (self.lifecycle, other.lifecycle) {
+            (Lifecycle::Listed, Lifecycle::Draining) => other,
+            _ => self,
+        }
+    }
+}
+
+/// An entry that an update touched.
+pub(super) struct TouchedEntry {
+    pub key: Key,
+    /// Where it was before, if it was known.
+    pub previous_address: Option<SocketAddr>,
+}
+
+struct Entry {
+    listing: Listing,
+    observed_at: Micros,
+    /// It is up, but not used before this.
+    held_down_until: Option<Micros>,
+}
+
+/// How often an entry left service of late.
+struct FlapHistory {
+    count: u32,
+    last_at: Micros,
+}
+
+impl FlapHistory {
+    /// The count without the times that are forgotten.
+    fn recent_count(&self, now: Micros, hold_down: &HoldDown) -> u32 {
+        let forgotten = now.saturating_sub(self.last_at) / hold_down.forget_after.max(1);
+        self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
+    }
+}
+
+/// That an entry was removed: an update that is not newer does not bring it back.
+struct Tombstone {
+    stamp: u64,
+    removed_at: Micros,
+}
+
+/// What a source has sent, by key.
+#[derive(Default)]
+pub(super) struct SourceView {
+    pub policy: SourcePolicy,
+    pub stats: SourceStats,
+    entries: HashMap<Key, Entry>,
+    flaps: HashMap<Key, FlapHistory>,
+    tombstones: HashMap<Key, Tombstone>,
+    /// Since when an entry has been missing in updates that are in doubt.
+    missing_since: HashMap<Key, Micros>,
+    version: Option<u64>,
+    /// Since when the versions of updates have been lower than the view's.
+    version_lower_since: Option<Micros>,
+    newest_stamp: u64,
+    /// When hold-downs end.
+    timers: BTreeSet<(Micros, Key)>,
+}
+
+impl SourceView {
+    pub fn new(policy: SourcePolicy) -> Self {
+        SourceView { policy, ..SourceView::default() }
+    }
+
+    pub fn get(&self, key: &Key) -> Option<&Listing> {
+        self.entries.get(key).map(|entry| &entry.listing)
+    }
+
+    pub fn listings(&self) -> impl Iterator<Item = &Listing> {
+        self.entries.values().map(|entry| &entry.listing)
+    }
+
+    pub fn is_in_doubt(&self) -> bool {
+        !self.missing_since.is_empty() || self.version_lower_since.is_some()
+    }
+
+    /// What holds for an entry, if it is there.
+    pub fn effective(&self, key: &Key, now: Micros) -> Option<Effective> {
+        let entry = self.entries.get(key)?;
+        let (lifecycle, observed_at, reason) = match (entry.listing.state, entry.held_down_until) {
+            (State::Up, Some(until)) if now < until => (Lifecycle::Draining, entry.observed_at, "held down"),
+            (State::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
+            (State::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
+            _ => (Lifecycle::Draining, entry.observed_at, "not in service"),
+        };
+        Some(Effective { lifecycle, observed_at, reason })
+    }
+
+    pub fn next_due(&self) -> Option<Micros> {
+        self.timers.first().map(|(at, _)| *at)
+    }
+
+    /// Entries whose hold-down has ended; each is returned once.
+    pub fn take_due(&mut self, now: Micros) -> Vec<TouchedEntry> {
+        let mut touched = Vec::new();
+        while self.next_due().is_some_and(|at| at <= now) {
+            let Some((_, key)) = self.timers.pop_first() else { break };
+            let previous_address = self.get(&key).map(|listing| listing.address);
+            touched.push(TouchedEntry { key, previous_address });
+        }
+        touched
+    }
+
+    /// Takes persisted entries; any update of the source overrides them.
+    pub fn restore(&mut self, now: Micros, listings: Vec<Listing>) -> Vec<TouchedEntry> {
+        let mut touched = Vec::new();
+        for listing in listings {
+            self.apply_listing(now, Listing { stamp: 0, ..listing }, &mut touched);
+        }
+        touched
+    }
+
+    pub fn apply(&mut self, now: Micros, update: SourceUpdate) -> Vec<TouchedEntry> {
+        self.stats.last_update_at = Some(now);
+        self.forget_expired(now);
+        let mut touched = Vec::new();
+        match update {
+            SourceUpdate::Patch { listings, removed } => {
+                for listing in listings {
+                    self.apply_listing(now, listing, &mut touched);
+                }
+                for (key, stamp) in removed {
+                    self.apply_removal(now, &key, stamp, &mut touched);
+                }
+            }
+            SourceUpdate::Complete { version, listings } => {
+                if self.accept_version(now, version) {
+                    self.apply_complete(now, listings, &mut touched);
+                }
+            }
+        }
+        touched
+    }
+
+    fn confirm_after(&self) -> Micros {
+        self.policy.shrink_guard.map_or(0, |guard| guard.confirm_after)
+    }
+
+    /// Forgets tombstones and flaps that no longer bind.
+    fn forget_expired(&mut self, now: Micros) {
+        let tombstone_lifetime = self.confirm_after();
+        self.tombstones.retain(|_, tombstone| now < tombstone.removed_at + tombstone_lifetime);
+        match self.policy.hold_down {
+            Some(hold_down) => self.flaps.retain(|_, flaps| flaps.recent_count(now, &hold_down) > 0),
+            None => self.flaps.clear(),
+        }
+    }
+
+    /// Whether a complete update of a version is believed. A lower version than before comes from a replica that lags; if
+    /// versions stay lower, the registry has started anew.
+    fn accept_version(&mut self, now: Micros, version: Option<u64>) -> bool {
+        let is_lower = version.zip(self.version).is_some_and(|(version, known)| version < known);
+        if is_lower {
+            let lower_since = *self.version_lower_since.get_or_insert(now);
+            if now < lower_since + self.confirm_after() {
+                self.stats.stale_entries += 1;
+                self.stats.doubted_updates += 1;
+                return false;
+            }
+        }
+        self.version_lower_since = None;
+        self.version = version.or(self.version);
+        true
+    }
+
+    fn apply_complete(&mut self, now: Micros, listings: Vec<Listing>, touched: &mut Vec<TouchedEntry>) {
+        let newest_stamp = listings.iter().map(|listing| listing.stamp).max().unwrap_or(0);
+        let listed: HashSet<Key> = listings.iter().map(|listing| listing.key.clone()).collect();
+        let mut missing: Vec<Key> =
+            self.entries.keys().filter(|key| !listed.contains(*key)).cloned().collect();
+        missing.sort();
+        let is_doubted = self.doubts(missing.len(), newest_stamp);
+        self.stats.doubted_updates += u64::from(is_doubted);
+        for listing in listings {
+            self.apply_listing(now, listing, touched);
+        }
+        self.missing_since.retain(|key, _| !listed.contains(key));
+        for key in missing {
+            let since = *self.missing_since.entry(key.clone()).or_insert(now);
+            if !is_doubted || now >= since + self.confirm_after() {
+                self.remove(now, &key, None, touched);
+            }
+        }
+        if !is_doubted {
+            self.missing_since.clear();
+        }
+    }
+
+    /// A complete update is doubted if it lacks many entries, or any while it is older than the view.
+    fn doubts(&self, missing: usize, newest_stamp: u64) -> bool {
+        let Some(guard) = self.policy.shrink_guard else { return false };
+        let max_missing = guard.max_missing_share * self.entries.len() as f64;
+        missing > 0 && (missing as f64 > max_missing || newest_stamp < self.newest_stamp)
+    }
+
+    fn apply_removal(&mut self, now: Micros, key: &Key, stamp: u64, touched: &mut Vec<TouchedEntry>) {
+        let is_stale = self.get(key).is_some_and(|known| stamp > 0 && stamp < known.stamp);
+        if is_stale {
+            self.stats.stale_entries += 1;
+        } else {
+            self.remove(now, key, Some(stamp), touched);
+        }
+    }
+
+    fn apply_listing(&mut self, now: Micros, listing: Listing, touched: &mut Vec<TouchedEntry>) {
+        if listing.state == State::Unknown {
+            return;
+        }
+        let known = self.get(&listing.key);
+        if known.is_none() && listing.state == State::Removed {
+            return;
+        }
+        // A delta repeats a change for minutes. What is identified by key is passed on each time it is sent.
+        if self.policy.by_address && known == Some(&listing) {
+            self.missing_since.remove(&listing.key);
+            return;
+        }
+        if self.is_stale(&listing) {
+            self.stats.stale_entries += 1;
+            return;
+        }
+        if listing.state == State::Removed {
+            return self.remove(now, &listing.key, Some(listing.stamp), touched);
+        }
+        self.upsert(now, listing, touched);
+    }
+
+    /// The view has something newer. A stamp of 0 says nothing; what was removed comes back only with a newer one.
+    fn is_stale(&self, listing: &Listing) -> bool {
+        let is_older = self.get(&listing.key).is_some_and(|known| listing.stamp < known.stamp);
+        let tombstone = self.tombstones.get(&listing.key);
+        let is_buried = tombstone.is_some_and(|tombstone| listing.stamp <= tombstone.stamp);
+        listing.stamp > 0 && (is_older || is_buried)
+    }
+
+    fn upsert(&mut self, now: Micros, listing: Listing, touched: &mut Vec<TouchedEntry>) {
+        let key = listing.key.clone();
+        self.missing_since.remove(&key);
+        self.newest_stamp = self.newest_stamp.max(listing.stamp);
+        let previous = self.entries.remove(&key);
+        let previous_address = previous.as_ref().map(|entry| entry.listing.address);
+        let previous_state = previous.as_ref().map(|entry| entry.listing.state);
+        let has_moved = previous_address.is_some_and(|address| address != listing.address);
+        let held_down_until = match (previous_state, listing.state) {
+            (Some(State::Up), State::Up) if !has_moved => previous.as_ref().and_then(|e| e.held_down_until),
+            // At another address it is another process: it has a past only under its key.
+            (_, State::Up) => self.hold_down(now, &key),
+            (Some(State::Up), _) => {
+                self.count_flap(now, &key);
+                None
+            }
+            _ => None,
+        };
+        let has_changed = previous_state != Some(listing.state) || has_moved;
+        let observed_at = previous.filter(|_| !has_changed).map_or(now, |entry| entry.observed_at);
+        self.tombstones.remove(&key);
+        self.entries.insert(key.clone(), Entry { listing, observed_at, held_down_until });
+        touched.push(TouchedEntry { key, previous_address });
+    }
+
+    /// An entry left service.
+    fn count_flap(&mut self, now: Micros, key: &Key) {
+        let Some(hold_down) = self.policy.hold_down else { return };
+        self.stats.flaps += 1;
+        let recent = self.flaps.get(key).map_or(0, |flaps| flaps.recent_count(now, &hold_down));
+        self.flaps.insert(key.clone(), FlapHistory { count: recent + 1, last_at: now });
+    }
+
+    /// Up to when an entry that came into service is not used, if it left service lately.
+    fn hold_down(&mut self, now: Micros, key: &Key) -> Option<Micros> {
+        let hold_down = self.policy.hold_down?;
+        let recent = self.flaps.get(key)?.recent_count(now, &hold_down);
+        if recent == 0 {
+            return None;
+        }
+        let factor = 1u64.checked_shl(recent - 1).unwrap_or(u64::MAX);
+        let until = now + hold_down.first.saturating_mul(factor).min(hold_down.max);
+        self.stats.held_down += 1;
+        self.timers.insert((until, key.clone()));
+        Some(until)
+    }
+
+    fn remove(&mut self, now: Micros, key: &Key, stamp: Option<u64>, touched: &mut Vec<TouchedEntry>) {
+        let Some(entry) = self.entries.remove(key) else { return };
+        self.missing_since.remove(key);
+        if entry.listing.state == State::Up {
+            self.count_flap(now, key);
+        }
+        // One that an update lacked may be there in the next: only an explicit removal leaves a tombstone.
+        if let Some(stamp) = stamp.filter(|_| self.policy.shrink_guard.is_some()) {
+            let stamp = stamp.max(entry.listing.stamp);
+            self.tombstones.insert(key.clone(), Tombstone { stamp, removed_at: now });
+        }
+        let previous_address = Some(entry.listing.address);
+        touched.push(TouchedEntry { key: key.clone(), previous_address });
+    }
+}
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -4,7 +4,8 @@
 use super::node::{Node, Shape};
 use crate::config_error::{ConfigError, ErrorCode, Located};
 use crate::membership::{
-    HoldDown, MetadataNames, PollScope, Registration, RegistryAddress, RegistrySettings, ShrinkGuard,
+    HoldDown, MetadataNames, PollBackoff, PollScope, Registration, RegistryAddress, RegistrySettings,
+    ShrinkGuard,
 };
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -185,6 +186,11 @@
     })
 }
 
+fn backoff(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> PollBackoff {
+    let (first, max) = pair(section, "back-off", (200_000, 10_000_000), &[], breaches);
+    PollBackoff { first, max }
+}
+
 /// Reads the section; what it leaves out has the figures that Eureka's own clients use, or milder ones.
 pub fn read(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<RegistrySettings> {
     let section = Fields::open(node, "`registry`", KEYS, breaches)?;
@@ -213,7 +219,7 @@
         scope: ask(&section, breaches),
         poll_interval: poll,
         timeout: time(&section, "timeout", 2_000_000, breaches),
-        back_off: pair(&section, "back-off", (200_000, 10_000_000), &[], breaches),
+        backoff: backoff(&section, breaches),
         preferred_retry_after: time(&section, "prefer-after", 60_000_000, breaches),
         max_response_bytes: (largest.unwrap_or(32) * MB) as usize,
         metadata: metadata(&section, breaches),
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -367,8 +367,8 @@
     // What the operators' page says holds where a key is left out.
     let bare = read("poll: 1s").expect("accepted");
     assert_eq!(
-        (&bare.hold_down, &bare.shrink_guard, bare.back_off),
-        (&shipped.hold_down, &shipped.shrink_guard, shipped.back_off)
+        (&bare.hold_down, &bare.shrink_guard, bare.backoff),
+        (&shipped.hold_down, &shipped.shrink_guard, shipped.backoff)
     );
     assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].path_prefix.as_str()), ("h", "/p"));
     for (rest, wanted) in [
