--- a/benches/routes.rs
+++ b/benches/routes.rs
@@ -27,7 +27,8 @@
 
 fn routes(c: &mut Criterion) {
     let config = include_str!("../examples/config.json");
-    let (settings, names) = cedarbridge::net::config::platform(config).expect("the example's settings");
+    let (settings, names) =
+        cedarbridge::net::config::read_platform_settings(config).expect("the example's settings");
     let platform = || Platform { settings: &settings, names: &names };
     let text = file(10_000);
     let plan = Site::read(&text, platform()).expect("accepted").routes;
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -2,7 +2,7 @@
 //! and when. It knows nothing of the forwarder's own records. Every breach is told by rule, time, forwarder and
 //! message. The emulator and live rehearsals are judged by the same code, with slack as the platform's page has it.
 
-use cedarbridge::routes::{Timing, MOST_ATTEMPTS};
+use cedarbridge::routes::{Timing, MAX_ATTEMPTS_PER_MESSAGE};
 use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
 
@@ -206,7 +206,7 @@
         if m.out > 0 && self.slack.overlap == 0 {
             found.push((Rule::OneOut, "a second attempt while one is out"));
         }
-        if m.attempts >= timing.most(MOST_ATTEMPTS) {
+        if m.attempts >= timing.max_attempts(MAX_ATTEMPTS_PER_MESSAGE) {
             found.push((Rule::Attempts, "more attempts than allowed"));
         }
         match (self.class.idempotency, m.first_ran) {
@@ -315,7 +315,7 @@
         }
         // A reload never shortens the time of an attempt that is out; days here have none.
         // One that comes again after its time is answered at once.
-        let due = self.due(m.forwarder as usize, timing.end(m.handed_in, m.deadline).max(m.taken));
+        let due = self.due(m.forwarder as usize, timing.ends_at(m.handed_in, m.deadline).max(m.taken));
         if end != End::Withdrawn && now > due.saturating_add(self.slack.answer) {
             self.breach(Rule::InTime, now, message, "its final answer came too late");
         }
@@ -429,7 +429,12 @@
                 a.ended(20, 0, &Timing::default(), End::Refused);
             }),
             ("too late", |a| {
-                a.ended(9_100_000, 0, &Timing { give_up: Some(9_000_000), ..Timing::default() }, End::Refused)
+                a.ended(
+                    9_100_000,
+                    0,
+                    &Timing { abandon_after: Some(9_000_000), ..Timing::default() },
+                    End::Refused,
+                )
             }),
             ("never got a final answer", |a| a.close(1, std::iter::empty())),
         ];
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,7 +4,7 @@
 use crate::scenario::TroubleKind;
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::settings_json::Names;
-use cedarbridge::site::{time, Site};
+use cedarbridge::site::{parse_duration, Site};
 use cedarbridge::{Micros, Settings};
 use cedarbridge_partners::Trouble;
 use serde::de::Error as _;
@@ -19,7 +19,7 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
-        time(&text).map(Span).map_err(|(_, reason)| D::Error::custom(reason))
+        parse_duration(&text).map(Span).map_err(|(_, reason)| D::Error::custom(reason))
     }
 }
 
--- a/src/bin/cedarbridge-simhost/wire.rs
+++ b/src/bin/cedarbridge-simhost/wire.rs
@@ -1,6 +1,9 @@
 //! Batches of events to replies of actions.
 
-use cedarbridge::settings_json::{entry, flag, index, micros, number, settings, text, whole, Names};
+use cedarbridge::settings_json::{
+    boolean, decode_endpoint_entry, decode_settings, index_of, micros_from_ms, number, string, unsigned,
+    Names,
+};
 use cedarbridge::{
     Action, ClassId, DeliveryPolicy, DestinationId, EndpointId, EndpointListUpdate, Event, LoadReport,
     MessageId, Micros, NewMessage, OrderKey, Outcome, TenantId,
@@ -38,13 +41,13 @@
     /// Answers one line.
     pub fn batch(&mut self, line: &str) -> Result<String, String> {
         let batch: Value = serde_json::from_str(line).map_err(|e| format!("not JSON: {e}"))?;
-        let now =
-            micros(batch.get("t").ok_or("a batch needs its clock `t`")?).map_err(|e| format!("`t`: {e}"))?;
+        let now = micros_from_ms(batch.get("t").ok_or("a batch needs its clock `t`")?)
+            .map_err(|e| format!("`t`: {e}"))?;
         let parts = batch.get("parts").and_then(Value::as_array).ok_or("a batch needs an array `parts`")?;
         let mut replies = Vec::new();
         for part in parts {
             let id = part.get("courier-id").ok_or("a part needs its `courier-id`")?;
-            let id = whole(id).map_err(|e| format!("`courier-id`: {e}"))?;
+            let id = unsigned(id).map_err(|e| format!("`courier-id`: {e}"))?;
             let news = part.get("news").and_then(Value::as_array).ok_or("a part needs an array `news`")?;
             let mut events = Vec::new();
             for event in news {
@@ -69,7 +72,7 @@
         };
         match name {
             "catalog" => {
-                let bank = whole(field(1, "bank")?)?;
+                let bank = unsigned(field(1, "bank")?)?;
                 let entries = field(2, "entries")?.as_array().ok_or("`entries` is not an array")?;
                 self.banks.insert(bank, entries.clone());
                 return Ok(());
@@ -77,7 +80,7 @@
             "create" => {
                 let salt = field(1, "salt")?;
                 let salt = salt.as_u64().or(salt.as_i64().map(|n| n as u64)).ok_or("`salt` is not whole")?;
-                let (settings, names) = settings(field(2, "params")?)?;
+                let (settings, names) = decode_settings(field(2, "params")?)?;
                 let forwarder = DeliveryPolicy::new(settings, salt).map_err(|e| e.to_string())?;
                 let instance =
                     Instance { forwarder, names, ids: BTreeMap::new(), named: BTreeMap::new(), next: 0 };
@@ -95,14 +98,17 @@
         let known = self.instances.get_mut(&id).ok_or_else(|| format!("no instance {id} was created"))?;
         let event = match name {
             "discovery" => {
-                let scope = text(field(1, "scope")?)?;
-                whole(field(2, "stamp")?)?;
+                let scope = string(field(1, "scope")?)?;
+                unsigned(field(2, "stamp")?)?;
                 let mut entries = Vec::new();
                 if scope != "broken" {
-                    let bank = whole(field(3, "bank")?)?;
+                    let bank = unsigned(field(3, "bank")?)?;
                     let held =
                         self.banks.get(&bank).ok_or_else(|| format!("no catalog has number {bank}"))?;
-                    entries = held.iter().map(|e| entry(e, &known.names)).collect::<Result<_, _>>()?;
+                    entries = held
+                        .iter()
+                        .map(|e| decode_endpoint_entry(e, &known.names))
+                        .collect::<Result<_, _>>()?;
                 }
                 Event::EndpointList(match scope.as_str() {
                     "patch" => EndpointListUpdate::Patch(entries),
@@ -113,27 +119,27 @@
                 })
             }
             "job-in" => {
-                let class = index(&known.names.classes, &text(field(2, "service")?)?, "class")?;
+                let class = index_of(&known.names.classes, &string(field(2, "service")?)?, "class")?;
                 let tenant = match v.get(3).and_then(Value::as_str) {
-                    Some(t) => Some(TenantId(index(&known.names.tenants, t, "tenant")?)),
+                    Some(t) => Some(TenantId(index_of(&known.names.tenants, t, "tenant")?)),
                     None => None,
                 };
                 let key = match v.get(4).filter(|k| !k.is_null()) {
                     Some(k) => Some(OrderKey(
-                        u64::from_str_radix(&text(k)?, 16)
+                        u64::from_str_radix(&string(k)?, 16)
                             .map_err(|_| format!("key {k} is not hexadecimal"))?,
                     )),
                     None => None,
                 };
-                let word = text(field(1, "corr")?)?;
-                let attrs = v.get(8).filter(|a| !a.is_null()).map_or(Ok(0), whole)?;
+                let word = string(field(1, "corr")?)?;
+                let attrs = v.get(8).filter(|a| !a.is_null()).map_or(Ok(0), unsigned)?;
                 Event::Message(NewMessage {
                     id: known.enter(word),
                     class: ClassId(class),
                     tenant,
                     key,
-                    time_left: micros(field(5, "time-left")?)?,
-                    destination: DestinationId(whole(field(7, "terminates-at")?)?),
+                    time_left: micros_from_ms(field(5, "time-left")?)?,
+                    destination: DestinationId(unsigned(field(7, "terminates-at")?)?),
                     failed_over: attrs & 16 != 0,
                     first_attempt: None,
                     client_retry: attrs & 2 != 0,
@@ -142,31 +148,31 @@
                 })
             }
             "head-received" => {
-                micros(field(2, "elapsed")?)?;
-                whole(field(3, "endpoint")?)?;
-                whole(field(4, "round-no")?)?;
-                Event::Started { id: known.name(text(field(1, "corr")?)?) }
+                micros_from_ms(field(2, "elapsed")?)?;
+                unsigned(field(3, "endpoint")?)?;
+                unsigned(field(4, "round-no")?)?;
+                Event::Started { id: known.name(string(field(1, "corr")?)?) }
             }
             "result" => Event::AttemptEnded {
-                id: known.name(text(field(1, "corr")?)?),
-                attempt: whole(field(2, "round-no")?)? as u32,
-                endpoint: EndpointId(whole(field(3, "endpoint")?)? as u32),
+                id: known.name(string(field(1, "corr")?)?),
+                attempt: unsigned(field(2, "round-no")?)? as u32,
+                endpoint: EndpointId(unsigned(field(3, "endpoint")?)? as u32),
                 outcome: outcome(field(4, "code")?, v.get(7))?,
-                elapsed: micros(field(5, "elapsed")?)?,
-                ended: flag(field(6, "ended")?)?,
+                elapsed: micros_from_ms(field(5, "elapsed")?)?,
+                ended: boolean(field(6, "ended")?)?,
                 report: report(v.get(8))?,
             },
             "echo" => Event::HealthChecked {
-                endpoint: EndpointId(whole(field(1, "endpoint")?)? as u32),
+                endpoint: EndpointId(unsigned(field(1, "endpoint")?)? as u32),
                 outcome: outcome(field(2, "code")?, None)?,
-                elapsed: micros(field(3, "elapsed")?)?,
+                elapsed: micros_from_ms(field(3, "elapsed")?)?,
                 report: report(v.get(4))?,
             },
-            "hangup" => Event::Withdrawn { id: known.name(text(field(1, "corr")?)?) },
-            "bell" => Event::Timer { token: whole(field(1, "ctx")?)? },
+            "hangup" => Event::Withdrawn { id: known.name(string(field(1, "corr")?)?) },
+            "bell" => Event::Timer { token: unsigned(field(1, "ctx")?)? },
             "peer" => {
-                whole(field(1, "by")?)?;
-                text(field(2, "bytes")?)?;
+                unsigned(field(1, "by")?)?;
+                string(field(2, "bytes")?)?;
                 return Ok(());
             }
             _ => return Err("unknown event".into()),
@@ -177,8 +183,9 @@
 }
 
 fn outcome(code: &Value, note: Option<&Value>) -> Result<Outcome, String> {
-    let note = note.filter(|n| !n.is_null()).map_or(Ok(0), micros).map_err(|e| format!("`note`: {e}"))?;
-    Ok(match whole(code)? {
+    let note =
+        note.filter(|n| !n.is_null()).map_or(Ok(0), micros_from_ms).map_err(|e| format!("`note`: {e}"))?;
+    Ok(match unsigned(code)? {
         200 => Outcome::Ok,
         500 => Outcome::Error,
         503 => Outcome::Rejected((note > 0).then_some(note)),
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -2,9 +2,9 @@
 
 use super::{lines, print, Failed, Files, Read};
 use crate::policy::longest_cut;
-use crate::routes::{worst_case, Plan, Route, Step, Timing, MOST_ATTEMPTS};
-use crate::settings_json::index;
-use crate::site::written;
+use crate::routes::{worst_case, Plan, Route, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
+use crate::settings_json::index_of;
+use crate::site::format_duration;
 use crate::{Class, ClassId, DestinationId, KindId, Micros};
 use clap::Args;
 use serde_json::{json, Value};
@@ -39,13 +39,13 @@
     let config: Value = serde_json::from_str(&of.json).ok()?;
     let all = config.get("known")?.get("instances")?.as_array()?;
     let entry = all.iter().find(|e| e["cell"].as_u64() == Some(destination))?;
-    index(&of.names.kinds, entry["machineType"].as_str()?, "kind").ok().map(KindId)
+    index_of(&of.names.kinds, entry["machineType"].as_str()?, "kind").ok().map(KindId)
 }
 
-fn chosen(all: &[String], given: Option<&str>, what: &str) -> Result<Vec<usize>, Failed> {
+fn chosen(all: &[String], given: Option<&str>, what: &'static str) -> Result<Vec<usize>, Failed> {
     match given {
         None => Ok((0..all.len()).collect()),
-        Some(name) => index(all, name, what)
+        Some(name) => index_of(all, name, what)
             .map(|at| vec![at])
             .map_err(|e| Failed::Call(format!("{e}; the settings list {}", all.join(", ")))),
     }
@@ -68,17 +68,17 @@
 
     /// When a message that nothing delivers ends at the latest, counted from its hand-in.
     fn end(&self) -> Micros {
-        self.timing().end(0, self.class().deadline)
+        self.timing().ends_at(0, self.class().deadline)
     }
 
     /// The attempts of the worst case: of those that are allowed, as many as begin in time.
-    fn steps(&self) -> Vec<Step> {
+    fn steps(&self) -> Vec<WorstCaseAttempt> {
         let timing = self.timing();
-        let timeout = timing.cut(longest_cut(self.class().idempotency));
-        let most = timing.most(self.of.settings.max_attempts.min(MOST_ATTEMPTS));
+        let timeout = timing.attempt_timeout(longest_cut(self.class().idempotency));
+        let most = timing.max_attempts(self.of.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
         let end = self.end();
-        let all = worst_case(&timing, timeout, most).into_iter().filter(|s| s.begins < end);
-        all.map(|s| Step { ends: s.ends.min(end), ..s }).collect()
+        let all = worst_case(&timing, timeout, most).into_iter().filter(|s| s.starts_at < end);
+        all.map(|s| WorstCaseAttempt { abandoned_at: s.abandoned_at.min(end), ..s }).collect()
     }
 
     fn title(&self) -> String {
@@ -93,10 +93,15 @@
             return "no entry matches: as without a site file".into();
         };
         let names = &self.of.names;
-        let mut why = format!("matches {}", first.shape.words(names));
+        let mut why = format!("matches {}", first.shape.describe(names));
         for r in rest {
-            let _ =
-                write!(why, "; more specific than `{}` (line {}: {})", r.name, r.line, r.shape.words(names));
+            let _ = write!(
+                why,
+                "; more specific than `{}` (line {}: {})",
+                r.name,
+                r.line,
+                r.shape.describe(names)
+            );
         }
         why
     }
@@ -107,19 +112,25 @@
         let _ = write!(out, "\n  entry        {}", entry.unwrap_or("none".into()));
         let _ = write!(out, "\n  why          {}", self.why());
         let module = || "left to the module".to_owned();
-        let _ = write!(out, "\n  timeout      {}", t.timeout.map_or_else(module, written));
-        let most = t.most(self.of.settings.max_attempts.min(MOST_ATTEMPTS));
+        let _ = write!(out, "\n  timeout      {}", t.timeout.map_or_else(module, format_duration));
+        let most = t.max_attempts(self.of.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
         let _ = write!(out, "\n  attempts     {most} at most");
-        let pause = t.pause.map(|(f, l)| format!("{}, doubled up to {}", written(f), written(l)));
+        let pause =
+            t.pause.map(|(f, l)| format!("{}, doubled up to {}", format_duration(f), format_duration(l)));
         let _ = write!(out, "\n  pause        {}", pause.unwrap_or_else(module));
-        let copy =
-            t.second_copy.map(|a| format!("{} after an attempt began that was cut, elsewhere", written(a)));
+        let copy = t
+            .hedge_after
+            .map(|a| format!("{} after an attempt began that was cut, elsewhere", format_duration(a)));
         let _ = write!(out, "\n  second copy  {}", copy.unwrap_or("none".into()));
-        let _ = write!(out, "\n  ends         {} after it was handed in, at the latest", written(self.end()));
+        let _ = write!(
+            out,
+            "\n  ends         {} after it was handed in, at the latest",
+            format_duration(self.end())
+        );
         let _ = write!(out, "\n  worst case   attempt    begins       cut");
         for s in self.steps() {
-            let (begins, ends) = (written(s.begins), written(s.ends));
-            let _ = write!(out, "\n               {:>7} {begins:>9} {ends:>9}", s.attempt);
+            let (begins, ends) = (format_duration(s.starts_at), format_duration(s.abandoned_at));
+            let _ = write!(out, "\n               {:>7} {begins:>9} {ends:>9}", s.number);
         }
         out + "\n"
     }
@@ -129,14 +140,14 @@
         let ms = |t: Micros| t as f64 / 1e3;
         let matching = self.matching();
         let also: Vec<_> = matching.iter().skip(1).map(|r| json!({"name": r.name, "line": r.line})).collect();
-        let step = |s: &Step| json!({"attempt": s.attempt, "begins_ms": ms(s.begins), "cut_ms": ms(s.ends)});
+        let step = |s: &WorstCaseAttempt| json!({"attempt": s.number, "begins_ms": ms(s.starts_at), "cut_ms": ms(s.abandoned_at)});
         json!({
             "destination": self.destination, "kind": self.of.names.kinds[self.kind.0],
             "class": self.of.names.classes[self.class.0],
             "entry": matching.first().map(|r| json!({"name": r.name, "line": r.line})),
             "why": self.why(), "also_matching": also,
             "timeout_ms": t.timeout.map(ms), "attempts": t.attempts,
-            "pause_ms": t.pause.map(|(f, l)| [ms(f), ms(l)]), "second_copy_ms": t.second_copy.map(ms),
+            "pause_ms": t.pause.map(|(f, l)| [ms(f), ms(l)]), "second_copy_ms": t.hedge_after.map(ms),
             "ends_ms": ms(self.end()), "worst_case": self.steps().iter().map(step).collect::<Vec<_>>(),
         })
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -118,7 +118,7 @@
     fn platform(&self) -> Result<Read, Failed> {
         let json = read_text(&self.config)?;
         let refused = |e| Failed::Refused(format!("`{}`: {e}", self.config.display()));
-        let (settings, names) = config::platform(&json).map_err(refused)?;
+        let (settings, names) = config::read_platform_settings(&json).map_err(refused)?;
         Ok(Read { settings, names, json })
     }
 
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -7,7 +7,7 @@
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
 use crate::settings_json::Names;
-use crate::site::{time, written};
+use crate::site::{format_duration, parse_duration};
 use crate::Lifecycle;
 use async_io::Timer;
 use clap::{Args, Subcommand};
@@ -232,10 +232,11 @@
                 async_io::block_on(asking.diff())
             }
             What::Watch { files, lasts } => {
-                let read = |t: String| time(&t).map_err(|(_, why)| Failed::Call(format!("--for: {why}")));
+                let read =
+                    |t: String| parse_duration(&t).map_err(|(_, why)| Failed::Call(format!("--for: {why}")));
                 let lasts = lasts.map(read).transpose()?;
                 let asking = files.registry()?;
-                let each = written(asking.settings.poll_interval);
+                let each = format_duration(asking.settings.poll_interval);
                 eprintln!("cedarbridge: asking every {each}");
                 async_io::block_on(asking.watch(lasts))
             }
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -61,15 +61,15 @@
     /// No attempts, or more than are allowed.
     Attempts = "attempts",
     /// A second copy while the first is out.
-    SecondCopy = "second-copy",
+    HedgedRequest = "second-copy",
     /// More than one attempt that may have run in a class that allows one.
-    SideEffect = "side-effect",
+    NonIdempotent = "side-effect",
     /// An attempt that could begin after the partner has forgotten the first.
-    MemorySpan = "memory-span",
+    DeduplicationWindow = "memory-span",
     /// Attempts that cannot end before the class's deadline, or a give-up beyond it.
     Deadline = "deadline",
     /// Attempts that cannot end before the entry's own give-up.
-    GiveUp = "give-up",
+    AbandonAfter = "give-up",
     /// Two entries, equally specific, that could both win for some message.
     Overlap = "overlap",
     /// An entry that can never win.
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,13 +1,13 @@
 //! The platform's protocol towards user agents.
 
 use crate::invariants::Rejection;
-use crate::net::config::BODY_LIMIT;
+use crate::net::config::MAX_BODY_BYTES;
 use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
 use crate::net::http::{HttpConnection, HttpError, RequestHead};
 use crate::net::in_flight::Request;
 use crate::net::messages::{DeliveryMessage, SubmitReply, DEFAULT_RETRY_AFTER};
 use crate::net::Context;
-use crate::settings_json::{index, Names};
+use crate::settings_json::{index_of, Names};
 use crate::{ClassId, DestinationId, MessageId, Micros, TenantId};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -62,7 +62,8 @@
 /// Takes connections until the listener is dropped, or another process takes them.
 pub async fn serve(context: Rc<Context>, listener: Async<TcpListener>) {
     let lobby = Rc::new(ConnectionRegistry::default());
-    let room = || context.config().user_agents().saturating_sub(context.predecessor_connections.get());
+    let room =
+        || context.config().max_client_connections().saturating_sub(context.predecessor_connections.get());
     let full = || context.client_connections.get().saturating_sub(lobby.evictions_pending()) >= room();
     let mut retry = AcceptRetry::default();
     loop {
@@ -464,14 +465,14 @@
         if !fits(word) || told("Idempotency-Key").is_some_and(|k| !fits(k)) {
             return Err("an id or key is not plain text of at most 256 characters".into());
         }
-        let class = ClassId(index(&self.names.classes, must("X-Class")?, "class")?);
+        let class = ClassId(index_of(&self.names.classes, must("X-Class")?, "class")?);
         let tenant = match told("X-Tenant") {
-            Some(t) => Some(TenantId(index(&self.names.tenants, t, "tenant")?)),
+            Some(t) => Some(TenantId(index_of(&self.names.tenants, t, "tenant")?)),
             None if self.names.tenants.is_empty() => None,
             None => return Err("no X-Tenant".into()),
         };
         let key = told("Idempotency-Key").map(str::to_owned);
-        if key.is_none() && self.context.config().keyed[class.0] {
+        if key.is_none() && self.context.config().requires_key[class.0] {
             return Err("no Idempotency-Key, which this class needs".into());
         }
         let mut places = must("X-Addressing")?.split([',', ';']).filter_map(|p| p.trim().split_once('='));
@@ -565,10 +566,10 @@
 
 async fn read(wire: &mut HttpConnection) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let head = wire.read_request().await?;
-    if head.fields.expects_continue() && !head.longer_than(BODY_LIMIT) {
+    if head.fields.expects_continue() && !head.longer_than(MAX_BODY_BYTES) {
         wire.write(b"HTTP/1.1 100 Continue\r\n\r\n").await.map_err(HttpError::Socket)?;
     }
-    let body = wire.request_body(&head, BODY_LIMIT).await?;
+    let body = wire.request_body(&head, MAX_BODY_BYTES).await?;
     Ok((head, body))
 }
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,100 +1,170 @@
-//! What the program is told at its start.
+//! The configuration that the program is started with.
 
 use crate::invariants::RepeatPolicy;
 use crate::membership::RegistrySettings;
 use crate::net::platform::eureka::snapshot::Snapshot;
-use crate::settings_json::{field, in_field, micros, own_number, settings, text, whole, Names};
-use crate::{Class, Kind, Micros, Settings};
+use crate::settings_json::{
+    bytes_from_mb, decode_settings, forwarder_index, micros_from_ms, optional_field, required,
+    required_field, string, unsigned, DecodeError, Names,
+};
+use crate::{Class, Idempotency, Kind, Micros, Settings, SettingsError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// The largest body of a message.
-pub const BODY_LIMIT: usize = 64 * 1024;
-/// Connections of operators held at once.
-pub const OPERATORS: usize = 16;
-/// What the folder keeps free for the cordons and the owner's name, each written anew beside the old one.
-pub const OPERATORS_ROOM: u64 = 32 * 1024;
+/// The largest body of a message, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Connections of operators that may be open at once.
+pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
+/// What the folder keeps free for the cordons and the owner's name, in bytes: each is written anew beside the old one.
+pub const OPERATOR_FILES_RESERVE_BYTES: u64 = 32 * 1024;
 
 /// The program's configuration, read and checked.
 pub struct Config {
     /// This forwarder's name.
     pub name: String,
-    /// Where user agents connect.
-    pub listen: SocketAddr,
-    /// Where operators call, if they may.
-    pub operator: Option<SocketAddr>,
+    /// Where clients connect.
+    pub listen_address: SocketAddr,
+    /// Where operators connect, if they may.
+    pub operator_address: Option<SocketAddr>,
     /// Where the platform's agent listens.
-    pub discovery: SocketAddr,
+    pub agent_address: SocketAddr,
     /// The folder that outlasts the process.
-    pub state: PathBuf,
+    pub state_folder: PathBuf,
     /// For random draws.
     pub seed: u64,
-    /// Descriptors that may be open.
-    pub sockets: usize,
-    /// Bytes that the folder may hold.
-    pub disk: u64,
-    /// The list as last held, if it is told.
-    pub known: Option<Value>,
-    /// An idle connection is closed by an endpoint after this.
+    /// File descriptors that may be open.
+    pub max_descriptors: usize,
+    /// The most bytes that the folder may hold.
+    pub max_disk_bytes: u64,
+    /// The endpoint list as the platform last had it, if it passes it on.
+    pub initial_endpoint_list: Option<Value>,
+    /// An endpoint closes an idle connection after this.
     pub endpoint_idle_timeout: Micros,
-    /// A connection that is not made by then never comes.
+    /// A connection that is not established by then never will be.
     pub dial_timeout: Micros,
-    /// Work may go to an endpoint for so long after it was told to leave.
+    /// Work may be sent to an endpoint for so long after it began to drain.
     pub drain_grace: Micros,
-    /// The shortest time between two steps of the module.
+    /// The shortest time between two steps of the policy.
     pub min_step_interval: Micros,
-    /// Messages held at once.
+    /// Messages that may be open at once.
     pub max_open_messages: usize,
-    /// Calls out at once.
+    /// Calls that may be in flight at once.
     pub max_concurrent_calls: usize,
     /// Forwarders that share the traffic, this one included.
     pub forwarders: usize,
     /// Its number among them, or why it has none.
-    pub forwarder_index: Result<u64, String>,
+    pub forwarder_index: Result<u64, DecodeError>,
     /// The kinds of destination.
     pub kinds: Vec<Kind>,
     /// What classes, tenants, zones and kinds are called.
     pub names: Arc<Names>,
     /// Whether each class needs a key, by class.
-    pub keyed: Vec<bool>,
+    pub requires_key: Vec<bool>,
     /// Whether a message of each class must never run twice, by class.
     pub non_idempotent: Vec<bool>,
     /// How messages of each class may be repeated, by class.
-    pub repeats: Vec<RepeatPolicy>,
-    /// A registry that the list also comes from.
+    pub repeat_policies: Vec<RepeatPolicy>,
+    /// A registry from which the endpoint list also comes.
     pub registry: Option<Arc<RegistrySettings>>,
-    /// The longest time for which a message of each class is held, by class.
+    /// The longest time for which a message of each class may be open, by class.
     pub deadlines: Vec<Micros>,
 }
 
-fn address(text: &str, what: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{what}: `{text}` is not an address with a port"))
+/// Why a configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigReadError {
+    /// The text is not JSON.
+    #[error("the configuration is not JSON: {0}")]
+    NotJson(#[from] serde_json::Error),
+    /// A setting is missing or cannot be decoded.
+    #[error(transparent)]
+    Decode(#[from] DecodeError),
+    /// The platform's settings are out of range.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// A value outside of the platform's settings cannot be decoded.
+    #[error("{key}: {error}")]
+    Value {
+        /// Its key.
+        key: &'static str,
+        /// Why not.
+        error: DecodeError,
+    },
+    /// The seed is a text that is not hexadecimal.
+    #[error("seed: `{0}` is not hexadecimal")]
+    SeedNotHexadecimal(String),
+    /// An address cannot be parsed.
+    #[error("{key}: `{text}` is not an address with a port")]
+    NotAnAddress {
+        /// Its key.
+        key: &'static str,
+        /// Its text.
+        text: String,
+    },
+    /// There are too few descriptors.
+    #[error("setting `sockets`: {descriptors} are too few for {calls} calls")]
+    TooFewDescriptors {
+        /// File descriptors that may be open.
+        descriptors: usize,
+        /// Calls that may be in flight.
+        calls: usize,
+    },
+    /// No time is left to connect.
+    #[error("setting `dial-timeout`: 0 is out of range, which is above 0")]
+    NoDialTimeout,
 }
 
-/// A number of megabytes as bytes.
-fn megabytes(v: &Value) -> Result<u64, String> {
-    let count = crate::settings_json::number(v)?;
-    if !(0.0..1e12).contains(&count) {
-        return Err(format!("expected megabytes, got {v}"));
-    }
-    Ok((count * 1e6) as u64)
+/// Why a changed configuration holds only after a restart.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RestartReason {
+    /// What the process was started with.
+    #[error("`name`, `listen` and `state` change only at a start")]
+    Process,
+    /// What open messages go by.
+    #[error("names of classes, tenants, zones and kinds, and what repeats do, change only at a start")]
+    Names,
+    /// The entry of this forwarder in the registry.
+    #[error("`register` of the registry changes only at a start")]
+    Registration,
 }
 
-/// The platform's settings within the text of a configuration, checked, and the names that they list.
-pub fn platform(json: &str) -> Result<(Settings, Names), String> {
-    platform_of(&parse(json)?)
+/// Decodes and checks the platform's settings within the text of a configuration, and the names that they list.
+///
+/// # Errors
+///
+/// If they cannot be decoded or are out of range.
+pub fn read_platform_settings(json: &str) -> Result<(Settings, Names), ConfigReadError> {
+    platform_settings(&serde_json::from_str(json)?)
 }
 
-fn parse(json: &str) -> Result<Value, String> {
-    serde_json::from_str(json).map_err(|e| format!("the configuration is not JSON: {e}"))
+fn platform_settings(config: &Value) -> Result<(Settings, Names), ConfigReadError> {
+    let (settings, names) = decode_settings(required_field(config, "settings")?)?;
+    settings.check()?;
+    Ok((settings, names))
 }
 
-fn platform_of(v: &Value) -> Result<(Settings, Names), String> {
-    let (settings, names) = settings(field(v, "settings")?)?;
-    settings.check().map_err(|e| e.to_string())?;
-    Ok((settings, names))
+fn parse_address(key: &'static str, text: String) -> Result<SocketAddr, ConfigReadError> {
+    text.parse().map_err(|_| ConfigReadError::NotAnAddress { key, text })
+}
+
+fn read_seed(config: &Value) -> Result<u64, ConfigReadError> {
+    match required_field(config, "seed")? {
+        Value::String(text) => {
+            u64::from_str_radix(text, 16).map_err(|_| ConfigReadError::SeedNotHexadecimal(text.clone()))
+        }
+        other => unsigned(other).map_err(|error| ConfigReadError::Value { key: "seed", error }),
+    }
+}
+
+/// The text of the operators' address, if they may connect.
+fn read_operator(config: &Value, variable: Option<String>) -> Result<Option<String>, ConfigReadError> {
+    if variable.is_some() {
+        return Ok(variable);
+    }
+    let text = optional_field(config, "operator").map(string).transpose();
+    text.map_err(|error| ConfigReadError::Value { key: "operator", error })
 }
 
 fn repeat_policy(class: &Class, settings: &Settings) -> RepeatPolicy {
@@ -107,98 +177,103 @@
 }
 
 impl Config {
-    /// Reads the text of a configuration. Variables, as the platform sets them, go before what it says.
-    pub fn read(json: &str, variable: impl Fn(&str) -> Option<String>) -> Result<(Self, Settings), String> {
-        let v = parse(json)?;
-        let told = |name: &str, key: &str| match variable(name) {
+    /// Reads the text of a configuration. Environment variables, as the platform sets them, override what it says.
+    ///
+    /// # Errors
+    ///
+    /// The first value that is missing, cannot be decoded or is out of range.
+    pub fn read(
+        json: &str,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<(Self, Settings), ConfigReadError> {
+        let json: Value = serde_json::from_str(json)?;
+        let text = |name: &str, key: &str| match variable(name) {
             Some(value) => Ok(value),
-            None => in_field(&v, key, text),
-        };
-        let raw = field(&v, "settings")?;
-        let (settings, names) = platform_of(&v)?;
-        let allow = field(raw, "permissions")?;
-        let limits = field(&v, "limits")?;
-        let seed = match field(&v, "seed")? {
-            Value::String(s) => {
-                u64::from_str_radix(s, 16).map_err(|_| format!("seed: `{s}` is not hexadecimal"))?
-            }
-            other => whole(other).map_err(|e| format!("seed: {e}"))?,
-        };
-        let operator = match variable("ROUTER_OPERATOR") {
-            None => v.get("operator").filter(|o| !o.is_null()).map(text).transpose(),
-            told => Ok(told),
+            None => required(&json, key, string),
         };
-        let operator = operator.map_err(|e| format!("operator: {e}"))?;
-        let of =
-            |want: crate::Idempotency| settings.classes.iter().map(move |c| c.idempotency == want).collect();
+        let raw_settings = required_field(&json, "settings")?;
+        let (settings, names) = platform_settings(&json)?;
+        let permissions = required_field(raw_settings, "permissions")?;
+        let limits = required_field(&json, "limits")?;
+        let seed = read_seed(&json)?;
+        let operator = read_operator(&json, variable("ROUTER_OPERATOR"))?;
+        let classes = &settings.classes;
         let config = Config {
-            name: told("ROUTER_NAME", "name")?,
-            listen: address(&told("ROUTER_LISTEN", "listen")?, "listen")?,
-            operator: operator.map(|o| address(&o, "operator")).transpose()?,
-            discovery: address(&told("ROUTER_DISCOVERY", "discovery")?, "discovery")?,
-            state: told("ROUTER_STATE", "state")?.into(),
+            name: text("ROUTER_NAME", "name")?,
+            listen_address: parse_address("listen", text("ROUTER_LISTEN", "listen")?)?,
+            operator_address: operator.map(|text| parse_address("operator", text)).transpose()?,
+            agent_address: parse_address("discovery", text("ROUTER_DISCOVERY", "discovery")?)?,
+            state_folder: text("ROUTER_STATE", "state")?.into(),
             seed,
-            sockets: in_field(limits, "sockets", whole)? as usize,
-            disk: in_field(limits, "disk_mb", megabytes)?,
-            known: v.get("known").filter(|k| !k.is_null()).cloned(),
-            endpoint_idle_timeout: in_field(allow, "conn-idle", micros)?,
-            dial_timeout: in_field(allow, "dial-timeout", micros)?,
-            drain_grace: in_field(field(raw, "rules")?, "drain-grace", micros)?,
+            max_descriptors: required(limits, "sockets", unsigned)? as usize,
+            max_disk_bytes: required(limits, "disk_mb", bytes_from_mb)?,
+            initial_endpoint_list: optional_field(&json, "known").cloned(),
+            endpoint_idle_timeout: required(permissions, "conn-idle", micros_from_ms)?,
+            dial_timeout: required(permissions, "dial-timeout", micros_from_ms)?,
+            drain_grace: required(required_field(raw_settings, "rules")?, "drain-grace", micros_from_ms)?,
             min_step_interval: settings.min_step_interval,
             max_open_messages: settings.max_open_messages,
             max_concurrent_calls: settings.max_concurrent_calls,
             forwarders: settings.forwarders,
-            forwarder_index: own_number(raw),
+            forwarder_index: forwarder_index(raw_settings),
             kinds: settings.kinds.clone(),
             names: Arc::new(names),
-            keyed: of(crate::Idempotency::WithKey),
-            non_idempotent: of(crate::Idempotency::NonIdempotent),
-            repeats: settings.classes.iter().map(|c| repeat_policy(c, &settings)).collect(),
+            requires_key: classes.iter().map(|c| c.idempotency == Idempotency::WithKey).collect(),
+            non_idempotent: classes.iter().map(|c| c.idempotency == Idempotency::NonIdempotent).collect(),
+            repeat_policies: classes.iter().map(|class| repeat_policy(class, &settings)).collect(),
             registry: None,
-            deadlines: settings.classes.iter().map(|c| c.deadline).collect(),
+            deadlines: classes.iter().map(|class| class.deadline).collect(),
         };
-        if config.sockets < 64 + 2 * config.max_concurrent_calls {
-            let (sockets, slots) = (config.sockets, config.max_concurrent_calls);
-            return Err(format!("setting `sockets`: {sockets} are too few for {slots} calls"));
+        config.check()?;
+        Ok((config, settings))
+    }
+
+    fn check(&self) -> Result<(), ConfigReadError> {
+        let (descriptors, calls) = (self.max_descriptors, self.max_concurrent_calls);
+        if descriptors < 64 + 2 * calls {
+            return Err(ConfigReadError::TooFewDescriptors { descriptors, calls });
         }
-        if config.dial_timeout == 0 {
-            return Err("setting `dial-timeout`: 0 is out of range, which is above 0".into());
+        if self.dial_timeout == 0 {
+            return Err(ConfigReadError::NoDialTimeout);
         }
-        Ok((config, settings))
+        Ok(())
     }
 
-    /// Why this one cannot take the place of another while the program runs, if it cannot: what is held goes
-    /// by the other's names, and address and folder stay as they were opened.
-    pub fn needs_restart(&self, other: &Config) -> Option<&'static str> {
-        if self.name != other.name || self.listen != other.listen || self.state != other.state {
-            return Some("`name`, `listen` and `state` change only at a start");
+    /// Why this one cannot replace another while the program runs, if it cannot: open messages go by the other's names, and
+    /// address and folder stay as they were opened.
+    pub fn needs_restart(&self, other: &Config) -> Option<RestartReason> {
+        let same_process = self.name == other.name
+            && self.listen_address == other.listen_address
+            && self.state_folder == other.state_folder;
+        if !same_process {
+            return Some(RestartReason::Process);
         }
-        let same = self.names == other.names && self.keyed == other.keyed;
-        let same = same && self.non_idempotent == other.non_idempotent;
-        if !same {
-            return Some(
-                "names of classes, tenants, zones and kinds, and what repeats do, change only at a start",
-            );
+        let same_names = self.names == other.names
+            && self.requires_key == other.requires_key
+            && self.non_idempotent == other.non_idempotent;
+        if !same_names {
+            return Some(RestartReason::Names);
         }
-        let register = |c: &Config| c.registry.as_ref().and_then(|r| r.registration.clone());
-        (register(self) != register(other)).then_some("`register` of the registry changes only at a start")
+        let registration = |config: &Config| config.registry.as_ref().and_then(|r| r.registration.clone());
+        (registration(self) != registration(other)).then_some(RestartReason::Registration)
     }
 
-    /// What the journal may take of the folder: a registry's last view is kept there too, and what operators set.
-    pub fn journal_disk(&self) -> u64 {
-        let view = if self.registry.is_some() { Snapshot::room(self.disk) } else { 0 };
-        let operators = if self.operator.is_some() { OPERATORS_ROOM } else { 0 };
-        self.disk.saturating_sub(view + operators)
+    /// The size that the journal may have, in bytes: a registry's last view is persisted in the folder too, and the operators'
+    /// cordons.
+    pub fn journal_limit_bytes(&self) -> u64 {
+        let view = if self.registry.is_some() { Snapshot::room(self.max_disk_bytes) } else { 0 };
+        let operators = if self.operator_address.is_some() { OPERATOR_FILES_RESERVE_BYTES } else { 0 };
+        self.max_disk_bytes.saturating_sub(view + operators)
     }
 
-    /// Connections of user agents held at once.
-    pub fn user_agents(&self) -> usize {
-        self.sockets / 2
+    /// Connections of clients that may be open at once.
+    pub fn max_client_connections(&self) -> usize {
+        self.max_descriptors / 2
     }
 
-    /// Idle connections to endpoints kept at once, beside those that carry calls.
-    pub fn idle_peers(&self) -> usize {
-        let operators = if self.operator.is_some() { OPERATORS } else { 0 };
-        (self.sockets / 2).saturating_sub(self.max_concurrent_calls + 32 + operators)
+    /// Idle connections to endpoints that may be open at once, beside those that carry calls.
+    pub fn max_idle_connections(&self) -> usize {
+        let operators = if self.operator_address.is_some() { MAX_OPERATOR_CONNECTIONS } else { 0 };
+        (self.max_descriptors / 2).saturating_sub(self.max_concurrent_calls + 32 + operators)
     }
 }
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -276,7 +276,7 @@
         self.context.keep_request_id(&transaction.request.request_id);
         let first_attempt = transaction.first_attempt;
         let tracked = TrackedMessage {
-            repeats: self.context.config().repeats[transaction.request.class.0],
+            repeats: self.context.config().repeat_policies[transaction.request.class.0],
             attempts: transaction.attempts(),
             first_attempt: first_attempt
                 .map(|(started_at, zone)| TrackedAttempt { started_at, zone: Some(zone) }),
--- a/src/net/endpoint/mod.rs
+++ b/src/net/endpoint/mod.rs
@@ -49,7 +49,7 @@
 impl Pool {
     fn keep(&mut self, wire: HttpConnection) {
         let kept = &self.context.idle_endpoint_connections;
-        if kept.get() >= self.context.config().idle_peers() {
+        if kept.get() >= self.context.config().max_idle_connections() {
             return self.closed("no-room");
         }
         kept.set(kept.get() + 1);
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -248,20 +248,20 @@
     log: &Logger,
     executor: &LocalExecutor<'static>,
 ) -> io::Result<FolderClaim> {
-    std::fs::create_dir_all(&config.state)?;
+    std::fs::create_dir_all(&config.state_folder)?;
     let next = loop {
-        match Lock::next(&config.state)? {
+        match Lock::next(&config.state_folder)? {
             Some(lock) => break lock,
             None => drop(Timer::after(LOOK).await),
         }
     };
     let mut hopeless = false;
     loop {
-        let owner = Lock::owner(&config.state)?;
+        let owner = Lock::owner(&config.state_folder)?;
         if owner.is_some() {
             return Ok(FolderClaim { _next: next, owner, link: None, passed: None });
         }
-        if let Some(named) = lock::read_owner(&config.state).filter(|_| !hopeless) {
+        if let Some(named) = lock::read_owner(&config.state_folder).filter(|_| !hopeless) {
             match within(GIVES, ask(&named, executor)).await.unwrap_or(Err(HttpError::Stalled)) {
                 Ok((passed, link)) => {
                     return Ok(FolderClaim { _next: next, owner, link: Some(link), passed: Some(passed) });
@@ -321,7 +321,7 @@
         }
         let until = Instant::now() + GIVES;
         while self.owner.is_none() && Instant::now() < until {
-            self.owner = Lock::owner(&config.state)?;
+            self.owner = Lock::owner(&config.state_folder)?;
             Timer::after(Duration::from_millis(2)).await;
         }
         Ok(self.owner.is_some())
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -179,7 +179,7 @@
             report["registry"] = self.registry.report(view, self.clock.now());
             report["drains"] = self.endpoint_table.drains();
         }
-        if self.config().operator.is_some() {
+        if self.config().operator_address.is_some() {
             report["cordoned"] = self.cordoned.borrow().clone().into();
             report["handed_over"] = self.handed_over.is_set().into();
             report["sends_away"] = self.quiesced.is_set().into();
@@ -320,7 +320,7 @@
     let mut decider =
         DeliveryActor::new(context.clone(), policy, notices, members_box.clone(), restored.highest_id);
     let mut members = EndpointListActor::new(context.clone(), members_box.clone());
-    if config.operator.is_some() {
+    if config.operator_address.is_some() {
         members.take_cordons().await;
     }
     match (state, older) {
@@ -329,7 +329,7 @@
             members.inherit(list).await;
         }
         _ => {
-            if let Some(known) = &config.known {
+            if let Some(known) = &config.initial_endpoint_list {
                 members.take_known(known).await;
             }
             decider.restore(restored.messages).await;
@@ -342,7 +342,7 @@
         let token = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..));
         let settled =
             claim.start_serving(&context, handover::lock::Owner { operator: at, token }, &members_box);
-        settled.map_err(|e| format!("state folder `{}`: {e}", config.state.display()))?;
+        settled.map_err(|e| format!("state folder `{}`: {e}", config.state_folder.display()))?;
         info!(context.log, "operators may call"; "operator" => %at);
         context.executor.spawn(operator::serve(context.clone(), members_box.clone(), listener)).detach();
     }
@@ -412,13 +412,13 @@
     log: &Logger,
     executor: &LocalExecutor<'static>,
 ) -> Result<Option<Opened>, StartError> {
-    let folder = |e: std::io::Error| StartError::Folder(config.state.clone(), e);
-    let mut claim = match config.operator {
+    let folder = |e: std::io::Error| StartError::Folder(config.state_folder.clone(), e);
+    let mut claim = match config.operator_address {
         Some(_) => Some(handover::claim(config, log, executor).await.map_err(folder)?),
         None => None,
     };
-    let storage = FolderStorage::open(&config.state).map_err(folder)?;
-    let (limit, salt) = (config.journal_disk(), fastrand::u32(..));
+    let storage = FolderStorage::open(&config.state_folder).map_err(folder)?;
+    let (limit, salt) = (config.journal_limit_bytes(), fastrand::u32(..));
     let opened = Journal::open(Box::new(storage), limit, move || clock.moment(), salt, unreadable);
     let (journal, restored) = opened.map_err(folder)?;
     let sockets = Sockets::open(config)?;
@@ -471,8 +471,8 @@
             let opened = client::listen(at, shared).and_then(|l| Ok((l.get_ref().local_addr()?, l)));
             opened.map_err(|e| StartError::Listen(whom, at, e))
         };
-        let (at, listener) = open(config.listen, config.operator.is_some(), "")?;
-        let operators = config.operator.map(|at| open(at, false, "for operators ")).transpose()?;
+        let (at, listener) = open(config.listen_address, config.operator_address.is_some(), "")?;
+        let operators = config.operator_address.map(|at| open(at, false, "for operators ")).transpose()?;
         Ok(Sockets { at, listener, operators })
     }
 }
@@ -527,7 +527,7 @@
 async fn reread(context: &Context, load: &Arc<Load>, members: &Sender<EndpointListMessage>) {
     match reload(context, load).await {
         Ok(settings) => {
-            let discovery = context.config().discovery;
+            let discovery = context.config().agent_address;
             info!(context.log, "configuration reloaded"; "discovery" => %discovery);
             let _ = context.delivery.send(DeliveryMessage::Settings(Box::new(settings))).await;
             let _ = members.send(EndpointListMessage::ConfigReloaded).await;
@@ -546,9 +546,9 @@
     let loaded = run_blocking(move || load(Reading::Reload)).await;
     let (config, settings) = loaded.ok_or("the check did not come to an end")??;
     if let Some(why) = config.needs_restart(&context.config()) {
-        return Err(why.into());
+        return Err(why.to_string());
     }
-    context.journal.set_limit(config.journal_disk());
+    context.journal.set_limit(config.journal_limit_bytes());
     context.endpoint_table.set_grace(config.drain_grace);
     context.routes.apply(settings.routes.clone());
     *context.config.borrow_mut() = Rc::new(config);
@@ -560,7 +560,7 @@
 /// Tells why the forwarder goes by chance where others take places, if it does.
 fn tell_number(context: &Context) {
     if let Err(reason) = &context.config().forwarder_index {
-        warn!(context.log, "no place among the forwarders, going by chance"; "reason" => reason);
+        warn!(context.log, "no place among the forwarders, going by chance"; "reason" => %reason);
     }
 }
 
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -58,7 +58,7 @@
     let lobby = Rc::new(ConnectionRegistry::default());
     let here = Rc::new(());
     loop {
-        while Rc::strong_count(&here) > config::OPERATORS + lobby.evictions_pending() {
+        while Rc::strong_count(&here) > config::MAX_OPERATOR_CONNECTIONS + lobby.evictions_pending() {
             // All of them are being answered, which takes no time.
             if !lobby.evict_one() {
                 Timer::after(Duration::from_millis(5)).await;
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -94,7 +94,7 @@
     body: &str,
 ) -> Result<u16, HttpError> {
     // Read anew each time: what is owed goes to where the platform listens now.
-    let address = context.config().discovery;
+    let address = context.config().agent_address;
     if connection.take_if(|c| c.0 != address).is_some() {
         info!(context.log, "connection ended"; "side" => "notices", "reason" => "moved");
     }
--- a/src/net/platform/endpoint_list.rs
+++ b/src/net/platform/endpoint_list.rs
@@ -12,7 +12,7 @@
 use crate::net::platform::eureka::snapshot::Snapshot;
 use crate::net::runtime::clock::wall;
 use crate::net::{within, within_or_error, Context};
-use crate::settings_json::{in_field, index, text, whole, Names};
+use crate::settings_json::{index_of, required, string, unsigned, Names};
 use crate::{
     DestinationId, EndpointEntry, EndpointId, EndpointListUpdate, KindId, Lifecycle, Micros, ZoneId,
 };
@@ -258,7 +258,7 @@
 
     /// Reads a version of the list.
     fn read(&mut self, v: &Value) -> Result<(bool, Vec<Listing>), String> {
-        let generation = in_field(v, "generation", whole)?;
+        let generation = required(v, "generation", unsigned)?;
         let complete = v.get("reset").and_then(Value::as_bool).unwrap_or(false);
         let instances = v.get("instances").and_then(Value::as_array).ok_or("no `instances`")?;
         let mut listings = Vec::new();
@@ -274,18 +274,18 @@
     }
 
     fn listing(&self, v: &Value) -> Result<Listing, String> {
-        let id = in_field(v, "instanceId", text)?;
+        let id = required(v, "instanceId", string)?;
         let address: SocketAddr =
-            in_field(v, "hostPort", text)?.parse().map_err(|_| format!("`{id}` has no address"))?;
-        let state = match in_field(v, "lifecycle", text)?.as_str() {
+            required(v, "hostPort", string)?.parse().map_err(|_| format!("`{id}` has no address"))?;
+        let state = match required(v, "lifecycle", string)?.as_str() {
             "active" => State::Up,
             "leaving" => State::Draining,
             "left" => State::Removed,
             other => return Err(format!("`{id}` has the unknown lifecycle `{other}`")),
         };
-        let kind = index(&self.names.kinds, &in_field(v, "machineType", text)?, "kind")?;
-        let zone = index(&self.names.zones, &in_field(v, "zone", text)?, "zone")?;
-        let destination = DestinationId(in_field(v, "cell", whole)?);
+        let kind = index_of(&self.names.kinds, &required(v, "machineType", string)?, "kind")?;
+        let zone = index_of(&self.names.zones, &required(v, "zone", string)?, "zone")?;
+        let destination = DestinationId(required(v, "cell", unsigned)?);
         let weight = v.get("weight").and_then(Value::as_f64).unwrap_or(1.0);
         let (key, kind, zone) = (Key { group: String::new(), id }, KindId(kind), ZoneId(zone));
         Ok(Listing { key, address, destination, zone, kind, weight, state, stamp: 0 })
@@ -398,7 +398,7 @@
             return;
         };
         if was != out {
-            let kept = Cordons::new(&self.context.config().state).write(self.membership.cordoned());
+            let kept = Cordons::new(&self.context.config().state_folder).write(self.membership.cordoned());
             if let Err(e) = kept {
                 warn!(self.context.log, "cordon not kept"; "id" => id, "out" => out, "error" => %e);
                 // As it was: what would not hold over a kill is not said to hold.
@@ -423,7 +423,7 @@
 
     /// Takes in what operators left out while an earlier process ran.
     pub async fn take_cordons(&mut self) {
-        let file = Cordons::new(&self.context.config().state);
+        let file = Cordons::new(&self.context.config().state_folder);
         let mut kept = file.read();
         // One error of the folder must not put back what operators left out.
         for _ in 0..CORDON_READS {
@@ -476,7 +476,7 @@
             return;
         }
         if asked.keep_at.take_if(|t| *t <= now).is_some() {
-            let limit = self.context.config().disk;
+            let limit = self.context.config().max_disk_bytes;
             match asked.snapshot.write(wall(), self.membership.source_listings(REGISTRY), limit) {
                 Ok(Some(_)) => {}
                 Ok(None) => warn!(self.context.log, "the registry's view is too large to be kept"),
@@ -519,7 +519,7 @@
             crate::net::platform::eureka::run(self.context.clone(), settings.clone(), self.own.clone());
         let heard = self.membership.stats(REGISTRY).last_update_at.is_some();
         let serve_at = (!heard).then(|| self.context.clock.now() + settings.use_snapshot_after);
-        let snapshot = Snapshot::new(&self.context.config().state);
+        let snapshot = Snapshot::new(&self.context.config().state_folder);
         let task = self.context.executor.spawn(asking);
         self.registry =
             Some(Asked { settings, _task: task, snapshot, serve_at, stale: false, keep_at: None });
@@ -529,7 +529,7 @@
     /// Opens a watch where the platform's agent listens, unless one is there or on its way.
     async fn look(&mut self) {
         self.look_at_registry().await;
-        let wanted = self.context.config().discovery;
+        let wanted = self.context.config().agent_address;
         self.opening.retain(|w| w.address == wanted);
         if self.held.as_ref().is_some_and(|w| w.address == wanted) {
             self.opening.clear();
@@ -541,7 +541,7 @@
     /// Opens a watch after a pause; of many that are being opened the oldest is let go.
     fn open(&mut self, pause: Micros) {
         let pause = Duration::from_micros(pause);
-        let address = self.context.config().discovery;
+        let address = self.context.config().agent_address;
         // A version number is worth nothing at an address that did not give it: there, the whole list is asked for.
         let after = self.generation.filter(|_| self.source.is_none_or(|s| s == address));
         self.watches += 1;
@@ -583,7 +583,7 @@
         self.opening.retain_mut(|w| !of(w));
         // The agent is there and tells nothing: that is no reason to hold calls back.
         self.context.list_received.set();
-        let wanted = self.context.config().discovery;
+        let wanted = self.context.config().agent_address;
         if self.opening.is_empty() && self.held.as_ref().is_none_or(|w| w.address != wanted) {
             let pause = match over {
                 WatchEnd::TurnedAway(_, asked) => self.approach.after_rejection(asked, fastrand::f64()),
--- a/src/net/platform/eureka/held.rs
+++ b/src/net/platform/eureka/held.rs
@@ -3,7 +3,7 @@
 
 use super::model::{hash_code, Act, Applications, Instance, Status};
 use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
-use crate::settings_json::{index, Names};
+use crate::settings_json::{index_of, Names};
 use crate::{DestinationId, KindId, ZoneId};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -49,8 +49,8 @@
         .trim()
         .parse()
         .map_err(|_| format!("`{}` is no number: `{destination}`", by.destination))?;
-    let kind = index(&names.kinds, told(&by.kind)?.trim(), "kind")?;
-    let zone = index(&names.zones, told(&by.zone)?.trim(), "zone")?;
+    let kind = index_of(&names.kinds, told(&by.kind)?.trim(), "kind")?;
+    let zone = index_of(&names.zones, told(&by.zone)?.trim(), "zone")?;
     let weight = told(&by.weight)?;
     let sound = weight.trim().parse().ok().filter(|w: &f64| w.is_finite() && *w > 0.0);
     let weight = sound.ok_or_else(|| format!("`{}` is no rate: `{weight}`", by.weight))?;
--- a/src/policy/ending.rs
+++ b/src/policy/ending.rs
@@ -20,7 +20,7 @@
 
     /// The time at which a message is over; not put off any more once its last attempt has run up to it.
     pub(super) fn end_of(&self, m: &Message) -> Micros {
-        let end = self.timing(m).end(m.born, m.deadline);
+        let end = self.timing(m).ends_at(m.born, m.deadline);
         m.last_until.map_or(end, |t| end.min(t))
     }
 
@@ -81,7 +81,7 @@
         for (id, m) in self.messages.iter().filter(|(_, m)| !m.over && m.out.is_none()) {
             let end = self.last_send(m);
             let blocked = self.destinations.get(&m.destination).map_or(0, |d| self.blocked_until(d));
-            let spent = m.attempts - m.unsent >= self.timing(m).most(self.s.max_attempts);
+            let spent = m.attempts - m.unsent >= self.timing(m).max_attempts(self.s.max_attempts);
             let reason = match () {
                 () if now >= end => Some(AbandonReason::DeadlineExceeded),
                 () if spent => Some(AbandonReason::AttemptsExhausted),
--- a/src/policy/results.rs
+++ b/src/policy/results.rs
@@ -84,7 +84,7 @@
             if !matches!(outcome, Outcome::NotSent | Outcome::NotJournaled) {
                 let cut = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
                 m.rest_until = timing.next_attempt(m.attempts, sent, now, cut);
-                m.avoid = endpoint.filter(|_| cut && timing.second_copy.is_some());
+                m.avoid = endpoint.filter(|_| cut && timing.hedge_after.is_some());
             }
             destination(&mut self.destinations, now, m.destination).waiting.push(id);
         }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -121,7 +121,7 @@
         let in_scope = !scoped || m.may_have_run.is_none_or(|(_, z)| z.is_none_or(|z| z == ep.entry.zone));
         let front = |l: &KeyLine| l.queue.front() == Some(&id) && (now >= l.rest_until || m.attempts > 0);
         let due = m.key.and_then(|k| self.lines.get(&k)).is_none_or(front);
-        let most = self.timing(m).most(self.s.max_attempts);
+        let most = self.timing(m).max_attempts(self.s.max_attempts);
         let open = !m.over && m.out.is_none() && m.attempts - m.unsent < most && now < self.last_send(m);
         // A copy goes elsewhere, if there is an elsewhere.
         let well =
@@ -167,7 +167,7 @@
             let longest = longest_cut(self.s.classes[message.class.0].idempotency);
             let adaptive = ((mean * CUT.0) as Micros).clamp(CUT.1, CUT.2) * (longest / CUT.2);
             let up = end.saturating_sub(self.s.min_step_interval);
-            let cut_at = (now + timing.cut(adaptive)).min(up);
+            let cut_at = (now + timing.attempt_timeout(adaptive)).min(up);
             let last = cut_at == up;
             message.last_until = last.then_some(end);
             message.out = Some((message.attempts, number));
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -13,23 +13,23 @@
 use crate::{DestinationId, Micros, Settings};
 
 pub use plan::{Plan, Route, RouteId};
-pub use timeline::{worst_case, Step};
+pub use timeline::{worst_case, WorstCaseAttempt};
 
 /// No message has more attempts than this, whatever the settings allow: a rule of the platform.
-pub const MOST_ATTEMPTS: u32 = 12;
+pub const MAX_ATTEMPTS_PER_MESSAGE: u32 = 12;
 
 /// The pauses before further attempts, as written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pause {
+pub struct WrittenPause {
     /// Before the second attempt; doubled before each further one ...
     pub first: Located<Micros>,
     /// ... up to this.
-    pub longest: Located<Micros>,
+    pub max: Located<Micros>,
 }
 
 /// Which messages an entry is for: all that is given must hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Match {
+pub struct WrittenMatch {
     /// Where it begins.
     pub at: Position,
     /// Any of these destinations.
@@ -42,25 +42,25 @@
 
 /// An entry as it is written, not yet checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct WrittenRoute {
     /// Where it begins.
     pub at: Position,
     /// What operators call it.
     pub name: Located<String>,
     /// Which messages it is for.
-    pub matches: Match,
+    pub matches: WrittenMatch,
     /// How long one attempt may be out.
     pub timeout: Option<Located<Micros>>,
     /// Attempts, the first one included.
     pub attempts: Option<Located<u64>>,
     /// Before a further attempt.
-    pub pause: Option<Pause>,
+    pub pause: Option<WrittenPause>,
     /// From the begin of an attempt that was cut to the begin of its copy at another endpoint.
-    pub second_copy: Option<Located<Micros>>,
+    pub hedge_after: Option<Located<Micros>>,
     /// From the time that a message was handed in to its end.
-    pub give_up: Option<Located<Micros>>,
+    pub abandon_after: Option<Located<Micros>>,
     /// All of it could be read: its figures can be held against each other.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// What the platform's settings say; entries are held against it.
@@ -82,25 +82,25 @@
     /// The pause before the second attempt, and the longest one.
     pub pause: Option<(Micros, Micros)>,
     /// From the begin of an attempt that was cut to the begin of its copy at another endpoint.
-    pub second_copy: Option<Micros>,
+    pub hedge_after: Option<Micros>,
     /// From the time that a message was handed in to its end.
-    pub give_up: Option<Micros>,
+    pub abandon_after: Option<Micros>,
 }
 
 impl Timing {
     /// How long an attempt may be out, given what the module would allow it.
-    pub fn cut(&self, adaptive: Micros) -> Micros {
+    pub fn attempt_timeout(&self, adaptive: Micros) -> Micros {
         self.timeout.unwrap_or(adaptive)
     }
 
     /// The most attempts, given what the settings allow.
-    pub fn most(&self, allowed: u32) -> u32 {
+    pub fn max_attempts(&self, allowed: u32) -> u32 {
         self.attempts.map_or(allowed, |a| a.min(allowed))
     }
 
     /// When a message ends that was handed in and has its deadline at these times.
-    pub fn end(&self, handed_in: Micros, deadline: Micros) -> Micros {
-        self.give_up.map_or(deadline, |g| deadline.min(handed_in.saturating_add(g)))
+    pub fn ends_at(&self, handed_in: Micros, deadline: Micros) -> Micros {
+        self.abandon_after.map_or(deadline, |g| deadline.min(handed_in.saturating_add(g)))
     }
 
     /// The pause after so many attempts.
@@ -114,7 +114,7 @@
     /// come back at another. A copy of an attempt that was cut goes a set time after that one was sent; it
     /// never goes while that one is out, as nothing asks before it has come back.
     pub fn next_attempt(&self, attempts: u32, sent: Micros, back: Micros, cut: bool) -> Micros {
-        match self.second_copy.filter(|_| cut) {
+        match self.hedge_after.filter(|_| cut) {
             Some(after) => sent.saturating_add(after),
             None => back.saturating_add(self.pause_after(attempts)),
         }
--- a/src/routes/plan.rs
+++ b/src/routes/plan.rs
@@ -1,6 +1,6 @@
 //! The plan: which entry wins for a message, found in constant time and without allocation.
 
-use super::{Entry, Platform, Timing};
+use super::{Platform, Timing, WrittenRoute};
 use crate::config_error::ConfigError;
 use crate::{ClassId, DestinationId, KindId};
 use rustc_hash::FxHashMap;
@@ -17,39 +17,41 @@
     /// The line where it stands.
     pub line: u32,
     /// What it matches: how many destinations (none: any), which kind, which class.
-    pub shape: Shape,
+    pub shape: MatchShape,
     /// What it sets.
     pub timing: Timing,
 }
 
 /// What an entry's `match` gives, resolved.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Shape {
+pub struct MatchShape {
     /// It names destinations.
-    pub destination: bool,
+    pub names_destinations: bool,
     /// Its kind.
     pub kind: Option<KindId>,
     /// Its class.
     pub class: Option<ClassId>,
 }
 
-impl Shape {
+impl MatchShape {
     /// More wins: destination over kind over class over none, a pair over either of its parts.
-    pub fn rank(self) -> u8 {
-        4 * u8::from(self.destination) + 2 * u8::from(self.kind.is_some()) + u8::from(self.class.is_some())
+    pub fn specificity(self) -> u8 {
+        4 * u8::from(self.names_destinations)
+            + 2 * u8::from(self.kind.is_some())
+            + u8::from(self.class.is_some())
     }
 
     /// Everything that it gives but the destination holds for such a message.
-    pub fn holds(self, kind: Option<KindId>, class: ClassId) -> bool {
+    pub fn matches(self, kind: Option<KindId>, class: ClassId) -> bool {
         self.kind.is_none_or(|k| Some(k) == kind) && self.class.is_none_or(|c| c == class)
     }
 
     /// In words, for people.
-    pub fn words(self, names: &crate::settings_json::Names) -> String {
+    pub fn describe(self, names: &crate::settings_json::Names) -> String {
         let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
         let kind = self.kind.map(|k| format!("kind {}", name(&names.kinds, k.0)));
         let class = self.class.map(|c| format!("class {}", name(&names.classes, c.0)));
-        let destination = self.destination.then(|| "its destination".to_owned());
+        let destination = self.names_destinations.then(|| "its destination".to_owned());
         let all: Vec<String> = [destination, kind, class].into_iter().flatten().collect();
         if all.is_empty() {
             "everything".into()
@@ -79,12 +81,12 @@
 
 impl Plan {
     /// Checks entries and makes a plan of those that stand; it may be used only if no breach was noted.
-    pub fn check(entries: &[Entry], platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Plan {
+    pub fn check(entries: &[WrittenRoute], platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Plan {
         super::check::check(entries, platform, breaches)
     }
 
     /// Lays out the cells for accepted entries, with the destinations that each names.
-    pub(super) fn lay_out(
+    pub(super) fn build(
         routes: Vec<Route>,
         destinations: &[Vec<DestinationId>],
         kinds: usize,
@@ -93,7 +95,7 @@
         let mut by_destination: FxHashMap<u64, Vec<u32>> = FxHashMap::default();
         let mut general = Vec::new();
         for (at, route) in routes.iter().enumerate() {
-            if route.shape.destination {
+            if route.shape.names_destinations {
                 for d in &destinations[at] {
                     by_destination.entry(d.0).or_default().push(at as u32);
                 }
@@ -129,8 +131,8 @@
             let (kind, class) = (at / self.classes, ClassId(at % self.classes));
             let kind = (kind < self.kinds).then_some(KindId(kind));
             let inherited = base.map_or(NONE, |b| self.cells[b as usize * width + at]);
-            let own = entries.iter().copied().filter(|e| self.routes[*e as usize].shape.holds(kind, class));
-            let best = own.max_by_key(|e| self.routes[*e as usize].shape.rank());
+            let own = entries.iter().copied().filter(|e| self.routes[*e as usize].shape.matches(kind, class));
+            let best = own.max_by_key(|e| self.routes[*e as usize].shape.specificity());
             self.cells.push(best.unwrap_or(inherited));
         }
         row
@@ -160,8 +162,8 @@
     pub fn matching(&self, to: DestinationId, kind: Option<KindId>, class: ClassId) -> Vec<&Route> {
         let own = self.rows.get(&to.0).map(|r| &self.members[*r as usize]);
         let all = own.into_iter().chain(self.members.first()).flatten().map(|e| &self.routes[*e as usize]);
-        let mut all: Vec<&Route> = all.filter(|r| r.shape.holds(kind, class)).collect();
-        all.sort_by_key(|r| std::cmp::Reverse(r.shape.rank()));
+        let mut all: Vec<&Route> = all.filter(|r| r.shape.matches(kind, class)).collect();
+        all.sort_by_key(|r| std::cmp::Reverse(r.shape.specificity()));
         all
     }
 
--- a/src/routes/timeline.rs
+++ b/src/routes/timeline.rs
@@ -5,24 +5,28 @@
 
 /// An attempt of the worst case; times count from the hand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct WorstCaseAttempt {
     /// Which attempt, from 1.
-    pub attempt: u32,
+    pub number: u32,
     /// It begins at the latest then, if nothing but the attempts before it holds it up.
-    pub begins: Micros,
+    pub starts_at: Micros,
     /// It is cut at the latest then.
-    pub ends: Micros,
+    pub abandoned_at: Micros,
 }
 
 /// The worst case of so many attempts, each out for so long at most. An attempt that is cut may be followed by a
 /// copy, one that comes back just before its cut by a pause: the later of the two counts.
-pub fn worst_case(timing: &Timing, timeout: Micros, attempts: u32) -> Vec<Step> {
+pub fn worst_case(timing: &Timing, timeout: Micros, attempts: u32) -> Vec<WorstCaseAttempt> {
     let mut begins: Micros = 0;
     (1..=attempts)
         .map(|attempt| {
-            let step = Step { attempt, begins, ends: begins.saturating_add(timeout) };
-            let paused = step.ends.saturating_add(timing.pause_after(attempt));
-            let copied = timing.second_copy.map_or(0, |after| begins.saturating_add(after));
+            let step = WorstCaseAttempt {
+                number: attempt,
+                starts_at: begins,
+                abandoned_at: begins.saturating_add(timeout),
+            };
+            let paused = step.abandoned_at.saturating_add(timing.pause_after(attempt));
+            let copied = timing.hedge_after.map_or(0, |after| begins.saturating_add(after));
             begins = paused.max(copied);
             step
         })
--- /dev/null
+++ b/src/settings_json/mod.rs
@@ -0,0 +1,235 @@
+//! The settings of an instance, from the platform's JSON to the interface's types. The simulator's wire and the forwarder's
+//! configuration hold the same object.
+//!
+//! Errors are found in a fixed order and with fixed texts, as operators and scripts read them; hence a decoder by hand.
+
+mod decode;
+
+pub use decode::{
+    boolean, bytes_from_mb, index_of, micros_from_ms, number, optional_field, required, required_field,
+    string, unsigned, DecodeError,
+};
+
+use crate::{
+    Class, Decay, DedupScope, DestinationId, EndpointEntry, EndpointId, Idempotency, Kind, KindId, Lifecycle,
+    Settings, Tenant, WeightSource, ZoneId,
+};
+use decode::{optional, optional_list, or_default, required_items, required_list};
+use serde_json::Value;
+
+/// Names that the settings list, by which the platform refers to classes, tenants, zones and kinds.
+#[derive(Debug, Default, PartialEq)]
+pub struct Names {
+    /// By [`crate::ClassId`].
+    pub classes: Vec<String>,
+    /// By [`crate::TenantId`].
+    pub tenants: Vec<String>,
+    /// By [`ZoneId`].
+    pub zones: Vec<String>,
+    /// By [`KindId`].
+    pub kinds: Vec<String>,
+}
+
+/// The sections of the settings.
+struct Sections<'a> {
+    root: &'a Value,
+    specifics: &'a Value,
+    permissions: &'a Value,
+    rules: &'a Value,
+    fees: &'a Value,
+}
+
+impl<'a> Sections<'a> {
+    fn of(root: &'a Value) -> Result<Self, DecodeError> {
+        Ok(Sections {
+            root,
+            specifics: required_field(root, "specifics")?,
+            permissions: required_field(root, "permissions")?,
+            rules: required_field(root, "rules")?,
+            fees: required_field(root, "fees")?,
+        })
+    }
+}
+
+/// Decodes the settings of an instance, and the names that they list.
+///
+/// # Errors
+///
+/// The first setting that is missing or cannot be decoded.
+pub fn decode_settings(json: &Value) -> Result<(Settings, Names), DecodeError> {
+    let sections = Sections::of(json)?;
+    let zones = required_list(json, "azs", string)?;
+    let kinds = required_list(json, "kinds", string)?;
+    let categories = required_items(json, "categories")?;
+    let realms = required_items(json, "realms")?;
+    let kind_settings = decode_kinds(sections.specifics, kinds.len())?;
+    let mut zone_costs = optional_list(sections.specifics, "toll", number)?;
+    zone_costs.resize(zones.len(), 0.0);
+    let zone = required(json, "zone", string)?;
+    let Sections { root, specifics, permissions, rules, fees } = sections;
+    let settings = Settings {
+        forwarders: required(root, "balancers", unsigned)? as usize,
+        forwarder_index: forwarder_index(root).ok(),
+        wall_clock_offset: 0,
+        zone: ZoneId(index_of(&zones, &zone, "zone")?),
+        zone_costs,
+        cross_zone_cost: or_default(fees, "cross-zone", number)?,
+        connection_cost: or_default(fees, "handshake", number)?,
+        classes: categories.iter().map(class).collect::<Result<_, _>>()?,
+        tenants: realms.iter().map(tenant).collect::<Result<_, _>>()?,
+        over_quota_weight: or_default(root, "over-share-worth", number)?,
+        kinds: kind_settings,
+        decay: required(specifics, "late", decay)?,
+        weights: required(root, "weight-source", weight_source)?,
+        max_concurrent_calls: required(specifics, "call-slots", unsigned)? as usize,
+        max_open_messages: required(permissions, "max-open", unsigned)? as usize,
+        max_attempts: u32::try_from(required(permissions, "max-attempts", unsigned)?).unwrap_or(u32::MAX),
+        may_cancel: or_default(permissions, "cancel", boolean)?,
+        clients_mark_retries: clients_mark_retries(root)?,
+        may_health_check: or_default(permissions, "probing", boolean)?,
+        may_send_retry_after: or_default(permissions, "retry-after", boolean)?,
+        may_hedge: or_default(permissions, "second-copies", boolean)?,
+        max_retry_after: or_default(permissions, "max-retry-after", micros_from_ms)?,
+        poll_endpoint_list: required(root, "discovery", polls_endpoint_list)?,
+        max_poll_interval: or_default(rules, "must-ask-in", micros_from_ms)?,
+        min_step_interval: required(root, "granularity", micros_from_ms)?,
+        overload_multiple: required(rules, "fall-multiple", number)?,
+        overload_window: required(rules, "fall", micros_from_ms)?,
+        slow_start: required(rules, "cold", micros_from_ms)?,
+        slow_start_floor: required(rules, "cold-from", number)?,
+        order_key_pause: or_default(rules, "key-rest", micros_from_ms)?,
+        routes: None,
+    };
+    let classes = names_of(categories)?;
+    let tenants = names_of(realms)?;
+    Ok((settings, Names { classes, tenants, zones, kinds }))
+}
+
+/// The number of this forwarder among all.
+///
+/// # Errors
+///
+/// If it has none that can be used; it then takes its turns by chance.
+pub fn forwarder_index(settings: &Value) -> Result<u64, DecodeError> {
+    let index = required(settings, "me", unsigned)?;
+    let forwarders = required(settings, "balancers", unsigned)?;
+    if index < forwarders {
+        return Ok(index);
+    }
+    let error = Box::new(DecodeError::ForwarderIndex { index, forwarders });
+    Err(DecodeError::InField { key: "me".to_owned(), error })
+}
+
+fn names_of(objects: &[Value]) -> Result<Vec<String>, DecodeError> {
+    objects.iter().map(|object| required(object, "name", string)).collect()
+}
+
+/// The settings of each kind. Lists that are shorter than the kinds leave the others with the limits of their destination and
+/// one message a call.
+fn decode_kinds(specifics: &Value, kinds: usize) -> Result<Vec<Kind>, DecodeError> {
+    let per_endpoint_breaker = optional_list(specifics, "own-limits", boolean)?;
+    let messages_per_call = optional_list(specifics, "per-call", unsigned)?;
+    let kind = |index: usize| Kind {
+        per_endpoint_breaker: per_endpoint_breaker.get(index).copied().unwrap_or(false),
+        messages_per_call: messages_per_call.get(index).map_or(1, |count| *count as usize),
+    };
+    Ok((0..kinds).map(kind).collect())
+}
+
+fn class(json: &Value) -> Result<Class, DecodeError> {
+    let idempotency = required(json, "semantics", idempotency)?;
+    let dedup_scope = optional(json, "dedup-scope", dedup_scope)?.unwrap_or(DedupScope::All);
+    let deduplication_window = match idempotency {
+        Idempotency::WithKey => required(json, "memory-span", micros_from_ms)?,
+        Idempotency::Idempotent | Idempotency::NonIdempotent => 0,
+    };
+    Ok(Class {
+        idempotency,
+        dedup_scope,
+        deduplication_window,
+        latency_objective: required(json, "promise", micros_from_ms)?,
+        deadline: required(json, "deadline", micros_from_ms)?,
+        priority_weight: required(json, "gain", number)?,
+        weight_at_deadline: or_default(json, "late-worth", number)?,
+        ordered: or_default(json, "serial-by-key", boolean)?,
+    })
+}
+
+fn tenant(json: &Value) -> Result<Tenant, DecodeError> {
+    Ok(Tenant { quota_per_s: required(json, "quota-per-s", number)? })
+}
+
+fn clients_mark_retries(settings: &Value) -> Result<bool, DecodeError> {
+    settings.get("callers").map_or(Ok(false), |callers| or_default(callers, "marks-retry", boolean))
+}
+
+fn idempotency(json: &Value) -> Result<Idempotency, DecodeError> {
+    match string(json)?.as_str() {
+        "pure" => Ok(Idempotency::Idempotent),
+        "token" => Ok(Idempotency::WithKey),
+        "side_effect" => Ok(Idempotency::NonIdempotent),
+        other => Err(DecodeError::UnknownWord(other.to_owned())),
+    }
+}
+
+fn dedup_scope(json: &Value) -> Result<DedupScope, DecodeError> {
+    match string(json)?.as_str() {
+        // A cell is a destination, so all of its endpoints drop repeats.
+        "" | "all" | "cell" => Ok(DedupScope::All),
+        "zone" => Ok(DedupScope::Zone),
+        other => Err(DecodeError::UnknownWord(other.to_owned())),
+    }
+}
+
+fn decay(json: &Value) -> Result<Decay, DecodeError> {
+    match string(json)?.as_str() {
+        "linear" => Ok(Decay::Linear),
+        "halving" => Ok(Decay::Halving),
+        other => Err(DecodeError::UnknownWord(other.to_owned())),
+    }
+}
+
+fn weight_source(json: &Value) -> Result<WeightSource, DecodeError> {
+    match string(json)?.as_str() {
+        "off" => Ok(WeightSource::Off),
+        "nominal" => Ok(WeightSource::Nominal),
+        "rough" => Ok(WeightSource::Rough),
+        other => Err(DecodeError::UnknownWord(other.to_owned())),
+    }
+}
+
+fn polls_endpoint_list(json: &Value) -> Result<bool, DecodeError> {
+    match string(json)?.as_str() {
+        "pushed" => Ok(false),
+        "on_request" => Ok(true),
+        other => Err(DecodeError::UnknownWord(other.to_owned())),
+    }
+}
+
+fn lifecycle(json: &Value) -> Result<Lifecycle, DecodeError> {
+    match string(json)?.as_str() {
+        "IN" => Ok(Lifecycle::Listed),
+        "LAME" => Ok(Lifecycle::Draining),
+        "OUT" => Ok(Lifecycle::Removed),
+        other => Err(DecodeError::UnknownName { what: "lifecycle", name: other.to_owned() }),
+    }
+}
+
+/// Decodes an entry of the endpoint list, an array, by the names of the instance it goes to.
+///
+/// # Errors
+///
+/// If a value is missing, of another type, or a name that is not listed.
+pub fn decode_endpoint_entry(json: &Value, names: &Names) -> Result<EndpointEntry, DecodeError> {
+    let values = json.as_array().ok_or(DecodeError::EntryNotAnArray)?;
+    let value = |index: usize| values.get(index).unwrap_or(&Value::Null);
+    let endpoint = u32::try_from(unsigned(value(0))?).map_err(|_| DecodeError::EndpointTooLarge)?;
+    Ok(EndpointEntry {
+        endpoint: EndpointId(endpoint),
+        destination: DestinationId(unsigned(value(3))?),
+        zone: ZoneId(index_of(&names.zones, &string(value(1))?, "zone")?),
+        kind: KindId(index_of(&names.kinds, &string(value(2))?, "kind")?),
+        lifecycle: lifecycle(value(4))?,
+        weight: number(value(5))?,
+    })
+}
--- a/src/site/fields.rs
+++ b/src/site/fields.rs
@@ -1,6 +1,6 @@
 //! Typed reading of the tree: each reader returns the value or notes a breach, so that one pass finds them all.
 
-use super::node::{shortened, Node, Shape};
+use super::node::{shortened, Node, NodeValue};
 use crate::config_error::{ConfigError, ErrorCode, Located, Position};
 use crate::Micros;
 
@@ -17,14 +17,14 @@
 impl<'a> Fields<'a> {
     /// Opens a map; notes keys that do not exist or are given twice.
     pub fn open(node: &'a Node, what: &str, known: &[&str], breaches: &mut Vec<ConfigError>) -> Option<Self> {
-        let Shape::Map(all) = &node.shape else {
-            wrong(node, what, "a map", breaches);
+        let NodeValue::Map(all) = &node.value else {
+            report_wrong_type(node, what, "a map", breaches);
             return None;
         };
         for (at, (key, _)) in all.iter().enumerate() {
             let name = shortened(&key.value);
             if !known.contains(&key.value.as_str()) {
-                let reason = format!("{what} has no key `{name}`; its keys are {}", list(known));
+                let reason = format!("{what} has no key `{name}`; its keys are {}", quoted_list(known));
                 breaches.push(ConfigError::new(key.at, ErrorCode::UnknownKey, reason));
             } else if let Some((first, _)) = all[..at].iter().find(|f| f.0.value == key.value) {
                 let reason = format!("`{name}` stands in line {} already", first.at.line);
@@ -40,7 +40,7 @@
     }
 
     /// The value of a key that must be there.
-    pub fn needed(&self, key: &str, breaches: &mut Vec<ConfigError>) -> Option<&'a Node> {
+    pub fn require(&self, key: &str, breaches: &mut Vec<ConfigError>) -> Option<&'a Node> {
         let found = self.get(key);
         if found.is_none() {
             let reason = format!("{} needs a key `{key}`", self.what);
@@ -50,58 +50,58 @@
     }
 }
 
-fn list(words: &[&str]) -> String {
+fn quoted_list(words: &[&str]) -> String {
     words.iter().map(|w| format!("`{w}`")).collect::<Vec<_>>().join(", ")
 }
 
 /// Notes that a value has another type than wanted.
-pub fn wrong(node: &Node, what: &str, wanted: &str, breaches: &mut Vec<ConfigError>) {
-    let reason = format!("{what} must be {wanted}, not {}", node.shape.name());
+pub fn report_wrong_type(node: &Node, what: &str, wanted: &str, breaches: &mut Vec<ConfigError>) {
+    let reason = format!("{what} must be {wanted}, not {}", node.value.name());
     breaches.push(ConfigError::new(node.at, ErrorCode::Type, reason));
 }
 
 /// A text that is not empty.
-pub fn text(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<Located<String>> {
-    match &node.shape {
-        Shape::Text(t) if !t.trim().is_empty() => Some(Located { value: t.clone(), at: node.at }),
+pub fn read_text(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<Located<String>> {
+    match &node.value {
+        NodeValue::Text(t) if !t.trim().is_empty() => Some(Located { value: t.clone(), at: node.at }),
         _ => {
-            wrong(node, what, "a text", breaches);
+            report_wrong_type(node, what, "a text", breaches);
             None
         }
     }
 }
 
 /// A whole number that is not negative.
-pub fn whole(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<u64> {
-    match node.shape {
-        Shape::Whole(n) => Some(n),
+pub fn read_whole_number(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<u64> {
+    match node.value {
+        NodeValue::Whole(n) => Some(n),
         _ => {
-            wrong(node, what, "a whole number", breaches);
+            report_wrong_type(node, what, "a whole number", breaches);
             None
         }
     }
 }
 
 /// The items of a list.
-pub fn items<'a>(node: &'a Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<&'a [Node]> {
-    match &node.shape {
-        Shape::List(all) => Some(all),
+pub fn read_list<'a>(node: &'a Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<&'a [Node]> {
+    match &node.value {
+        NodeValue::List(all) => Some(all),
         _ => {
-            wrong(node, what, "a list", breaches);
+            report_wrong_type(node, what, "a list", breaches);
             None
         }
     }
 }
 
 /// A time: a number with `ms`, `s` or `m`, above zero and a day at most.
-pub fn span(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
-    let read = match &node.shape {
-        Shape::Text(t) => time(t),
-        Shape::Whole(_) | Shape::Real(_) => {
+pub fn read_duration(node: &Node, what: &str, breaches: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
+    let read = match &node.value {
+        NodeValue::Text(t) => parse_duration(t),
+        NodeValue::Whole(_) | NodeValue::Real(_) => {
             Err((ErrorCode::Unit, "it has no unit; write it with `ms`, `s` or `m`".into()))
         }
         _ => {
-            wrong(node, what, "a time such as 200ms, 6s or 2m", breaches);
+            report_wrong_type(node, what, "a time such as 200ms, 6s or 2m", breaches);
             return None;
         }
     };
@@ -115,7 +115,7 @@
 }
 
 /// Reads a time such as `200ms`, `1.5s` or `2m`, in microseconds.
-pub fn time(text: &str) -> Result<Micros, (ErrorCode, String)> {
+pub fn parse_duration(text: &str) -> Result<Micros, (ErrorCode, String)> {
     let unit_at = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
     let (number, unit) = text.split_at(unit_at);
     let scale = match unit {
@@ -143,7 +143,7 @@
 }
 
 /// A time as a file would have it.
-pub fn written(t: Micros) -> String {
+pub fn format_duration(t: Micros) -> String {
     match t {
         t if t % 60_000_000 == 0 && t > 0 => format!("{}m", t / 60_000_000),
         t if t >= 1_000_000 => format!("{}s", t as f64 / 1e6),
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -13,7 +13,7 @@
 use crate::routes::{Plan, Platform};
 use fields::Fields;
 
-pub use fields::{time, written};
+pub use fields::{format_duration, parse_duration};
 
 /// The one version of the file that is known.
 const VERSION: u64 = 1;
@@ -52,8 +52,8 @@
     }
     let root = node::parse(text).map_err(|b| breaches.push(b)).ok()?;
     let top = Fields::open(&root, "the file", SECTIONS, breaches)?;
-    if let Some(version) = top.needed("version", breaches) {
-        match fields::whole(version, "`version`", breaches) {
+    if let Some(version) = top.require("version", breaches) {
+        match fields::read_whole_number(version, "`version`", breaches) {
             Some(VERSION) | None => {}
             Some(other) => {
                 let reason = format!("version {other} is not known; this program reads version {VERSION}");
--- a/src/site/node.rs
+++ b/src/site/node.rs
@@ -11,12 +11,12 @@
     /// Where it begins.
     pub at: Position,
     /// What it is.
-    pub shape: Shape,
+    pub value: NodeValue,
 }
 
 /// The types that YAML tells apart.
 #[derive(Clone, Debug)]
-pub enum Shape {
+pub enum NodeValue {
     /// Nothing.
     Null,
     /// True or false.
@@ -33,17 +33,17 @@
     Map(Vec<(Located<String>, Node)>),
 }
 
-impl Shape {
+impl NodeValue {
     /// What to call it in a reason.
     pub fn name(&self) -> String {
         match self {
-            Shape::Null => "nothing".into(),
-            Shape::Flag(b) => format!("`{b}`"),
-            Shape::Whole(n) => format!("the number {n}"),
-            Shape::Real(n) => format!("the number {n}"),
-            Shape::Text(t) => format!("the text `{}`", shortened(t)),
-            Shape::List(_) => "a list".into(),
-            Shape::Map(_) => "a map".into(),
+            NodeValue::Null => "nothing".into(),
+            NodeValue::Flag(b) => format!("`{b}`"),
+            NodeValue::Whole(n) => format!("the number {n}"),
+            NodeValue::Real(n) => format!("the number {n}"),
+            NodeValue::Text(t) => format!("the text `{}`", shortened(t)),
+            NodeValue::List(_) => "a list".into(),
+            NodeValue::Map(_) => "a map".into(),
         }
     }
 }
@@ -66,70 +66,70 @@
 struct ShapeVisitor;
 
 impl<'de> Visitor<'de> for ShapeVisitor {
-    type Value = Shape;
+    type Value = NodeValue;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a value")
     }
 
-    fn visit_bool<E>(self, v: bool) -> Result<Shape, E> {
-        Ok(Shape::Flag(v))
+    fn visit_bool<E>(self, v: bool) -> Result<NodeValue, E> {
+        Ok(NodeValue::Flag(v))
     }
 
-    fn visit_u64<E>(self, v: u64) -> Result<Shape, E> {
-        Ok(Shape::Whole(v))
+    fn visit_u64<E>(self, v: u64) -> Result<NodeValue, E> {
+        Ok(NodeValue::Whole(v))
     }
 
-    fn visit_i64<E>(self, v: i64) -> Result<Shape, E> {
-        Ok(u64::try_from(v).map_or(Shape::Real(v as f64), Shape::Whole))
+    fn visit_i64<E>(self, v: i64) -> Result<NodeValue, E> {
+        Ok(u64::try_from(v).map_or(NodeValue::Real(v as f64), NodeValue::Whole))
     }
 
-    fn visit_f64<E>(self, v: f64) -> Result<Shape, E> {
-        Ok(Shape::Real(v))
+    fn visit_f64<E>(self, v: f64) -> Result<NodeValue, E> {
+        Ok(NodeValue::Real(v))
     }
 
-    fn visit_str<E>(self, v: &str) -> Result<Shape, E> {
-        Ok(Shape::Text(v.to_owned()))
+    fn visit_str<E>(self, v: &str) -> Result<NodeValue, E> {
+        Ok(NodeValue::Text(v.to_owned()))
     }
 
-    fn visit_unit<E>(self) -> Result<Shape, E> {
-        Ok(Shape::Null)
+    fn visit_unit<E>(self) -> Result<NodeValue, E> {
+        Ok(NodeValue::Null)
     }
 
-    fn visit_none<E>(self) -> Result<Shape, E> {
-        Ok(Shape::Null)
+    fn visit_none<E>(self) -> Result<NodeValue, E> {
+        Ok(NodeValue::Null)
     }
 
-    fn visit_some<D: Deserializer<'de>>(self, d: D) -> Result<Shape, D::Error> {
+    fn visit_some<D: Deserializer<'de>>(self, d: D) -> Result<NodeValue, D::Error> {
         d.deserialize_any(self)
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Shape, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<NodeValue, A::Error> {
         let mut all = Vec::new();
-        while let Some(item) = seq.next_element::<Spanned<Shape>>()? {
+        while let Some(item) = seq.next_element::<Spanned<NodeValue>>()? {
             all.push(item.into());
         }
-        Ok(Shape::List(all))
+        Ok(NodeValue::List(all))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Shape, A::Error> {
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<NodeValue, A::Error> {
         let mut all = Vec::new();
-        while let Some((key, value)) = map.next_entry::<Spanned<String>, Spanned<Shape>>()? {
+        while let Some((key, value)) = map.next_entry::<Spanned<String>, Spanned<NodeValue>>()? {
             all.push((Located { at: position(key.referenced), value: key.value }, value.into()));
         }
-        Ok(Shape::Map(all))
+        Ok(NodeValue::Map(all))
     }
 }
 
-impl<'de> Deserialize<'de> for Shape {
+impl<'de> Deserialize<'de> for NodeValue {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         d.deserialize_any(ShapeVisitor)
     }
 }
 
-impl From<Spanned<Shape>> for Node {
-    fn from(s: Spanned<Shape>) -> Self {
-        Node { at: position(s.referenced), shape: s.value }
+impl From<Spanned<NodeValue>> for Node {
+    fn from(s: Spanned<NodeValue>) -> Self {
+        Node { at: position(s.referenced), value: s.value }
     }
 }
 
@@ -141,7 +141,7 @@
         strict_booleans: true,
         with_snippet: false,
     };
-    let read = serde_saphyr::from_str_with_options::<Spanned<Shape>>(text, options);
+    let read = serde_saphyr::from_str_with_options::<Spanned<NodeValue>>(text, options);
     read.map(Node::from).map_err(|e| {
         let at = e.location().map(position).unwrap_or(Position { line: 1, column: 1 });
         let plain = e.to_string();
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -1,7 +1,9 @@
 //! The section `registry`: read and checked.
 
-use super::fields::{items, span, text, whole, written, wrong, Fields};
-use super::node::{Node, Shape};
+use super::fields::{
+    format_duration, read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields,
+};
+use super::node::{Node, NodeValue};
 use crate::config_error::{ConfigError, ErrorCode, Located};
 use crate::membership::{
     HoldDown, MetadataNames, PollBackoff, PollScope, Registration, RegistryAddress, RegistrySettings,
@@ -31,7 +33,7 @@
 
 /// A time, or what holds where none is given.
 fn time(fields: &Fields<'_>, key: &str, otherwise: Micros, breaches: &mut Vec<ConfigError>) -> Micros {
-    let read = fields.get(key).and_then(|n| span(n, &format!("`{key}`"), breaches));
+    let read = fields.get(key).and_then(|n| read_duration(n, &format!("`{key}`"), breaches));
     read.map_or(otherwise, |t| t.value)
 }
 
@@ -46,19 +48,20 @@
     let Some(node) = section.get(key) else { return otherwise };
     let keys = [&["first", "longest"], more].concat();
     let Some(fields) = Fields::open(node, &format!("`{key}`"), &keys, breaches) else { return otherwise };
-    let first = fields.get("first").and_then(|n| span(n, "`first`", breaches));
-    let longest = fields.get("longest").and_then(|n| span(n, "`longest`", breaches));
+    let first = fields.get("first").and_then(|n| read_duration(n, "`first`", breaches));
+    let longest = fields.get("longest").and_then(|n| read_duration(n, "`longest`", breaches));
     let (a, b) = (first.map_or(otherwise.0, |t| t.value), longest.map_or(otherwise.1, |t| t.value));
     if b < a {
         let at = longest.or(first).map_or(node.at, |t| t.at);
-        let reason = format!("the longest, {}, is under the first, {}", written(b), written(a));
+        let reason =
+            format!("the longest, {}, is under the first, {}", format_duration(b), format_duration(a));
         breaches.push(ConfigError::new(at, ErrorCode::Pause, reason));
     }
     (a, b)
 }
 
 fn address(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Located<RegistryAddress>> {
-    let given = text(node, "an address", breaches)?;
+    let given = read_text(node, "an address", breaches)?;
     let read = || {
         let rest = given.value.strip_prefix("http://")?;
         let (place, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -84,8 +87,8 @@
 }
 
 fn addresses(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Vec<RegistryAddress> {
-    let Some(node) = section.needed("addresses", breaches) else { return Vec::new() };
-    let Some(all) = items(node, "`addresses`", breaches) else { return Vec::new() };
+    let Some(node) = section.require("addresses", breaches) else { return Vec::new() };
+    let Some(all) = read_list(node, "`addresses`", breaches) else { return Vec::new() };
     if all.is_empty() {
         breaches.push(ConfigError::new(node.at, ErrorCode::Address, "`addresses` lists no registry"));
     }
@@ -100,13 +103,13 @@
 }
 
 fn ask(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> PollScope {
-    let apps = section.get("apps").and_then(|n| items(n, "`apps`", breaches));
+    let apps = section.get("apps").and_then(|n| read_list(n, "`apps`", breaches));
     let apps: Vec<String> = apps
         .unwrap_or_default()
         .iter()
-        .filter_map(|n| text(n, "an application", breaches).map(|t| t.value))
+        .filter_map(|n| read_text(n, "an application", breaches).map(|t| t.value))
         .collect();
-    let vip = section.get("vip").and_then(|n| text(n, "`vip`", breaches));
+    let vip = section.get("vip").and_then(|n| read_text(n, "`vip`", breaches));
     if let Some(vip) = vip {
         if !apps.is_empty() {
             let reason = "`vip` and `apps` cannot both be asked for; leave one out";
@@ -133,7 +136,7 @@
     let Some(fields) = Fields::open(node, "`metadata`", &keys, breaches) else { return names };
     let into = [&mut names.destination, &mut names.kind, &mut names.zone, &mut names.weight];
     for (key, name) in keys.into_iter().zip(into) {
-        let read = fields.get(key).and_then(|n| text(n, &format!("`{key}`"), breaches));
+        let read = fields.get(key).and_then(|n| read_text(n, &format!("`{key}`"), breaches));
         read.into_iter().for_each(|t| *name = t.value);
     }
     names
@@ -144,9 +147,9 @@
     let Some(node) = section.get("shrink") else { return shrink };
     let Some(fields) = Fields::open(node, "`shrink`", &["share", "confirm"], breaches) else { return shrink };
     if let Some(share) = fields.get("share") {
-        match share.shape {
-            Shape::Real(x) if x > 0.0 && x < 1.0 => shrink.max_missing_share = x,
-            _ => wrong(share, "`share`", "a share between 0 and 1", breaches),
+        match share.value {
+            NodeValue::Real(x) if x > 0.0 && x < 1.0 => shrink.max_missing_share = x,
+            _ => report_wrong_type(share, "`share`", "a share between 0 and 1", breaches),
         }
     }
     shrink.confirm_after = time(&fields, "confirm", shrink.confirm_after, breaches);
@@ -156,26 +159,26 @@
 fn register(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Option<Registration> {
     let node = section.get("register")?;
     let fields = Fields::open(node, "`register`", &["app", "renew", "lease", "metadata"], breaches)?;
-    let app = fields.needed("app", breaches).and_then(|n| text(n, "`app`", breaches));
+    let app = fields.require("app", breaches).and_then(|n| read_text(n, "`app`", breaches));
     let renew = time(&fields, "renew", 30_000_000, breaches);
     let lease = time(&fields, "lease", 90_000_000, breaches);
     if lease <= renew {
         let at = fields.get("lease").or(fields.get("renew")).map_or(node.at, |n| n.at);
-        let (a, b) = (written(lease), written(renew));
+        let (a, b) = (format_duration(lease), format_duration(renew));
         let reason = format!("a lease of {a} ends before it is renewed after {b}; it must be longer");
         breaches.push(ConfigError::new(at, ErrorCode::Lease, reason));
     }
     let mut told = BTreeMap::new();
     if let Some(node) = fields.get("metadata") {
-        match &node.shape {
-            Shape::Map(all) => {
+        match &node.value {
+            NodeValue::Map(all) => {
                 for (key, value) in all {
-                    if let Some(v) = text(value, &format!("`{}`", key.value), breaches) {
+                    if let Some(v) = read_text(value, &format!("`{}`", key.value), breaches) {
                         told.insert(key.value.clone(), v.value);
                     }
                 }
             }
-            _ => wrong(node, "`metadata`", "a map", breaches),
+            _ => report_wrong_type(node, "`metadata`", "a map", breaches),
         }
     }
     Some(Registration {
@@ -197,23 +200,26 @@
     let poll = time(&section, "poll", 1_000_000, breaches);
     if poll < LEAST_POLL {
         let at = section.get("poll").map_or(node.at, |n| n.at);
-        let reason =
-            format!("polls every {} harm a registry; {} at least", written(poll), written(LEAST_POLL));
+        let reason = format!(
+            "polls every {} harm a registry; {} at least",
+            format_duration(poll),
+            format_duration(LEAST_POLL)
+        );
         breaches.push(ConfigError::new(at, ErrorCode::Time, reason));
     }
     let largest = section.get("largest-mb").and_then(|n| {
-        let mb = whole(n, "`largest-mb`", breaches)?;
+        let mb = read_whole_number(n, "`largest-mb`", breaches)?;
         if !(1..=1024).contains(&mb) {
             breaches.push(ConfigError::new(n.at, ErrorCode::Type, "`largest-mb` must be 1 to 1024"));
         }
         Some(mb)
     });
     let hold = pair(&section, "hold-down", (1_000_000, 30_000_000), &["forget"], breaches);
-    let forget = section.get("hold-down").and_then(|n| match &n.shape {
-        Shape::Map(all) => all.iter().find(|f| f.0.value == "forget").map(|f| &f.1),
+    let forget = section.get("hold-down").and_then(|n| match &n.value {
+        NodeValue::Map(all) => all.iter().find(|f| f.0.value == "forget").map(|f| &f.1),
         _ => None,
     });
-    let forget = forget.and_then(|n| span(n, "`forget`", breaches)).map_or(60_000_000, |t| t.value);
+    let forget = forget.and_then(|n| read_duration(n, "`forget`", breaches)).map_or(60_000_000, |t| t.value);
     Some(RegistrySettings {
         addresses: addresses(&section, breaches),
         scope: ask(&section, breaches),
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -354,7 +354,8 @@
 #[test]
 fn a_section_that_makes_no_sense_is_refused_with_its_code_and_place() {
     let config = include_str!("../examples/config.json");
-    let (settings, names) = cedarbridge::net::config::platform(config).expect("the example's settings");
+    let (settings, names) =
+        cedarbridge::net::config::read_platform_settings(config).expect("the example's settings");
     let read = |rest: &str| {
         let text = format!("version: 1\nregistry: {{addresses: [\"http://h:1/p\"], {rest}}}\n");
         let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -455,8 +455,8 @@
         let steps = worst_case(&timing, f.timeout * MS, f.attempts as u32);
         prop_assert_eq!(steps.len() as u64, f.attempts);
         for pair in steps.windows(2) {
-            prop_assert!(pair[1].begins >= pair[0].ends, "one attempt at a time");
+            prop_assert!(pair[1].starts_at >= pair[0].abandoned_at, "one attempt at a time");
         }
-        prop_assert!(steps[steps.len() - 1].ends <= 20 * SECOND);
+        prop_assert!(steps[steps.len() - 1].abandoned_at <= 20 * SECOND);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 
 /// A configuration with every setting, none of them at its limit.
-fn whole() -> Value {
+fn complete_config() -> Value {
     let class = |name: &str, semantics: &str, promise: f64, deadline: f64, late: f64| {
         json!({"name": name, "semantics": semantics, "promise": promise, "deadline": deadline, "gain": 1.0,
                "late-worth": late, "memory-span": 6000.0, "dedup-scope": "all", "serial-by-key": false})
@@ -36,17 +36,18 @@
 }
 
 fn with(place: &str, value: Value) -> String {
-    let mut config = whole();
+    let mut config = complete_config();
     *config.pointer_mut(place).unwrap_or_else(|| panic!("no {place}")) = value;
     config.to_string()
 }
 
-fn refused(text: &str) -> String {
-    Config::read(text, |_| None).err().unwrap_or_else(|| panic!("accepted: {text}"))
+fn error_of(text: &str) -> String {
+    let error = Config::read(text, |_| None).err().unwrap_or_else(|| panic!("accepted: {text}"));
+    error.to_string()
 }
 
 /// What must be there, and what is wrong for it.
-fn needed() -> Vec<(&'static str, Vec<Value>)> {
+fn required() -> Vec<(&'static str, Vec<Value>)> {
     let word = || vec![json!(7), json!("no such word")];
     let time = || vec![json!("soon"), json!(-1.0)];
     let count = || vec![json!("many"), json!(0), json!(-3), json!(2.5)];
@@ -123,37 +124,37 @@
 
 #[test]
 fn each_setting_that_is_missing_or_wrong_is_named() {
-    Config::read(&whole().to_string(), |_| None).map(|_| ()).expect("the whole one is taken");
-    for (place, wrong) in needed() {
+    Config::read(&complete_config().to_string(), |_| None).map(|_| ()).expect("the complete one is accepted");
+    for (place, wrong) in required() {
         let name = place.rsplit('/').next().expect("a name");
-        let said = refused(&with(place, Value::Null));
-        assert!(said.contains(&format!("`{name}`")) && said.contains("missing"), "{place}: {said}");
+        let error = error_of(&with(place, Value::Null));
+        assert!(error.contains(&format!("`{name}`")) && error.contains("missing"), "{place}: {error}");
         for value in wrong {
-            let said = refused(&with(place, value.clone()));
+            let error = error_of(&with(place, value.clone()));
             // Of an object that is no object, the first thing missing in it is named.
-            let object = whole().pointer(place).is_some_and(Value::is_object);
-            assert!(object || said.contains(name), "{place} {value}: {said}");
-            assert_eq!(said.lines().count(), 1, "{said}");
+            let object = complete_config().pointer(place).is_some_and(Value::is_object);
+            assert!(object || error.contains(name), "{place} {value}: {error}");
+            assert_eq!(error.lines().count(), 1, "{error}");
         }
     }
     for (place, wrong) in optional() {
         let name = place.rsplit('/').next().expect("a name");
-        if let Err(said) = Config::read(&with(place, Value::Null), |_| None) {
-            panic!("{place} may be absent: {said}");
+        if let Err(error) = Config::read(&with(place, Value::Null), |_| None) {
+            panic!("{place} may be absent: {error}");
         }
         for value in wrong {
-            let said = refused(&with(place, value.clone()));
-            assert!(said.contains(name), "{place} {value}: {said}");
+            let error = error_of(&with(place, value.clone()));
+            assert!(error.contains(name), "{place} {value}: {error}");
         }
     }
 }
 
 #[test]
-fn settings_that_nobody_knows_are_passed_over() {
+fn unknown_settings_are_ignored() {
     for place in
         ["", "/settings", "/settings/permissions", "/settings/categories/0", "/settings/specifics", "/limits"]
     {
-        let mut config = whole();
+        let mut config = complete_config();
         config.pointer_mut(place).expect("an object")["of-next-year"] = json!({"any": [1, "thing"]});
         assert!(Config::read(&config.to_string(), |_| None).is_ok(), "{place}");
     }
