--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,44 +1,59 @@
-//! Checks that settings make sense. They decide nothing.
+//! Range checks of the settings.
 
 use crate::api::{Class, Settings, SettingsError, Tenant};
+use std::fmt;
 
-/// A figure by the name that it has in the settings, and what must hold of it.
-struct Figure<'a>(&'a str, f64, Range);
-
-/// What a figure may be.
+/// The values that a setting may have.
+#[derive(Clone, Copy)]
 enum Range {
-    /// A count of one at least.
-    Count,
-    /// Any number.
-    Fee,
-    /// A number that is not negative.
-    Rate,
-    /// From 0 to 1.
-    Share,
-    /// Above 0.
-    Above,
-    /// Above 0 and 1 at most.
-    Part,
+    Any,
+    AtLeastZero,
+    AtLeastOne,
+    AboveZero,
+    ZeroToOne,
+    AboveZeroToOne,
 }
 
-impl Figure<'_> {
-    /// Why the figure cannot be used, if it cannot.
-    fn refused(&self) -> Option<String> {
-        let Figure(name, v, range) = self;
-        let (fits, wanted) = match range {
-            Range::Count => (*v >= 1.0, "1 at least"),
-            Range::Fee => (true, "a number"),
-            Range::Rate => (*v >= 0.0, "0 at least"),
-            Range::Share => ((0.0..=1.0).contains(v), "from 0 to 1"),
-            Range::Above => (*v > 0.0, "above 0"),
-            Range::Part => (*v > 0.0 && *v <= 1.0, "above 0 and 1 at most"),
+impl Range {
+    fn contains(self, value: f64) -> bool {
+        let is_in_range = match self {
+            Range::Any => true,
+            Range::AtLeastZero => value >= 0.0,
+            Range::AtLeastOne => value >= 1.0,
+            Range::AboveZero => value > 0.0,
+            Range::ZeroToOne => (0.0..=1.0).contains(&value),
+            Range::AboveZeroToOne => value > 0.0 && value <= 1.0,
         };
-        (!fits || !v.is_finite()).then(|| format!("setting `{name}`: {v} is out of range, which is {wanted}"))
+        is_in_range && value.is_finite()
+    }
+}
+
+impl fmt::Display for Range {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Range::Any => "a number",
+            Range::AtLeastZero => "0 at least",
+            Range::AtLeastOne => "1 at least",
+            Range::AboveZero => "above 0",
+            Range::ZeroToOne => "from 0 to 1",
+            Range::AboveZeroToOne => "above 0 and 1 at most",
+        })
+    }
+}
+
+fn check_range(setting: &str, value: f64, range: Range) -> Result<(), SettingsError> {
+    if range.contains(value) {
+        return Ok(());
     }
+    Err(SettingsError(format!("setting `{setting}`: {value} is out of range, which is {range}")))
 }
 
 impl Settings {
-    /// An error that names the setting at fault, if no forwarder could work with these.
+    /// Checks that a forwarder can work with these settings.
+    ///
+    /// # Errors
+    ///
+    /// Names the first setting at fault.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError("setting `categories`: there must be one at least".into()));
@@ -46,38 +61,50 @@
         if self.zone.0 >= self.zone_costs.len() {
             return Err(SettingsError("setting `zone`: it is not among the zones".into()));
         }
-        let general = [
-            Figure("call-slots", self.max_concurrent_calls as f64, Range::Count),
-            Figure("max-open", self.max_open_messages as f64, Range::Count),
-            Figure("max-attempts", f64::from(self.max_attempts), Range::Count),
-            Figure("balancers", self.forwarders as f64, Range::Count),
-            Figure("cross-zone", self.cross_zone_cost, Range::Fee),
-            Figure("handshake", self.connection_cost, Range::Fee),
-            Figure("over-share-worth", self.over_quota_weight, Range::Fee),
-            Figure("cold-from", self.slow_start_floor, Range::Part),
-            Figure("fall-multiple", self.overload_multiple, Range::Above),
-        ];
-        let kinds = self.kinds.iter().map(|k| Figure("per-call", k.messages_per_call as f64, Range::Count));
-        let tolls = self.zone_costs.iter().map(|t| Figure("toll", *t, Range::Fee));
-        let quota = |t: &Tenant| Figure("quota-per-s", t.quota_per_s, Range::Rate);
-        let all = general.into_iter().chain(kinds).chain(tolls).chain(self.tenants.iter().map(quota));
-        let fault = all.chain(self.classes.iter().flat_map(figures)).find_map(|f| f.refused());
-        let late = || {
-            let at = self.classes.iter().find(|c| c.latency_objective > c.deadline)?;
-            Some(format!(
-                "setting `promise`: {} ms is past the deadline of {} ms",
-                at.latency_objective / 1000,
-                at.deadline / 1000
-            ))
-        };
-        fault.or_else(late).map_or(Ok(()), |what| Err(SettingsError(what)))
+        self.check_general()?;
+        for kind in &self.kinds {
+            check_range("per-call", kind.messages_per_call as f64, Range::AtLeastOne)?;
+        }
+        for cost in &self.zone_costs {
+            check_range("toll", *cost, Range::Any)?;
+        }
+        self.tenants.iter().try_for_each(Tenant::check)?;
+        self.classes.iter().try_for_each(Class::check_ranges)?;
+        self.classes.iter().try_for_each(Class::check_latency_objective)
+    }
+
+    fn check_general(&self) -> Result<(), SettingsError> {
+        check_range("call-slots", self.max_concurrent_calls as f64, Range::AtLeastOne)?;
+        check_range("max-open", self.max_open_messages as f64, Range::AtLeastOne)?;
+        check_range("max-attempts", f64::from(self.max_attempts), Range::AtLeastOne)?;
+        check_range("balancers", self.forwarders as f64, Range::AtLeastOne)?;
+        check_range("cross-zone", self.cross_zone_cost, Range::Any)?;
+        check_range("handshake", self.connection_cost, Range::Any)?;
+        check_range("over-share-worth", self.over_quota_weight, Range::Any)?;
+        check_range("cold-from", self.slow_start_floor, Range::AboveZeroToOne)?;
+        check_range("fall-multiple", self.overload_multiple, Range::AboveZero)
+    }
+}
+
+impl Tenant {
+    fn check(&self) -> Result<(), SettingsError> {
+        check_range("quota-per-s", self.quota_per_s, Range::AtLeastZero)
     }
 }
 
-fn figures(c: &Class) -> [Figure<'static>; 3] {
-    [
-        Figure("deadline", c.deadline as f64, Range::Above),
-        Figure("gain", c.priority_weight, Range::Rate),
-        Figure("late-worth", c.weight_at_deadline, Range::Share),
-    ]
+impl Class {
+    fn check_ranges(&self) -> Result<(), SettingsError> {
+        check_range("deadline", self.deadline as f64, Range::AboveZero)?;
+        check_range("gain", self.priority_weight, Range::AtLeastZero)?;
+        check_range("late-worth", self.weight_at_deadline, Range::ZeroToOne)
+    }
+
+    fn check_latency_objective(&self) -> Result<(), SettingsError> {
+        if self.latency_objective <= self.deadline {
+            return Ok(());
+        }
+        let (objective_ms, deadline_ms) = (self.latency_objective / 1000, self.deadline / 1000);
+        let text = format!("setting `promise`: {objective_ms} ms is past the deadline of {deadline_ms} ms");
+        Err(SettingsError(text))
+    }
 }
