--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -2,9 +2,10 @@
 //! each other. It plays nothing.
 
 use crate::scenario::TroubleKind;
+use cedarbridge::durations::parse_duration;
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::settings_json::Names;
-use cedarbridge::site::{parse_duration, Site};
+use cedarbridge::site::Site;
 use cedarbridge::{Micros, Settings};
 use cedarbridge_partners::Trouble;
 use serde::de::Error as _;
@@ -19,7 +20,7 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let text = String::deserialize(d)?;
-        parse_duration(&text).map(Span).map_err(|(_, reason)| D::Error::custom(reason))
+        parse_duration(&text).map(Span).map_err(D::Error::custom)
     }
 }
 
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -12,7 +12,7 @@
 }
 
 fn as_json(b: &ConfigError) -> Value {
-    json!({"line": b.at.line, "column": b.at.column, "code": b.code.word(), "reason": b.reason})
+    json!({"line": b.at.line, "column": b.at.column, "code": b.code.as_str(), "reason": b.reason})
 }
 
 impl CheckArgs {
@@ -20,16 +20,16 @@
         let platform = self.files.platform()?;
         let read = self.files.site(&platform)?;
         let file = self.files.site.display().to_string();
-        let breaches = read.as_ref().err().map_or(&[][..], Vec::as_slice);
+        let errors = read.as_ref().err().map_or(&[][..], Vec::as_slice);
         if self.files.json {
             let entries = read.as_ref().map_or(0, |s| s.routes.routes().len());
-            let all: Vec<Value> = breaches.iter().map(as_json).collect();
+            let all: Vec<Value> = errors.iter().map(as_json).collect();
             print(&json!({"file": file, "ok": read.is_ok(), "routes": entries, "breaches": all}).to_string());
         } else if let Ok(site) = &read {
             print(&format!("{file}: {} routes, nothing against it", site.routes.routes().len()));
         } else {
-            print(&lines(&self.files.site, breaches));
-            let count = breaches.len();
+            print(&lines(&self.files.site, errors));
+            let count = errors.len();
             eprintln!("cedarbridge: {file}: refused for {count} reason{}", if count == 1 { "" } else { "s" });
         }
         read.map(drop).map_err(|_| Failed::Told)
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,10 +1,10 @@
 //! `explain`: which entry wins for a message and why, and the worst case that follows.
 
 use super::{lines, print, Failed, Files, Read};
+use crate::durations::format_duration;
 use crate::policy::longest_cut;
 use crate::routes::{worst_case, Plan, Route, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::settings_json::index_of;
-use crate::site::format_duration;
 use crate::{Class, ClassId, DestinationId, KindId, Micros};
 use clap::Args;
 use serde_json::{json, Value};
@@ -115,8 +115,9 @@
         let _ = write!(out, "\n  timeout      {}", t.timeout.map_or_else(module, format_duration));
         let most = t.max_attempts(self.of.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
         let _ = write!(out, "\n  attempts     {most} at most");
-        let pause =
-            t.pause.map(|(f, l)| format!("{}, doubled up to {}", format_duration(f), format_duration(l)));
+        let pause = t
+            .pause
+            .map(|p| format!("{}, doubled up to {}", format_duration(p.first), format_duration(p.max)));
         let _ = write!(out, "\n  pause        {}", pause.unwrap_or_else(module));
         let copy = t
             .hedge_after
@@ -147,7 +148,7 @@
             "entry": matching.first().map(|r| json!({"name": r.name, "line": r.line})),
             "why": self.why(), "also_matching": also,
             "timeout_ms": t.timeout.map(ms), "attempts": t.attempts,
-            "pause_ms": t.pause.map(|(f, l)| [ms(f), ms(l)]), "second_copy_ms": t.hedge_after.map(ms),
+            "pause_ms": t.pause.map(|p| [ms(p.first), ms(p.max)]), "second_copy_ms": t.hedge_after.map(ms),
             "ends_ms": ms(self.end()), "worst_case": self.steps().iter().map(step).collect::<Vec<_>>(),
         })
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -129,9 +129,9 @@
 }
 
 /// Breaches, one a line.
-fn lines(file: &Path, breaches: &[ConfigError]) -> String {
+fn lines(file: &Path, errors: &[ConfigError]) -> String {
     let file = file.display().to_string();
-    breaches.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
+    errors.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
 }
 
 /// Prints to standard output; a reader that has gone is no failure.
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -1,13 +1,13 @@
 //! `registry`: what the forwarder would hold of a registry, and why each entry is what it is.
 
 use super::{lines, print, Failed, Files};
+use crate::durations::{format_duration, parse_duration};
 use crate::membership::PollKind;
 use crate::membership::{Membership, MembershipChange, RegistrySettings, SourceId, SourceUpdate};
 use crate::net::platform::eureka::held::Taken;
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
 use crate::settings_json::Names;
-use crate::site::{format_duration, parse_duration};
 use crate::Lifecycle;
 use async_io::Timer;
 use clap::{Args, Subcommand};
@@ -233,7 +233,7 @@
             }
             What::Watch { files, lasts } => {
                 let read =
-                    |t: String| parse_duration(&t).map_err(|(_, why)| Failed::Call(format!("--for: {why}")));
+                    |t: String| parse_duration(&t).map_err(|error| Failed::Call(format!("--for: {error}")));
                 let lasts = lasts.map(read).transpose()?;
                 let asking = files.registry()?;
                 let each = format_duration(asking.settings.poll_interval);
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a settings file of ours: where, under which code, and why. It checks nothing itself.
+//! What is wrong with a site file: where, under which code, and why. It checks nothing itself.
 
 use std::fmt;
 
@@ -22,13 +22,13 @@
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $word:literal),* $(,)?) => {
-        /// Why a file is refused, one word a kind of breach; scripts may go by the words.
+        /// Why a file is refused, one word for each kind of error; scripts may depend on the words.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum ErrorCode { $($(#[$doc])* $name),* }
 
         impl ErrorCode {
-            /// The word that stands for it.
-            pub fn word(self) -> &'static str {
+            /// Its word.
+            pub fn as_str(self) -> &'static str {
                 match self { $(ErrorCode::$name => $word),* }
             }
         }
@@ -56,19 +56,19 @@
     Address = "address",
     /// A lease that ends before it is renewed.
     Lease = "lease",
-    /// The longest pause under the first.
+    /// A longest pause that is shorter than the first.
     Pause = "pause",
     /// No attempts, or more than are allowed.
     Attempts = "attempts",
-    /// A second copy while the first is out.
+    /// A hedged request while the first attempt may be in flight.
     HedgedRequest = "second-copy",
     /// More than one attempt that may have run in a class that allows one.
     NonIdempotent = "side-effect",
-    /// An attempt that could begin after the partner has forgotten the first.
+    /// An attempt that could start after the deduplication window of the first.
     DeduplicationWindow = "memory-span",
-    /// Attempts that cannot end before the class's deadline, or a give-up beyond it.
+    /// Attempts that cannot end before the class's deadline, or an abandonment beyond it.
     Deadline = "deadline",
-    /// Attempts that cannot end before the entry's own give-up.
+    /// Attempts that cannot end before the entry's own abandonment.
     AbandonAfter = "give-up",
     /// Two entries, equally specific, that could both win for some message.
     Overlap = "overlap",
@@ -86,19 +86,19 @@
     RepeatedDestination = "repeated-destination",
 }
 
-/// One thing that is wrong.
+/// One error in a site file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Where.
+    /// Its place in the file.
     pub at: Position,
-    /// Of which kind.
+    /// Its kind.
     pub code: ErrorCode,
     /// The figures that collide, and what would be right.
     pub reason: String,
 }
 
 impl ConfigError {
-    /// A breach at a place.
+    /// An error at a place.
     pub fn new(at: Position, code: ErrorCode, reason: impl Into<String>) -> Self {
         ConfigError { at, code, reason: reason.into() }
     }
@@ -109,9 +109,20 @@
     }
 }
 
+/// A text from a file, cut so that a line of the log stays a line.
+pub fn shortened(text: &str) -> String {
+    const MAX_CHARS: usize = 60;
+    let mut short: String =
+        text.chars().take(MAX_CHARS).map(|c| if c.is_control() { ' ' } else { c }).collect();
+    if text.chars().nth(MAX_CHARS).is_some() {
+        short.push('…');
+    }
+    short
+}
+
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let ConfigError { at, code, reason } = self;
-        write!(f, "{}:{}: [{}] {reason}", at.line, at.column, code.word())
+        write!(f, "{}:{}: [{}] {reason}", at.line, at.column, code.as_str())
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,6 +3,7 @@
 pub mod api;
 pub mod cli;
 pub mod config_error;
+pub mod durations;
 pub mod invariants;
 pub mod journal;
 
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -1,338 +1,186 @@
-//! What makes a file of routes unfit: each breach with the figures that collide and what would be right.
+//! What makes a file of routes unfit: names, matches and overlaps of the entries. Each error names what collides and what
+//! would be right.
 
+use super::check_timing::check_timing;
 use super::plan::{MatchShape, Plan, Route};
-use super::{worst_case, Platform, Timing, WrittenMatch, WrittenRoute, MAX_ATTEMPTS_PER_MESSAGE};
-use crate::config_error::{ConfigError, ErrorCode, Position};
-use crate::policy::longest_cut;
-use crate::site::format_duration;
-use crate::{Class, ClassId, DestinationId, Idempotency, KindId, Micros};
-use std::collections::hash_map::{Entry as Place, HashMap};
-
-/// What can be accepted of an entry.
-struct Accepted {
+use super::{Pause, Platform, Timing, WrittenMatch, WrittenRoute};
+use crate::config_error::{ConfigError, ErrorCode, Located, Position};
+use crate::durations::format_duration;
+use crate::{ClassId, DestinationId, KindId};
+use std::collections::hash_map::{Entry, HashMap};
+
+/// An entry whose `match` can be read.
+struct AcceptedRoute {
     route: Route,
     destinations: Vec<DestinationId>,
-    at: Position,
+    /// Where its `match` stands.
+    match_at: Position,
     overlaps: bool,
 }
 
-/// Notes every breach, and lays out the plan of the entries whose `match` can be read.
-pub fn check(entries: &[WrittenRoute], platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Plan {
-    check_names(entries, breaches);
-    let mut accepted: Vec<Accepted> = Vec::with_capacity(entries.len());
-    for entry in entries {
-        let Some(shape) = resolve(&entry.matches, platform, breaches) else { continue };
-        let timing = figures(entry, breaches);
-        if entry.is_complete {
-            check_figures(entry, shape, &timing, platform, breaches);
-        }
-        let named = entry.matches.destinations.iter().flatten().map(|d| d.value).collect();
-        let route = Route { name: entry.name.value.clone(), line: entry.at.line, shape, timing };
-        accepted.push(Accepted { route, destinations: named, at: entry.matches.at, overlaps: false });
-    }
-    check_overlaps(&mut accepted, breaches);
-    let routes = accepted.iter().map(|a| a.route.clone()).collect();
-    let destinations: Vec<_> = accepted.iter().map(|a| a.destinations.clone()).collect();
-    let plan = Plan::build(routes, &destinations, platform.names.kinds.len(), platform.names.classes.len());
-    for (a, wins) in accepted.iter().zip(plan.winners()) {
-        // One that names nothing that exists, or stands beside its double, was told of that already.
-        let told = a.overlaps || a.route.shape.names_destinations && a.destinations.is_empty();
-        if !wins && !told {
-            let reason = format!(
-                "`{}` never wins: for every message that it matches, a more specific entry does; remove it or \
-                 them",
-                a.route.name
-            );
-            breaches.push(ConfigError::new(a.at, ErrorCode::Shadowed, reason));
-        }
-    }
+/// Checks the entries and makes a plan of those whose `match` can be read; it may be used only if no error was recorded.
+pub fn check_routes(entries: &[WrittenRoute], platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Plan {
+    check_names(entries, errors);
+    let mut accepted: Vec<AcceptedRoute> =
+        entries.iter().filter_map(|entry| accept(entry, platform, errors)).collect();
+    check_overlaps(&mut accepted, errors);
+    let routes = accepted.iter().map(|accepted| accepted.route.clone()).collect();
+    let destinations: Vec<_> = accepted.iter().map(|accepted| accepted.destinations.clone()).collect();
+    let names = platform.names;
+    let plan = Plan::build(routes, &destinations, names.kinds.len(), names.classes.len());
+    check_shadowed(&accepted, &plan, errors);
     plan
 }
 
-fn check_names(entries: &[WrittenRoute], breaches: &mut Vec<ConfigError>) {
-    let mut seen: HashMap<&str, Position> = HashMap::new();
-    for entry in entries {
-        match seen.entry(&entry.name.value) {
-            Place::Vacant(place) => drop(place.insert(entry.name.at)),
-            Place::Occupied(place) => {
-                let reason =
-                    format!("the name `{}` stands in line {} already", place.key(), place.get().line);
-                breaches.push(ConfigError::new(entry.name.at, ErrorCode::RepeatedName, reason));
+fn accept(
+    entry: &WrittenRoute,
+    platform: Platform<'_>,
+    errors: &mut Vec<ConfigError>,
+) -> Option<AcceptedRoute> {
+    let shape = resolve(&entry.matches, platform, errors)?;
+    let timing = timing_of(entry, errors);
+    if entry.is_complete {
+        check_timing(entry, shape, &timing, platform, errors);
+    }
+    let named = entry.matches.destinations.iter().flatten();
+    Some(AcceptedRoute {
+        route: Route { name: entry.name.value.clone(), line: entry.at.line, shape, timing },
+        destinations: named.map(|destination| destination.value).collect(),
+        match_at: entry.matches.at,
+        overlaps: false,
+    })
+}
+
+fn check_names(entries: &[WrittenRoute], errors: &mut Vec<ConfigError>) {
+    let mut positions: HashMap<&str, Position> = HashMap::new();
+    for WrittenRoute { name, .. } in entries {
+        match positions.entry(&name.value) {
+            Entry::Vacant(vacant) => {
+                vacant.insert(name.at);
+            }
+            Entry::Occupied(first) => {
+                let reason = format!("the name `{}` stands in line {} already", name.value, first.get().line);
+                errors.push(ConfigError::new(name.at, ErrorCode::RepeatedName, reason));
             }
         }
     }
 }
 
-fn resolve(m: &WrittenMatch, platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Option<MatchShape> {
+fn resolve(
+    matches: &WrittenMatch,
+    platform: Platform<'_>,
+    errors: &mut Vec<ConfigError>,
+) -> Option<MatchShape> {
     let names = platform.names;
-    let mut find =
-        |given: &Option<crate::config_error::Located<String>>, all: &[String], what: &str, code| {
-            let Some(given) = given else { return Some(None) };
-            let found = all.iter().position(|n| *n == given.value);
-            if found.is_none() {
-                let reason =
-                    format!("the settings list no {what} `{}`; they list {}", given.value, all.join(", "));
-                breaches.push(ConfigError::new(given.at, code, reason));
-            }
-            found.map(Some)
-        };
-    let kind = find(&m.kind, &names.kinds, "kind", ErrorCode::UnknownKind);
-    let class = find(&m.class, &names.classes, "class", ErrorCode::UnknownClass);
+    let kind = resolve_name(&matches.kind, &names.kinds, "kind", ErrorCode::UnknownKind, errors);
+    let class = resolve_name(&matches.class, &names.classes, "class", ErrorCode::UnknownClass, errors);
     let (kind, class) = (kind?.map(KindId), class?.map(ClassId));
-    Some(MatchShape { names_destinations: m.destinations.is_some(), kind, class })
+    Some(MatchShape { names_destinations: matches.destinations.is_some(), kind, class })
+}
+
+/// The position of a name that may be left out; none if it is unknown.
+fn resolve_name(
+    given: &Option<Located<String>>,
+    known: &[String],
+    what: &str,
+    code: ErrorCode,
+    errors: &mut Vec<ConfigError>,
+) -> Option<Option<usize>> {
+    let Some(given) = given else { return Some(None) };
+    let index = known.iter().position(|name| *name == given.value);
+    if index.is_none() {
+        let known = known.join(", ");
+        let reason = format!("the settings list no {what} `{}`; they list {known}", given.value);
+        errors.push(ConfigError::new(given.at, code, reason));
+    }
+    index.map(Some)
 }
 
-/// The figures of an entry, with those that stand on their own checked.
-fn figures(entry: &WrittenRoute, breaches: &mut Vec<ConfigError>) -> Timing {
-    if let Some(p) = entry.pause.filter(|p| p.max.value < p.first.value) {
-        let (first, longest) = (format_duration(p.first.value), format_duration(p.max.value));
+/// The figures of an entry; the pauses are checked against each other.
+fn timing_of(entry: &WrittenRoute, errors: &mut Vec<ConfigError>) -> Timing {
+    if let Some(pause) = entry.pause.filter(|pause| pause.max.value < pause.first.value) {
+        let (first, longest) = (format_duration(pause.first.value), format_duration(pause.max.value));
         let reason =
             format!("the longest pause {longest} is under the first one {first}; it must be {first} or more");
-        breaches.push(ConfigError::new(p.max.at, ErrorCode::Pause, reason));
+        errors.push(ConfigError::new(pause.max.at, ErrorCode::Pause, reason));
     }
     Timing {
-        timeout: entry.timeout.map(|t| t.value),
-        attempts: entry.attempts.map(|a| u32::try_from(a.value).unwrap_or(u32::MAX)),
-        pause: entry.pause.map(|p| (p.first.value, p.max.value)),
-        hedge_after: entry.hedge_after.map(|c| c.value),
-        abandon_after: entry.abandon_after.map(|g| g.value),
+        timeout: entry.timeout.map(|timeout| timeout.value),
+        attempts: entry.attempts.map(|attempts| u32::try_from(attempts.value).unwrap_or(u32::MAX)),
+        pause: entry.pause.map(|pause| Pause { first: pause.first.value, max: pause.max.value }),
+        hedge_after: entry.hedge_after.map(|after| after.value),
+        abandon_after: entry.abandon_after.map(|after| after.value),
     }
 }
 
-/// Holds the figures of an entry against each other, the settings and the classes that it is for.
-fn check_figures(
-    entry: &WrittenRoute,
-    shape: MatchShape,
-    timing: &Timing,
-    platform: Platform<'_>,
-    breaches: &mut Vec<ConfigError>,
-) {
-    let allowed = platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE);
-    let mut countable = true;
-    if let Some(a) = entry.attempts.filter(|a| a.value == 0 || a.value > u64::from(allowed)) {
-        let why = match a.value {
-            0 => "0 attempts would send nothing".into(),
-            n if n > u64::from(MAX_ATTEMPTS_PER_MESSAGE) => {
-                format!("{n} attempts are more than any message may have")
-            }
-            n => format!("{n} attempts are more than `max-attempts` of the settings allows"),
-        };
-        breaches.push(ConfigError::new(
-            a.at,
-            ErrorCode::Attempts,
-            format!("{why}; 1 to {allowed} are right"),
-        ));
-        countable = false;
-    }
-    let classes = platform.settings.classes.iter().zip(&platform.names.classes).enumerate();
-    let classes: Vec<Bound<'_>> = classes
-        .filter(|(at, _)| shape.class.is_none_or(|c| c.0 == *at))
-        .map(|(_, (class, name))| Bound {
-            entry,
-            timing,
-            class,
-            name,
-            tick: platform.settings.min_step_interval,
-        })
-        .collect();
-    check_second_copy(entry, timing, &classes, platform.settings.may_hedge, breaches);
-    // Of several classes the one with the least room is told of.
-    let by_deadline = classes.iter().min_by_key(|b| b.class.deadline);
-    if let Some(b) = by_deadline {
-        b.check_give_up(breaches);
-    }
-    if !countable {
-        return;
-    }
-    let tightest = classes.iter().min_by_key(|b| b.class.deadline.saturating_sub(b.worst_end()));
-    tightest.into_iter().for_each(|b| b.check_end(breaches));
-    let keyed = classes.iter().filter(|b| b.class.idempotency == Idempotency::WithKey);
-    keyed.min_by_key(|b| b.class.deduplication_window).into_iter().for_each(|b| b.check_span(breaches));
+/// What one entry shares with an earlier one of the same shape.
+struct Overlap {
+    earlier: usize,
+    first_destination: Option<DestinationId>,
+    count: usize,
 }
 
-fn check_second_copy(
-    entry: &WrittenRoute,
-    timing: &Timing,
-    classes: &[Bound<'_>],
-    allowed: bool,
-    breaches: &mut Vec<ConfigError>,
-) {
-    let Some(after) = entry.hedge_after else { return };
-    let longest = classes.iter().map(Bound::timeout).max().unwrap_or(0);
-    if after.value < longest {
-        let (copy, cut) = (format_duration(after.value), format_duration(longest));
-        let mut reason = format!(
-            "a second copy after {copy} would go out while the first may be out for {cut}; `after` must be {cut} \
-             or more"
-        );
-        if timing.timeout.is_none() {
-            reason += ", or a `timeout` be set";
-        }
-        if allowed {
-            reason += " (that the settings allow two at once changes nothing: a message never has two out)";
+/// Entries of one shape exclude each other but for what their lists of destinations share.
+fn check_overlaps(accepted: &mut [AcceptedRoute], errors: &mut Vec<ConfigError>) {
+    let mut first_by_criterion: HashMap<(MatchShape, Option<DestinationId>), usize> = HashMap::new();
+    for index in 0..accepted.len() {
+        for overlap in overlaps_of(index, &accepted[index], &mut first_by_criterion) {
+            errors.push(overlap_error(&accepted[index], &accepted[overlap.earlier], &overlap));
+            accepted[index].overlaps = true;
+            accepted[overlap.earlier].overlaps = true;
         }
-        breaches.push(ConfigError::new(after.at, ErrorCode::HedgedRequest, reason));
-    }
-    if let Some(b) = classes.iter().find(|b| b.class.idempotency == Idempotency::NonIdempotent) {
-        let reason = format!(
-            "class `{}` allows one attempt that may have run, and a second copy would be another; leave it out, \
-             or match other classes only",
-            b.name
-        );
-        breaches.push(ConfigError::new(after.at, ErrorCode::NonIdempotent, reason));
     }
 }
 
-/// An entry held against one class that it is for.
-struct Bound<'a> {
-    entry: &'a WrittenRoute,
-    timing: &'a Timing,
-    class: &'a Class,
-    name: &'a str,
-    tick: Micros,
-}
-
-impl Bound<'_> {
-    /// How long an attempt may be out.
-    fn timeout(&self) -> Micros {
-        self.timing.attempt_timeout(longest_cut(self.class.idempotency))
-    }
-
-    /// The attempts that the entry promises: what it leaves to the module ends in time by itself.
-    fn attempts(&self) -> u32 {
-        let copies = 1 + u32::from(self.timing.hedge_after.is_some());
-        self.timing.attempts.unwrap_or(if self.timing.timeout.is_some() { copies } else { copies - 1 })
-    }
-
-    /// The end of the worst case, counted from the hand-in.
-    fn worst_end(&self) -> Micros {
-        worst_case(self.timing, self.timeout(), self.attempts()).last().map_or(0, |s| s.abandoned_at)
-    }
-
-    /// Where the breach of a sum is shown.
-    fn place(&self) -> Position {
-        let attempts = self.entry.attempts.map(|a| a.at);
-        attempts.or(self.entry.timeout.map(|t| t.at)).unwrap_or(self.entry.at)
-    }
-
-    /// How the worst case comes about.
-    fn sum(&self) -> String {
-        let each = format_duration(self.timeout());
-        let set =
-            if self.timing.timeout.is_some() { "" } else { ", the longest that is left to the module," };
-        let pauses = if self.timing.pause.is_some() || self.timing.hedge_after.is_some() {
-            " with what lies between them"
-        } else {
-            ""
-        };
-        format!(
-            "{} attempts of {each}{set}{pauses} may take {}",
-            self.attempts(),
-            format_duration(self.worst_end())
-        )
-    }
-
-    /// How many attempts would end in time.
-    fn fitting(&self, limit: Micros) -> String {
-        let fits = |n: &u32| {
-            worst_case(self.timing, self.timeout(), *n).last().map_or(0, |s| s.abandoned_at) + self.tick
-                <= limit
-        };
-        match (1..self.attempts()).rev().find(fits) {
-            Some(1) => "1 attempt would fit".into(),
-            Some(n) => format!("{n} attempts would fit"),
-            None => format!("a `timeout` under {} is needed", format_duration(limit)),
-        }
-    }
-
-    fn check_give_up(&self, breaches: &mut Vec<ConfigError>) {
-        let Some(g) = self.entry.abandon_after.filter(|g| g.value > self.class.deadline) else { return };
-        let (given, deadline) = (format_duration(g.value), format_duration(self.class.deadline));
-        let reason = format!(
-            "give-up after {given} lies beyond the deadline {deadline} of class `{}`; {deadline} at most is right",
-            self.name
-        );
-        breaches.push(ConfigError::new(g.at, ErrorCode::Deadline, reason));
-    }
-
-    fn check_end(&self, breaches: &mut Vec<ConfigError>) {
-        let end = self.worst_end() + self.tick;
-        let (deadline, name) = (self.class.deadline, self.name);
-        if end > deadline {
-            let reason = format!(
-                "{}, which cannot end before the deadline {} of class `{name}`; {}",
-                self.sum(),
-                format_duration(deadline),
-                self.fitting(deadline)
-            );
-            breaches.push(ConfigError::new(self.place(), ErrorCode::Deadline, reason));
+fn overlaps_of(
+    index: usize,
+    accepted: &AcceptedRoute,
+    first_by_criterion: &mut HashMap<(MatchShape, Option<DestinationId>), usize>,
+) -> Vec<Overlap> {
+    let shape = accepted.route.shape;
+    let destinations: Vec<Option<DestinationId>> = match shape.names_destinations {
+        true => accepted.destinations.iter().copied().map(Some).collect(),
+        false => vec![None],
+    };
+    let mut overlaps: Vec<Overlap> = Vec::new();
+    for destination in destinations {
+        let earlier = *first_by_criterion.entry((shape, destination)).or_insert(index);
+        if earlier == index {
+            continue;
         }
-        if let Some(g) = self.entry.abandon_after.filter(|g| end > g.value) {
-            let reason = format!(
-                "{}, which cannot end before the give-up after {}; {}",
-                self.sum(),
-                format_duration(g.value),
-                self.fitting(g.value)
-            );
-            breaches.push(ConfigError::new(g.at, ErrorCode::AbandonAfter, reason));
+        match overlaps.iter_mut().find(|overlap| overlap.earlier == earlier) {
+            Some(known) => known.count += 1,
+            None => overlaps.push(Overlap { earlier, first_destination: destination, count: 1 }),
         }
     }
+    overlaps
+}
 
-    fn check_span(&self, breaches: &mut Vec<ConfigError>) {
-        let steps = worst_case(self.timing, self.timeout(), self.attempts());
-        let span = self.class.deduplication_window;
-        let Some(late) = steps.iter().skip(1).find(|s| s.starts_at + self.tick >= span) else { return };
-        let reason = format!(
-            "attempt {} could begin {} after the first that may have run, but repeats of class `{}` are dropped \
-             only for {}; {} at most are right",
-            late.number,
-            format_duration(late.starts_at),
-            self.name,
-            format_duration(span),
-            late.number - 1
-        );
-        breaches.push(ConfigError::new(self.place(), ErrorCode::DeduplicationWindow, reason));
-    }
+fn overlap_error(later: &AcceptedRoute, earlier: &AcceptedRoute, overlap: &Overlap) -> ConfigError {
+    let common = match (overlap.first_destination, overlap.count) {
+        (Some(destination), 1) => format!("destination {}", destination.0),
+        (Some(destination), count) => format!("destination {} and {} more", destination.0, count - 1),
+        (None, _) => "all that they match".into(),
+    };
+    let reason = format!(
+        "`{}` and `{}` (line {}) are equally specific and could both win for {common}; make one of them more \
+         specific, or give it to one only",
+        later.route.name, earlier.route.name, earlier.route.line
+    );
+    ConfigError::new(later.match_at, ErrorCode::Overlap, reason)
 }
 
-/// Entries of one shape exclude each other but for what their lists of destinations share.
-fn check_overlaps(accepted: &mut [Accepted], breaches: &mut Vec<ConfigError>) {
-    let mut first: HashMap<(MatchShape, Option<DestinationId>), usize> = HashMap::new();
-    for at in 0..accepted.len() {
-        let shape = accepted[at].route.shape;
-        let keys: Vec<Option<DestinationId>> = match shape.names_destinations {
-            true => accepted[at].destinations.iter().map(|d| Some(*d)).collect(),
-            false => vec![None],
-        };
-        let mut shared: Vec<(usize, Option<DestinationId>, usize)> = Vec::new();
-        for key in keys {
-            match first.entry((shape, key)) {
-                Place::Vacant(place) => drop(place.insert(at)),
-                Place::Occupied(place) if *place.get() != at => {
-                    let other = *place.get();
-                    match shared.iter_mut().find(|s| s.0 == other) {
-                        Some(known) => known.2 += 1,
-                        None => shared.push((other, key, 1)),
-                    }
-                }
-                Place::Occupied(_) => {}
-            }
-        }
-        for (other, key, count) in shared {
-            let (this, that) = (&accepted[at], &accepted[other]);
-            let common = match (key, count) {
-                (Some(d), 1) => format!("destination {}", d.0),
-                (Some(d), n) => format!("destination {} and {} more", d.0, n - 1),
-                (None, _) => "all that they match".into(),
-            };
-            let reason = format!(
-                "`{}` and `{}` (line {}) are equally specific and could both win for {common}; make one of them \
-                 more specific, or give it to one only",
-                this.route.name, that.route.name, that.route.line
-            );
-            breaches.push(ConfigError::new(this.at, ErrorCode::Overlap, reason));
-            accepted[at].overlaps = true;
-            accepted[other].overlaps = true;
+/// Entries that can never win. One that overlaps with another or names no destination that can be read has an error already.
+fn check_shadowed(accepted: &[AcceptedRoute], plan: &Plan, errors: &mut Vec<ConfigError>) {
+    for (accepted, wins) in accepted.iter().zip(plan.winners()) {
+        let names_none = accepted.route.shape.names_destinations && accepted.destinations.is_empty();
+        if wins || accepted.overlaps || names_none {
+            continue;
         }
+        let reason = format!(
+            "`{}` never wins: for every message that it matches, a more specific entry does; remove it or them",
+            accepted.route.name
+        );
+        errors.push(ConfigError::new(accepted.match_at, ErrorCode::Shadowed, reason));
     }
 }
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -1,10 +1,11 @@
-//! Per-route timing: how long an attempt may take, how many there are, what lies between them and when a message
-//! is given up, by destination, kind and class. It decides nothing about health, pace or place, does no I/O and
-//! takes time as an argument; the decision module asks it.
+//! Per-route timing: how long an attempt may take, how many there are, the pauses between them and when a message is
+//! abandoned, by destination, kind and class. It decides nothing about health, rate or endpoints, does no I/O and takes time
+//! as an argument; the policy asks it.
 //!
 //! `docs/routes.md` weighs the ways; `docs/operating-routes.md` is for operators.
 
 mod check;
+mod check_timing;
 mod plan;
 mod timeline;
 
@@ -12,6 +13,7 @@
 use crate::settings_json::Names;
 use crate::{DestinationId, Micros, Settings};
 
+pub use check::check_routes;
 pub use plan::{Plan, Route, RouteId};
 pub use timeline::{worst_case, WorstCaseAttempt};
 
@@ -30,7 +32,7 @@
 /// Which messages an entry is for: all that is given must hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenMatch {
-    /// Where it begins.
+    /// Where it starts.
     pub at: Position,
     /// Any of these destinations.
     pub destinations: Option<Vec<Located<DestinationId>>>,
@@ -43,27 +45,27 @@
 /// An entry as it is written, not yet checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WrittenRoute {
-    /// Where it begins.
+    /// Where it starts.
     pub at: Position,
     /// What operators call it.
     pub name: Located<String>,
     /// Which messages it is for.
     pub matches: WrittenMatch,
-    /// How long one attempt may be out.
+    /// How long one attempt may be in flight.
     pub timeout: Option<Located<Micros>>,
     /// Attempts, the first one included.
     pub attempts: Option<Located<u64>>,
     /// Before a further attempt.
     pub pause: Option<WrittenPause>,
-    /// From the begin of an attempt that was cut to the begin of its copy at another endpoint.
+    /// From the start of an attempt that timed out to the start of the hedged request at another endpoint.
     pub hedge_after: Option<Located<Micros>>,
-    /// From the time that a message was handed in to its end.
+    /// From the receipt of a message to its abandonment.
     pub abandon_after: Option<Located<Micros>>,
-    /// All of it could be read: its figures can be held against each other.
+    /// All of it could be read: its figures can be checked against each other.
     pub is_complete: bool,
 }
 
-/// What the platform's settings say; entries are held against it.
+/// What the platform's settings say; entries are checked against it.
 #[derive(Clone, Copy)]
 pub struct Platform<'a> {
     /// Attempts, classes, kinds.
@@ -72,23 +74,32 @@
     pub names: &'a Names,
 }
 
-/// What an entry sets for a message. What it leaves out stays with the module.
+/// The pauses before further attempts; none by default.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Pause {
+    /// Before the second attempt, in microseconds; doubled before each further one ...
+    pub first: Micros,
+    /// ... up to this.
+    pub max: Micros,
+}
+
+/// What an entry sets for a message. What it leaves out is left to the policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timing {
-    /// How long one attempt may be out.
+    /// How long one attempt may be in flight.
     pub timeout: Option<Micros>,
     /// Attempts, the first one included.
     pub attempts: Option<u32>,
-    /// The pause before the second attempt, and the longest one.
-    pub pause: Option<(Micros, Micros)>,
-    /// From the begin of an attempt that was cut to the begin of its copy at another endpoint.
+    /// The pauses before further attempts.
+    pub pause: Option<Pause>,
+    /// From the start of an attempt that timed out to the start of the hedged request at another endpoint.
     pub hedge_after: Option<Micros>,
-    /// From the time that a message was handed in to its end.
+    /// From the receipt of a message to its abandonment.
     pub abandon_after: Option<Micros>,
 }
 
 impl Timing {
-    /// How long an attempt may be out, given what the module would allow it.
+    /// How long an attempt may be in flight, given what the policy would allow it.
     pub fn attempt_timeout(&self, adaptive: Micros) -> Micros {
         self.timeout.unwrap_or(adaptive)
     }
@@ -98,16 +109,16 @@
         self.attempts.map_or(allowed, |a| a.min(allowed))
     }
 
-    /// When a message ends that was handed in and has its deadline at these times.
-    pub fn ends_at(&self, handed_in: Micros, deadline: Micros) -> Micros {
-        self.abandon_after.map_or(deadline, |g| deadline.min(handed_in.saturating_add(g)))
+    /// When a message ends that was received and has its deadline at these times.
+    pub fn ends_at(&self, received_at: Micros, deadline: Micros) -> Micros {
+        self.abandon_after.map_or(deadline, |g| deadline.min(received_at.saturating_add(g)))
     }
 
     /// The pause after so many attempts.
     pub fn pause_after(&self, attempts: u32) -> Micros {
-        let (first, longest) = self.pause.unwrap_or_default();
-        let doubled = 1u64.checked_shl(attempts.saturating_sub(1)).unwrap_or(u64::MAX);
-        first.saturating_mul(doubled).min(longest)
+        let pause = self.pause.unwrap_or_default();
+        let factor = 1u64.checked_shl(attempts.saturating_sub(1)).unwrap_or(u64::MAX);
+        pause.first.saturating_mul(factor).min(pause.max)
     }
 
     /// The earliest time of a further attempt, after so many, the last of which was sent at one time and has
--- a/src/routes/plan.rs
+++ b/src/routes/plan.rs
@@ -1,7 +1,6 @@
 //! The plan: which entry wins for a message, found in constant time and without allocation.
 
-use super::{Platform, Timing, WrittenRoute};
-use crate::config_error::ConfigError;
+use super::Timing;
 use crate::{ClassId, DestinationId, KindId};
 use rustc_hash::FxHashMap;
 
@@ -80,11 +79,6 @@
 }
 
 impl Plan {
-    /// Checks entries and makes a plan of those that stand; it may be used only if no breach was noted.
-    pub fn check(entries: &[WrittenRoute], platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Plan {
-        super::check::check(entries, platform, breaches)
-    }
-
     /// Lays out the cells for accepted entries, with the destinations that each names.
     pub(super) fn build(
         routes: Vec<Route>,
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -1,5 +1,5 @@
-//! Our own settings file: read as a whole, strictly, with the place of each value kept. What a section means is
-//! checked by the subsystem that it is for.
+//! The site file: read completely and strictly, with the position of each value kept. What a section means is checked by the
+//! subsystem that it is for.
 //!
 //! A later subsystem adds a key to [`SECTIONS`], a field to [`Site`] and a reader of its own.
 
@@ -8,60 +8,62 @@
 mod registry;
 mod routes;
 
-use crate::config_error::{ConfigError, ErrorCode};
+use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::membership::RegistrySettings;
-use crate::routes::{Plan, Platform};
-use fields::Fields;
-
-pub use fields::{format_duration, parse_duration};
+use crate::routes::{check_routes, Plan, Platform};
+use fields::{read_whole_number, Fields};
 
 /// The one version of the file that is known.
 const VERSION: u64 = 1;
-/// No settings file is larger; 10,000 entries come to about 2 MB.
-const LARGEST: usize = 16 * 1024 * 1024;
+/// No settings file is larger, in bytes; 10,000 entries come to about 2 MB.
+const MAX_FILE_BYTES: usize = 16 * 1024 * 1024;
 const SECTIONS: &[&str] = &["version", "routes", "registry"];
 
 /// A site file, checked: what each subsystem goes by.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
-    /// Time-outs, attempts, pauses and ends by route.
+    /// Timeouts, attempts, pauses and ends by route.
     pub routes: Plan,
-    /// A registry that the partner list also comes from.
+    /// A registry from which the endpoint list also comes.
     pub registry: Option<RegistrySettings>,
 }
 
 impl Site {
-    /// Reads and checks the text of a file against the platform's settings. All breaches come in one go, in
-    /// the order of the file.
+    /// Reads and checks the text of a file against the platform's settings.
+    ///
+    /// # Errors
+    ///
+    /// All errors at once, in the order of the file.
     pub fn read(text: &str, platform: Platform<'_>) -> Result<Site, Vec<ConfigError>> {
-        let mut breaches = Vec::new();
-        let site = read(text, platform, &mut breaches);
-        breaches.sort_by_key(|b| (b.at, b.code));
+        let mut errors = Vec::new();
+        let site = read(text, platform, &mut errors);
+        errors.sort_by_key(|error| (error.at, error.code));
         match site {
-            Some(site) if breaches.is_empty() => Ok(site),
-            _ => Err(breaches),
+            Some(site) if errors.is_empty() => Ok(site),
+            _ => Err(errors),
         }
     }
 }
 
-fn read(text: &str, platform: Platform<'_>, breaches: &mut Vec<ConfigError>) -> Option<Site> {
-    if text.len() > LARGEST {
-        let reason = format!("the file has {} bytes; {LARGEST} at most are read", text.len());
-        breaches.push(ConfigError::new(Default::default(), ErrorCode::Syntax, reason));
+fn read(text: &str, platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Option<Site> {
+    if text.len() > MAX_FILE_BYTES {
+        let reason = format!("the file has {} bytes; {MAX_FILE_BYTES} at most are read", text.len());
+        errors.push(ConfigError::new(Position::default(), ErrorCode::Syntax, reason));
         return None;
     }
-    let root = node::parse(text).map_err(|b| breaches.push(b)).ok()?;
-    let top = Fields::open(&root, "the file", SECTIONS, breaches)?;
-    if let Some(version) = top.require("version", breaches) {
-        match fields::read_whole_number(version, "`version`", breaches) {
-            Some(VERSION) | None => {}
-            Some(other) => {
-                let reason = format!("version {other} is not known; this program reads version {VERSION}");
-                breaches.push(ConfigError::new(version.at, ErrorCode::Version, reason));
-            }
-        }
+    let root = node::parse(text).map_err(|error| errors.push(error)).ok()?;
+    let sections = Fields::open(&root, "the file", SECTIONS, errors)?;
+    check_version(&sections, errors);
+    let routes = sections.get("routes").map_or_else(Vec::new, |section| routes::read(section, errors));
+    let registry = sections.get("registry").and_then(|section| registry::read(section, errors));
+    Some(Site { routes: check_routes(&routes, platform, errors), registry })
+}
+
+fn check_version(sections: &Fields<'_>, errors: &mut Vec<ConfigError>) {
+    let Some(node) = sections.require("version", errors) else { return };
+    let Some(version) = read_whole_number(node, "`version`", errors) else { return };
+    if version != VERSION {
+        let reason = format!("version {version} is not known; this program reads version {VERSION}");
+        errors.push(ConfigError::new(node.at, ErrorCode::Version, reason));
     }
-    let entries = top.get("routes").map_or_else(Vec::new, |n| routes::read(n, breaches));
-    let registry = top.get("registry").and_then(|n| registry::read(n, breaches));
-    Some(Site { routes: Plan::check(&entries, platform, breaches), registry })
 }
--- a/src/site/node.rs
+++ b/src/site/node.rs
@@ -1,6 +1,6 @@
-//! A YAML document as a tree in which every value knows its place. It gives no meaning to what it reads.
+//! A YAML document as a tree in which every value has its position. It gives no meaning to what it reads.
 
-use crate::config_error::{ConfigError, ErrorCode, Located, Position};
+use crate::config_error::{shortened, ConfigError, ErrorCode, Located, Position};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::{DuplicateKeyPolicy, Location, MergeKeyPolicy, Spanned};
 use std::fmt;
@@ -8,13 +8,13 @@
 /// A value of the document.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it begins.
+    /// Where it starts.
     pub at: Position,
-    /// What it is.
+    /// The value.
     pub value: NodeValue,
 }
 
-/// The types that YAML tells apart.
+/// The types of YAML.
 #[derive(Clone, Debug)]
 pub enum NodeValue {
     /// Nothing.
@@ -34,8 +34,8 @@
 }
 
 impl NodeValue {
-    /// What to call it in a reason.
-    pub fn name(&self) -> String {
+    /// What it is called in errors.
+    pub fn description(&self) -> String {
         match self {
             NodeValue::Null => "nothing".into(),
             NodeValue::Flag(b) => format!("`{b}`"),
@@ -48,24 +48,13 @@
     }
 }
 
-/// A text from a file, cut so that a line of the log stays a line.
-pub fn shortened(text: &str) -> String {
-    const LONGEST: usize = 60;
-    let mut short: String =
-        text.chars().take(LONGEST).map(|c| if c.is_control() { ' ' } else { c }).collect();
-    if text.chars().nth(LONGEST).is_some() {
-        short.push('…');
-    }
-    short
-}
-
-fn position(l: Location) -> Position {
-    Position { line: l.line() as u32, column: l.column() as u32 }
+fn position(location: Location) -> Position {
+    Position { line: location.line() as u32, column: location.column() as u32 }
 }
 
-struct ShapeVisitor;
+struct NodeValueVisitor;
 
-impl<'de> Visitor<'de> for ShapeVisitor {
+impl<'de> Visitor<'de> for NodeValueVisitor {
     type Value = NodeValue;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -105,35 +94,39 @@
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<NodeValue, A::Error> {
-        let mut all = Vec::new();
+        let mut items = Vec::new();
         while let Some(item) = seq.next_element::<Spanned<NodeValue>>()? {
-            all.push(item.into());
+            items.push(item.into());
         }
-        Ok(NodeValue::List(all))
+        Ok(NodeValue::List(items))
     }
 
     fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<NodeValue, A::Error> {
-        let mut all = Vec::new();
+        let mut fields = Vec::new();
         while let Some((key, value)) = map.next_entry::<Spanned<String>, Spanned<NodeValue>>()? {
-            all.push((Located { at: position(key.referenced), value: key.value }, value.into()));
+            fields.push((Located { at: position(key.referenced), value: key.value }, value.into()));
         }
-        Ok(NodeValue::Map(all))
+        Ok(NodeValue::Map(fields))
     }
 }
 
 impl<'de> Deserialize<'de> for NodeValue {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        d.deserialize_any(ShapeVisitor)
+        d.deserialize_any(NodeValueVisitor)
     }
 }
 
 impl From<Spanned<NodeValue>> for Node {
-    fn from(s: Spanned<NodeValue>) -> Self {
-        Node { at: position(s.referenced), value: s.value }
+    fn from(spanned: Spanned<NodeValue>) -> Self {
+        Node { at: position(spanned.referenced), value: spanned.value }
     }
 }
 
-/// Reads a document. What is not YAML, is nested too deep or expands too far is a breach.
+/// Parses a document.
+///
+/// # Errors
+///
+/// If it is not YAML, is nested too deep or expands too far.
 pub fn parse(text: &str) -> Result<Node, ConfigError> {
     let options = serde_saphyr::options! {
         duplicate_keys: DuplicateKeyPolicy::PassThrough,
@@ -141,10 +134,10 @@
         strict_booleans: true,
         with_snippet: false,
     };
-    let read = serde_saphyr::from_str_with_options::<Spanned<NodeValue>>(text, options);
-    read.map(Node::from).map_err(|e| {
-        let at = e.location().map(position).unwrap_or(Position { line: 1, column: 1 });
-        let plain = e.to_string();
-        ConfigError::new(at, ErrorCode::Syntax, plain.lines().next().unwrap_or("not YAML"))
+    let parsed = serde_saphyr::from_str_with_options::<Spanned<NodeValue>>(text, options);
+    parsed.map(Node::from).map_err(|error| {
+        let at = error.location().map(position).unwrap_or(Position { line: 1, column: 1 });
+        let text = error.to_string();
+        ConfigError::new(at, ErrorCode::Syntax, text.lines().next().unwrap_or("not YAML"))
     })
 }
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -1,10 +1,9 @@
 //! The section `registry`: read and checked.
 
-use super::fields::{
-    format_duration, read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields,
-};
+use super::fields::{read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields};
 use super::node::{Node, NodeValue};
 use crate::config_error::{ConfigError, ErrorCode, Located};
+use crate::durations::format_duration;
 use crate::membership::{
     HoldDown, MetadataNames, PollBackoff, PollScope, Registration, RegistryAddress, RegistrySettings,
     ShrinkGuard,
@@ -28,103 +27,184 @@
     "register",
 ];
 /// Polled more often than this, a registry is harmed.
-const LEAST_POLL: Micros = 100_000;
-const MB: u64 = 1_000_000;
+const MIN_POLL_INTERVAL: Micros = 100_000;
+const DEFAULT_POLL_INTERVAL: Micros = 1_000_000;
+const DEFAULT_TIMEOUT: Micros = 2_000_000;
+const DEFAULT_BACKOFF: PausePair = PausePair { first: 200_000, max: 10_000_000 };
+const DEFAULT_PREFERRED_RETRY_AFTER: Micros = 60_000_000;
+const DEFAULT_MAX_RESPONSE_MB: u64 = 32;
+const DEFAULT_HOLD_DOWN: PausePair = PausePair { first: 1_000_000, max: 30_000_000 };
+const DEFAULT_HOLD_DOWN_FORGET_AFTER: Micros = 60_000_000;
+const DEFAULT_SHRINK_GUARD: ShrinkGuard = ShrinkGuard { max_missing_share: 0.3, confirm_after: 10_000_000 };
+const DEFAULT_USE_SNAPSHOT_AFTER: Micros = 3_000_000;
+const DEFAULT_RENEWAL_INTERVAL: Micros = 30_000_000;
+const DEFAULT_LEASE_DURATION: Micros = 90_000_000;
+const BYTES_PER_MB: u64 = 1_000_000;
+
+/// A first and a longest pause.
+#[derive(Clone, Copy)]
+struct PausePair {
+    first: Micros,
+    max: Micros,
+}
+
+/// Reads the section; what it leaves out has the figures that Eureka's own clients use, or milder ones.
+pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Option<RegistrySettings> {
+    let section = Fields::open(node, "`registry`", KEYS, errors)?;
+    let poll_interval = poll_interval(node, &section, errors);
+    let max_response_mb = max_response_mb(&section, errors).unwrap_or(DEFAULT_MAX_RESPONSE_MB);
+    let hold_down = hold_down(&section, errors);
+    Some(RegistrySettings {
+        addresses: addresses(&section, errors),
+        scope: scope(&section, errors),
+        poll_interval,
+        timeout: duration_or(&section, "timeout", DEFAULT_TIMEOUT, errors),
+        backoff: backoff(&section, errors),
+        preferred_retry_after: duration_or(&section, "prefer-after", DEFAULT_PREFERRED_RETRY_AFTER, errors),
+        max_response_bytes: (max_response_mb * BYTES_PER_MB) as usize,
+        metadata: metadata_names(&section, errors),
+        hold_down,
+        shrink_guard: shrink_guard(&section, errors),
+        use_snapshot_after: duration_or(&section, "snapshot-after", DEFAULT_USE_SNAPSHOT_AFTER, errors),
+        registration: registration(&section, errors),
+    })
+}
+
+fn duration_or(fields: &Fields<'_>, key: &str, default: Micros, errors: &mut Vec<ConfigError>) -> Micros {
+    let read = fields.get(key).and_then(|node| read_duration(node, &format!("`{key}`"), errors));
+    read.map_or(default, |duration| duration.value)
+}
+
+fn poll_interval(node: &Node, section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Micros {
+    let interval = duration_or(section, "poll", DEFAULT_POLL_INTERVAL, errors);
+    if interval < MIN_POLL_INTERVAL {
+        let at = section.get("poll").map_or(node.at, |poll| poll.at);
+        let (given, least) = (format_duration(interval), format_duration(MIN_POLL_INTERVAL));
+        let reason = format!("polls every {given} harm a registry; {least} at least");
+        errors.push(ConfigError::new(at, ErrorCode::Time, reason));
+    }
+    interval
+}
 
-/// A time, or what holds where none is given.
-fn time(fields: &Fields<'_>, key: &str, otherwise: Micros, breaches: &mut Vec<ConfigError>) -> Micros {
-    let read = fields.get(key).and_then(|n| read_duration(n, &format!("`{key}`"), breaches));
-    read.map_or(otherwise, |t| t.value)
+fn max_response_mb(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Option<u64> {
+    let node = section.get("largest-mb")?;
+    let mb = read_whole_number(node, "`largest-mb`", errors)?;
+    if !(1..=1024).contains(&mb) {
+        errors.push(ConfigError::new(node.at, ErrorCode::Type, "`largest-mb` must be 1 to 1024"));
+    }
+    Some(mb)
 }
 
-/// A first time and a longest one.
-fn pair(
+/// Reads a first and a longest pause, from a section that may have further keys.
+fn pause_pair(
     section: &Fields<'_>,
     key: &str,
-    otherwise: (Micros, Micros),
-    more: &[&str],
-    breaches: &mut Vec<ConfigError>,
-) -> (Micros, Micros) {
-    let Some(node) = section.get(key) else { return otherwise };
-    let keys = [&["first", "longest"], more].concat();
-    let Some(fields) = Fields::open(node, &format!("`{key}`"), &keys, breaches) else { return otherwise };
-    let first = fields.get("first").and_then(|n| read_duration(n, "`first`", breaches));
-    let longest = fields.get("longest").and_then(|n| read_duration(n, "`longest`", breaches));
-    let (a, b) = (first.map_or(otherwise.0, |t| t.value), longest.map_or(otherwise.1, |t| t.value));
-    if b < a {
-        let at = longest.or(first).map_or(node.at, |t| t.at);
-        let reason =
-            format!("the longest, {}, is under the first, {}", format_duration(b), format_duration(a));
-        breaches.push(ConfigError::new(at, ErrorCode::Pause, reason));
-    }
-    (a, b)
-}
-
-fn address(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<Located<RegistryAddress>> {
-    let given = read_text(node, "an address", breaches)?;
-    let read = || {
-        let rest = given.value.strip_prefix("http://")?;
-        let (place, path) = rest.split_once('/').unwrap_or((rest, ""));
-        let (host, port) = place.rsplit_once(':')?;
-        let host = host.trim_start_matches('[').trim_end_matches(']');
-        let path = path.trim_end_matches('/');
-        let plain = |s: &str| s.chars().all(|c| c.is_ascii_graphic());
-        let prefix = if path.is_empty() { String::new() } else { format!("/{path}") };
-        let address =
-            RegistryAddress { host: host.to_owned(), port: port.parse().ok()?, path_prefix: prefix };
-        (!host.is_empty() && plain(host) && plain(path)).then_some(address)
+    default: PausePair,
+    further_keys: &[&str],
+    errors: &mut Vec<ConfigError>,
+) -> PausePair {
+    let Some(node) = section.get(key) else { return default };
+    let keys = [&["first", "longest"], further_keys].concat();
+    let Some(fields) = Fields::open(node, &format!("`{key}`"), &keys, errors) else { return default };
+    let first = fields.get("first").and_then(|node| read_duration(node, "`first`", errors));
+    let longest = fields.get("longest").and_then(|node| read_duration(node, "`longest`", errors));
+    let pair = PausePair {
+        first: first.map_or(default.first, |first| first.value),
+        max: longest.map_or(default.max, |longest| longest.value),
     };
-    let read = read();
-    if read.is_none() {
+    if pair.max < pair.first {
+        let at = longest.or(first).map_or(node.at, |given| given.at);
+        let (max, first) = (format_duration(pair.max), format_duration(pair.first));
+        let reason = format!("the longest, {max}, is under the first, {first}");
+        errors.push(ConfigError::new(at, ErrorCode::Pause, reason));
+    }
+    pair
+}
+
+fn backoff(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> PollBackoff {
+    let PausePair { first, max } = pause_pair(section, "back-off", DEFAULT_BACKOFF, &[], errors);
+    PollBackoff { first, max }
+}
+
+fn hold_down(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> HoldDown {
+    let PausePair { first, max } = pause_pair(section, "hold-down", DEFAULT_HOLD_DOWN, &["forget"], errors);
+    let forget = section.get("hold-down").and_then(|node| match &node.value {
+        NodeValue::Map(fields) => fields.iter().find(|(key, _)| key.value == "forget"),
+        _ => None,
+    });
+    let forget_after = forget.and_then(|(_, node)| read_duration(node, "`forget`", errors));
+    let forget_after = forget_after.map_or(DEFAULT_HOLD_DOWN_FORGET_AFTER, |given| given.value);
+    HoldDown { first, max, forget_after }
+}
+
+/// Parses an address such as `http://10.0.0.5:8761/eureka/v2`.
+fn parse_address(text: &str) -> Option<RegistryAddress> {
+    let rest = text.strip_prefix("http://")?;
+    let (host_and_port, path) = rest.split_once('/').unwrap_or((rest, ""));
+    let (host, port) = host_and_port.rsplit_once(':')?;
+    let host = host.trim_start_matches('[').trim_end_matches(']');
+    let path = path.trim_end_matches('/');
+    let is_plain = |text: &str| text.chars().all(|c| c.is_ascii_graphic());
+    if host.is_empty() || !is_plain(host) || !is_plain(path) {
+        return None;
+    }
+    let path_prefix = if path.is_empty() { String::new() } else { format!("/{path}") };
+    Some(RegistryAddress { host: host.to_owned(), port: port.parse().ok()?, path_prefix })
+}
+
+fn address(node: &Node, errors: &mut Vec<ConfigError>) -> Option<Located<RegistryAddress>> {
+    let given = read_text(node, "an address", errors)?;
+    let address = parse_address(&given.value);
+    if address.is_none() {
         let reason = format!(
             "`{}` is no address of a registry; write it as http://HOST:PORT/PREFIX, such as \
              http://10.0.0.5:8761/eureka/v2",
             given.value
         );
-        breaches.push(ConfigError::new(given.at, ErrorCode::Address, reason));
+        errors.push(ConfigError::new(given.at, ErrorCode::Address, reason));
     }
-    read.map(|value| Located { value, at: given.at })
+    address.map(|value| Located { value, at: given.at })
 }
 
-fn addresses(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Vec<RegistryAddress> {
-    let Some(node) = section.require("addresses", breaches) else { return Vec::new() };
-    let Some(all) = read_list(node, "`addresses`", breaches) else { return Vec::new() };
-    if all.is_empty() {
-        breaches.push(ConfigError::new(node.at, ErrorCode::Address, "`addresses` lists no registry"));
+fn addresses(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Vec<RegistryAddress> {
+    let Some(node) = section.require("addresses", errors) else { return Vec::new() };
+    let Some(items) = read_list(node, "`addresses`", errors) else { return Vec::new() };
+    if items.is_empty() {
+        errors.push(ConfigError::new(node.at, ErrorCode::Address, "`addresses` lists no registry"));
     }
-    let read: Vec<Located<RegistryAddress>> = all.iter().filter_map(|n| address(n, breaches)).collect();
-    for (n, a) in read.iter().enumerate() {
-        if let Some(first) = read[..n].iter().find(|b| b.value == a.value) {
+    let addresses: Vec<_> = items.iter().filter_map(|item| address(item, errors)).collect();
+    for (index, repeated) in addresses.iter().enumerate() {
+        if let Some(first) = addresses[..index].iter().find(|earlier| earlier.value == repeated.value) {
             let reason = format!("this address stands in line {} already", first.at.line);
-            breaches.push(ConfigError::new(a.at, ErrorCode::Address, reason));
+            errors.push(ConfigError::new(repeated.at, ErrorCode::Address, reason));
         }
     }
-    read.into_iter().map(|a| a.value).collect()
+    addresses.into_iter().map(|address| address.value).collect()
 }
 
-fn ask(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> PollScope {
-    let apps = section.get("apps").and_then(|n| read_list(n, "`apps`", breaches));
-    let apps: Vec<String> = apps
-        .unwrap_or_default()
+fn scope(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> PollScope {
+    let items = section.get("apps").and_then(|node| read_list(node, "`apps`", errors)).unwrap_or_default();
+    let applications: Vec<String> = items
         .iter()
-        .filter_map(|n| read_text(n, "an application", breaches).map(|t| t.value))
+        .filter_map(|item| read_text(item, "an application", errors))
+        .map(|application| application.value)
         .collect();
-    let vip = section.get("vip").and_then(|n| read_text(n, "`vip`", breaches));
+    let vip = section.get("vip").and_then(|node| read_text(node, "`vip`", errors));
     if let Some(vip) = vip {
-        if !apps.is_empty() {
+        if !applications.is_empty() {
             let reason = "`vip` and `apps` cannot both be asked for; leave one out";
-            breaches.push(ConfigError::new(vip.at, ErrorCode::Type, reason));
+            errors.push(ConfigError::new(vip.at, ErrorCode::Type, reason));
         }
         return PollScope::VirtualAddress(vip.value);
     }
-    if apps.is_empty() {
+    if applications.is_empty() {
         PollScope::All
     } else {
-        PollScope::Applications(apps)
+        PollScope::Applications(applications)
     }
 }
 
-fn metadata(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> MetadataNames {
+fn metadata_names(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> MetadataNames {
     let mut names = MetadataNames {
         destination: "partner".into(),
         kind: "kind".into(),
@@ -133,105 +213,59 @@
     };
     let Some(node) = section.get("metadata") else { return names };
     let keys = ["destination", "kind", "zone", "weight"];
-    let Some(fields) = Fields::open(node, "`metadata`", &keys, breaches) else { return names };
-    let into = [&mut names.destination, &mut names.kind, &mut names.zone, &mut names.weight];
-    for (key, name) in keys.into_iter().zip(into) {
-        let read = fields.get(key).and_then(|n| read_text(n, &format!("`{key}`"), breaches));
-        read.into_iter().for_each(|t| *name = t.value);
+    let Some(fields) = Fields::open(node, "`metadata`", &keys, errors) else { return names };
+    let names_by_key = [&mut names.destination, &mut names.kind, &mut names.zone, &mut names.weight];
+    for (key, name) in keys.into_iter().zip(names_by_key) {
+        let given = fields.get(key).and_then(|node| read_text(node, &format!("`{key}`"), errors));
+        if let Some(given) = given {
+            *name = given.value;
+        }
     }
     names
 }
 
-fn shrink(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> ShrinkGuard {
-    let mut shrink = ShrinkGuard { max_missing_share: 0.3, confirm_after: 10_000_000 };
-    let Some(node) = section.get("shrink") else { return shrink };
-    let Some(fields) = Fields::open(node, "`shrink`", &["share", "confirm"], breaches) else { return shrink };
+fn shrink_guard(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> ShrinkGuard {
+    let mut guard = DEFAULT_SHRINK_GUARD;
+    let Some(node) = section.get("shrink") else { return guard };
+    let Some(fields) = Fields::open(node, "`shrink`", &["share", "confirm"], errors) else { return guard };
     if let Some(share) = fields.get("share") {
         match share.value {
-            NodeValue::Real(x) if x > 0.0 && x < 1.0 => shrink.max_missing_share = x,
-            _ => report_wrong_type(share, "`share`", "a share between 0 and 1", breaches),
+            NodeValue::Real(value) if value > 0.0 && value < 1.0 => guard.max_missing_share = value,
+            _ => report_wrong_type(share, "`share`", "a share between 0 and 1", errors),
         }
     }
-    shrink.confirm_after = time(&fields, "confirm", shrink.confirm_after, breaches);
-    shrink
+    guard.confirm_after = duration_or(&fields, "confirm", guard.confirm_after, errors);
+    guard
 }
 
-fn register(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> Option<Registration> {
+fn registration(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Option<Registration> {
     let node = section.get("register")?;
-    let fields = Fields::open(node, "`register`", &["app", "renew", "lease", "metadata"], breaches)?;
-    let app = fields.require("app", breaches).and_then(|n| read_text(n, "`app`", breaches));
-    let renew = time(&fields, "renew", 30_000_000, breaches);
-    let lease = time(&fields, "lease", 90_000_000, breaches);
-    if lease <= renew {
-        let at = fields.get("lease").or(fields.get("renew")).map_or(node.at, |n| n.at);
-        let (a, b) = (format_duration(lease), format_duration(renew));
-        let reason = format!("a lease of {a} ends before it is renewed after {b}; it must be longer");
-        breaches.push(ConfigError::new(at, ErrorCode::Lease, reason));
-    }
-    let mut told = BTreeMap::new();
-    if let Some(node) = fields.get("metadata") {
-        match &node.value {
-            NodeValue::Map(all) => {
-                for (key, value) in all {
-                    if let Some(v) = read_text(value, &format!("`{}`", key.value), breaches) {
-                        told.insert(key.value.clone(), v.value);
-                    }
-                }
-            }
-            _ => report_wrong_type(node, "`metadata`", "a map", breaches),
-        }
+    let fields = Fields::open(node, "`register`", &["app", "renew", "lease", "metadata"], errors)?;
+    let application = fields.require("app", errors).and_then(|node| read_text(node, "`app`", errors));
+    let renewal_interval = duration_or(&fields, "renew", DEFAULT_RENEWAL_INTERVAL, errors);
+    let lease_duration = duration_or(&fields, "lease", DEFAULT_LEASE_DURATION, errors);
+    if lease_duration <= renewal_interval {
+        let at = fields.get("lease").or(fields.get("renew")).map_or(node.at, |given| given.at);
+        let (lease, renewal) = (format_duration(lease_duration), format_duration(renewal_interval));
+        let reason =
+            format!("a lease of {lease} ends before it is renewed after {renewal}; it must be longer");
+        errors.push(ConfigError::new(at, ErrorCode::Lease, reason));
     }
-    Some(Registration {
-        application: app?.value,
-        renewal_interval: renew,
-        lease_duration: lease,
-        metadata: told,
-    })
-}
-
-fn backoff(section: &Fields<'_>, breaches: &mut Vec<ConfigError>) -> PollBackoff {
-    let (first, max) = pair(section, "back-off", (200_000, 10_000_000), &[], breaches);
-    PollBackoff { first, max }
+    let metadata = published_metadata(&fields, errors);
+    Some(Registration { application: application?.value, renewal_interval, lease_duration, metadata })
 }
 
-/// Reads the section; what it leaves out has the figures that Eureka's own clients use, or milder ones.
-pub fn read(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<RegistrySettings> {
-    let section = Fields::open(node, "`registry`", KEYS, breaches)?;
-    let poll = time(&section, "poll", 1_000_000, breaches);
-    if poll < LEAST_POLL {
-        let at = section.get("poll").map_or(node.at, |n| n.at);
-        let reason = format!(
-            "polls every {} harm a registry; {} at least",
-            format_duration(poll),
-            format_duration(LEAST_POLL)
-        );
-        breaches.push(ConfigError::new(at, ErrorCode::Time, reason));
-    }
-    let largest = section.get("largest-mb").and_then(|n| {
-        let mb = read_whole_number(n, "`largest-mb`", breaches)?;
-        if !(1..=1024).contains(&mb) {
-            breaches.push(ConfigError::new(n.at, ErrorCode::Type, "`largest-mb` must be 1 to 1024"));
+fn published_metadata(fields: &Fields<'_>, errors: &mut Vec<ConfigError>) -> BTreeMap<String, String> {
+    let mut metadata = BTreeMap::new();
+    let Some(node) = fields.get("metadata") else { return metadata };
+    let NodeValue::Map(entries) = &node.value else {
+        report_wrong_type(node, "`metadata`", "a map", errors);
+        return metadata;
+    };
+    for (key, value) in entries {
+        if let Some(text) = read_text(value, &format!("`{}`", key.value), errors) {
+            metadata.insert(key.value.clone(), text.value);
         }
-        Some(mb)
-    });
-    let hold = pair(&section, "hold-down", (1_000_000, 30_000_000), &["forget"], breaches);
-    let forget = section.get("hold-down").and_then(|n| match &n.value {
-        NodeValue::Map(all) => all.iter().find(|f| f.0.value == "forget").map(|f| &f.1),
-        _ => None,
-    });
-    let forget = forget.and_then(|n| read_duration(n, "`forget`", breaches)).map_or(60_000_000, |t| t.value);
-    Some(RegistrySettings {
-        addresses: addresses(&section, breaches),
-        scope: ask(&section, breaches),
-        poll_interval: poll,
-        timeout: time(&section, "timeout", 2_000_000, breaches),
-        backoff: backoff(&section, breaches),
-        preferred_retry_after: time(&section, "prefer-after", 60_000_000, breaches),
-        max_response_bytes: (largest.unwrap_or(32) * MB) as usize,
-        metadata: metadata(&section, breaches),
-        hold_down: HoldDown { first: hold.0, max: hold.1, forget_after: forget },
-        shrink_guard: shrink(&section, breaches),
-        use_snapshot_after: time(&section, "snapshot-after", 3_000_000, breaches),
-        registration: register(&section, breaches),
-    })
+    }
+    metadata
 }
--- a/src/site/routes.rs
+++ b/src/site/routes.rs
@@ -1,45 +1,34 @@
-//! The section `routes`: its entries as they are written, before anything is made of them.
+//! The section `routes`: its entries as they are written, before they are checked against each other and the settings.
 
 use super::fields::{read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields};
 use super::node::{Node, NodeValue};
 use crate::config_error::{ConfigError, ErrorCode, Located};
 use crate::routes::{WrittenMatch, WrittenPause, WrittenRoute};
-use crate::DestinationId;
+use crate::{DestinationId, Micros};
+use std::collections::HashMap;
 
-const ENTRY: &[&str] = &["name", "match", "timeout", "attempts", "pause", "second-copy", "give-up"];
+const KEYS: &[&str] = &["name", "match", "timeout", "attempts", "pause", "second-copy", "give-up"];
 
-/// Reads the entries. One with a breach is kept, marked, so that the others can be held against it.
-pub fn read(node: &Node, breaches: &mut Vec<ConfigError>) -> Vec<WrittenRoute> {
-    let all = read_list(node, "`routes`", breaches).unwrap_or_default();
-    all.iter().filter_map(|n| entry(n, breaches)).collect()
+/// Reads the entries. One with an error is kept, marked, so that the others can be checked against it.
+pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Vec<WrittenRoute> {
+    let items = read_list(node, "`routes`", errors).unwrap_or_default();
+    items.iter().filter_map(|item| route(item, errors)).collect()
 }
 
-fn entry(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<WrittenRoute> {
-    let mut before = breaches.len();
-    let fields = Fields::open(node, "an entry", ENTRY, breaches)?;
-    let keys = breaches.len() - before;
-    let name = fields.require("name", breaches).and_then(|n| read_text(n, "`name`", breaches));
-    let matches = fields.require("match", breaches).and_then(|n| match_of(n, breaches));
-    before = breaches.len();
-    let timeout = fields.get("timeout").and_then(|n| read_duration(n, "`timeout`", breaches));
-    let attempts = fields.get("attempts").and_then(|n| {
-        let value = read_whole_number(n, "`attempts`", breaches)?;
-        Some(Located { value, at: n.at })
-    });
-    let pause = fields.get("pause").and_then(|n| {
-        let fields = Fields::open(n, "`pause`", &["first", "longest"], breaches)?;
-        let first = fields.require("first", breaches).and_then(|n| read_duration(n, "`first`", breaches));
-        let longest =
-            fields.require("longest", breaches).and_then(|n| read_duration(n, "`longest`", breaches));
-        Some(WrittenPause { first: first?, max: longest? })
-    });
-    let second_copy = fields.get("second-copy").and_then(|n| {
-        let fields = Fields::open(n, "`second-copy`", &["after"], breaches)?;
-        fields.require("after", breaches).and_then(|n| read_duration(n, "`after`", breaches))
-    });
-    let give_up = fields.get("give-up").and_then(|n| read_duration(n, "`give-up`", breaches));
+fn route(node: &Node, errors: &mut Vec<ConfigError>) -> Option<WrittenRoute> {
+    let errors_before_keys = errors.len();
+    let fields = Fields::open(node, "an entry", KEYS, errors)?;
+    let has_key_errors = errors.len() > errors_before_keys;
+    let name = fields.require("name", errors).and_then(|node| read_text(node, "`name`", errors));
+    let matches = fields.require("match", errors).and_then(|node| match_of(node, errors));
+    let errors_before_figures = errors.len();
+    let timeout = fields.get("timeout").and_then(|node| read_duration(node, "`timeout`", errors));
+    let attempts = fields.get("attempts").and_then(|node| attempts(node, errors));
+    let pause = fields.get("pause").and_then(|node| pause(node, errors));
+    let hedge_after = fields.get("second-copy").and_then(|node| hedge_after(node, errors));
+    let abandon_after = fields.get("give-up").and_then(|node| read_duration(node, "`give-up`", errors));
     // A figure that was misread or misnamed would collide with the others for no reason.
-    let whole = keys == 0 && breaches.len() == before;
+    let is_complete = !has_key_errors && errors.len() == errors_before_figures;
     Some(WrittenRoute {
         at: node.at,
         name: name?,
@@ -47,56 +36,77 @@
         timeout,
         attempts,
         pause,
-        hedge_after: second_copy,
-        abandon_after: give_up,
-        is_complete: whole,
+        hedge_after,
+        abandon_after,
+        is_complete,
     })
 }
 
-fn match_of(node: &Node, breaches: &mut Vec<ConfigError>) -> Option<WrittenMatch> {
-    let before = breaches.len();
-    let fields = Fields::open(node, "`match`", &["destination", "kind", "class"], breaches)?;
-    if breaches.len() > before {
+fn attempts(node: &Node, errors: &mut Vec<ConfigError>) -> Option<Located<u64>> {
+    let value = read_whole_number(node, "`attempts`", errors)?;
+    Some(Located { value, at: node.at })
+}
+
+fn pause(node: &Node, errors: &mut Vec<ConfigError>) -> Option<WrittenPause> {
+    let fields = Fields::open(node, "`pause`", &["first", "longest"], errors)?;
+    let first = fields.require("first", errors).and_then(|node| read_duration(node, "`first`", errors));
+    let longest = fields.require("longest", errors).and_then(|node| read_duration(node, "`longest`", errors));
+    Some(WrittenPause { first: first?, max: longest? })
+}
+
+fn hedge_after(node: &Node, errors: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
+    let fields = Fields::open(node, "`second-copy`", &["after"], errors)?;
+    fields.require("after", errors).and_then(|node| read_duration(node, "`after`", errors))
+}
+
+fn match_of(node: &Node, errors: &mut Vec<ConfigError>) -> Option<WrittenMatch> {
+    let errors_before = errors.len();
+    let fields = Fields::open(node, "`match`", &["destination", "kind", "class"], errors)?;
+    if errors.len() > errors_before {
         // What it is for is not known.
         return None;
     }
-    let destinations = fields.get("destination").map(|n| destinations(n, breaches));
-    let kind = fields.get("kind").map(|n| read_text(n, "`kind`", breaches));
-    let class = fields.get("class").map(|n| read_text(n, "`class`", breaches));
-    // One that could not be read would seem to match more than it does.
-    let (kind, class) =
-        (kind.map_or(Some(None), |k| k.map(Some))?, class.map_or(Some(None), |c| c.map(Some))?);
-    Some(WrittenMatch { at: node.at, destinations, kind, class })
+    let destinations = fields.get("destination").map(|node| destinations(node, errors));
+    let kind = fields.get("kind").map(|node| read_text(node, "`kind`", errors));
+    let class = fields.get("class").map(|node| read_text(node, "`class`", errors));
+    // Without a criterion that could not be read, the entry would seem to match more than it does.
+    let is_unreadable = matches!(kind, Some(None)) || matches!(class, Some(None));
+    if is_unreadable {
+        return None;
+    }
+    Some(WrittenMatch { at: node.at, destinations, kind: kind.flatten(), class: class.flatten() })
 }
 
-fn destinations(node: &Node, breaches: &mut Vec<ConfigError>) -> Vec<Located<DestinationId>> {
-    let one = |n: &Node| match n.value {
-        NodeValue::Whole(d) => Some(Located { value: DestinationId(d), at: n.at }),
+fn destination(node: &Node) -> Option<Located<DestinationId>> {
+    match node.value {
+        NodeValue::Whole(number) => Some(Located { value: DestinationId(number), at: node.at }),
         _ => None,
-    };
-    if let Some(only) = one(node) {
-        return vec![only];
     }
-    let NodeValue::List(all) = &node.value else {
-        report_wrong_type(node, "`destination`", "a number or a list of numbers", breaches);
+}
+
+fn destinations(node: &Node, errors: &mut Vec<ConfigError>) -> Vec<Located<DestinationId>> {
+    if let Some(single) = destination(node) {
+        return vec![single];
+    }
+    let NodeValue::List(items) = &node.value else {
+        report_wrong_type(node, "`destination`", "a number or a list of numbers", errors);
         return Vec::new();
     };
-    if all.is_empty() {
+    if items.is_empty() {
         let reason =
             "`destination` lists nothing, so the entry would match nothing; leave it out to match all";
-        breaches.push(ConfigError::new(node.at, ErrorCode::NoDestination, reason));
+        errors.push(ConfigError::new(node.at, ErrorCode::NoDestination, reason));
     }
-    let mut seen = std::collections::HashMap::new();
-    for item in all {
-        match one(item) {
-            None => report_wrong_type(item, "a destination", "a whole number", breaches),
-            Some(d) => {
-                if let Some(first) = seen.insert(d.value, d.at) {
-                    let reason = format!("destination {} stands in line {} already", d.value.0, first.line);
-                    breaches.push(ConfigError::new(d.at, ErrorCode::RepeatedDestination, reason));
-                }
-            }
+    let mut positions = HashMap::new();
+    for item in items {
+        let Some(given) = destination(item) else {
+            report_wrong_type(item, "a destination", "a whole number", errors);
+            continue;
+        };
+        if let Some(first) = positions.insert(given.value, given.at) {
+            let reason = format!("destination {} stands in line {} already", given.value.0, first.line);
+            errors.push(ConfigError::new(given.at, ErrorCode::RepeatedDestination, reason));
         }
     }
-    all.iter().filter_map(one).collect()
+    items.iter().filter_map(destination).collect()
 }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -388,7 +388,7 @@
         ("register: {app: A, renew: 2s, lease: 2s}", "lease"),
     ] {
         let found = read(rest).expect_err(rest);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
+        assert_eq!(found.iter().map(|b| b.code.as_str()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
         assert!(found[0].at.line == 2 && found[0].at.column > 38, "{rest}: {found:?}");
     }
     for addresses in
@@ -397,6 +397,6 @@
         let text = format!("version: 1\nregistry: {{addresses: {addresses}}}\n");
         let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
         let found = cedarbridge::site::Site::read(&text, platform).expect_err(addresses);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), ["address"], "{addresses}");
+        assert_eq!(found.iter().map(|b| b.code.as_str()).collect::<Vec<_>>(), ["address"], "{addresses}");
     }
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -28,7 +28,7 @@
     let (settings, names) = platform();
     let read = Site::read(text, Platform { settings: &settings, names: &names });
     read.map_err(|all| {
-        all.iter().map(|b| format!("{}:{} {}", b.at.line, b.at.column, b.code.word())).collect()
+        all.iter().map(|b| format!("{}:{} {}", b.at.line, b.at.column, b.code.as_str())).collect()
     })
 }
 
