--- a/src/bin/cedarbridge-simhost/wire/error.rs
+++ b/src/bin/cedarbridge-simhost/wire/error.rs
@@ -1,5 +1,6 @@
 //! What is wrong with a line, from the batch down to the field.
 
+use cedarbridge::settings_json::{DecodeError, UnknownName};
 use cedarbridge::SettingsError;
 use serde_json::Value;
 use thiserror::Error;
@@ -12,13 +13,13 @@
     #[error("a batch needs its clock `t`")]
     NoClock,
     #[error("`t`: {0}")]
-    Clock(#[source] FieldError),
+    Clock(#[source] DecodeError),
     #[error("a batch needs an array `parts`")]
     NoParts,
     #[error("a part needs its `courier-id`")]
     NoInstanceId,
     #[error("`courier-id`: {0}")]
-    InstanceId(#[source] FieldError),
+    InstanceId(#[source] DecodeError),
     #[error("a part needs an array `news`")]
     NoEvents,
     #[error("an event starts with its name")]
@@ -41,7 +42,9 @@
     #[error("missing field `{0}`")]
     MissingField(&'static str),
     #[error(transparent)]
-    Field(#[from] FieldError),
+    Field(#[from] DecodeError),
+    #[error(transparent)]
+    UnknownName(#[from] UnknownName),
     #[error("`entries` is not an array")]
     EntriesNotAnArray,
     #[error("`salt` is not whole")]
@@ -55,21 +58,9 @@
     #[error("key {0} is not hexadecimal")]
     KeyNotHexadecimal(Value),
     #[error("`note`: {0}")]
-    Note(#[source] FieldError),
+    Note(#[source] DecodeError),
     #[error("unknown outcome code {0}")]
     UnknownOutcome(u64),
     #[error("`stats` is not an object: {0}")]
     StatsNotAnObject(Value),
 }
-
-/// A value that is not what its field holds, in the words of [`cedarbridge::settings_json`].
-#[derive(Debug, Error)]
-#[error("{0}")]
-pub struct FieldError(String);
-
-impl FieldError {
-    /// From an error of a reader of [`cedarbridge::settings_json`].
-    pub fn new(error: impl ToString) -> Self {
-        FieldError(error.to_string())
-    }
-}
--- a/src/bin/cedarbridge-simhost/wire/fields.rs
+++ b/src/bin/cedarbridge-simhost/wire/fields.rs
@@ -1,7 +1,7 @@
 //! The fields of an event, which is an array: its name, then its fields by position.
 
-use super::error::{EventError, FieldError};
-use cedarbridge::settings_json::{micros, text, whole};
+use super::error::EventError;
+use cedarbridge::settings_json::{micros_from_ms, string, unsigned, DecodeError};
 use cedarbridge::{EndpointId, Micros};
 use serde_json::Value;
 
@@ -21,30 +21,30 @@
     }
 
     /// The field at a position, which must be there, as a reader reads it.
-    pub fn read<T, E: ToString>(
+    pub fn read<T>(
         self,
         position: usize,
         name: &'static str,
-        reader: fn(&Value) -> Result<T, E>,
+        reader: fn(&Value) -> Result<T, DecodeError>,
     ) -> Result<T, EventError> {
         let value = self.required(position, name)?;
-        Ok(reader(value).map_err(FieldError::new)?)
+        Ok(reader(value)?)
     }
 
-    pub fn text(self, position: usize, name: &'static str) -> Result<String, EventError> {
-        self.read(position, name, text)
+    pub fn string(self, position: usize, name: &'static str) -> Result<String, EventError> {
+        self.read(position, name, string)
     }
 
-    pub fn whole(self, position: usize, name: &'static str) -> Result<u64, EventError> {
-        self.read(position, name, whole)
+    pub fn unsigned(self, position: usize, name: &'static str) -> Result<u64, EventError> {
+        self.read(position, name, unsigned)
     }
 
     pub fn micros(self, position: usize, name: &'static str) -> Result<Micros, EventError> {
-        self.read(position, name, micros)
+        self.read(position, name, micros_from_ms)
     }
 
     /// The field `endpoint`.
     pub fn endpoint(self, position: usize) -> Result<EndpointId, EventError> {
-        Ok(EndpointId(self.whole(position, "endpoint")? as u32))
+        Ok(EndpointId(self.unsigned(position, "endpoint")? as u32))
     }
 }
--- a/src/bin/cedarbridge-simhost/wire/mod.rs
+++ b/src/bin/cedarbridge-simhost/wire/mod.rs
@@ -7,9 +7,9 @@
 
 pub use error::BatchError;
 
-use cedarbridge::settings_json::{micros, settings, whole};
+use cedarbridge::settings_json::{decode_settings, micros_from_ms, unsigned};
 use cedarbridge::{DeliveryPolicy, Event};
-use error::{EventError, FieldError};
+use error::EventError;
 use fields::Fields;
 use instance::Instance;
 use serde_json::{json, Value};
@@ -34,12 +34,12 @@
     pub fn batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Value = serde_json::from_str(line).map_err(BatchError::NotJson)?;
         let clock = batch.get("t").ok_or(BatchError::NoClock)?;
-        let now = micros(clock).map_err(|e| BatchError::Clock(FieldError::new(e)))?;
+        let now = micros_from_ms(clock).map_err(BatchError::Clock)?;
         let parts = batch.get("parts").and_then(Value::as_array).ok_or(BatchError::NoParts)?;
         let mut replies = Vec::new();
         for part in parts {
             let id = part.get("courier-id").ok_or(BatchError::NoInstanceId)?;
-            let id = whole(id).map_err(|e| BatchError::InstanceId(FieldError::new(e)))?;
+            let id = unsigned(id).map_err(BatchError::InstanceId)?;
             let events = self.read_events(id, part)?;
             let Some(instance) = self.instances.get_mut(&id) else { continue };
             let outbox = instance.step(now, &events);
@@ -95,7 +95,7 @@
     }
 
     fn store_list(&mut self, fields: Fields) -> Result<(), EventError> {
-        let number = fields.whole(1, "bank")?;
+        let number = fields.unsigned(1, "bank")?;
         let entries = fields.required(2, "entries")?.as_array().ok_or(EventError::EntriesNotAnArray)?;
         self.lists.insert(number, entries.clone());
         Ok(())
@@ -104,7 +104,7 @@
     fn create(&mut self, id: u64, fields: Fields) -> Result<(), EventError> {
         let seed = fields.required(1, "salt")?;
         let seed = seed.as_u64().or(seed.as_i64().map(|n| n as u64)).ok_or(EventError::SeedNotWhole)?;
-        let (settings, names) = fields.read(2, "params", settings)?;
+        let (settings, names) = fields.read(2, "params", decode_settings)?;
         let policy = DeliveryPolicy::new(settings, seed)?;
         self.instances.insert(id, Instance::new(policy, names));
         Ok(())
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -118,7 +118,7 @@
     fn platform(&self) -> Result<Read, Failed> {
         let json = read_text(&self.config)?;
         let refused = |e| Failed::Refused(format!("`{}`: {e}", self.config.display()));
-        let (settings, names) = config::platform(&json).map_err(refused)?;
+        let (settings, names) = config::read_platform_settings(&json).map_err(refused)?;
         Ok(Read { settings, names, json })
     }
 
@@ -129,9 +129,9 @@
 }
 
 /// Breaches, one a line.
-fn lines(file: &Path, breaches: &[ConfigError]) -> String {
+fn lines(file: &Path, errors: &[ConfigError]) -> String {
     let file = file.display().to_string();
-    breaches.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
+    errors.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
 }
 
 /// Prints to standard output; a reader that has gone is no failure.
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -128,7 +128,7 @@
         if ended {
             self.ended_by_endpoint(id, outcome, message.as_deref());
         } else if never_ran(outcome) {
-            self.context.journal.never_ran(id, number);
+            self.context.journal.record_never_ran(id, number);
         }
         self.remove_if_over(id);
         self.events.push(Event::AttemptEnded {
@@ -162,7 +162,7 @@
                 self.context.routes.delivered(stats, delivery_time);
             }
         }
-        self.context.journal.end(id);
+        self.context.journal.record_completed(id);
     }
 }
 
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -47,7 +47,7 @@
     /// Ends a message whose client is gone before the reply.
     pub(super) fn withdraw(&mut self, id: MessageId) {
         if self.end_message(id, MessageEnd::Withdrawn) {
-            self.context.journal.end(id);
+            self.context.journal.record_completed(id);
             self.context.counters.withdrawn.add();
             self.events.push(Event::Withdrawn { id });
             self.remove_if_over(id);
@@ -64,7 +64,7 @@
         let request_id = open.message.request.request_id.clone();
         info!(self.context.log, "message"; "state" => "abandoned", "id" => &request_id, "reason" => reason.name());
         if let Some(reply) = open.reply.take() {
-            self.context.journal.end(id);
+            self.context.journal.record_completed(id);
             match abandoned {
                 Abandoned::Returned(_) => self.context.counters.unavailable.add(),
                 Abandoned::Failed => self.context.counters.failed.add(),
@@ -86,7 +86,7 @@
         self.context.gauges.open_messages.decrement();
         let request_id = &message.request.request_id;
         info!(self.context.log, "message"; "state" => end.name(), "id" => request_id, "attempts" => message.attempts());
-        let violation = self.context.ledger.borrow_mut().end(id, end == MessageEnd::Returned);
+        let violation = self.context.ledger.borrow_mut().completed(id, end == MessageEnd::Returned);
         violation.into_iter().for_each(|violation| self.context.violated(violation, request_id, None));
         true
     }
@@ -104,7 +104,7 @@
 
     /// Journals a delivery report and has it sent.
     pub(super) async fn report_end(&mut self, id: MessageId, request_id: String, end: ReportedEnd) {
-        self.context.journal.report(id, end);
+        self.context.journal.record_end(id, end);
         match end {
             ReportedEnd::Failed => self.context.counters.failed.add(),
             ReportedEnd::Returned(_) => self.context.counters.returned.add(),
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -38,14 +38,14 @@
     fn restore_message(&mut self, id: MessageId, journaled: JournaledMessage) {
         let class = self.class_of(&journaled).unwrap_or_default();
         let may_have_run = journaled.progress.may_have_run();
-        let Progress { attempts, first, .. } = journaled.progress.clone();
+        let Progress { attempts, first_attempt, .. } = journaled.progress.clone();
         let request = self.request_of(journaled, class, may_have_run);
         let mut message = InFlightMessage::new(id, request, attempts);
         message.restored = true;
-        message.first_attempt = first.map(|start| {
+        message.first_attempt = first_attempt.map(|start| {
             // A zone that was removed takes no retry.
             let zone = self.names.zones.iter().position(|zone| *zone == start.zone).unwrap_or(usize::MAX);
-            (start.at, ZoneId(zone))
+            (start.started_at, ZoneId(zone))
         });
         self.open_new(message, None);
     }
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -88,10 +88,10 @@
 fn check_sendable(context: &Context, call: &Call, progress: &Progress) -> Result<SendPermit, CallEnd> {
     let facts = SendFacts {
         now: context.clock.now(),
-        message_over: call.attempts.iter().any(|attempt| attempt.message.is_over()),
+        message_complete: call.attempts.iter().any(|attempt| attempt.message.is_over()),
         handed_over: context.journal.is_paused(),
         journal_writable: context.journal.is_writable(),
-        cut_at: call.first_timeout(&vec![true; call.attempts.len()]),
+        abandon_at: call.first_timeout(&vec![true; call.attempts.len()]),
         send_by: call.send_by(),
         drain_grace: context.endpoint_table.grace(),
         endpoint: context.endpoint_table.facts(call.endpoint),
@@ -107,8 +107,8 @@
 ) -> Result<(), CallEnd> {
     let zone_name = zone.map(|zone| context.config().names.zones[zone.0].clone()).unwrap_or_default();
     for attempt in &call.attempts {
-        let start = AttemptStart { at: call.sent, zone: zone_name.clone() };
-        if context.journal.attempt(attempt.message.id, attempt.number, start).is_err() {
+        let start = AttemptStart { started_at: call.sent, zone: zone_name.clone() };
+        if context.journal.record_attempt(attempt.message.id, attempt.number, start).is_err() {
             return Err(not_sent(context, call, progress, SendRefusal::JournalFailing));
         }
     }
@@ -131,13 +131,14 @@
     let now = context.clock.now();
     let table = &context.endpoint_table;
     let facts = table.facts(call.endpoint);
-    let leaving_since = facts.and_then(|facts| facts.leaving_since);
+    let leaving_since = facts.and_then(|facts| facts.draining_since);
     let sent_to_leaving = leaving_since.is_some_and(|since| now > since + table.grace());
     let sent_within_retry_after = facts.and_then(|facts| facts.retry_after).is_some_and(|until| now < until);
     for attempt in &call.attempts {
         let request_id = &attempt.message.request.request_id;
-        let of_message = context.ledger.borrow_mut().attempt(attempt.message.id, attempt.number, now, zone);
-        let leaving = sent_to_leaving.then_some(Violation::SentToLeaving);
+        let of_message =
+            context.ledger.borrow_mut().attempt_started(attempt.message.id, attempt.number, now, zone);
+        let leaving = sent_to_leaving.then_some(Violation::SentToDraining);
         let retry_after = sent_within_retry_after.then_some(Violation::SentWithinRetryAfter);
         for violation in [of_message, leaving, retry_after].into_iter().flatten() {
             context.violated(violation, request_id, Some(call.endpoint));
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -1,7 +1,7 @@
 //! The idle connections to an endpoint.
 
 use super::connection_end::ConnectionEnd;
-use crate::invariants::connection::idle_until;
+use crate::invariants::connection::reusable_until;
 use crate::invariants::{may_reuse, IdleFacts};
 use crate::net::http::HttpConnection;
 use crate::net::Context;
@@ -35,12 +35,12 @@
     /// Keeps a connection for the next call, unless the process has too many idle ones.
     pub fn put(&mut self, connection: HttpConnection) {
         let idle_connections = &self.context.gauges.idle_endpoint_connections;
-        if idle_connections.get() >= self.context.config().idle_peers() {
+        if idle_connections.get() >= self.context.config().max_idle_connections() {
             return self.log_closed(ConnectionEnd::PoolFull);
         }
         idle_connections.increment();
         let timeout = self.context.config().endpoint_idle_timeout;
-        let reusable_until = idle_until(self.context.clock.now(), timeout);
+        let reusable_until = reusable_until(self.context.clock.now(), timeout);
         let address = connection.peer();
         self.idle.push(Idle { connection, address, reusable_until });
     }
@@ -70,9 +70,9 @@
             let idle = &mut self.idle[index];
             let facts = IdleFacts {
                 now,
-                until: idle.reusable_until,
-                at_its_address: idle.address == address,
-                disturbed: idle.connection.poll_idle_end(&mut task),
+                reusable_until: idle.reusable_until,
+                address_is_current: idle.address == address,
+                disturbance: idle.connection.poll_idle_end(&mut task),
             };
             if let Err(reason) = may_reuse(&facts) {
                 drop(self.remove(index));
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -181,10 +181,10 @@
     /// What binds a call to an endpoint now; `None` if the list does not name it. Time passes between the policy's step and the
     /// first byte, above all while a connection is made; what was received meanwhile binds that byte.
     pub fn facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
-        let leaving_since = self.get(endpoint)?.draining_since;
+        let draining_since = self.get(endpoint)?.draining_since;
         let scope = self.retry_after_scope(endpoint);
         let retry_after = scope.and_then(|scope| self.retry_after_until.borrow().get(&scope).copied());
-        Some(EndpointFacts { leaving_since, retry_after })
+        Some(EndpointFacts { draining_since, retry_after })
     }
 
     /// What a wait that an endpoint asks for binds.
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -56,15 +56,15 @@
     log: &Logger,
     executor: &LocalExecutor<'static>,
 ) -> io::Result<FolderClaim> {
-    std::fs::create_dir_all(&config.state)?;
-    let next = until_next(&config.state).await?;
+    std::fs::create_dir_all(&config.state_folder)?;
+    let next = until_next(&config.state_folder).await?;
     let mut asks = true;
     loop {
-        let owner = Lock::owner(&config.state)?;
+        let owner = Lock::owner(&config.state_folder)?;
         if owner.is_some() {
             return Ok(FolderClaim { _next: next, owner, link: None, inherited: None });
         }
-        if let Some(predecessor) = lock::read_owner(&config.state).filter(|_| asks) {
+        if let Some(predecessor) = lock::read_owner(&config.state_folder).filter(|_| asks) {
             let asking = within(ANSWERED_WITHIN, request_state(&predecessor, executor)).await;
             match asking.unwrap_or(Err(HttpError::TimedOut.into())) {
                 Ok((inherited, link)) => {
@@ -142,7 +142,7 @@
         }
         let until = Instant::now() + ANSWERED_WITHIN;
         while self.owner.is_none() && Instant::now() < until {
-            self.owner = Lock::owner(&config.state)?;
+            self.owner = Lock::owner(&config.state_folder)?;
             Timer::after(GRANTED_LOCK_POLL).await;
         }
         Ok(self.owner.is_some())
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -1,13 +1,22 @@
-//! The journal as the actors use it, and the task that tries again while it cannot be written.
+//! The journal as the actors use it, and whether it can be written.
 //!
-//! While it fails, what is held waits and what comes is refused; what has happened already is owed and written first. The
-//! service comes back by itself.
+//! While it fails, open messages wait and new ones are rejected; what has happened already is queued and written first once the
+//! journal can be written again.
 
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
 use crate::net::runtime::latch::Latch;
 use crate::MessageId;
 use std::cell::RefCell;
 
+/// How much the journal holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct JournalUsage {
+    /// The size of the folder in bytes.
+    pub disk_bytes: u64,
+    /// Records of what has happened that are not written yet.
+    pub unwritten_records: usize,
+}
+
 /// The journal of this process.
 pub struct JournalHandle {
     journal: RefCell<Journal>,
@@ -15,23 +24,26 @@
 }
 
 impl JournalHandle {
-    /// Keeps a journal.
+    /// A handle to an opened journal.
     pub fn new(journal: Journal) -> Self {
-        let keeper = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
-        keeper.with(|_| ());
-        keeper
+        let handle = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
+        handle.notice_failure();
+        handle
     }
 
-    fn with<T>(&self, use_it: impl FnOnce(&mut Journal) -> T) -> T {
-        let mut journal = self.journal.borrow_mut();
-        let result = use_it(&mut journal);
-        if journal.is_failing() {
+    fn notice_failure(&self) {
+        if self.journal.borrow().is_failing() {
             self.failing.set();
         }
+    }
+
+    fn with<T>(&self, operation: impl FnOnce(&mut Journal) -> T) -> T {
+        let result = operation(&mut self.journal.borrow_mut());
+        self.notice_failure();
         result
     }
 
-    /// Something may be begun that must be written first.
+    /// Something may be started that must be recorded first.
     pub fn is_writable(&self) -> bool {
         !self.journal.borrow().is_failing()
     }
@@ -42,28 +54,33 @@
     }
 
     /// See [`Journal::take`].
-    pub fn take(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
-        self.with(|journal| journal.take(id.0, message))
+    pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
+        self.with(|journal| journal.record_received(id.0, message))
     }
 
     /// See [`Journal::attempt`].
-    pub fn attempt(&self, id: MessageId, number: u32, start: AttemptStart) -> Result<(), JournalError> {
-        self.with(|journal| journal.attempt(id.0, number, start))
+    pub fn record_attempt(
+        &self,
+        id: MessageId,
+        number: u32,
+        start: AttemptStart,
+    ) -> Result<(), JournalError> {
+        self.with(|journal| journal.record_attempt(id.0, number, start))
     }
 
     /// See [`Journal::never_ran`].
-    pub fn never_ran(&self, id: MessageId, number: u32) {
-        self.with(|journal| journal.never_ran(id.0, number));
+    pub fn record_never_ran(&self, id: MessageId, number: u32) {
+        self.with(|journal| journal.record_never_ran(id.0, number));
     }
 
     /// See [`Journal::report`].
-    pub fn report(&self, id: MessageId, end: ReportedEnd) {
-        self.with(|journal| journal.report(id.0, end));
+    pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
+        self.with(|journal| journal.record_end(id.0, end));
     }
 
     /// See [`Journal::end`].
-    pub fn end(&self, id: MessageId) {
-        self.with(|journal| journal.end(id.0));
+    pub fn record_completed(&self, id: MessageId) {
+        self.with(|journal| journal.record_completed(id.0));
     }
 
     /// See [`Journal::set_limit`].
@@ -96,9 +113,9 @@
         self.failing.clear();
     }
 
-    /// Bytes that the folder holds, and what has happened and is not written yet.
-    pub fn sizes(&self) -> (u64, usize) {
+    /// How much the journal holds.
+    pub fn usage(&self) -> JournalUsage {
         let journal = self.journal.borrow();
-        (journal.disk(), journal.owed())
+        JournalUsage { disk_bytes: journal.disk_bytes(), unwritten_records: journal.unwritten_records() }
     }
 }
--- a/src/net/platform/endpoint_list/cordon.rs
+++ b/src/net/platform/endpoint_list/cordon.rs
@@ -67,7 +67,7 @@
     }
 
     fn cordons_file(&self) -> Cordons {
-        Cordons::new(&self.context.config().state)
+        Cordons::new(&self.context.config().state_folder)
     }
 
     fn show_cordons(&self) {
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -8,7 +8,7 @@
 mod watch;
 mod watching;
 
-use crate::membership::{Approach, Membership, MembershipSnapshot, Policy, SourceId};
+use crate::membership::{Membership, MembershipSnapshot, SourceId, SourcePolicy, WatchBackoff};
 use crate::net::messages::EndpointListMessage;
 use crate::net::Context;
 use crate::settings_json::Names;
@@ -51,7 +51,7 @@
     /// When something last came on the current watch. All that the agent had by then has been received; what the next watch
     /// sends first may have been there ever since, and counts as received then.
     last_line_at: Micros,
-    approach: Approach,
+    approach: WatchBackoff,
     generation: Option<u64>,
     /// Which agent gave that generation; not known of the list that the configuration brings.
     generation_source: Option<SocketAddr>,
@@ -66,14 +66,14 @@
 impl EndpointListActor {
     /// An actor without a list; its mailbox is for its watches.
     pub fn new(context: Rc<Context>, own: Sender<EndpointListMessage>) -> Self {
-        let sources = vec![("pushed", Policy::default()), ("registry", identified_by_address())];
+        let sources = vec![("pushed", SourcePolicy::default()), ("registry", identified_by_address())];
         EndpointListActor {
             names: context.config().names.clone(),
             own,
             membership: Membership::new(sources),
             watches: Watches::default(),
             last_line_at: context.clock.now().saturating_sub(RECEIVED_BEFORE_START_US),
-            approach: Approach::new(context.config().forwarders),
+            approach: WatchBackoff::new(context.config().forwarders),
             generation: None,
             generation_source: None,
             registry: None,
@@ -99,7 +99,7 @@
 
     /// Goes on with the list of the predecessor, under the same endpoint ids.
     pub async fn inherit(&mut self, carried: MembershipSnapshot) {
-        self.membership.adopt(&carried);
+        self.membership.adopt_ids(&carried);
         self.context.endpoint_list.set_received();
         let now = self.context.clock.now();
         for (source, listings) in carried.views.into_iter().enumerate() {
@@ -186,7 +186,7 @@
             EndpointListMessage::HandOver { reply } => {
                 self.handed_over = true;
                 // If nobody waits any more, the hand-over is aborted.
-                let _ = reply.try_send(self.membership.carried());
+                let _ = reply.try_send(self.membership.snapshot());
             }
             EndpointListMessage::HandOverAborted => self.hand_over_aborted(),
             EndpointListMessage::Cordon { id, cordoned, reply } => self.cordon(&id, cordoned, &reply).await,
@@ -221,6 +221,6 @@
 }
 
 /// What is believed of a source whose endpoints are identified by their address.
-fn identified_by_address() -> Policy {
-    Policy { by_address: true, ..Policy::default() }
+fn identified_by_address() -> SourcePolicy {
+    SourcePolicy { by_address: true, ..SourcePolicy::default() }
 }
--- a/src/net/platform/endpoint_list/watching.rs
+++ b/src/net/platform/endpoint_list/watching.rs
@@ -66,7 +66,7 @@
 impl EndpointListActor {
     /// Opens a watch where the platform's agent listens, unless one is open there or on its way.
     pub(super) fn reconnect(&mut self) {
-        let wanted = self.context.config().discovery;
+        let wanted = self.context.config().agent_address;
         self.watches.connecting.retain(|watch| watch.address == wanted);
         if self.watches.watches(wanted) {
             self.watches.connecting.clear();
@@ -77,7 +77,7 @@
 
     /// Opens a watch after a delay; of too many that are being opened the oldest is dropped.
     pub(super) fn open_watch(&mut self, delay_us: Micros) {
-        let address = self.context.config().discovery;
+        let address = self.context.config().agent_address;
         // A generation means nothing at an address that did not give it: there, the complete list is asked for.
         let from_here = self.generation_source.is_none_or(|source| source == address);
         self.watches.last_number += 1;
@@ -108,12 +108,14 @@
         self.watches.remove(number);
         // The agent is there and sends nothing: that is no reason to keep calls waiting.
         self.context.endpoint_list.set_received();
-        if !self.watches.connecting.is_empty() || self.watches.watches(self.context.config().discovery) {
+        if !self.watches.connecting.is_empty() || self.watches.watches(self.context.config().agent_address) {
             return;
         }
         let delay_us = match end {
-            WatchEnd::Rejected { retry_after, .. } => self.approach.turned_away(retry_after, fastrand::f64()),
-            WatchEnd::Failed(_) => self.approach.broke(fastrand::f64()),
+            WatchEnd::Rejected { retry_after, .. } => {
+                self.approach.after_rejection(retry_after, fastrand::f64())
+            }
+            WatchEnd::Failed(_) => self.approach.after_failure(fastrand::f64()),
         };
         self.open_watch(delay_us);
     }
@@ -158,7 +160,7 @@
     async fn take_version(&mut self, received_at: Micros, version: ListVersion) {
         let ListVersion { generation, complete, listings, .. } = version;
         self.generation = Some(generation);
-        self.approach.told();
+        self.approach.received();
         self.generation_source = self.watches.current.as_ref().map(|watch| watch.address);
         info!(self.context.log, "endpoint list received"; "generation" => generation, "complete" => complete,
             "entries" => listings.len());
@@ -167,7 +169,7 @@
             true => (SourceUpdate::Complete { version: None, listings }, UpdateKind::Complete),
             false => (SourceUpdate::Patch { listings, removed: Vec::new() }, UpdateKind::Patch),
         };
-        let changes = self.membership.take(received_at, PUSHED, update);
+        let changes = self.membership.apply(received_at, PUSHED, update);
         self.publish(kind, changes).await;
         // Only now: the endpoint table has it.
         self.context.endpoint_list.set_received();
@@ -184,7 +186,7 @@
         let Ok(ListVersion { generation, listings, .. }) = self.decode(list) else { return };
         let update = SourceUpdate::Patch { listings, removed: Vec::new() };
         let received_at = self.context.stall_detector.arrived_since(self.context.clock.now());
-        let changes = self.membership.take(received_at, PUSHED, update);
+        let changes = self.membership.apply(received_at, PUSHED, update);
         info!(self.context.log, "endpoint list received"; "generation" => generation, "replaced" => true);
         self.publish(UpdateKind::Patch, changes).await;
     }
--- a/src/net/platform/eureka/cache.rs
+++ b/src/net/platform/eureka/cache.rs
@@ -3,7 +3,7 @@
 
 use super::model::{hash_code, Action, Applications, Instance, Status};
 use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
-use crate::settings_json::{index, Names};
+use crate::settings_json::{index_of, Names, UnknownName};
 use crate::{DestinationId, KindId, ZoneId};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -52,8 +52,8 @@
         value: String,
     },
     /// Its kind or zone is not configured.
-    #[error("{0}")]
-    UnknownName(String),
+    #[error(transparent)]
+    UnknownName(#[from] UnknownName),
     /// Its weight is no rate above 0.
     #[error("`{name}` is no rate: `{value}`")]
     MalformedWeight {
@@ -134,9 +134,9 @@
 
 fn state(instance: &Instance) -> State {
     match (instance.action, instance.status) {
-        (Action::Delete, _) => State::Gone,
+        (Action::Delete, _) => State::Removed,
         (_, Status::Up) => State::Up,
-        (_, Status::Down | Status::Starting | Status::OutOfService) => State::Leaving,
+        (_, Status::Down | Status::Starting | Status::OutOfService) => State::Draining,
         (_, Status::Unknown) => State::Unknown,
     }
 }
@@ -152,8 +152,8 @@
         name: metadata.destination.clone(),
         value: instance.metadata[&metadata.destination].clone(),
     })?;
-    let kind = index(&names.kinds, value(&metadata.kind)?, "kind").map_err(UnusableReason::UnknownName)?;
-    let zone = index(&names.zones, value(&metadata.zone)?, "zone").map_err(UnusableReason::UnknownName)?;
+    let kind = index_of(&names.kinds, value(&metadata.kind)?, "kind")?;
+    let zone = index_of(&names.zones, value(&metadata.zone)?, "zone")?;
     let weight = value(&metadata.weight)?.parse().ok();
     let weight = weight.filter(|weight: &f64| weight.is_finite() && *weight > 0.0);
     let weight = weight.ok_or_else(|| UnusableReason::MalformedWeight {
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -2,7 +2,7 @@
 
 use super::model::{Applications, DecodeError};
 use super::{json, xml};
-use crate::membership::Address;
+use crate::membership::RegistryAddress;
 use crate::net::dial::connect;
 use crate::net::http::{HttpConnection, HttpError};
 use crate::net::{run_blocking, within_or_error};
@@ -36,7 +36,7 @@
 
 /// A registry address, with its connection while that can be used again.
 pub struct RegistryClient {
-    address: Address,
+    address: RegistryAddress,
     timeout: Duration,
     max_body_bytes: usize,
     connection: Option<HttpConnection>,
@@ -52,7 +52,7 @@
 
 impl RegistryClient {
     /// A client of that address. Each request may take so many microseconds, and each body so many bytes.
-    pub fn new(address: Address, timeout_us: Micros, max_body_bytes: usize) -> Self {
+    pub fn new(address: RegistryAddress, timeout_us: Micros, max_body_bytes: usize) -> Self {
         RegistryClient {
             address,
             timeout: Duration::from_micros(timeout_us),
@@ -112,7 +112,7 @@
     }
 
     fn request(&self, method: &str, path: &str, body: Option<&str>) -> String {
-        let Address { host, port, prefix } = &self.address;
+        let RegistryAddress { host, port, path_prefix: prefix } = &self.address;
         let mut request = format!(
             "{method} {prefix}{path} HTTP/1.1\r\nHost: {host}:{port}\r\nAccept: application/json, application/xml;q=0.5\r\n\
              Accept-Encoding: gzip\r\n"
@@ -149,7 +149,7 @@
     }
 }
 
-async fn resolve(address: &Address) -> Result<SocketAddr, RegistryError> {
+async fn resolve(address: &RegistryAddress) -> Result<SocketAddr, RegistryError> {
     if let Ok(ip) = address.host.parse::<IpAddr>() {
         return Ok(SocketAddr::new(ip, address.port));
     }
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -10,7 +10,7 @@
 pub mod snapshot;
 pub mod xml;
 
-use crate::membership::{Address, Ask, Poller, Question, RegistrySettings};
+use crate::membership::{PollKind, PollScope, Poller, RegistryAddress, RegistrySettings};
 use crate::net::messages::EndpointListMessage;
 use crate::net::Context;
 use crate::settings_json::Names;
@@ -49,21 +49,23 @@
     /// # Errors
     ///
     /// If there is no answer that can be read.
-    pub async fn poll(&mut self, address: usize, question: Question) -> Result<AppliedAnswer, RegistryError> {
+    pub async fn poll(&mut self, address: usize, question: PollKind) -> Result<AppliedAnswer, RegistryError> {
         let answer = match question {
-            Question::Delta => self.clients[address].applications("/apps/delta").await?,
-            Question::Whole => self.poll_complete(address).await?,
+            PollKind::Delta => self.clients[address].applications("/apps/delta").await?,
+            PollKind::Complete => self.poll_complete(address).await?,
         };
-        let complete = question == Question::Whole;
+        let complete = question == PollKind::Complete;
         Ok(self.cache.apply(answer, complete, &self.settings.metadata, &self.names))
     }
 
     async fn poll_complete(&mut self, address: usize) -> Result<Applications, RegistryError> {
         let client = &mut self.clients[address];
-        let apps = match &self.settings.ask {
-            Ask::All => return client.applications("/apps").await,
-            Ask::Vip(vip) => return client.applications(&format!("/vips/{}", percent_encode(vip))).await,
-            Ask::Apps(apps) => apps,
+        let apps = match &self.settings.scope {
+            PollScope::All => return client.applications("/apps").await,
+            PollScope::VirtualAddress(vip) => {
+                return client.applications(&format!("/vips/{}", percent_encode(vip))).await
+            }
+            PollScope::Applications(apps) => apps,
         };
         let mut all = Applications::default();
         for app in apps {
@@ -91,7 +93,9 @@
 
 /// A client for each address, in their order.
 fn clients(settings: &RegistrySettings) -> Vec<RegistryClient> {
-    let client = |address: &Address| RegistryClient::new(address.clone(), settings.timeout, settings.largest);
+    let client = |address: &RegistryAddress| {
+        RegistryClient::new(address.clone(), settings.timeout, settings.max_response_bytes)
+    };
     settings.addresses.iter().map(client).collect()
 }
 
@@ -106,18 +110,18 @@
     let mut rng = fastrand::Rng::with_seed(context.config().seed);
     let mut registry = Registry::new(settings, names, clock.now());
     loop {
-        let next = registry.poller.next_question();
+        let next = registry.poller.next_request();
         Timer::at(clock.at(next.at)).await;
-        match registry.poll(next.address, next.question).await {
+        match registry.poll(next.address_index, next.kind).await {
             Ok(answer) => {
-                record_answer(&context, &registry, &answer, next.address, next.question);
+                record_answer(&context, &registry, &answer, next.address_index, next.kind);
                 let hash_matches = answer.hash_matches;
                 let Some(in_doubt) = send_update(&context, &endpoint_list, answer).await else { return };
-                registry.poller.answered(clock.now(), next.question, hash_matches, in_doubt);
+                registry.poller.succeeded(clock.now(), next.kind, hash_matches, in_doubt);
             }
             Err(error) => {
                 increment(&context.registry.failures);
-                let address = registry.address(next.address);
+                let address = registry.address(next.address_index);
                 warn!(context.log, "the registry did not answer"; "address" => address, "error" => %error);
                 registry.poller.failed(clock.now(), rng.f64());
             }
@@ -131,11 +135,11 @@
     registry: &Registry,
     answer: &AppliedAnswer,
     address: usize,
-    question: Question,
+    question: PollKind,
 ) {
     let counts = &context.registry;
     increment(&counts.polls);
-    increment(if question == Question::Delta { &counts.deltas } else { &counts.complete });
+    increment(if question == PollKind::Delta { &counts.deltas } else { &counts.complete });
     counts.address.set(address);
     for entry in &answer.unusable_entries {
         info!(context.log, "entry ignored"; "app" => &entry.key.group, "id" => &entry.key.id,
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -33,7 +33,7 @@
 
 impl Entry<'_> {
     fn app_path(&self) -> String {
-        format!("/apps/{}", percent_encode(&self.registration.app))
+        format!("/apps/{}", percent_encode(&self.registration.application))
     }
 
     fn path(&self) -> String {
@@ -44,13 +44,13 @@
         let registration = self.registration;
         let ip = self.listen.ip().to_string();
         json!({"instance": {
-            "instanceId": self.name, "hostName": ip, "app": registration.app,
-            "ipAddr": ip, "vipAddress": registration.app, "status": status,
+            "instanceId": self.name, "hostName": ip, "app": registration.application,
+            "ipAddr": ip, "vipAddress": registration.application, "status": status,
             "port": {"$": self.listen.port(), "@enabled": "true"},
             "dataCenterInfo": {"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
             "leaseInfo": {
-                "renewalIntervalInSecs": registration.renew.div_ceil(1_000_000),
-                "durationInSecs": registration.lease.div_ceil(1_000_000),
+                "renewalIntervalInSecs": registration.renewal_interval.div_ceil(1_000_000),
+                "durationInSecs": registration.lease_duration.div_ceil(1_000_000),
             },
             "metadata": registration.metadata,
         }})
@@ -92,7 +92,7 @@
 
     /// Registers the entry and renews its lease without end.
     async fn keep_registered(&mut self, context: &Context) {
-        let renewal_interval = Duration::from_micros(self.registration.renew);
+        let renewal_interval = Duration::from_micros(self.registration.renewal_interval);
         let mut has_lease = self.register(context).await;
         loop {
             Timer::after(if has_lease { renewal_interval } else { RETRY_PAUSE }).await;
@@ -107,7 +107,7 @@
 /// Keeps the entry until the shutdown begins, then takes it out of service; cancels it once `end` is closed.
 /// `done` is closed when nothing more is to be done.
 pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, end: Receiver<()>, done: Sender<()>) {
-    let Some(registration) = &settings.register else { return };
+    let Some(registration) = &settings.registration else { return };
     let config = context.config();
     let mut entry = Entry {
         registration,
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -3,6 +3,7 @@
 use super::deadline::run_blocking;
 use super::signals::{Signal, Signals};
 use super::start::{Load, LoadError, Reading};
+use crate::net::config::RestartReason;
 use crate::net::messages::{DeliveryMessage, EndpointListMessage};
 use crate::net::Context;
 use crate::Settings;
@@ -17,8 +18,8 @@
     CheckPanicked,
     #[error(transparent)]
     Load(#[from] LoadError),
-    #[error("{0}")]
-    NeedsRestart(&'static str),
+    #[error(transparent)]
+    NeedsRestart(#[from] RestartReason),
 }
 
 /// Reads the configuration again at each SIGHUP, up to the signal that ends the process. A SIGHUP that comes later changes
@@ -44,7 +45,7 @@
             return;
         }
     };
-    let discovery = context.config().discovery;
+    let discovery = context.config().agent_address;
     info!(context.log, "configuration reloaded"; "discovery" => %discovery);
     // Both actors end only with the process.
     let _ = context.delivery.send(DeliveryMessage::Settings(Box::new(settings))).await;
@@ -61,7 +62,7 @@
     if let Some(reason) = config.needs_restart(&context.config()) {
         return Err(ReloadError::NeedsRestart(reason));
     }
-    context.journal.set_limit(config.journal_disk());
+    context.journal.set_limit(config.journal_limit_bytes());
     context.endpoint_table.set_grace(config.drain_grace);
     context.routes.apply(settings.routes.clone());
     context.set_config(config);
@@ -73,6 +74,6 @@
 /// Logs why this forwarder has no time slot of its own among the others, if it has none.
 pub fn warn_without_index(context: &Context) {
     if let Err(reason) = &context.config().forwarder_index {
-        warn!(context.log, "no index among the forwarders, time slots are drawn at random"; "reason" => reason);
+        warn!(context.log, "no index among the forwarders, time slots are drawn at random"; "reason" => %reason);
     }
 }
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -6,7 +6,7 @@
 use super::reload;
 use super::shutdown;
 use super::signals::{Signal, Signals};
-use crate::journal::{Journal, JournaledMessage, Restored, Unreadable};
+use crate::journal::{Journal, JournaledMessage, Restored, UnreadableSegmentPolicy};
 use crate::net::config::Config;
 use crate::net::context::{Context, ContextParts};
 use crate::net::delivery::DeliveryActor;
@@ -15,7 +15,7 @@
 use crate::net::messages::{DeliveryReport, EndpointListMessage};
 use crate::net::platform::endpoint_list::EndpointListActor;
 use crate::net::platform::{delivery_reports, eureka};
-use crate::net::storage::Folder;
+use crate::net::storage::FolderStorage;
 use crate::net::{client, operator};
 use crate::{DeliveryPolicy, Settings, SettingsError};
 use async_channel::{Receiver, Sender};
@@ -200,7 +200,7 @@
     let reports = start_background(&context);
     let (endpoint_list, endpoint_list_mail) = async_channel::bounded(ENDPOINT_LIST_MAILBOX);
     let mut delivery_actor =
-        DeliveryActor::new(context.clone(), policy, reports, endpoint_list.clone(), restored.last_id);
+        DeliveryActor::new(context.clone(), policy, reports, endpoint_list.clone(), restored.highest_id);
     let mut endpoint_list_actor = EndpointListActor::new(context.clone(), endpoint_list.clone());
     let inherited = state.zip(predecessor);
     restore(&mut delivery_actor, &mut endpoint_list_actor, inherited, restored.messages, settings).await;
@@ -234,7 +234,7 @@
     settings: Settings,
 ) {
     let config = delivery.context().config();
-    if config.operator.is_some() {
+    if config.operator_address.is_some() {
         endpoint_list.restore_cordons().await;
     }
     match inherited {
@@ -243,7 +243,7 @@
             endpoint_list.inherit(list).await;
         }
         None => {
-            if let Some(known) = &config.known {
+            if let Some(known) = &config.initial_endpoint_list {
                 endpoint_list.restore_known(known).await;
             }
             delivery.restore(messages).await;
@@ -262,7 +262,7 @@
     let token = format!("{:016x}{:016x}", fastrand::u64(..), fastrand::u64(..));
     claim
         .start_serving(context, Owner { operator: address, token }, endpoint_list)
-        .map_err(|error| StartError::Folder(context.config().state.clone(), error))?;
+        .map_err(|error| StartError::Folder(context.config().state_folder.clone(), error))?;
     info!(context.log, "operators may call"; "operator" => %address);
     let serving = operator::serve(context.clone(), endpoint_list.clone(), listener);
     context.executor.spawn(serving).detach();
@@ -287,8 +287,8 @@
     let begun = Instant::now();
     loop {
         let unreadable = match begun.elapsed() < READABLE_WITHIN {
-            true => Unreadable::Fail,
-            false => Unreadable::Keep,
+            true => UnreadableSegmentPolicy::Fail,
+            false => UnreadableSegmentPolicy::KeepForLaterStart,
         };
         let error = match open_once(config, clock, unreadable, log, executor).await {
             Ok(Some(opened)) => return Ok(opened),
@@ -310,17 +310,17 @@
 async fn open_once(
     config: &Config,
     clock: Clock,
-    unreadable: Unreadable,
+    unreadable: UnreadableSegmentPolicy,
     log: &Logger,
     executor: &LocalExecutor<'static>,
 ) -> Result<Option<Opened>, StartError> {
-    let folder_error = |error: io::Error| StartError::Folder(config.state.clone(), error);
-    let mut claim = match config.operator {
+    let folder_error = |error: io::Error| StartError::Folder(config.state_folder.clone(), error);
+    let mut claim = match config.operator_address {
         Some(_) => Some(handover::claim(config, log, executor).await.map_err(folder_error)?),
         None => None,
     };
-    let storage = Folder::open(&config.state).map_err(folder_error)?;
-    let (limit, salt) = (config.journal_disk(), fastrand::u32(..));
+    let storage = FolderStorage::open(&config.state_folder).map_err(folder_error)?;
+    let (limit, salt) = (config.journal_limit_bytes(), fastrand::u32(..));
     let opened = Journal::open(Box::new(storage), limit, move || clock.moment(), salt, unreadable);
     let (journal, restored) = opened.map_err(folder_error)?;
     let sockets = Sockets::open(config)?;
@@ -349,8 +349,9 @@
             opened.map_err(|error| StartError::Listen(purpose, address, error))
         };
         // A successor listens beside its predecessor for a moment.
-        let (listen, listener) = open(config.listen, config.operator.is_some(), "")?;
-        let operators = config.operator.map(|address| open(address, false, "for operators ")).transpose()?;
+        let (listen, listener) = open(config.listen_address, config.operator_address.is_some(), "")?;
+        let operators =
+            config.operator_address.map(|address| open(address, false, "for operators ")).transpose()?;
         Ok(Sockets { listen, listener, operators })
     }
 }
@@ -364,7 +365,8 @@
 impl Registration {
     /// Registers this forwarder, where the site file says so.
     fn start(context: &Rc<Context>) -> Option<Registration> {
-        let settings = context.config().registry.clone().filter(|registry| registry.register.is_some())?;
+        let settings =
+            context.config().registry.clone().filter(|registry| registry.registration.is_some())?;
         let (cancel, cancelling) = async_channel::bounded(1);
         let (done, cancelled) = async_channel::bounded(1);
         let keeping = eureka::register::run(context.clone(), settings, cancelling, done);
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -8,7 +8,7 @@
 impl DeliveryPolicy {
     /// When a message expires; no longer put off once its last attempt is in flight up to that time.
     pub(super) fn end_of(&self, message: &Message) -> Micros {
-        let end = self.timing(message).end(message.received_at, message.deadline);
+        let end = self.timing(message).ends_at(message.received_at, message.deadline);
         message.final_deadline.map_or(end, |fixed| end.min(fixed))
     }
 
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -37,7 +37,7 @@
 
     /// It has had all the attempts that it may have.
     pub(super) fn has_spent_attempts(&self, message: &Message) -> bool {
-        let max_attempts = self.timing(message).most(self.settings.max_attempts);
+        let max_attempts = self.timing(message).max_attempts(self.settings.max_attempts);
         message.attempts - message.uncounted_attempts >= max_attempts
     }
 
@@ -188,7 +188,7 @@
         if !matches!(outcome, Outcome::NotSent | Outcome::NotJournaled) {
             let was_cut_short = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
             message.retry_at = timing.next_attempt(message.attempts, sent.sent_at, now, was_cut_short);
-            let hedges = was_cut_short && timing.second_copy.is_some();
+            let hedges = was_cut_short && timing.hedge_after.is_some();
             message.avoid_endpoint = sent.endpoint.filter(|_| hedges);
         }
         destination(&mut self.destinations, now, message.destination).waiting.push(result.id);
--- a/src/site/node.rs
+++ b/src/site/node.rs
@@ -1,6 +1,6 @@
-//! A YAML document as a tree in which every value knows its place. It gives no meaning to what it reads.
+//! A YAML document as a tree in which every value has its position. It gives no meaning to what it reads.
 
-use crate::config_error::{ConfigError, ErrorCode, Located, Position};
+use crate::config_error::{shortened, ConfigError, ErrorCode, Located, Position};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_saphyr::{DuplicateKeyPolicy, Location, MergeKeyPolicy, Spanned};
 use std::fmt;
@@ -8,15 +8,15 @@
 /// A value of the document.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it begins.
+    /// Where it starts.
     pub at: Position,
-    /// What it is.
-    pub shape: Shape,
+    /// The value.
+    pub value: NodeValue,
 }
 
-/// The types that YAML tells apart.
+/// The types of YAML.
 #[derive(Clone, Debug)]
-pub enum Shape {
+pub enum NodeValue {
     /// Nothing.
     Null,
     /// True or false.
@@ -33,107 +33,100 @@
     Map(Vec<(Located<String>, Node)>),
 }
 
-impl Shape {
-    /// What to call it in a reason.
-    pub fn name(&self) -> String {
+impl NodeValue {
+    /// What it is called in errors.
+    pub fn description(&self) -> String {
         match self {
-            Shape::Null => "nothing".into(),
-            Shape::Flag(b) => format!("`{b}`"),
-            Shape::Whole(n) => format!("the number {n}"),
-            Shape::Real(n) => format!("the number {n}"),
-            Shape::Text(t) => format!("the text `{}`", shortened(t)),
-            Shape::List(_) => "a list".into(),
-            Shape::Map(_) => "a map".into(),
+            NodeValue::Null => "nothing".into(),
+            NodeValue::Flag(b) => format!("`{b}`"),
+            NodeValue::Whole(n) => format!("the number {n}"),
+            NodeValue::Real(n) => format!("the number {n}"),
+            NodeValue::Text(t) => format!("the text `{}`", shortened(t)),
+            NodeValue::List(_) => "a list".into(),
+            NodeValue::Map(_) => "a map".into(),
         }
     }
 }
 
-/// A text from a file, cut so that a line of the log stays a line.
-pub fn shortened(text: &str) -> String {
-    const LONGEST: usize = 60;
-    let mut short: String =
-        text.chars().take(LONGEST).map(|c| if c.is_control() { ' ' } else { c }).collect();
-    if text.chars().nth(LONGEST).is_some() {
-        short.push('…');
-    }
-    short
-}
-
-fn position(l: Location) -> Position {
-    Position { line: l.line() as u32, column: l.column() as u32 }
+fn position(location: Location) -> Position {
+    Position { line: location.line() as u32, column: location.column() as u32 }
 }
 
-struct ShapeVisitor;
+struct NodeValueVisitor;
 
-impl<'de> Visitor<'de> for ShapeVisitor {
-    type Value = Shape;
+impl<'de> Visitor<'de> for NodeValueVisitor {
+    type Value = NodeValue;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("a value")
     }
 
-    fn visit_bool<E>(self, v: bool) -> Result<Shape, E> {
-        Ok(Shape::Flag(v))
+    fn visit_bool<E>(self, v: bool) -> Result<NodeValue, E> {
+        Ok(NodeValue::Flag(v))
     }
 
-    fn visit_u64<E>(self, v: u64) -> Result<Shape, E> {
-        Ok(Shape::Whole(v))
+    fn visit_u64<E>(self, v: u64) -> Result<NodeValue, E> {
+        Ok(NodeValue::Whole(v))
     }
 
-    fn visit_i64<E>(self, v: i64) -> Result<Shape, E> {
-        Ok(u64::try_from(v).map_or(Shape::Real(v as f64), Shape::Whole))
+    fn visit_i64<E>(self, v: i64) -> Result<NodeValue, E> {
+        Ok(u64::try_from(v).map_or(NodeValue::Real(v as f64), NodeValue::Whole))
     }
 
-    fn visit_f64<E>(self, v: f64) -> Result<Shape, E> {
-        Ok(Shape::Real(v))
+    fn visit_f64<E>(self, v: f64) -> Result<NodeValue, E> {
+        Ok(NodeValue::Real(v))
     }
 
-    fn visit_str<E>(self, v: &str) -> Result<Shape, E> {
-        Ok(Shape::Text(v.to_owned()))
+    fn visit_str<E>(self, v: &str) -> Result<NodeValue, E> {
+        Ok(NodeValue::Text(v.to_owned()))
     }
 
-    fn visit_unit<E>(self) -> Result<Shape, E> {
-        Ok(Shape::Null)
+    fn visit_unit<E>(self) -> Result<NodeValue, E> {
+        Ok(NodeValue::Null)
     }
 
-    fn visit_none<E>(self) -> Result<Shape, E> {
-        Ok(Shape::Null)
+    fn visit_none<E>(self) -> Result<NodeValue, E> {
+        Ok(NodeValue::Null)
     }
 
-    fn visit_some<D: Deserializer<'de>>(self, d: D) -> Result<Shape, D::Error> {
+    fn visit_some<D: Deserializer<'de>>(self, d: D) -> Result<NodeValue, D::Error> {
         d.deserialize_any(self)
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Shape, A::Error> {
-        let mut all = Vec::new();
-        while let Some(item) = seq.next_element::<Spanned<Shape>>()? {
-            all.push(item.into());
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<NodeValue, A::Error> {
+        let mut items = Vec::new();
+        while let Some(item) = seq.next_element::<Spanned<NodeValue>>()? {
+            items.push(item.into());
         }
-        Ok(Shape::List(all))
+        Ok(NodeValue::List(items))
     }
 
-    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Shape, A::Error> {
-        let mut all = Vec::new();
-        while let Some((key, value)) = map.next_entry::<Spanned<String>, Spanned<Shape>>()? {
-            all.push((Located { at: position(key.referenced), value: key.value }, value.into()));
+    fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<NodeValue, A::Error> {
+        let mut fields = Vec::new();
+        while let Some((key, value)) = map.next_entry::<Spanned<String>, Spanned<NodeValue>>()? {
+            fields.push((Located { at: position(key.referenced), value: key.value }, value.into()));
         }
-        Ok(Shape::Map(all))
+        Ok(NodeValue::Map(fields))
     }
 }
 
-impl<'de> Deserialize<'de> for Shape {
+impl<'de> Deserialize<'de> for NodeValue {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        d.deserialize_any(ShapeVisitor)
+        d.deserialize_any(NodeValueVisitor)
     }
 }
 
-impl From<Spanned<Shape>> for Node {
-    fn from(s: Spanned<Shape>) -> Self {
-        Node { at: position(s.referenced), shape: s.value }
+impl From<Spanned<NodeValue>> for Node {
+    fn from(spanned: Spanned<NodeValue>) -> Self {
+        Node { at: position(spanned.referenced), value: spanned.value }
     }
 }
 
-/// Reads a document. What is not YAML, is nested too deep or expands too far is a breach.
+/// Parses a document.
+///
+/// # Errors
+///
+/// If it is not YAML, is nested too deep or expands too far.
 pub fn parse(text: &str) -> Result<Node, ConfigError> {
     let options = serde_saphyr::options! {
         duplicate_keys: DuplicateKeyPolicy::PassThrough,
@@ -141,10 +134,10 @@
         strict_booleans: true,
         with_snippet: false,
     };
-    let read = serde_saphyr::from_str_with_options::<Spanned<Shape>>(text, options);
-    read.map(Node::from).map_err(|e| {
-        let at = e.location().map(position).unwrap_or(Position { line: 1, column: 1 });
-        let plain = e.to_string();
-        ConfigError::new(at, ErrorCode::Syntax, plain.lines().next().unwrap_or("not YAML"))
+    let parsed = serde_saphyr::from_str_with_options::<Spanned<NodeValue>>(text, options);
+    parsed.map(Node::from).map_err(|error| {
+        let at = error.location().map(position).unwrap_or(Position { line: 1, column: 1 });
+        let text = error.to_string();
+        ConfigError::new(at, ErrorCode::Syntax, text.lines().next().unwrap_or("not YAML"))
     })
 }
--- a/tests/endpoint_table.rs
+++ b/tests/endpoint_table.rs
@@ -33,10 +33,10 @@
     let refusal = |endpoint| {
         let open = SendFacts {
             now: clock.now(),
-            message_over: false,
+            message_complete: false,
             handed_over: false,
             journal_writable: true,
-            cut_at: u64::MAX,
+            abandon_at: u64::MAX,
             send_by: u64::MAX,
             drain_grace: table.grace(),
             endpoint: table.facts(endpoint),
@@ -48,7 +48,7 @@
     table.update(EndpointId(1), Lifecycle::Draining, clock.now() - (grace - HELD_UP), known.clone());
     assert_eq!(
         refusal(EndpointId(1)),
-        Some(SendRefusal::Leaving),
+        Some(SendRefusal::Draining),
         "a byte delayed by a stall would be written past the grace"
     );
     table.update(EndpointId(2), Lifecycle::Draining, clock.now(), known);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -355,7 +355,8 @@
 #[test]
 fn a_section_that_makes_no_sense_is_refused_with_its_code_and_place() {
     let config = include_str!("../examples/config.json");
-    let (settings, names) = cedarbridge::net::config::platform(config).expect("the example's settings");
+    let (settings, names) =
+        cedarbridge::net::config::read_platform_settings(config).expect("the example's settings");
     let read = |rest: &str| {
         let text = format!("version: 1\nregistry: {{addresses: [\"http://h:1/p\"], {rest}}}\n");
         let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
@@ -368,10 +369,10 @@
     // What the operators' page says holds where a key is left out.
     let bare = read("poll: 1s").expect("accepted");
     assert_eq!(
-        (&bare.hold_down, &bare.shrink, bare.back_off),
-        (&shipped.hold_down, &shipped.shrink, shipped.back_off)
+        (&bare.hold_down, &bare.shrink_guard, bare.backoff),
+        (&shipped.hold_down, &shipped.shrink_guard, shipped.backoff)
     );
-    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].prefix.as_str()), ("h", "/p"));
+    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].path_prefix.as_str()), ("h", "/p"));
     for (rest, wanted) in [
         ("poll: 50ms", "time"),
         ("poll: 1", "unit"),
@@ -388,7 +389,7 @@
         ("register: {app: A, renew: 2s, lease: 2s}", "lease"),
     ] {
         let found = read(rest).expect_err(rest);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
+        assert_eq!(found.iter().map(|b| b.code.as_str()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
         assert!(found[0].at.line == 2 && found[0].at.column > 38, "{rest}: {found:?}");
     }
     for addresses in
@@ -397,6 +398,6 @@
         let text = format!("version: 1\nregistry: {{addresses: {addresses}}}\n");
         let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
         let found = cedarbridge::site::Site::read(&text, platform).expect_err(addresses);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), ["address"], "{addresses}");
+        assert_eq!(found.iter().map(|b| b.code.as_str()).collect::<Vec<_>>(), ["address"], "{addresses}");
     }
 }
--- a/tests/registry_snapshot.rs
+++ b/tests/registry_snapshot.rs
@@ -22,7 +22,7 @@
         state,
         stamp: 0,
     };
-    let all = [listing(1, State::Up), listing(2, State::Leaving)];
+    let all = [listing(1, State::Up), listing(2, State::Draining)];
     assert!(snapshot.write(7, all.iter(), 1_000_000).expect("written").is_some());
     let saved = snapshot.read().expect("sound").expect("there");
     assert_eq!((saved.written_at, saved.listings.as_slice()), (7, &all[..]));
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -28,7 +28,7 @@
     let (settings, names) = platform();
     let read = Site::read(text, Platform { settings: &settings, names: &names });
     read.map_err(|all| {
-        all.iter().map(|b| format!("{}:{} {}", b.at.line, b.at.column, b.code.word())).collect()
+        all.iter().map(|b| format!("{}:{} {}", b.at.line, b.at.column, b.code.as_str())).collect()
     })
 }
 
@@ -459,8 +459,8 @@
         let steps = worst_case(&timing, f.timeout * MS, f.attempts as u32);
         prop_assert_eq!(steps.len() as u64, f.attempts);
         for pair in steps.windows(2) {
-            prop_assert!(pair[1].begins >= pair[0].ends, "one attempt at a time");
+            prop_assert!(pair[1].starts_at >= pair[0].abandoned_at, "one attempt at a time");
         }
-        prop_assert!(steps[steps.len() - 1].ends <= 20 * SECOND);
+        prop_assert!(steps[steps.len() - 1].abandoned_at <= 20 * SECOND);
     }
 }
