--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,6 +1,6 @@
 //! `check`: whether a site file may be loaded, by the very check that the forwarder makes.
 
-use super::{lines, print, Failed, Files};
+use super::{error_lines, print, CommandError, Files};
 use crate::config_error::ConfigError;
 use clap::Args;
 use serde_json::{json, Value};
@@ -11,12 +11,13 @@
     files: Files,
 }
 
-fn as_json(b: &ConfigError) -> Value {
-    json!({"line": b.at.line, "column": b.at.column, "code": b.code.as_str(), "reason": b.reason})
+fn as_json(error: &ConfigError) -> Value {
+    let at = error.at;
+    json!({"line": at.line, "column": at.column, "code": error.code.as_str(), "reason": error.reason})
 }
 
 impl CheckArgs {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         let platform = self.files.platform()?;
         let read = self.files.site(&platform)?;
         let file = self.files.site.display().to_string();
@@ -28,10 +29,10 @@
         } else if let Ok(site) = &read {
             print(&format!("{file}: {} routes, nothing against it", site.routes.routes().len()));
         } else {
-            print(&lines(&self.files.site, errors));
+            print(&error_lines(&self.files.site, errors));
             let count = errors.len();
             eprintln!("cedarbridge: {file}: refused for {count} reason{}", if count == 1 { "" } else { "s" });
         }
-        read.map(drop).map_err(|_| Failed::Told)
+        read.map(drop).map_err(|_| CommandError::AlreadyPrinted)
     }
 }
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,6 +1,6 @@
 //! `explain`: which entry wins for a message and why, and the worst case that follows.
 
-use super::{lines, print, Failed, Files, Read};
+use super::{print, CommandError, Files, PlatformSettings};
 use crate::durations::format_duration;
 use crate::policy::longest_cut;
 use crate::routes::{worst_case, Plan, Route, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
@@ -30,24 +30,28 @@
     destination: Option<u64>,
     kind: KindId,
     class: ClassId,
-    of: &'a Read,
+    of: &'a PlatformSettings,
     plan: &'a Plan,
 }
 
 /// The kind that the configuration's list gives a destination.
-fn listed_kind(of: &Read, destination: u64) -> Option<KindId> {
+fn listed_kind(of: &PlatformSettings, destination: u64) -> Option<KindId> {
     let config: Value = serde_json::from_str(&of.json).ok()?;
     let all = config.get("known")?.get("instances")?.as_array()?;
     let entry = all.iter().find(|e| e["cell"].as_u64() == Some(destination))?;
     index_of(&of.names.kinds, entry["machineType"].as_str()?, "kind").ok().map(KindId)
 }
 
-fn chosen(all: &[String], given: Option<&str>, what: &'static str) -> Result<Vec<usize>, Failed> {
+fn chosen_indexes(
+    all: &[String],
+    given: Option<&str>,
+    what: &'static str,
+) -> Result<Vec<usize>, CommandError> {
     match given {
         None => Ok((0..all.len()).collect()),
         Some(name) => index_of(all, name, what)
             .map(|at| vec![at])
-            .map_err(|e| Failed::Call(format!("{e}; the settings list {}", all.join(", ")))),
+            .map_err(|e| CommandError::Usage(format!("{e}; the settings list {}", all.join(", ")))),
     }
 }
 
@@ -155,15 +159,11 @@
 }
 
 impl ExplainArgs {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         let of = self.files.platform()?;
-        let refused = |b: Vec<_>| {
-            print(&lines(&self.files.site, &b));
-            Failed::Told
-        };
-        let site = self.files.site(&of)?.map_err(refused)?;
-        let classes = chosen(&of.names.classes, self.class.as_deref(), "class")?;
-        let mut kinds = chosen(&of.names.kinds, self.kind.as_deref(), "kind")?;
+        let site = self.files.valid_site(&of)?;
+        let classes = chosen_indexes(&of.names.classes, self.class.as_deref(), "class")?;
+        let mut kinds = chosen_indexes(&of.names.kinds, self.kind.as_deref(), "kind")?;
         if self.kind.is_none() {
             let listed = self.destination.and_then(|d| listed_kind(&of, d));
             kinds = listed.map_or(kinds, |k| vec![k.0]);
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: which command is asked for, and its exit code. What a command does stands in its module.
+//! The command line: which command is run, and its exit code. Each command has a module.
 
 mod check;
 mod explain;
@@ -59,16 +59,16 @@
     },
 }
 
-/// The view is a program of its own, so that the forwarder stays lean.
-fn top(arguments: &[OsString]) -> Result<(), Failed> {
+/// Replaces this process by `cedarbridge-top`, which is a program of its own so that the forwarder stays small.
+fn top(arguments: &[OsString]) -> Result<(), CommandError> {
     use std::os::unix::process::CommandExt;
     let beside = std::env::current_exe().ok().map(|p| p.with_file_name("cedarbridge-top"));
     let program = beside.filter(|p| p.exists()).unwrap_or_else(|| "cedarbridge-top".into());
     let why = std::process::Command::new(&program).args(arguments).exec();
-    Err(Failed::Call(format!("cannot start `cedarbridge-top`, which the kit brings along: {why}")))
+    Err(CommandError::Usage(format!("cannot start `cedarbridge-top`, which the kit brings along: {why}")))
 }
 
-/// The two files that a site is checked by.
+/// The two files that a site is checked with.
 #[derive(Args)]
 struct Files {
     /// The platform's configuration (JSON), whose settings the site file is held against
@@ -81,55 +81,70 @@
     json: bool,
 }
 
-/// Why a command did not come to a good end.
-enum Failed {
-    /// The call itself was wrong.
-    Call(String),
-    /// A file was read and refused, or the forwarder could not go on.
-    Refused(String),
-    /// The command has printed its verdict already.
-    Told,
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// The command line was wrong.
+    #[error("{0}")]
+    Usage(String),
+    /// A file was read and rejected, or the forwarder could not go on.
+    #[error("{0}")]
+    Rejected(String),
+    /// The command has printed its result already.
+    #[error("the result was printed")]
+    AlreadyPrinted,
 }
 
-impl Failed {
-    fn exit(self) -> ExitCode {
-        let (text, code) = match self {
-            Failed::Call(text) => (text, 2),
-            Failed::Refused(text) => (text, 1),
-            Failed::Told => return ExitCode::FAILURE,
-        };
-        eprintln!("cedarbridge: {text}");
-        ExitCode::from(code)
+impl CommandError {
+    /// Prints the error, if that is not done yet, and gives the exit code for it.
+    fn report(self) -> ExitCode {
+        if !matches!(self, CommandError::AlreadyPrinted) {
+            eprintln!("cedarbridge: {self}");
+        }
+        match self {
+            CommandError::Usage(_) => ExitCode::from(2),
+            CommandError::Rejected(_) | CommandError::AlreadyPrinted => ExitCode::FAILURE,
+        }
     }
 }
 
-/// The platform's settings of a configuration, as read for `check` and `explain`.
-struct Read {
+/// The platform's settings of a configuration.
+struct PlatformSettings {
     settings: Settings,
     names: Names,
+    /// The text of the configuration.
     json: String,
 }
 
-fn read_text(path: &Path) -> Result<String, Failed> {
-    std::fs::read_to_string(path).map_err(|e| Failed::Call(format!("cannot read `{}`: {e}", path.display())))
+fn read_text(path: &Path) -> Result<String, CommandError> {
+    std::fs::read_to_string(path)
+        .map_err(|e| CommandError::Usage(format!("cannot read `{}`: {e}", path.display())))
 }
 
 impl Files {
-    fn platform(&self) -> Result<Read, Failed> {
+    fn platform(&self) -> Result<PlatformSettings, CommandError> {
         let json = read_text(&self.config)?;
-        let refused = |e| Failed::Refused(format!("`{}`: {e}", self.config.display()));
+        let refused = |e| CommandError::Rejected(format!("`{}`: {e}", self.config.display()));
         let (settings, names) = config::read_platform_settings(&json).map_err(refused)?;
-        Ok(Read { settings, names, json })
+        Ok(PlatformSettings { settings, names, json })
+    }
+
+    /// The site file, checked; if it has errors they are printed.
+    fn valid_site(&self, of: &PlatformSettings) -> Result<Site, CommandError> {
+        self.site(of)?.map_err(|errors| {
+            print(&error_lines(&self.site, &errors));
+            CommandError::AlreadyPrinted
+        })
     }
 
-    fn site(&self, of: &Read) -> Result<Result<Site, Vec<ConfigError>>, Failed> {
+    fn site(&self, of: &PlatformSettings) -> Result<Result<Site, Vec<ConfigError>>, CommandError> {
         let platform = Platform { settings: &of.settings, names: &of.names };
         Ok(Site::read(&read_text(&self.site)?, platform))
     }
 }
 
-/// Breaches, one a line.
-fn lines(file: &Path, errors: &[ConfigError]) -> String {
+/// Errors, one a line.
+fn error_lines(file: &Path, errors: &[ConfigError]) -> String {
     let file = file.display().to_string();
     errors.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
 }
@@ -137,6 +152,7 @@
 /// Prints to standard output; a reader that has gone is no failure.
 fn print(text: &str) {
     use std::io::Write;
+    // The reader's end of the pipe is closed: nobody is left to print to.
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
@@ -145,11 +161,12 @@
     let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
         Err(e) => {
+            // It is printed for a reader who may have gone; the exit code holds all the same.
             let _ = e.print();
             return ExitCode::from(e.exit_code() as u8);
         }
     };
-    let done = match cli.command {
+    let result = match cli.command {
         None => cli.run.run(),
         Some(Command::Run(args)) => args.run(),
         Some(Command::Check(args)) => args.run(),
@@ -163,5 +180,5 @@
             Ok(())
         }
     };
-    done.map_or_else(Failed::exit, |()| ExitCode::SUCCESS)
+    result.map_or_else(CommandError::report, |()| ExitCode::SUCCESS)
 }
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -1,9 +1,10 @@
-//! `registry`: what the forwarder would hold of a registry, and why each entry is what it is.
+//! `registry`: what the forwarder would list of a registry, and why each entry is what it is.
 
-use super::{lines, print, Failed, Files};
+use super::{print, CommandError, Files};
 use crate::durations::{format_duration, parse_duration};
-use crate::membership::PollKind;
-use crate::membership::{Membership, MembershipChange, RegistrySettings, SourceId, SourceUpdate};
+use crate::membership::{
+    Listing, Membership, MembershipChange, PollKind, RegistrySettings, SourceId, SourceUpdate, State,
+};
 use crate::net::platform::eureka::held::Taken;
 use crate::net::platform::eureka::Registry;
 use crate::net::runtime::clock::Clock;
@@ -39,27 +40,24 @@
     Diff(Files),
 }
 
-struct Asking {
+/// A registry to be polled as the forwarder does, and how the result is printed.
+struct RegistryQuery {
     settings: Arc<RegistrySettings>,
     names: Arc<Names>,
     json: bool,
 }
 
 impl Files {
-    fn registry(&self) -> Result<Asking, Failed> {
+    fn registry(&self) -> Result<RegistryQuery, CommandError> {
         let of = self.platform()?;
-        let refused = |b: Vec<_>| {
-            print(&lines(&self.site, &b));
-            Failed::Told
-        };
-        let site = self.site(&of)?.map_err(refused)?;
-        let none = || Failed::Refused(format!("`{}` has no section `registry`", self.site.display()));
+        let site = self.valid_site(&of)?;
+        let none = || CommandError::Rejected(format!("`{}` has no section `registry`", self.site.display()));
         let settings = Arc::new(site.registry.ok_or_else(none)?);
-        Ok(Asking { settings, names: Arc::new(of.names), json: self.json })
+        Ok(RegistryQuery { settings, names: Arc::new(of.names), json: self.json })
     }
 }
 
-fn told(change: &MembershipChange, names: &Names) -> Value {
+fn change_json(change: &MembershipChange, names: &Names) -> Value {
     let l = &change.listing;
     let lifecycle = match change.lifecycle {
         Lifecycle::Listed => "listed",
@@ -73,22 +71,22 @@
     })
 }
 
-fn line(v: &Value) -> String {
+fn change_line(v: &Value) -> String {
     let text = |key: &str| v[key].as_str().map_or_else(|| v[key].to_string(), str::to_owned);
     let all = ["id", "address", "destination", "kind", "zone", "weight", "lifecycle", "why"];
     all.map(|k| if k == "why" { format!("({})", text(k)) } else { text(k) }).join("  ")
 }
 
-impl Asking {
+impl RegistryQuery {
     fn show(&self, v: &Value) {
-        print(&if self.json { v.to_string() } else { line(v) });
+        print(&if self.json { v.to_string() } else { change_line(v) });
     }
 
     fn membership(&self) -> Membership {
         Membership::new(vec![("registry", self.settings.source_policy())])
     }
 
-    fn passed_over(&self, taken: &Taken) {
+    fn print_skipped(&self, taken: &Taken) {
         for (key, reason) in &taken.passed_over {
             match self.json {
                 true => self.show(&json!({"app": key.group, "id": key.id, "passed_over": reason})),
@@ -97,49 +95,40 @@
         }
     }
 
-    async fn list(&self) -> Result<(), Failed> {
+    async fn list(&self) -> Result<(), CommandError> {
         let clock = Clock::start();
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
-        let mut why = String::new();
-        for at in 0..self.settings.addresses.len() {
-            match registry.ask(at, PollKind::Complete).await {
+        let mut failures = String::new();
+        for address_index in 0..self.settings.addresses.len() {
+            match registry.ask(address_index, PollKind::Complete).await {
                 Ok(taken) => {
-                    let mut membership = self.membership();
-                    // What is not up is never added; it is shown all the same.
-                    let apart: Vec<_> = listings(&taken.news).cloned().collect();
-                    self.passed_over(&taken);
-                    membership.apply(clock.now(), REGISTRY, taken.news);
-                    let mut shown: BTreeMap<_, Value> = BTreeMap::new();
-                    for l in apart {
-                        let (listing, key) = (l.clone(), (l.key, l.address));
-                        let why = if l.state == crate::membership::State::Up {
-                            "another stands at its address"
-                        } else {
-                            "not in service, so not added"
-                        };
-                        let none = MembershipChange {
-                            endpoint: Default::default(),
-                            listing,
-                            lifecycle: Lifecycle::Removed,
-                            observed_at: 0,
-                            source: REGISTRY,
-                            reason: why,
-                        };
-                        shown.insert(key, told(&none, &self.names));
-                    }
-                    for c in membership.endpoints() {
-                        shown.insert((c.listing.key.clone(), c.listing.address), told(&c, &self.names));
-                    }
-                    shown.values().for_each(|v| self.show(v));
+                    self.print_skipped(&taken);
+                    self.print_entries(&clock, taken.news);
                     return Ok(());
                 }
-                Err(e) => why += &format!("\n{}: {e}", registry.address(at)),
+                Err(e) => failures += &format!("\n{}: {e}", registry.address(address_index)),
             }
         }
-        Err(Failed::Refused(format!("no registry answered{why}")))
+        Err(CommandError::Rejected(format!("no registry answered{failures}")))
+    }
+
+    /// Prints every entry of an update: those of the merged list, and those that are not added to it.
+    fn print_entries(&self, clock: &Clock, update: SourceUpdate) {
+        let mut printed: BTreeMap<_, Value> = BTreeMap::new();
+        for listing in listings(&update) {
+            let entry = change_json(&not_added(listing), &self.names);
+            printed.insert((listing.key.clone(), listing.address), entry);
+        }
+        let mut membership = self.membership();
+        membership.apply(clock.now(), REGISTRY, update);
+        for change in membership.endpoints() {
+            let entry = change_json(&change, &self.names);
+            printed.insert((change.listing.key.clone(), change.listing.address), entry);
+        }
+        printed.values().for_each(|entry| self.show(entry));
     }
 
-    async fn watch(&self, lasts: Option<u64>) -> Result<(), Failed> {
+    async fn watch(&self, lasts: Option<u64>) -> Result<(), CommandError> {
         let clock = Clock::start();
         let end = lasts.map(|l| clock.now() + l);
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
@@ -156,7 +145,7 @@
             if wake == next.at {
                 match registry.ask(next.address_index, next.kind).await {
                     Ok(taken) => {
-                        self.passed_over(&taken);
+                        self.print_skipped(&taken);
                         changes.extend(membership.apply(clock.now(), REGISTRY, taken.news));
                         let doubt = membership.needs_complete_poll(REGISTRY);
                         registry.poller.succeeded(clock.now(), next.kind, taken.fits, doubt);
@@ -167,78 +156,100 @@
                     }
                 }
             }
-            changes.iter().for_each(|c| self.show(&told(c, &self.names)));
+            changes.iter().for_each(|c| self.show(&change_json(c, &self.names)));
         }
     }
 
-    async fn diff(&self) -> Result<(), Failed> {
+    async fn diff(&self) -> Result<(), CommandError> {
         let clock = Clock::start();
-        let mut all: BTreeMap<String, BTreeMap<usize, String>> = BTreeMap::new();
+        let mut states: StatesByEntry = BTreeMap::new();
         let count = self.settings.addresses.len();
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
-        let mut failed = Vec::new();
-        for at in 0..count {
-            match registry.ask(at, PollKind::Complete).await {
+        let (mut answered, mut failures) = (Vec::new(), Vec::new());
+        for address_index in 0..count {
+            match registry.ask(address_index, PollKind::Complete).await {
                 Ok(taken) => {
+                    answered.push(address_index);
                     for l in listings(&taken.news) {
                         let state = format!("{} at {}, stamp {}", l.state.name(), l.address, l.stamp);
-                        let name = format!("{}/{}", l.key.group, l.key.id);
-                        all.entry(name).or_default().insert(at, state);
+                        let entry = format!("{}/{}", l.key.group, l.key.id);
+                        states.entry(entry).or_default().insert(address_index, state);
                     }
                 }
-                Err(e) => failed.push((at, e.to_string())),
+                Err(e) => failures.push(format!("{}: {e}", registry.address(address_index))),
             }
         }
-        for (at, e) in &failed {
-            eprintln!("cedarbridge: {}: {e}", registry.address(*at));
+        failures.iter().for_each(|failure| eprintln!("cedarbridge: {failure}"));
+        self.print_differences(&registry, &answered, &states);
+        if failures.is_empty() {
+            return Ok(());
         }
-        let asked: Vec<usize> = (0..count).filter(|at| failed.iter().all(|f| f.0 != *at)).collect();
-        for (name, states) in &all {
-            let first = asked.first().and_then(|at| states.get(at));
-            if asked.iter().all(|at| states.get(at) == first) {
+        Err(CommandError::Rejected(format!("{} of {count} registries did not answer", failures.len())))
+    }
+
+    fn print_differences(&self, registry: &Registry, answered: &[usize], states: &StatesByEntry) {
+        for (entry, states) in states {
+            let first = answered.first().and_then(|address_index| states.get(address_index));
+            if answered.iter().all(|address_index| states.get(address_index) == first) {
                 continue;
             }
-            for at in &asked {
-                let state = states.get(at).map_or("missing", String::as_str);
-                let address = registry.address(*at);
+            for address_index in answered {
+                let state = states.get(address_index).map_or("missing", String::as_str);
+                let address = registry.address(*address_index);
                 match self.json {
-                    true => print(&json!({"entry": name, "address": address, "state": state}).to_string()),
-                    false => print(&format!("{name}  {address}  {state}")),
+                    true => print(&json!({"entry": entry, "address": address, "state": state}).to_string()),
+                    false => print(&format!("{entry}  {address}  {state}")),
                 }
             }
         }
-        match failed.is_empty() {
-            true => Ok(()),
-            false => Err(Failed::Refused(format!("{} of {count} registries did not answer", failed.len()))),
-        }
     }
 }
 
-fn listings(news: &SourceUpdate) -> impl Iterator<Item = &crate::membership::Listing> {
+/// For each entry, its state by the index of the address that has it.
+type StatesByEntry = BTreeMap<String, BTreeMap<usize, String>>;
+
+/// An entry as it is shown if the merged list does not have it. What is not up is never added; it is shown all the same.
+fn not_added(listing: &Listing) -> MembershipChange {
+    let reason = match listing.state {
+        State::Up => "another stands at its address",
+        _ => "not in service, so not added",
+    };
+    MembershipChange {
+        endpoint: Default::default(),
+        listing: listing.clone(),
+        lifecycle: Lifecycle::Removed,
+        observed_at: 0,
+        source: REGISTRY,
+        reason,
+    }
+}
+
+fn listings(news: &SourceUpdate) -> impl Iterator<Item = &Listing> {
     match news {
         SourceUpdate::Complete { listings, .. } | SourceUpdate::Patch { listings, .. } => listings.iter(),
     }
 }
 
 impl RegistryArgs {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         match self.what {
             What::List(files) => {
-                let asking = files.registry()?;
-                async_io::block_on(asking.list())
+                let query = files.registry()?;
+                async_io::block_on(query.list())
             }
             What::Diff(files) => {
-                let asking = files.registry()?;
-                async_io::block_on(asking.diff())
+                let query = files.registry()?;
+                async_io::block_on(query.diff())
             }
             What::Watch { files, lasts } => {
-                let read =
-                    |t: String| parse_duration(&t).map_err(|error| Failed::Call(format!("--for: {error}")));
+                let read = |t: String| {
+                    parse_duration(&t).map_err(|error| CommandError::Usage(format!("--for: {error}")))
+                };
                 let lasts = lasts.map(read).transpose()?;
-                let asking = files.registry()?;
-                let each = format_duration(asking.settings.poll_interval);
+                let query = files.registry()?;
+                let each = format_duration(query.settings.poll_interval);
                 eprintln!("cedarbridge: asking every {each}");
-                async_io::block_on(asking.watch(lasts))
+                async_io::block_on(query.watch(lasts))
             }
         }
     }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,6 +1,6 @@
 //! `run`: the forwarder itself, with its log.
 
-use super::{lines, Failed};
+use super::{error_lines, CommandError};
 use crate::net::{self, config::Config, Reading};
 use crate::routes::Platform;
 use crate::site::Site;
@@ -73,35 +73,35 @@
     }
 }
 
-/// Puts what our own file says into the settings; all breaches come as lines of one text.
+/// Puts what the site file says into the settings; all its errors are lines of one text.
 fn with_site(path: &Path, config: &mut Config, settings: &mut Settings) -> Result<(), String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read `{}`: {e}", path.display()))?;
     let platform = Platform { settings, names: &config.names };
-    let site = Site::read(&text, platform).map_err(|b| lines(path, &b))?;
+    let site = Site::read(&text, platform).map_err(|errors| error_lines(path, &errors))?;
     settings.routes = Some(Arc::new(site.routes));
     config.registry = site.registry.map(Arc::new);
     Ok(())
 }
 
 impl RunArgs {
-    pub fn run(self) -> Result<(), Failed> {
+    pub fn run(self) -> Result<(), CommandError> {
         let path = self.config.or_else(|| variable("ROUTER_CONFIG").map(PathBuf::from));
         let none = "no configuration: name its file as the argument or in ROUTER_CONFIG";
-        let path = path.ok_or_else(|| Failed::Call(none.into()))?;
+        let path = path.ok_or_else(|| CommandError::Usage(none.into()))?;
         let site = self.site.or_else(|| variable("CEDARBRIDGE_SITE").map(PathBuf::from));
         let load = move |reading| {
             let json = std::fs::read_to_string(&path)
                 .map_err(|e| format!("cannot read `{}`: {e}", path.display()))?;
-            let told = |name: &str| {
+            let startup_variable = |name: &str| {
                 variable(name).filter(|_| reading == Reading::Start || name != "ROUTER_DISCOVERY")
             };
             let (mut config, mut settings) =
-                Config::read(&json, told).map_err(|e| format!("`{}`: {e}", path.display()))?;
+                Config::read(&json, startup_variable).map_err(|e| format!("`{}`: {e}", path.display()))?;
             if let Some(site) = &site {
                 with_site(site, &mut config, &mut settings)?;
             }
             Ok((config, settings))
         };
-        net::run(Arc::new(load), logger(self.log_format, self.log_level)).map_err(Failed::Refused)
+        net::run(Arc::new(load), logger(self.log_format, self.log_level)).map_err(CommandError::Rejected)
     }
 }
--- a/src/routes/plan.rs
+++ b/src/routes/plan.rs
@@ -13,7 +13,7 @@
 pub struct Route {
     /// What operators call it.
     pub name: String,
-    /// The line where it stands.
+    /// The line of the file where it starts.
     pub line: u32,
     /// What it matches: how many destinations (none: any), which kind, which class.
     pub shape: MatchShape,
@@ -33,14 +33,14 @@
 }
 
 impl MatchShape {
-    /// More wins: destination over kind over class over none, a pair over either of its parts.
+    /// The higher wins: destination over kind over class over none, two criteria over either of them alone.
     pub fn specificity(self) -> u8 {
         4 * u8::from(self.names_destinations)
             + 2 * u8::from(self.kind.is_some())
             + u8::from(self.class.is_some())
     }
 
-    /// Everything that it gives but the destination holds for such a message.
+    /// Every criterion but the destination holds for such a message.
     pub fn matches(self, kind: Option<KindId>, class: ClassId) -> bool {
         self.kind.is_none_or(|k| Some(k) == kind) && self.class.is_none_or(|c| c == class)
     }
@@ -63,16 +63,16 @@
 /// No entry.
 const NONE: u32 = u32::MAX;
 
-/// What was accepted of a file's routes. Empty, it leaves everything to the module.
+/// What was accepted of a file's routes. Empty, it leaves everything to the policy.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     routes: Vec<Route>,
     kinds: usize,
     classes: usize,
-    /// For each destination that is named, its row of cells.
+    /// The row of cells of each destination that an entry names.
     rows: FxHashMap<u64, u32>,
-    /// A row a set of entries, the first for destinations that none names; in it a cell for each kind, the last
-    /// for a kind that is not known, and each class.
+    /// A row for each set of entries, the first for destinations that none names; in it a cell for each kind, the last for an
+    /// unknown kind, and each class.
     cells: Vec<u32>,
     /// For each row, the entries that name its destinations; in the first, those that name none.
     members: Vec<Vec<u32>>,
