--- a/src/durations.rs
+++ b/src/durations.rs
@@ -75,7 +75,7 @@
 
 /// A duration as a file would have it.
 pub fn format_duration(duration: Micros) -> String {
-    if duration > 0 && duration % 60_000_000 == 0 {
+    if duration > 0 && duration.is_multiple_of(60_000_000) {
         format!("{}m", duration / 60_000_000)
     } else if duration >= 1_000_000 {
         format!("{}s", duration as f64 / 1e6)
