--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The site file's routes: every breach by its code and place, and what the module makes of an accepted file.
+//! The site file's routes: every error by its code and place, and what the policy makes of an accepted file.
 
 mod common;
 use cedarbridge::routes::{worst_case, Platform};
@@ -39,7 +39,7 @@
     text
 }
 
-/// Takes the marks out of a text; each tells a place where a breach is expected.
+/// Takes the marks out of a text; each marks a place where an error is expected.
 fn marked(text: &str) -> (String, Vec<String>) {
     let mut places = Vec::new();
     for (at, line) in text.lines().enumerate() {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn every_breach_is_refused_with_its_own_code_and_place() {
+fn every_error_is_reported_with_its_own_code_and_place() {
     let named = |rest: &str| format!("name: a, match: {{class: notice}}, {rest}");
     let one = |rest: &str| vec![named(rest)];
     let all = |entries: &[&str]| entries.iter().map(|e| e.to_string()).collect::<Vec<_>>();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_is_nested_or_expands_without_end_is_refused_and_ends() {
+fn a_file_that_is_nested_or_expands_without_end_is_rejected() {
     let bomb = (0..40).fold("a0: &a0 [x, x]\n".to_owned(), |all, i| {
         all + &format!("a{}: &a{} [*a{i}, *a{i}]\n", i + 1, i + 1)
     });
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn all_breaches_come_in_one_go_in_the_order_of_the_file() {
+fn all_errors_are_reported_at_once_in_the_order_of_the_file() {
     let text = routes(&[
         "name: a, match: {kind: small, knd: x}, timeout: 3",
         "name: b, match: {class: notice}, timeout: 4s, attempts: 7, give-up: 30s",
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn attempts_time_out_pause_and_end_are_those_of_the_route() {
+fn attempts_timeout_pause_and_end_are_those_of_the_route() {
     let entry_of = "name: a, match: {class: notice}, timeout: 700ms, attempts: 3, \
                     pause: {first: 300ms, longest: 400ms}, give-up: 9s";
     let mut w = World::new(with_routes(&[entry_of]), vec![entry(7, 1, 0)]);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_copy_goes_elsewhere_only_once_the_first_is_cut() {
+fn a_hedged_request_goes_elsewhere_only_once_the_first_timed_out() {
     let entry_of = "name: a, match: {class: notice}, timeout: 500ms, second-copy: {after: 800ms}";
     let mut w = World::new(with_routes(&[entry_of]), vec![entry(7, 1, 0), entry(8, 1, 0)]);
     let (id, first) = w.sent(KEYED, 1);
@@ -253,7 +253,7 @@
 
 /// Guards against a call cut for all that it carries when the shortest time-out among them is over.
 #[test]
-fn messages_with_unlike_time_outs_do_not_share_a_call() {
+fn messages_with_different_timeouts_do_not_share_a_call() {
     let entries =
         ["name: a, match: {class: notice}, timeout: 900ms", "name: b, match: {class: free}, timeout: 4s"];
     let mut w = World::new(with_routes(&entries), vec![entry(7, 1, 2)]);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_reload_binds_what_is_held_and_leaves_what_is_out() {
+fn a_reload_binds_queued_messages_and_leaves_attempts_in_flight() {
     let one = |text: &str| Event::Settings(Box::new(with_routes(&[text])));
     let mut w = World::new(
         with_routes(&["name: a, match: {}, timeout: 2s, attempts: 5, give-up: 15s"]),
@@ -298,7 +298,7 @@
 /// Guards against a second attempt beside one that was reported as up while its shared call went on: a longer
 /// give-up must not bring that message back.
 #[test]
-fn a_longer_give_up_does_not_bring_back_a_message_whose_last_attempt_is_still_out() {
+fn a_longer_give_up_does_not_revive_a_message_whose_last_attempt_is_in_flight() {
     let file =
         |give_up: &str| with_routes(&[&format!("name: a, match: {{}}, timeout: 1500ms, give-up: {give_up}")]);
     let mut w = World::new(file("2s"), vec![entry(7, 1, 2)]);
@@ -355,7 +355,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_file_broken_in_one_figure_is_refused_with_the_code_that_fits(f in accepted(), which in 0usize..7) {
+    fn a_file_with_one_wrong_figure_is_rejected_with_the_code_that_fits(f in accepted(), which in 0usize..7) {
         let good = routes(&[&f.text()]);
         // The span of the keyed class may be passed by many long attempts; those are broken already.
         prop_assume!(read(&good).is_ok());
@@ -374,7 +374,7 @@
     }
 
     #[test]
-    fn no_accepted_file_lets_the_module_break_a_rule(
+    fn no_accepted_file_lets_the_policy_break_a_rule(
         f in accepted(),
         outcomes in proptest::collection::vec((0u8..8, 0u64..100), 200),
     ) {
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -5,9 +5,9 @@
 use scenario::{play, program};
 use std::process::Output;
 
-/// Guards against a slow partner and a fast one sharing a time-out, and against a repeat beyond the route's most.
+/// Guards against a slow endpoint and a fast one sharing a timeout, and against a repeat beyond the route's most.
 #[test]
-fn attempts_are_cut_and_counted_by_route() {
+fn attempts_time_out_and_are_counted_by_route() {
     play(
         "with e1=1 e2=2:many
          site {version: 1, routes: [{name: fast, match: {kind: one}, timeout: 300ms, attempts: 2}, {name: slow, match: {kind: many}, timeout: 9s}]}
@@ -29,7 +29,7 @@
 
 /// Guards against a call of many that is cut for all because one of them has a short time-out or give-up.
 #[test]
-fn messages_with_unlike_plans_are_not_cut_for_each_other() {
+fn messages_of_different_routes_do_not_time_out_for_each_other() {
     play(
         "with e1=1:many tick=60
          site {version: 1, routes: [{name: hasty, match: {class: free}, timeout: 400ms, attempts: 1}, {name: calm, match: {class: notice}, timeout: 8s, give-up: 9s}]}
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn the_commands_tell_apart_what_was_refused_and_what_was_called_wrongly() {
+fn the_commands_exit_differently_for_a_rejected_file_and_a_wrong_call() {
     let config = "examples/config.json";
     let (code, out, _) = run(&["check", "--config", config, "deploy/site.yaml"]);
     assert_eq!((code, out.as_str()), (Some(0), "deploy/site.yaml: 2 routes, nothing against it\n"));
