--- a/crates/registry-standin/src/main.rs
+++ b/crates/registry-standin/src/main.rs
@@ -254,6 +254,7 @@
     )
 }
 
+#[expect(clippy::too_many_lines, reason = "the script of one show, not split yet: see the roadmap")]
 fn show(args: &Args) -> Result<(), Failure> {
     let folder = std::env::temp_dir().join(format!("cedarbridge-show-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
--- a/crates/soak-test/src/client.rs
+++ b/crates/soak-test/src/client.rs
@@ -60,20 +60,56 @@
     TimedOut,
 }
 
+/// Submits a message; returns its connection if that can be used again.
 async fn submit(
     world: &Rc<World>,
     forwarder: &Forwarder,
     id: &str,
     used: Option<HttpConnection>,
-    keeps: bool,
+    keep_alive: bool,
 ) -> Option<HttpConnection> {
-    let new = used.is_none();
-    let since = Instant::now();
-    let (process, was_going) = (forwarder.starts.get(), forwarder.terminated_at.get());
+    let is_new = used.is_none();
+    let begun = Instant::now();
+    let (process, terminated_at) = (forwarder.starts.get(), forwarder.terminated_at.get());
     let mut connection = match used {
         Some(connection) => connection,
         None => HttpConnection::new(Async::<TcpStream>::connect(forwarder.listen).await.ok()?),
     };
+    let request = draw_request(world, forwarder.number, id);
+    let half_closes = is_new && world.chance(HALF_CLOSE_SHARE);
+    let is_written = connection.write(request.as_bytes()).await.is_ok();
+    if half_closes {
+        connection.shutdown_write();
+    }
+    match read_response(world, &mut connection).await {
+        Response::Received { status: status @ (202 | 200 | 429 | 503), keeps_alive } => {
+            match status {
+                202 | 200 => world.checker.borrow_mut().accepted(id),
+                _ => world.checker.borrow_mut().count("rejected"),
+            }
+            return (keeps_alive && keep_alive && !half_closes).then_some(connection);
+        }
+        Response::Received { status: 500, .. } => world.checker.borrow_mut().count("failed at once"),
+        Response::Received { status, .. } => {
+            world.checker.borrow_mut().violate("answers", format!("{id}: answered with {status}"));
+        }
+        Response::TimedOut => world.checker.borrow_mut().count("client timed out"),
+        Response::Closed => {
+            // A kept connection may be closed between two requests, and a process may have died or be about to.
+            let died = forwarder.starts.get() != process || forwarder.killed.get();
+            let came_late = terminated_at.is_some_and(|at| begun > at + AFTER_TERM);
+            if is_new && is_written && !died && !came_late {
+                let what = format!("{id}: its new connection was closed with no answer");
+                world.checker.borrow_mut().violate("unanswered", what);
+            }
+            world.checker.borrow_mut().count("connection closed");
+        }
+    }
+    None
+}
+
+/// Draws a message and tells the checker of it; the text of its request.
+fn draw_request(world: &World, forwarder: usize, id: &str) -> String {
     let class = &world.classes[world.below(world.classes.len())];
     let destination = world.below(crate::faults::DESTINATIONS);
     let time = match world.below(10) {
@@ -83,18 +119,17 @@
     };
     let size = world.below(600);
     let body = "x".repeat(size);
-    let text = format!(
+    world.checker.borrow_mut().submitted(id, forwarder, destination, class.idempotency, time);
+    format!(
         "POST /api HTTP/1.1\r\nX-Request-Id: {id}\r\nX-Class: {}\r\nX-Tenant: acme\r\nX-Deadline: {}m\r\n\
          Idempotency-Key: key-{id}\r\nX-Addressing: dest={destination}\r\nContent-Length: {size}\r\n\r\n{body}",
         class.name,
         time.as_millis(),
-    );
-    world.checker.borrow_mut().submitted(id, forwarder.number, destination, class.idempotency, time);
-    let ends_sending = new && world.chance(HALF_CLOSE_SHARE);
-    let written = connection.write(text.as_bytes()).await.is_ok();
-    if ends_sending {
-        connection.shutdown_write();
-    }
+    )
+}
+
+/// Waits for the response as long as clients do.
+async fn read_response(world: &World, connection: &mut HttpConnection) -> Response {
     let answered = async {
         match connection.read_response().await {
             Ok(head) => match connection.response_body(&head, 4096).await {
@@ -108,32 +143,7 @@
         Timer::after(world.options.patience).await;
         Response::TimedOut
     };
-    match future::or(answered, timed_out).await {
-        Response::Received { status: 202 | 200, keeps_alive: goes_on } => {
-            world.checker.borrow_mut().accepted(id);
-            return (goes_on && keeps && !ends_sending).then_some(connection);
-        }
-        Response::Received { status: 429 | 503, keeps_alive: goes_on } => {
-            world.checker.borrow_mut().count("rejected");
-            return (goes_on && keeps && !ends_sending).then_some(connection);
-        }
-        Response::Received { status: 500, .. } => world.checker.borrow_mut().count("failed at once"),
-        Response::Received { status, .. } => {
-            world.checker.borrow_mut().violate("answers", format!("{id}: answered with {status}"));
-        }
-        Response::TimedOut => world.checker.borrow_mut().count("client timed out"),
-        Response::Closed => {
-            // A kept connection may be closed between two requests, and a process may have died or be about to.
-            let died = forwarder.starts.get() != process || forwarder.killed.get();
-            let late = was_going.is_some_and(|at| since > at + AFTER_TERM);
-            if new && written && !died && !late {
-                let what = format!("{id}: its new connection was closed with no answer");
-                world.checker.borrow_mut().violate("unanswered", what);
-            }
-            world.checker.borrow_mut().count("connection closed");
-        }
-    }
-    None
+    future::or(answered, timed_out).await
 }
 
 /// Bad clients: half a request, silence, noise, two requests at once.
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `check`: whether a site file may be loaded, by the very check that the forwarder makes.
 
-use super::{error_lines, print, CommandError, Files};
-use crate::config_error::ConfigError;
+use super::{print, CommandError, Files};
+use crate::config_error::{error_lines, ConfigError};
 use clap::Args;
 use serde_json::{json, Value};
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -5,7 +5,7 @@
 mod registry;
 mod run;
 
-use crate::config_error::ConfigError;
+use crate::config_error::{error_lines, ConfigError};
 use crate::net::config;
 use crate::routes::Platform;
 use crate::settings_json::Names;
@@ -143,12 +143,6 @@
     }
 }
 
-/// Errors, one a line.
-fn error_lines(file: &Path, errors: &[ConfigError]) -> String {
-    let file = file.display().to_string();
-    errors.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n")
-}
-
 /// Prints to standard output; a reader that has gone is no failure.
 fn print(text: &str) {
     use std::io::Write;
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,7 +1,9 @@
 //! `run`: the forwarder itself, with its log.
 
-use super::{error_lines, CommandError};
-use crate::net::{self, config::Config, Reading};
+use super::CommandError;
+use crate::net::config::Config;
+use crate::net::runtime::start::LoadError;
+use crate::net::{self, Reading};
 use crate::routes::Platform;
 use crate::site::Site;
 use crate::Settings;
@@ -73,11 +75,17 @@
     }
 }
 
-/// Puts what the site file says into the settings; all its errors are lines of one text.
-fn with_site(path: &Path, config: &mut Config, settings: &mut Settings) -> Result<(), String> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("cannot read `{}`: {e}", path.display()))?;
+/// Reads a file as text.
+fn read_file(file: &Path) -> Result<String, LoadError> {
+    std::fs::read_to_string(file).map_err(|error| LoadError::Unreadable { file: file.to_owned(), error })
+}
+
+/// Puts what the site file says into the settings.
+fn with_site(file: &Path, config: &mut Config, settings: &mut Settings) -> Result<(), LoadError> {
+    let text = read_file(file)?;
     let platform = Platform { settings, names: &config.names };
-    let site = Site::read(&text, platform).map_err(|errors| error_lines(path, &errors))?;
+    let site =
+        Site::read(&text, platform).map_err(|errors| LoadError::Site { file: file.to_owned(), errors })?;
     settings.routes = Some(Arc::new(site.routes));
     config.registry = site.registry.map(Arc::new);
     Ok(())
@@ -90,13 +98,12 @@
         let path = path.ok_or_else(|| CommandError::Usage(none.into()))?;
         let site = self.site.or_else(|| variable("CEDARBRIDGE_SITE").map(PathBuf::from));
         let load = move |reading| {
-            let json = std::fs::read_to_string(&path)
-                .map_err(|e| format!("cannot read `{}`: {e}", path.display()))?;
+            let json = read_file(&path)?;
             let startup_variable = |name: &str| {
                 variable(name).filter(|_| reading == Reading::Start || name != "ROUTER_DISCOVERY")
             };
-            let (mut config, mut settings) =
-                Config::read(&json, startup_variable).map_err(|e| format!("`{}`: {e}", path.display()))?;
+            let (mut config, mut settings) = Config::read(&json, startup_variable)
+                .map_err(|error| LoadError::Config { file: path.clone(), error })?;
             if let Some(site) = &site {
                 with_site(site, &mut config, &mut settings)?;
             }
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -1,6 +1,7 @@
 //! What is wrong with a site file: where, under which code, and why. It checks nothing itself.
 
 use std::fmt;
+use std::path::Path;
 
 /// A place in a file, both counted from 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -109,6 +110,12 @@
     }
 }
 
+/// The errors of a file, one a line.
+pub fn error_lines(file: &Path, errors: &[ConfigError]) -> String {
+    let file = file.display().to_string();
+    errors.iter().map(|error| error.line(&file)).collect::<Vec<_>>().join("\n")
+}
+
 /// A text from a file, cut so that a line of the log stays a line.
 pub fn shortened(text: &str) -> String {
     const MAX_CHARS: usize = 60;
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -53,12 +53,12 @@
         self.journal.borrow().is_paused()
     }
 
-    /// See [`Journal::take`].
+    /// See [`Journal::record_received`].
     pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
         self.with(|journal| journal.record_received(id.0, message))
     }
 
-    /// See [`Journal::attempt`].
+    /// See [`Journal::record_attempt`].
     pub fn record_attempt(
         &self,
         id: MessageId,
@@ -68,17 +68,17 @@
         self.with(|journal| journal.record_attempt(id.0, number, start))
     }
 
-    /// See [`Journal::never_ran`].
+    /// See [`Journal::record_never_ran`].
     pub fn record_never_ran(&self, id: MessageId, number: u32) {
         self.with(|journal| journal.record_never_ran(id.0, number));
     }
 
-    /// See [`Journal::report`].
+    /// See [`Journal::record_end`].
     pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
         self.with(|journal| journal.record_end(id.0, end));
     }
 
-    /// See [`Journal::end`].
+    /// See [`Journal::record_completed`].
     pub fn record_completed(&self, id: MessageId) {
         self.with(|journal| journal.record_completed(id.0));
     }
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -6,8 +6,9 @@
 use super::reload;
 use super::shutdown;
 use super::signals::{Signal, Signals};
+use crate::config_error::{error_lines, ConfigError};
 use crate::journal::{Journal, JournaledMessage, Restored, UnreadableSegmentPolicy};
-use crate::net::config::Config;
+use crate::net::config::{Config, ConfigReadError};
 use crate::net::context::{Context, ContextParts};
 use crate::net::delivery::DeliveryActor;
 use crate::net::handover::{self, frames::HandOverState, lock::Owner, FolderClaim, FrameSender};
@@ -51,15 +52,33 @@
 /// A configuration, or why there is none.
 pub type Loaded = Result<(Config, Settings), LoadError>;
 
-/// Why a configuration cannot be used: one or several lines for operators.
+/// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
-#[error("{0}")]
-pub struct LoadError(pub String);
-
-impl From<String> for LoadError {
-    fn from(lines: String) -> Self {
-        LoadError(lines)
-    }
+pub enum LoadError {
+    /// A file cannot be read.
+    #[error("cannot read `{}`: {error}", file.display())]
+    Unreadable {
+        /// Which file.
+        file: PathBuf,
+        /// Why.
+        error: io::Error,
+    },
+    /// The platform's configuration cannot be used.
+    #[error("`{}`: {error}", file.display())]
+    Config {
+        /// Its file.
+        file: PathBuf,
+        /// Why.
+        error: ConfigReadError,
+    },
+    /// The site file cannot be used.
+    #[error("{}", error_lines(file, errors))]
+    Site {
+        /// Its file.
+        file: PathBuf,
+        /// All that is wrong with it.
+        errors: Vec<ConfigError>,
+    },
 }
 
 /// What the configuration is read for.
--- a/src/settings_json/decode.rs
+++ b/src/settings_json/decode.rs
@@ -70,13 +70,6 @@
     }
 }
 
-/// For callers that pass errors on as text.
-impl From<DecodeError> for String {
-    fn from(error: DecodeError) -> String {
-        error.to_string()
-    }
-}
-
 fn expect<T>(expected: &'static str, decoded: Option<T>, value: &Value) -> Result<T, DecodeError> {
     decoded.ok_or_else(|| DecodeError::Unexpected { expected, found: value.clone() })
 }
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -1,7 +1,7 @@
 //! The site file: read completely and strictly, with the position of each value kept. What a section means is checked by the
 //! subsystem that it is for.
 //!
-//! A later subsystem adds a key to [`SECTIONS`], a field to [`Site`] and a reader of its own.
+//! A later subsystem adds a key to `SECTIONS`, a field to [`Site`] and a reader of its own.
 
 mod fields;
 mod node;
--- a/src/time_slots/mod.rs
+++ b/src/time_slots/mod.rs
@@ -57,7 +57,7 @@
     z ^ (z >> 31)
 }
 
-/// Rounds a period in microseconds up to one of [`PERIODS_PER_OCTAVE`] lengths in an octave, in whole microseconds.
+/// Rounds a period in microseconds up to one of `PERIODS_PER_OCTAVE` lengths in an octave, in whole microseconds.
 pub fn rounded_period(period_us: f64) -> Micros {
     // The calls of a limit of zero have an endless period, and one that is not a number is as good as that.
     let period_us =
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -17,7 +17,7 @@
 fn run_outage(settings: &Settings, weight: f64, per_s: usize) -> OutageRun {
     let mut fleet: Vec<PolicyHarness> = (0..LARGE_FLEET as u64)
         .map(|seed| PolicyHarness {
-            policy: DeliveryPolicy::new(settings.clone(), seed).unwrap(),
+            policy: DeliveryPolicy::new(settings.clone(), seed).expect("good settings"),
             now: 100 * SECOND,
             ..PolicyHarness::new(settings.clone(), vec![])
         })
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -229,6 +229,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one conversation, in its order")]
 fn everything_on_the_wire_is_as_the_release_in_service_sends_it() {
     let folder = Folder::new("wire");
     let (platform, requests) = listen();
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -24,7 +24,7 @@
     let settings = Settings { forwarders, ..settings() };
     let mut fleet: Vec<PolicyHarness> = (0..forwarders as u64)
         .map(|seed| {
-            let policy = DeliveryPolicy::new(settings.clone(), seed).unwrap();
+            let policy = DeliveryPolicy::new(settings.clone(), seed).expect("good settings");
             let mut harness = PolicyHarness { policy, ..PolicyHarness::new(settings.clone(), vec![]) };
             harness.step(vec![Event::EndpointList(EndpointListUpdate::Complete(vec![entry_with_weight(
                 rate as f64,
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -51,6 +51,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "a table of cases")]
 fn every_error_is_reported_with_its_own_code_and_place() {
     let named = |rest: &str| format!("name: a, match: {{class: notice}}, {rest}");
     let one = |rest: &str| vec![named(rest)];
