--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -2,7 +2,7 @@
 
 use super::CommandError;
 use crate::net::config::Config;
-use crate::net::runtime::start::LoadError;
+use crate::net::runtime::load::LoadError;
 use crate::net::{self, Reading};
 use crate::routes::Platform;
 use crate::site::Site;
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -2,7 +2,8 @@
 
 use super::actor::{AttemptInFlight, DeliveryActor};
 use crate::net::call::{Attempt, AttemptId, AttemptResult, Call, CallCompletion, CallResult};
-use crate::net::in_flight::{InFlightMessage, MessageEnd};
+use crate::net::in_flight::InFlightMessage;
+use crate::net::message_end::MessageEnd;
 use crate::net::messages::{DeliveryMessage, EndpointMessage};
 use crate::{Action, EndpointId, Event, LoadReport, MessageId, Micros, Outcome};
 use slog::{info, warn};
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -2,7 +2,7 @@
 
 use super::actor::DeliveryActor;
 use crate::journal::ReportedEnd;
-use crate::net::in_flight::MessageEnd;
+use crate::net::message_end::MessageEnd;
 use crate::net::messages::{DeliveryReport, SubmitReply, DEFAULT_RETRY_AFTER};
 use crate::{AbandonReason, Event, MessageId, Micros};
 use slog::info;
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -2,7 +2,7 @@
 //! or is closed before the delivery actor learns of the end.
 
 use super::connection_end::{CallFailure, ConnectionEnd};
-use super::exchange::{exchange, Progress, Stage};
+use super::exchange::{exchange, CallEnd, Progress, Stage};
 use super::late_response;
 use super::response::{self, Response};
 use crate::invariants::SendRefusal;
@@ -18,26 +18,6 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// How a call ended.
-pub(super) enum CallEnd {
-    /// The complete response was received.
-    Response(Response),
-    /// Its first byte was refused.
-    NotSent(SendRefusal),
-    /// The connection could not be made, or failed.
-    ConnectionFailed(HttpError),
-    /// The timeout of all its attempts is over.
-    TimedOut,
-    /// The delivery actor cancelled it.
-    Cancelled,
-}
-
-impl From<HttpError> for CallEnd {
-    fn from(error: HttpError) -> Self {
-        CallEnd::ConnectionFailed(error)
-    }
-}
-
 /// Makes a call and reports its result to the delivery actor.
 pub(super) async fn run(
     context: Rc<Context>,
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -1,8 +1,7 @@
 //! The exchange of a call on its connection: connect, check what binds the first byte, journal, write, read the response.
 
-use super::call::CallEnd;
 use super::request;
-use super::response::{read_retry_after, Response};
+use super::response::{read_retry_after, Response, RESPONSE_STALL};
 use crate::invariants::{may_send, SendFacts, SendPermit, SendRefusal, Violation};
 use crate::journal::AttemptStart;
 use crate::net::call::Call;
@@ -16,12 +15,29 @@
 use std::time::Duration;
 
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// A response that has begun and pauses for so long is broken: its call must not take a slot until the timeout, and its
-/// connection is of no more use.
-pub(super) const RESPONSE_STALL: Duration = Duration::from_millis(500);
 /// The same for the body of a response whose status line has delivered the message.
 const DELIVERED_BODY_STALL: Duration = Duration::from_millis(50);
 
+/// How a call ended.
+pub(super) enum CallEnd {
+    /// The complete response was received.
+    Response(Response),
+    /// Its first byte was refused.
+    NotSent(SendRefusal),
+    /// The connection could not be made, or failed.
+    ConnectionFailed(HttpError),
+    /// The timeout of all its attempts is over.
+    TimedOut,
+    /// The delivery actor cancelled it.
+    Cancelled,
+}
+
+impl From<HttpError> for CallEnd {
+    fn from(error: HttpError) -> Self {
+        CallEnd::ConnectionFailed(error)
+    }
+}
+
 /// How far an exchange has come.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Stage {
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -1,8 +1,7 @@
 //! Reads on for a moment on the connection of an abandoned call: the response that was on its way may ask to wait, which binds
 //! from the moment it was written. Guards against calls during a wait that nobody read.
 
-use super::exchange::RESPONSE_STALL;
-use super::response::read_retry_after;
+use super::response::{read_retry_after, RESPONSE_STALL};
 use crate::net::call::{AttemptResult, CallCompletion, CallResult};
 use crate::net::http::HttpConnection;
 use crate::net::messages::DeliveryMessage;
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -6,6 +6,11 @@
 use crate::{LoadReport, Micros, Outcome};
 use slog::warn;
 use std::ops::RangeInclusive;
+use std::time::Duration;
+
+/// A response that has begun and pauses for so long is broken: its call must not take a slot until the timeout, and its
+/// connection is of no more use.
+pub(super) const RESPONSE_STALL: Duration = Duration::from_millis(500);
 
 /// No endpoint takes more calls a second than that: a reported rate beyond it is an error.
 const MAX_RATE_PER_S: f64 = 1e6;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,6 +14,7 @@
 pub mod http;
 pub mod in_flight;
 pub mod journal_handle;
+pub mod message_end;
 pub mod messages;
 pub mod operator;
 pub mod platform;
@@ -24,4 +25,5 @@
 
 pub use context::Context;
 pub use runtime::deadline::{run_blocking, within, within_or_error};
-pub use runtime::start::{run, Load, Loaded, Reading};
+pub use runtime::load::{Load, Loaded, Reading};
+pub use runtime::start::run;
--- a/src/net/operator/call.rs
+++ b/src/net/operator/call.rs
@@ -1,6 +1,5 @@
 //! One call of an operator: read, answered and logged.
 
-use super::handover::HAND_OVER_TARGET;
 use super::perform;
 use crate::net::client::{Response, LINGER};
 use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
@@ -20,6 +19,8 @@
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
 /// The longest body of a call, in bytes: an id.
 const MAX_BODY_BYTES: usize = 1024;
+/// Where a successor asks.
+pub(super) const HAND_OVER_TARGET: &str = "/admin/handover";
 const PREFIX: &str = "/admin/";
 
 /// A call on its connection.
--- a/src/net/operator/handover.rs
+++ b/src/net/operator/handover.rs
@@ -1,6 +1,6 @@
 //! The call by which a successor asks to take over.
 
-use super::call::{Call, CallSummary, CALL_TIMEOUT};
+use super::call::{Call, CallSummary, CALL_TIMEOUT, HAND_OVER_TARGET};
 use crate::membership::MembershipSnapshot;
 use crate::net::client::Response;
 use crate::net::handover::frames::FORMAT;
@@ -9,9 +9,6 @@
 use crate::net::runtime::lifecycle::HandOverPhase;
 use crate::net::within;
 
-/// Where a successor asks.
-pub(super) const HAND_OVER_TARGET: &str = "/admin/handover";
-
 impl Call {
     /// Hands all over on the call's connection, or says why not.
     pub(super) async fn serve_hand_over(mut self, head: &RequestHead) -> CallSummary {
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -1,6 +1,6 @@
 //! Counts of messages by the entry of the site file that applied when they were received. It decides nothing.
 
-use crate::net::in_flight::MessageEnd;
+use crate::net::message_end::MessageEnd;
 use crate::routes::Plan;
 use crate::{ClassId, DestinationId, KindId, Micros, Outcome};
 use hdrhistogram::Histogram;
--- a/src/net/runtime/mod.rs
+++ b/src/net/runtime/mod.rs
@@ -5,6 +5,7 @@
 pub mod deadline;
 pub mod latch;
 pub mod lifecycle;
+pub mod load;
 pub mod phase;
 pub mod reload;
 pub mod shutdown;
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -1,8 +1,8 @@
 //! Puts another configuration in force while the process runs.
 
 use super::deadline::run_blocking;
+use super::load::{Load, LoadError, Reading};
 use super::signals::{Signal, Signals};
-use super::start::{Load, LoadError, Reading};
 use crate::net::config::RestartReason;
 use crate::net::messages::{DeliveryMessage, EndpointListMessage};
 use crate::net::Context;
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -3,12 +3,12 @@
 use super::background;
 use super::clock::Clock;
 use super::deadline::within;
+use super::load::{Load, LoadError, Reading};
 use super::reload;
 use super::shutdown;
 use super::signals::{Signal, Signals};
-use crate::config_error::{error_lines, ConfigError};
 use crate::journal::{Journal, JournaledMessage, Restored, UnreadableSegmentPolicy};
-use crate::net::config::{Config, ConfigReadError};
+use crate::net::config::Config;
 use crate::net::context::{Context, ContextParts};
 use crate::net::delivery::DeliveryActor;
 use crate::net::handover::{self, frames::HandOverState, lock::Owner, FolderClaim, FrameSender};
@@ -46,50 +46,6 @@
 /// Messages that wait for the endpoint list actor.
 const ENDPOINT_LIST_MAILBOX: usize = 16;
 
-/// Reads the configuration. At a reload the file's address of the platform goes before the environment variable's, which still
-/// tells what was in force at the start.
-pub type Load = dyn Fn(Reading) -> Loaded + Send + Sync;
-/// A configuration, or why there is none.
-pub type Loaded = Result<(Config, Settings), LoadError>;
-
-/// Why a configuration cannot be used.
-#[derive(Debug, thiserror::Error)]
-pub enum LoadError {
-    /// A file cannot be read.
-    #[error("cannot read `{}`: {error}", file.display())]
-    Unreadable {
-        /// Which file.
-        file: PathBuf,
-        /// Why.
-        error: io::Error,
-    },
-    /// The platform's configuration cannot be used.
-    #[error("`{}`: {error}", file.display())]
-    Config {
-        /// Its file.
-        file: PathBuf,
-        /// Why.
-        error: ConfigReadError,
-    },
-    /// The site file cannot be used.
-    #[error("{}", error_lines(file, errors))]
-    Site {
-        /// Its file.
-        file: PathBuf,
-        /// All that is wrong with it.
-        errors: Vec<ConfigError>,
-    },
-}
-
-/// What the configuration is read for.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    /// The start of the process.
-    Start,
-    /// A change while it runs.
-    Reload,
-}
-
 /// Why the forwarder did not start, or did not end in order.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,25 +1,13 @@
 //! Admission control of a destination or an endpoint: whether a call may go out now, by circuit breaker, pace
 //! and slow start, and what the outcomes of calls change in them.
 
-use super::circuit_breaker::CircuitBreaker;
+use super::circuit_breaker::{Admission, CircuitBreaker};
 use super::constants::*;
 use super::pacing::Pacer;
-use super::slow_start::SlowStart;
 use crate::api::*;
 use crate::time_slots::SlotSchedule;
 use serde::{Deserialize, Serialize};
 
-/// Whether a call may go out.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Admission {
-    /// It may.
-    Admitted,
-    /// One may, as the trial call of a half-open breaker.
-    Trial,
-    /// None may before this time.
-    NotBefore(Micros),
-}
-
 /// A finished call, as the records see it that it counts for.
 #[derive(Clone, Copy)]
 pub(super) struct FinishedCall {
@@ -29,6 +17,24 @@
     pub(super) outcome: Outcome,
 }
 
+/// The slow start of a destination or an endpoint.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub(super) struct SlowStart {
+    /// Seconds between two calls of this forwarder at which all forwarders' calls fit the capacity that a
+    /// returning destination has.
+    #[serde(rename = "spread")]
+    pub(super) return_interval_s: f64,
+    /// When it returned; none once it is warm.
+    #[serde(rename = "cold_since")]
+    pub(super) warming_since: Option<Micros>,
+}
+
+impl SlowStart {
+    pub(super) fn is_active(&self) -> bool {
+        self.warming_since.is_some()
+    }
+}
+
 /// What is kept for a destination or an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct AdmissionControl {
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,10 +1,20 @@
 //! The circuit breaker: closed while calls succeed, open in an outage, half-open while a trial call decides.
 
-use super::admission::Admission;
 use super::constants::*;
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 
+/// Whether a call may go out.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum Admission {
+    /// It may.
+    Admitted,
+    /// One may, as the trial call of a half-open breaker.
+    Trial,
+    /// None may before this time.
+    NotBefore(Micros),
+}
+
 /// The circuit breaker of a destination or an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct CircuitBreaker {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,6 +5,7 @@
 //! what departs from it. No I/O; time and chance come in as arguments.
 
 mod admission;
+mod call_rate;
 mod circuit_breaker;
 mod connection_reuse;
 mod constants;
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,7 +1,6 @@
-//! Pacing: how many calls a second this forwarder may send, by the reported limit or weight, by what was
-//! delivered so far and by rejections.
+//! The pacer: what the rate of calls is reckoned from (the reported limit or weight, what was delivered so far,
+//! rejections), and the token bucket that holds calls to it.
 
-use super::admission::{Admission, AdmissionControl};
 use super::constants::*;
 use crate::api::*;
 use crate::rates::{DecayingRate, RateLimitEstimate};
@@ -22,7 +21,7 @@
         self.refilled_at = refilled_at;
     }
 
-    fn refill(&mut self, now: Micros, tokens_per_us: f64) {
+    pub(super) fn refill(&mut self, now: Micros, tokens_per_us: f64) {
         let capacity = (tokens_per_us * BURST_US).max(1.0);
         let elapsed = now.saturating_sub(self.refilled_at) as f64;
         self.tokens = (self.tokens + tokens_per_us * elapsed).min(capacity);
@@ -34,10 +33,10 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Pacer {
     /// Calls that succeeded while it was healthy.
-    delivered: DecayingRate,
+    pub(super) delivered: DecayingRate,
     /// Messages that were received for it.
     #[serde(rename = "asked")]
-    demand: DecayingRate,
+    pub(super) demand: DecayingRate,
     /// Calls a second by the endpoint list; 0 if it does not say.
     pub(super) weight: f64,
     /// No call before this, by a retry-after or the backoff after a rejection without one.
@@ -103,7 +102,7 @@
     }
 
     /// The least rate at which calls go even if the limit is lower, but not after recent rejections.
-    fn min_rate(&self, now: Micros, settings: &Settings, has_limit: bool) -> f64 {
+    pub(super) fn min_rate(&self, now: Micros, settings: &Settings, has_limit: bool) -> f64 {
         let recently_rejected = now < self.last_rejected_at + REJECTION_MEMORY_BACKOFFS * self.backoff;
         if self.rate_factor < 1.0 && (has_limit || recently_rejected) {
             return 0.0;
@@ -111,44 +110,3 @@
         MIN_FLEET_RATE / self.fleet_rate(settings).map_or(3.0, |_| settings.forwarders as f64)
     }
 }
-
-impl AdmissionControl {
-    /// Calls a second that count as this forwarder's own: the rate it delivered while the destination was
-    /// healthy, which the destination can take however traffic is spread over forwarders, or its even share
-    /// if that is more.
-    pub(super) fn own_rate(&self, now: Micros, settings: &Settings) -> f64 {
-        let delivered = self.pacer.delivered.per_second(self.circuit.healthy_for(now), OPEN_TIMEOUT);
-        let fleet_rate = self.pacer.fleet_rate(settings);
-        fleet_rate.map_or(delivered, |rate| delivered.max(rate / settings.forwarders as f64))
-    }
-
-    /// Calls a second that this forwarder may send.
-    pub(super) fn rate(&mut self, now: Micros, settings: &Settings) -> f64 {
-        if let Some(rate) = self.slow_start_rate(now, settings) {
-            return rate;
-        }
-        let pacer = &self.pacer;
-        let limit = pacer.limit.current.filter(|limit| limit.rate > 0.0);
-        let is_low = limit.is_some_and(|limit| limit.remaining_share < LOW_REMAINING_SHARE);
-        let overcommit = if is_low { 1.0 } else { OVERCOMMIT_RATIO };
-        let min_rate = pacer.min_rate(now, settings, limit.is_some());
-        let demand = &pacer.demand;
-        let demanded = demand.count.min(1.0) * demand.per_second(now - demand.updated_at, OPEN_TIMEOUT);
-        let wanted = (self.own_rate(now, settings).max(demanded) * overcommit).max(min_rate);
-        // Rejections take away what a forwarder had beyond its even share: that share is its own.
-        (wanted * pacer.rate_factor).max(pacer.even_rate(settings) * SLOW_START_UTILIZATION)
-    }
-
-    /// Refills the token bucket and says when it holds a token.
-    pub(super) fn check_pace(&mut self, now: Micros, settings: &Settings) -> Admission {
-        let tokens_per_us = self.rate(now, settings) / SECOND as f64;
-        let bucket = &mut self.pacer.bucket;
-        bucket.refill(now, tokens_per_us);
-        // A token that is short by a rounding error of the refill counts.
-        if bucket.tokens >= 1.0 - 1e-6 {
-            return Admission::Admitted;
-        }
-        let wait = ((1.0 - bucket.tokens).max(0.0) / tokens_per_us).ceil() as Micros;
-        Admission::NotBefore(now.saturating_add(wait))
-    }
-}
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,7 +1,7 @@
 //! Selection: a free call slot goes to the waiting destination that was dispatched to least recently; there
 //! to the endpoint with the least load, with the message that gains most.
 
-use super::admission::Admission;
+use super::circuit_breaker::Admission;
 use super::constants::*;
 use super::records::{destination, Endpoint, Message};
 use super::DeliveryPolicy;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,25 +4,6 @@
 use super::admission::AdmissionControl;
 use super::constants::*;
 use crate::api::*;
-use serde::{Deserialize, Serialize};
-
-/// The slow start of a destination or an endpoint.
-#[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(super) struct SlowStart {
-    /// Seconds between two calls of this forwarder at which all forwarders' calls fit the capacity that a
-    /// returning destination has.
-    #[serde(rename = "spread")]
-    return_interval_s: f64,
-    /// When it returned; none once it is warm.
-    #[serde(rename = "cold_since")]
-    warming_since: Option<Micros>,
-}
-
-impl SlowStart {
-    pub(super) fn is_active(&self) -> bool {
-        self.warming_since.is_some()
-    }
-}
 
 impl AdmissionControl {
     /// The first success after an outage.
