--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,5 +1,5 @@
-//! The pacer: what the rate of calls is reckoned from (the reported limit or weight, what was delivered so far,
-//! rejections), and the token bucket that holds calls to it.
+//! The pacer: what the rate of calls is reckoned from (the reported limit or weight, what was delivered so
+//! far, rejections), and the token bucket that holds calls to it.
 
 use super::constants::*;
 use crate::api::*;
