--- a/tests/operator.rs
+++ b/tests/admin.rs
@@ -1,14 +1,16 @@
-//! Operators' calls over sockets, in the language of `scenario/mod.rs`.
+//! Admin requests: cordons, quiesce, health, and bad input. Scenarios over sockets, in the language of
+//! `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
 #[test]
-fn odd_calls_get_a_plain_no() {
+fn bad_admin_requests_get_an_error_status() {
     play(
         "with e1=1 operator=on
          start
+
          admin health 200
          admin raw 404 GET /admin/nothing HTTP/1.1\\r\\n\\r\\n
          admin raw 404 GET /_health HTTP/1.1\\r\\n\\r\\n
@@ -26,27 +28,30 @@
 }
 
 #[test]
-fn twenty_callers_that_say_nothing_or_half_a_call_keep_nobody_waiting() {
+fn silent_and_incomplete_admin_connections_delay_no_request() {
     play(
         "with e1=1 operator=on
          start
+
          admin crowd 20
          admin health 200
          admin crowd 20 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 2\\r\\n\\r\\ne
          admin cordon e1 200
          admin crowd 20
          admin uncordon e1 200
+
          wait cordoned=0",
     );
 }
 
-/// The rule on drains holds for a cordon: a call that is out ends, what waits goes to the other endpoint, and the
-/// last endpoint of a partner has its messages wait.
+/// The rule on drains applies to a cordon: a call in flight finishes, what is queued goes to the other endpoint, and
+/// the messages of a destination whose last endpoint is cordoned wait.
 #[test]
-fn a_cordoned_endpoint_gets_nothing_new_until_it_is_called_back_once() {
+fn a_cordoned_endpoint_gets_no_new_call_until_it_is_uncordoned_once() {
     play(
         "with e1=1 e2=1 e3=2 operator=on
          start
+
          u1 send m1
          u1 expect 202
          u2 send m2
@@ -72,15 +77,17 @@
          admin uncordon e3 200
          e3 expect m4
          e3 send m4 200
+
          wait delivered=4",
     );
 }
 
 #[test]
-fn a_cordon_holds_over_a_kill_and_for_an_id_that_is_listed_anew() {
+fn a_cordon_survives_a_kill_and_applies_to_an_id_that_is_listed_again() {
     play(
         "with e1=1 operator=on
          start
+
          admin cordon e1 200
          kill
          start
@@ -104,31 +111,35 @@
          kill
          start
          u2 send m2
+
          u2 expect 202
          e1 expect m2",
     );
 }
 
 #[test]
-fn a_cordon_that_cannot_be_kept_is_a_no_and_does_not_hold() {
+fn a_cordon_that_cannot_be_persisted_is_rejected_and_not_applied() {
     play(
         "with e1=1 operator=on
          start
+
          state-folder cordons.new
          admin cordon e1 507
          u1 send m1
          u1 expect 202
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1",
     );
 }
 
 #[test]
-fn after_quiesce_user_agents_are_served_and_sent_away_until_resume() {
+fn after_quiesce_clients_are_served_and_disconnected_until_resume() {
     play(
         "with e1=1 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -157,22 +168,25 @@
          u5 send m5
          u5 expect 202
          u5 send m6
+
          u5 expect 202
          e1 expect m5",
     );
 }
 
 #[test]
-fn a_term_amid_a_drain_ends_in_order() {
+fn sigterm_during_quiesce_shuts_down_gracefully() {
     play(
         "with e1=1 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
          admin quiesce 200
          term
          e1 send m1 200
+
          exit",
     );
 }
--- /dev/null
+++ b/tests/delivery_reports.rs
@@ -0,0 +1,51 @@
+//! Delivery reports to the platform: they are sent until the platform confirms them. Scenarios over sockets, in the
+//! language of `scenario/mod.rs`.
+
+mod scenario;
+
+use scenario::play;
+
+/// Guards against a message whose result was reported to the platform and that is sent all the same after a restart.
+#[test]
+fn an_unconfirmed_delivery_report_is_sent_again_after_a_kill() {
+    play(
+        "with e1=1:one:leaving
+         start
+
+         platform rejects-reports
+         u1 send m1 deadline=1000m
+         u1 expect 202
+         wait notices_owed=1
+         kill
+         platform send e1=active
+         start
+         log delivery reports rejected
+         platform accepts-reports
+
+         platform expect m1 returned
+         wait notices_owed=0 attempts=0 restored=1",
+    );
+}
+
+/// Guards against delivery reports that are still sent to an address where nobody accepts them any more.
+#[test]
+fn after_a_reload_pending_delivery_reports_go_to_the_new_address() {
+    play(
+        "with e1=1:one:leaving
+         start
+
+         platform rejects-reports
+         u1 send m1 deadline=500m
+         u1 expect 202
+         log delivery reports rejected
+         platform moves
+         platform accepts-reports
+         reload
+         platform expect m1 returned
+         wait notices_owed=0
+         u1 send m2 deadline=500m
+
+         u1 expect 202
+         platform expect m2 returned",
+    );
+}
--- a/tests/second.rs
+++ b/tests/deployment_variants.rs
@@ -1,17 +1,19 @@
-//! A deployment of another shape than the first: few connections at an endpoint, short windows beside classes that are
-//! safe to repeat, calls of five, waits told on some refusals only, and nothing told of limits.
+//! Another deployment than the first: few connections at an endpoint, short deduplication windows beside idempotent
+//! classes, batches of five, retry-after on some rejections only, and no word of limits. Scenarios over sockets, in
+//! the language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Guards against taking an endpoint that has no connection left for one that is full. Then nobody gives back the idle
-/// ones that fill its table, and three calls in five of a large fleet are turned away.
+/// Guards against mistaking an endpoint that has no connection left for one without capacity. Then nobody closes the
+/// idle connections that fill its table, and a large fleet has three calls in five rejected.
 #[test]
-fn an_endpoint_without_a_connection_left_gets_idle_ones_back() {
+fn an_endpoint_at_its_connection_limit_gets_idle_connections_back() {
     play(
         "with e1=1 e2=2
          start
+
          u1 send m1 dest=2
          u1 expect 202
          e2 expect m1
@@ -30,16 +32,19 @@
          log reason: close-idle
          e1 expect m2
          e1 send m2 200
+
          wait delivered=3 opened=3 reused=1",
     );
 }
 
-/// A full one lets the connection stay; one that ends a connection it has served before does so for reasons of its own.
+/// An endpoint without capacity keeps the connection open; one that closes a connection it has served before does so
+/// for reasons of its own.
 #[test]
-fn a_full_endpoint_keeps_its_connection() {
+fn an_endpoint_at_capacity_keeps_its_connection() {
     play(
         "with e1=1
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -49,16 +54,18 @@
          wait full=2 connect_failed=0 opened=1 reused=1
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1 opened=2",
     );
 }
 
-/// One that tells a wait has taken the connection in, whatever it does with it afterwards.
+/// An endpoint that sends a retry-after has accepted the connection, whatever it does with it afterwards.
 #[test]
-fn a_refusal_with_a_wait_binds_whether_or_not_it_ends_the_connection() {
+fn a_rejection_with_a_retry_after_is_honored_although_it_closes_the_connection() {
     play(
         "with e1=1
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -66,18 +73,21 @@
          wait full=1 connect_failed=0
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1",
     );
 }
 
-/// Both classes lose their answers: what is dropped for a short span only ends with it, what is safe to repeat goes on.
+/// Both classes lose their responses: the message whose deduplication window is short fails with it, the idempotent
+/// one is retried.
 #[test]
-fn a_short_window_ends_one_class_and_not_the_other() {
+fn a_short_deduplication_window_fails_one_class_and_not_the_other() {
     play(
         "with e1=1 e2=2
          config settings/categories/0/memory-span 400
          config settings/specifics/late \"halving\"
          start
+
          u1 send m1 dest=1 class=notice
          u1 expect 202
          e1 expect m1
@@ -89,17 +99,19 @@
          platform expect m1 failed
          e2 expect m2
          e2 send m2 200
+
          wait delivered=1 failed=1 open=0",
     );
 }
 
-/// Calls of five to one endpoint: each message has an end of its own, and what was refused or lost goes again.
+/// Batches of five to one endpoint: each message has a result of its own, and what was rejected or lost is retried.
 #[test]
-fn five_travel_together_and_each_has_its_own_end() {
+fn a_batch_of_five_gives_each_message_its_own_result() {
     play(
         "with e1=1:many tick=60
          config settings/specifics/per-call [5,5]
          start
+
          stop
          u1 send m1
          u2 send m2
@@ -116,17 +128,19 @@
          e1 send m1 200 m1=delivered m2=refused m3=delivered m4=failed m5=over
          e1 expect m2 m4
          e1 send m2 200 m2=delivered m4=delivered
+
          wait delivered=4 calls=2 attempts=7 open=0",
     );
 }
 
-/// A crossing has its price: the nearer endpoint is called first, and the other one when that is at work.
+/// Cross-zone calls have a cost: the endpoint in the same zone is called first, and the other one when that is busy.
 #[test]
-fn the_nearer_endpoint_goes_first_and_the_other_when_it_is_busy() {
+fn the_endpoint_in_the_same_zone_is_called_first_and_the_other_when_it_is_busy() {
     play(
         "with e1=1:one:west e2=1
          config settings/fees {\"cross-zone\":0.013,\"handshake\":0.02}
          start
+
          u1 send m1
          u1 expect 202
          e2 expect m1
@@ -140,17 +154,19 @@
          e1 expect m3
          e1 send m3 200
          e2 send m2 200
+
          wait delivered=3",
     );
 }
 
-/// A call that waits for its connection may begin within the grace of an endpoint that leaves, and not after it.
+/// A call that waits for its connection may begin within the drain grace of an endpoint, and not after it.
 #[test]
-fn the_grace_of_the_settings_binds_the_first_byte() {
+fn the_drain_grace_of_the_settings_applies_to_the_first_byte() {
     play(
         "with e1=1:one:stalled e2=1:one:hidden
          config settings/rules/drain-grace 500
          start
+
          u1 send m1
          u1 expect 202
          wait opened=1
@@ -164,6 +180,7 @@
          platform send e2=active
          e2 expect m1
          e2 send m1 200
+
          wait delivered=1 calls=1",
     );
 }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,16 +1,18 @@
-//! System calls that fail as Linux documents them, and a wall clock that is stepped, against the real program: a library of
-//! our own is preloaded (`crates/faultshim`), in the language of `scenario/mod.rs`.
+//! System calls that fail as Linux documents them, and a wall clock that is stepped, against the real program: a
+//! library of our own is preloaded (`crates/faultshim`). Scenarios over sockets, in the language of
+//! `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Guards against records that follow a torn one: recovery stopped there, and what had been taken on since was lost.
+/// Guards against records that follow a torn one: recovery stopped there, and what had been admitted since was lost.
 #[test]
-fn what_is_taken_on_after_a_torn_journal_write_outlasts_a_kill() {
+fn messages_admitted_after_a_torn_journal_write_survive_a_kill() {
     play(
         "with e1=1:one:leaving open=64 faults=on
          start
+
          u1 sends 10 a deadline=20000m
          faults write torn=EIO; ftruncate EIO
          u2 send t1
@@ -21,48 +23,54 @@
          kill
          start
          platform send e1=active
+
          e1 serves a*10 b*20
          wait delivered=30",
     );
 }
 
-/// Guards against deadlines kept by a clock that is set: nothing of what had been taken on was delivered.
+/// Guards against deadlines kept by a clock that is set: none of the admitted messages was delivered.
 #[test]
-fn a_wall_clock_set_forward_before_a_restart_takes_no_time_from_messages() {
+fn a_wall_clock_set_forward_before_a_restart_does_not_shorten_deadlines() {
     play(
         "with e1=1:one:leaving open=64 faults=on
          start
+
          u1 sends 20 m deadline=20000m
          kill
          faults wall 3600000000
          start
          platform send e1=active
+
          e1 serves m*20
          wait delivered=20",
     );
 }
 
-/// Guards against the same the other way: messages stayed without an end for an hour.
+/// Guards against the same the other way: messages stayed without a result for an hour.
 #[test]
-fn a_wall_clock_set_back_before_a_restart_gives_no_time_to_messages() {
+fn a_wall_clock_set_back_before_a_restart_does_not_extend_deadlines() {
     play(
         "with e1=1:one:leaving open=64 faults=on
          start
+
          u1 sends 20 m deadline=5000m
          kill
          faults wall -3600000000
          start
+
          platform expect-all m*20 returned",
     );
 }
 
-/// Guards against a full folder being taken for failed attempts: all tries were spent in some 60 ms, and messages were returned
-/// that had 19 s left and a partner that was well.
+/// Guards against counting a full folder as failed attempts: all attempts were spent in some 60 ms, and messages were
+/// returned that had 19 s left and a healthy endpoint.
 #[test]
-fn while_the_journal_cannot_be_written_messages_wait_and_come_back_by_themselves() {
+fn messages_wait_while_the_journal_cannot_be_written_and_then_proceed() {
     play(
         "with e1=1:one:leaving open=64 faults=on
          start
+
          u1 sends 20 m deadline=20000m
          faults write ENOSPC
          platform send e1=active
@@ -71,18 +79,20 @@
          u2 expect 503
          sleep 3000
          faults
+
          e1 serves m*20
          wait delivered=20 returned=0",
     );
 }
 
-/// Guards against an end that is forgotten as it cannot be written: after a kill the message, which must not run twice, was told
-/// to have failed.
+/// Guards against a result that is forgotten as it cannot be written: after a kill the message, which must not run
+/// twice, was reported as failed.
 #[test]
-fn an_end_that_could_not_be_written_is_written_later() {
+fn a_result_that_could_not_be_journaled_is_journaled_later() {
     play(
         "with e1=1 faults=on
          start
+
          u1 send m1 class=once
          u1 expect 202
          e1 expect m1
@@ -93,16 +103,19 @@
          wait journal_writable=true
          kill
          start
+
          wait restored=0 failed=0",
     );
 }
 
-/// Guards against a last look at the listener's queue that ends at the first error: requests that waited there were reset.
+/// Guards against a last pass over the listener's queue that ends at the first error: requests that waited there were
+/// reset.
 #[test]
-fn requests_in_the_queue_are_answered_after_a_term_though_accept_fails_now_and_then() {
+fn queued_requests_are_answered_after_sigterm_although_accept_fails_now_and_then() {
     play(
         "with e1=1 faults=on
          start
+
          stop
          u1 send m1
          u2 send m2
@@ -110,6 +123,7 @@
          faults accept ECONNABORTED count=16
          term
          continue
+
          u1 expect 202
          u2 expect 202
          u3 expect 202
@@ -118,12 +132,13 @@
     );
 }
 
-/// Guards against an end that waits for a listener that never gives anything.
+/// Guards against a shutdown that waits for a listener whose accept never succeeds.
 #[test]
-fn a_listener_that_fails_all_the_time_does_not_hold_up_the_end() {
+fn a_listener_that_always_fails_does_not_delay_shutdown() {
     play(
         "with e1=1 faults=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -132,34 +147,40 @@
          fault-injected accept
          term
          e1 send m1 200
+
          exit-within 3700",
     );
 }
 
-/// Guards against a start that ends as the folder cannot be read at that moment: what was taken on is still owed.
+/// Guards against a start that fails as the folder cannot be read at that moment: admitted messages still have to be
+/// delivered.
 #[test]
-fn a_start_waits_for_a_folder_that_cannot_be_read_yet() {
+fn a_start_waits_for_a_state_folder_that_cannot_be_read_yet() {
     play(
         "with e1=1:one:leaving open=64 faults=on
          start
+
          u1 sends 5 m deadline=20000m
          kill
          faults read EIO count=2; opendir EIO count=1; open EIO count=1
          start
          platform send e1=active
+
          e1 serves m*5
          wait delivered=5",
     );
 }
 
-/// Guards against connections that are given up as a signal interrupts a read or a write on them.
+/// Guards against connections that are closed as a signal interrupts a read or a write on them.
 #[test]
-fn interrupted_reads_and_writes_are_made_again() {
+fn interrupted_reads_and_writes_are_retried() {
     play(
         "with e1=1 open=64 faults=on
          start
+
          faults recv EINTR chance=0.3; send EINTR chance=0.3
          u1 sends 20 m
+
          e1 serves m*20
          wait delivered=20 reset=0",
     );
@@ -171,6 +192,7 @@
     play(
         "with e1=1 open=64 faults=on
          start
+
          faults recv short chance=0.5; send short chance=0.5; write short chance=0.5
          u1 sends 20 m
          e1 serves m*20
@@ -179,17 +201,19 @@
          u1 sends 5 n
          kill
          start
+
          wait restored=5",
     );
 }
 
-/// Guards against an end of the program as the owner's name cannot be written: it serves, and may be replaced once it can.
+/// Guards against ending the program as the owner file cannot be written: it serves, and may be replaced once it can.
 #[test]
-fn a_full_folder_at_the_start_does_not_end_a_process_that_operators_may_call() {
+fn a_full_state_folder_at_the_start_does_not_end_a_process_with_an_admin_listener() {
     play(
         "with e1=1 operator=on faults=on
          faults write ENOSPC count=2; read EIO count=1
          start
+
          fault-injected write
          sleep 400
          u1 send m1
@@ -204,12 +228,14 @@
     );
 }
 
-/// Guards against a connection that is ended with no answer as its client ends its sending while the answer is decided.
+/// Guards against a connection that is closed without a response as its client half-closes while the response is
+/// decided.
 #[test]
-fn one_that_ends_its_sending_while_it_waits_gets_its_answer() {
+fn a_client_that_half_closes_while_it_waits_gets_its_response() {
     play(
         "with e1=1 tick=400
          start
+
          u1 send m1
          u2 send m2
          sleep 50
@@ -221,57 +247,64 @@
     );
 }
 
-/// Guards against a request that crosses the end of a connection that was never used: read, and answered by nothing. Whoever
-/// opened it is told before it is closed.
+/// Guards against a request that crosses the close of a connection that was never used: it would be read and get no
+/// response. The client gets a 503 before the close.
 #[test]
-fn a_new_connection_is_not_closed_without_a_word() {
+fn an_unused_connection_gets_503_before_it_is_closed() {
     play(
         "with e1=1
          start
+
          u1 connect
          u1 expect 503
          u1 expect end
          u2 connect
          sleep 50
          term
+
          u2 expect 503
          u2 expect end
          exit",
     );
 }
 
-/// Guards against breakers that open, and tries that are spent, as this machine is short of ports or descriptors for a moment.
+/// Guards against circuit breakers that open, and attempts that are spent, as this machine is short of ports or
+/// descriptors for a moment.
 #[test]
-fn a_shortage_on_this_machine_is_no_failure_of_an_endpoint() {
+fn a_local_resource_shortage_is_no_endpoint_failure() {
     play(
         "with e1=1 faults=on
          start
+
          faults connect EADDRNOTAVAIL count=3; socket ENFILE count=2
          u1 send m1
+
          u1 expect 202
          e1 serves m1
          wait delivered=1 connect_failed=0",
     );
 }
 
-/// What the network says of one try is a failed try, and the message goes again.
+/// A network error of one attempt fails that attempt, and the message is retried.
 #[test]
-fn a_network_that_cannot_be_reached_fails_a_try_and_not_the_message() {
+fn an_unreachable_network_fails_the_attempt_and_not_the_message() {
     play(
         "with e1=1 faults=on
          start
+
          faults connect ENETUNREACH count=1
          u1 send m1
+
          u1 expect 202
          e1 serves m1
          wait delivered=1 connect_failed=1",
     );
 }
 
-/// Guards against signals that are lost: an interrupted read after a short one left half a signal's number behind, every later
-/// one was read across two, and SIGTERM was never heard.
+/// Guards against lost signals: an interrupted read after a short one left half a signal's number behind, every later
+/// one was read across two, and SIGTERM was never received.
 #[test]
-fn signals_are_heard_though_reads_are_short_and_interrupted() {
+fn signals_are_received_although_reads_are_short_and_interrupted() {
     let reloads = "reload open=9\n sleep 5\n".repeat(12);
     let round = format!(
         "start
@@ -281,23 +314,25 @@
          exit-within 3700
          faults\n"
     );
-    // Two losses cancel each other out: one round alone would tell little.
+    // Two lost signals cancel each other out: one round alone would prove little.
     play(&format!("with e1=1 faults=on\n{}", round.repeat(6)));
 }
 
-/// Guards against an end past a message's time and 0.3 s: a request that lay unread, as its process stood still or accept failed,
-/// is old as it is read, and its time counts from when it was sent.
+/// Guards against a result later than a message's deadline and 0.3 s: a request that lay unread, as its process was
+/// stopped or accept failed, is late when it is read, and its deadline counts from when it was sent.
 #[test]
-fn a_request_that_lay_unread_has_its_end_in_the_time_that_its_client_gave() {
+fn a_request_that_lay_unread_ends_within_the_deadline_of_its_client() {
     play(
         "with e1=1:one:leaving
          start
+
          u1 connect
          stop
          mark
          u1 send m1 deadline=1000m
          sleep 390
          continue
+
          u1 expect 202
          platform expect m1 returned
          within 1300",
--- a/tests/upgrade.rs
+++ b/tests/hand_over.rs
@@ -1,16 +1,18 @@
-//! One process replaces another, in the language of `scenario/mod.rs`.
+//! The hand-over from one process to its successor on the same state folder. Scenarios over sockets, in the language
+//! of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// What is out stays out at the old process, what waits goes on at the new one, and what comes to the old one is
-/// passed on: each message gets one end.
+/// Calls in flight stay at the predecessor, queued messages proceed at the successor, and requests to the predecessor
+/// are forwarded: each message gets one result.
 #[test]
-fn a_new_process_goes_on_with_all_that_the_old_one_held() {
+fn a_successor_takes_over_all_messages_of_its_predecessor() {
     play(
         "with e1=1 e2=9:one:leaving operator=on
          start
+
          u1 send m1
          u1 expect 202
          u2 send m2 dest=9
@@ -38,15 +40,17 @@
          platform send e2=active
          e2 expect m2
          e2 send m2 200
+
          wait delivered=4 open=0 failed=0",
     );
 }
 
 #[test]
-fn what_is_out_when_the_old_process_dies_may_have_run_and_is_sent_again() {
+fn attempts_in_flight_when_the_predecessor_dies_may_have_run_and_are_retried() {
     play(
         "with e1=1 operator=on
          start
+
          u1 send m1
          u1 expect 202
          u2 send m2 class=once
@@ -58,15 +62,17 @@
          platform expect m2 failed
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1 failed=1 open=0",
     );
 }
 
 #[test]
-fn a_told_wait_and_a_cordon_hold_over_an_upgrade() {
+fn a_retry_after_and_a_cordon_survive_a_hand_over() {
     play(
         "with e1=1 e2=2 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -82,15 +88,17 @@
          e2 send m2 200
          e1 expect m1
          e1 send m1 200
+
          wait delivered=2",
     );
 }
 
 #[test]
-fn a_new_process_that_dies_or_cannot_start_leaves_the_old_one_serving() {
+fn a_successor_that_dies_or_cannot_start_leaves_its_predecessor_serving() {
     play(
         "with e1=1 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -107,16 +115,18 @@
          old term
          old exit
          u3 send m3
+
          u3 expect 202
          e1 expect m3",
     );
 }
 
 #[test]
-fn two_upgrades_in_a_row_and_a_notice_owed_lose_nothing() {
+fn two_hand_overs_in_a_row_with_a_pending_delivery_report_lose_nothing() {
     play(
         "with e1=1 e2=2 operator=on
          start
+
          platform rejects-reports
          u1 send m1 class=once dest=2
          u1 expect 202
@@ -145,12 +155,14 @@
     );
 }
 
-/// Whatever the new one does up to the moment at which it owns, the old one serves on as if nothing had been.
+/// Whatever the successor does up to the moment at which it owns the folder, the predecessor serves on as if nothing
+/// had happened.
 #[test]
-fn an_heir_that_goes_wrong_before_it_owns_changes_nothing() {
+fn a_successor_that_fails_before_it_owns_the_folder_changes_nothing() {
     play(
         "with e1=1 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -178,16 +190,18 @@
          wait delivered=3
          kill
          start
+
          wait restored=0",
     );
 }
 
-/// An end that comes while another process reads the folder must be in the journal if that one goes.
+/// A result that arrives while another process reads the folder must be in the journal if that process dies.
 #[test]
-fn an_heir_that_dies_as_the_owner_leaves_an_old_process_that_ends_and_a_journal_that_is_whole() {
+fn a_successor_that_dies_as_the_owner_ends_its_predecessor_and_leaves_a_complete_journal() {
     play(
         "with e1=1 e2=2 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -206,12 +220,13 @@
          wait restored=1
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1",
     );
 }
 
 #[test]
-fn one_that_cannot_be_understood_is_left_to_its_end() {
+fn a_predecessor_that_cannot_be_understood_is_waited_for_until_it_exits() {
     play(
         "with e1=1 operator=on
          predecessor owns
@@ -228,10 +243,11 @@
 }
 
 #[test]
-fn a_hung_process_is_waited_for_and_its_messages_come_from_the_journal() {
+fn a_hung_predecessor_is_waited_for_and_its_messages_are_restored_from_the_journal() {
     play(
         "with e1=1 operator=on
          start
+
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -243,16 +259,19 @@
          wait restored=1
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1",
     );
 }
 
-/// The first one passes on to the second, and that to the third: what is out at the first comes back through both.
+/// The first process forwards to the second, and that to the third: responses to calls in flight at the first arrive
+/// through both.
 #[test]
 fn a_third_process_takes_over_from_a_second_that_has_just_done_so() {
     play(
         "with e1=1 e2=2 operator=on
          start
+
          u1 send m1
          u1 expect 202
          u2 send m2 dest=2
@@ -280,26 +299,29 @@
 }
 
 #[test]
-fn what_a_dead_process_left_in_the_folder_is_no_owner() {
+fn files_left_by_a_dead_process_are_not_taken_for_an_owner() {
     play(
         "with e1=1 operator=on
          start
+
          kill
          state-holds owner
          state-holds next
          start
          u1 send m1
+
          u1 expect 202
          e1 expect m1",
     );
 }
 
-/// What operators ask of the old process is done by the one that decides.
+/// An admin request to the predecessor is carried out by the process that decides.
 #[test]
-fn a_quiesce_amid_an_upgrade_sends_user_agents_away_from_the_new_process() {
+fn a_quiesce_during_a_hand_over_disconnects_clients_of_the_successor() {
     play(
         "with e1=1 operator=on
          start
+
          upgrade
          old admin quiesce 200
          admin health 503
@@ -309,23 +331,24 @@
          admin resume 200
          health 200
          u1 send m1
+
          u1 expect 202
          e1 expect m1",
     );
 }
 
-/// Guards against slots that are never given back: a message that was withdrawn is in no journal, and yet its attempt
-/// was out at the process that died.
+/// Guards against slots that are never released: a message that was withdrawn is in no journal, and yet its attempt
+/// was in flight at the process that died.
 #[test]
-fn what_was_withdrawn_and_out_when_the_old_process_dies_gives_its_slot_back() {
-    // On a connection that is there already the attempt is written before the withdrawal is known.
-    let warm: String = (1..5)
+fn withdrawn_attempts_in_flight_when_the_predecessor_dies_release_their_slots() {
+    // On an open connection the attempt is written before the withdrawal is known.
+    let opened_connections: String = (1..5)
         .map(|n| format!("u5 send w{n} dest={n}\nu5 expect 202\ne{n} expect w{n}\ne{n} send w{n} 200\n"))
         .collect();
     play(&format!(
         "with e1=1 e2=2 e3=3 e4=4 operator=on tick=300
          start
-         {warm}
+         {opened_connections}
          wait delivered=4
          u1 send m1
          u2 send m2 dest=2
@@ -353,9 +376,10 @@
     ));
 }
 
-/// Guards against a process that cannot be ended in order while it waits: the page for the person on call backs out so.
+/// Guards against a process that cannot be shut down gracefully while it waits: the on-call runbook backs out this
+/// way.
 #[test]
-fn a_new_process_that_waits_for_an_owner_ends_at_a_term() {
+fn a_successor_that_waits_for_an_owner_exits_on_sigterm() {
     play(
         "with e1=1 operator=on
          predecessor owns
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -1,4 +1,5 @@
-//! The registry as a source of the list, in the running program.
+//! The registry as a source of the endpoint list, in the running program. Scenarios over sockets, in the language of
+//! `scenario/mod.rs`.
 
 mod scenario;
 
@@ -7,20 +8,23 @@
 use scenario::process::program;
 use std::process::Output;
 
+/// A site file with short intervals that names the registry.
 const SITE: &str = "site {version: 1, registry: {addresses: [\"{registry}\"], poll: 100ms, timeout: 400ms, largest-mb: 1, \
     hold-down: {first: 300ms, longest: 1s, forget: 5s}, shrink: {share: 0.4, confirm: 1s}, snapshot-after: 300ms, \
     back-off: {first: 50ms, longest: 200ms}}}";
 
+/// Plays a scenario with a registry and [`SITE`].
 fn with(setting: &str, script: &str) {
     play(&format!("{setting}\nstart-registry\n{SITE}\n{script}"));
 }
 
 #[test]
-fn entries_of_the_registry_are_added_drained_and_gone() {
+fn registry_entries_are_added_drained_and_removed() {
     with(
         "with e1=1:one:hidden e2=1:one:hidden",
         "registry put e1
          start
+
          wait registry/entries=1
          u1 send m1
          u1 expect 202
@@ -42,17 +46,19 @@
          u1 expect 202
          e1 expect m3
          e1 send m3 200
+
          wait delivered=3 registry/deltas>=1 registry/hash_mismatches=0 drains/count>=1",
     );
 }
 
-/// Guards against new work that goes out late because its call waited for a connection when the drain came.
+/// Guards against a new call that is sent late because it waited for a connection when the drain was announced.
 #[test]
-fn a_drain_binds_a_call_that_waits_for_its_connection() {
+fn a_drain_applies_to_a_call_that_waits_for_its_connection() {
     with(
         "with e1=1:one:hidden:stalled grace=60",
         "registry put e1
          start
+
          wait registry/entries=1
          u1 send m1
          u1 expect 202
@@ -60,17 +66,19 @@
          registry status e1 DOWN
          log endpoint left
          e1 open
+
          log not sent, reason: leaving
          wait attempts=0 drains/count=1 open=1",
     );
 }
 
 #[test]
-fn a_silent_registry_leaves_the_view_standing_and_loses_nothing() {
+fn a_silent_registry_leaves_its_last_view_in_use_and_loses_no_message() {
     with(
         "with e1=1:one:hidden",
         "registry put e1
          start
+
          wait registry/entries=1
          registry silent
          wait registry/failures>=2
@@ -87,16 +95,18 @@
          wait delivered=2 registry/entries=1 failed=0 returned=0
          registry answers
          registry status e1 DOWN
+
          wait registry/flaps=1",
     );
 }
 
 #[test]
-fn a_start_with_a_silent_registry_serves_the_view_that_was_kept() {
+fn a_start_with_a_silent_registry_uses_the_persisted_view() {
     with(
         "with e1=1:one:hidden",
         "registry put e1
          start
+
          wait registry/entries=1
          log endpoint list changed
          state-holds registry.view
@@ -116,16 +126,18 @@
          registry silent
          damage-view
          start
+
          log its last view is damaged",
     );
 }
 
 #[test]
-fn a_start_with_a_silent_registry_and_no_view_serves_the_pushed_list() {
+fn a_start_with_a_silent_registry_and_no_view_uses_the_pushed_endpoint_list() {
     with(
         "with e1=1 e2=2:one:hidden",
         "registry silent
          start
+
          log no view of it was kept
          u1 send m1
          u1 expect 202
@@ -133,17 +145,19 @@
          e1 send m1 200
          registry put e2
          registry answers
+
          wait registry/entries=1 delivered=1",
     );
 }
 
-/// Guards against a call that is out to an endpoint that is gone being lost with it.
+/// Guards against losing a call in flight to an endpoint that is removed.
 #[test]
 fn an_instance_that_is_replaced_at_its_address_is_another_endpoint() {
     with(
         "with e1=1:one:hidden",
         "registry put e1
          start
+
          wait registry/entries=1
          u1 send m1
          u1 expect 202
@@ -158,34 +172,38 @@
          u2 expect 202
          e1 expect m2
          e1 send m2 200
+
          wait delivered=2 registry/entries=1 opened=2",
     );
 }
 
-/// Guards against a lost delta: the hash of what is held shows it.
+/// Guards against a lost delta: the hash of the cached entries shows it.
 #[test]
-fn a_lost_delta_is_caught_by_its_hash() {
+fn a_lost_delta_is_detected_by_its_hash() {
     with(
         "with e1=1:one:hidden e2=2:one:hidden e3=3:one:hidden",
         "registry put e1 e2 e3
          start
+
          wait registry/entries=3
          registry silent
          wait registry/failures>=1
          registry status e1 DOWN
          registry loses-deltas
          registry answers
+
          wait registry/flaps=1
          registry asked GET /apps/delta",
     );
 }
 
 #[test]
-fn a_registry_that_restarts_empty_is_doubted_and_one_that_stays_empty_believed() {
+fn an_empty_registry_is_not_believed_unless_it_stays_empty() {
     with(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry put e1 e2
          start
+
          wait registry/entries=2
          registry restarts-empty
          wait registry/shrinks_not_believed>=1 registry/entries=2
@@ -196,6 +214,7 @@
          e1 expect m1
          e1 send m1 200
          registry restarts-empty
+
          wait registry/entries=0 delivered=1",
     );
 }
@@ -209,12 +228,14 @@
          registry freezes-replica
          site {version: 1, registry: {addresses: [\"{registry}\", \"{replica}\"], poll: 100ms, timeout: 300ms, shrink: {share: 0.4, confirm: 60s}}}
          start
+
          wait registry/entries=2
          registry status e1 OUT_OF_SERVICE
          wait registry/flaps=1
          registry silent
          wait registry/address=1 registry/stale_entries>=1 registry/flaps=1
          u1 send m1 deadline=400m
+
          u1 expect 202
          platform expect m1 returned
          wait attempts=0",
@@ -222,12 +243,13 @@
 }
 
 #[test]
-fn answers_in_xml_and_packed_are_read_and_monsters_refused() {
+fn xml_and_gzip_responses_are_read_and_oversized_ones_rejected() {
     with(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry xml
          registry put e1
          start
+
          wait registry/entries=1
          registry gzip
          registry put e2
@@ -246,16 +268,18 @@
          u1 expect 202
          e1 expect m1
          e1 send m1 200
+
          wait delivered=1",
     );
 }
 
 #[test]
-fn a_reload_moves_to_another_registry_in_mid_traffic() {
+fn a_reload_moves_to_another_registry_during_traffic() {
     with(
         "with e1=1:one:hidden",
         "registry put e1
          start
+
          wait registry/entries=1
          u1 send m1
          u1 expect 202
@@ -270,6 +294,7 @@
          wait delivered=1
          site {version: 1}
          reload open=8
+
          log lifecycle: Removed",
     );
 }
@@ -281,6 +306,7 @@
          start-registry
          site {version: 1, registry: {addresses: [\"{registry}\"], poll: 100ms, register: {app: CEDARBRIDGE, renew: 100ms, lease: 1s}}}
          start
+
          registry holds n0=UP
          registry asked PUT /apps/CEDARBRIDGE/n0
          registry restarts-empty
@@ -291,19 +317,21 @@
          term
          registry holds n0=OUT_OF_SERVICE
          e1 send m1 200
+
          exit
          registry holds n0=
          registry asked DELETE /apps/CEDARBRIDGE/n0",
     );
 }
 
+/// Runs a command of the program and returns its exit code and standard output.
 fn command(arguments: &[&str]) -> (Option<i32>, String) {
     let Output { status, stdout, .. } = program().args(arguments).output().expect("it runs");
     (status.code(), String::from_utf8(stdout).expect("text"))
 }
 
 #[test]
-fn the_commands_show_what_would_be_held_and_why() {
+fn the_commands_show_which_instances_would_be_listed_and_why() {
     let registry = StandIn::start().expect("a port");
     let replica = registry.replica().expect("a port");
     let put = |id: &str, port: u16, partner, kind| {
@@ -317,6 +345,7 @@
     replica.freeze(true);
     registry.set_status("a", "DOWN");
     registry.set_status("a", "UP");
+
     let folder = std::env::temp_dir().join(format!("cedarbridge-registry-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("site.yaml");
@@ -327,10 +356,12 @@
     );
     std::fs::write(&path, text).expect("written");
     let site = path.to_str().expect("text");
-    let of = |what: &str, more: &[&str]| {
-        command(&[&["registry", what, "--config", "examples/config.json", site], more].concat())
+
+    let registry_command = |name: &str, more: &[&str]| {
+        command(&[&["registry", name, "--config", "examples/config.json", site], more].concat())
     };
-    let (code, list) = of("list", &[]);
+
+    let (code, list) = registry_command("list", &[]);
     assert_eq!(code, Some(0));
     assert!(list.contains("a  127.0.0.1:1001  7  cable-operator  room  5.0  listed  (up)"), "{list}");
     assert!(
@@ -338,65 +369,16 @@
         "{list}"
     );
     assert!(list.contains("c  passed over: unknown kind `unheard-of`"), "{list}");
-    let (_, json) = of("list", &["--json"]);
+    let (_, json) = registry_command("list", &["--json"]);
     assert!(json.lines().all(|l| serde_json::from_str::<serde_json::Value>(l).is_ok()), "{json}");
-    let (_, watched) = of("watch", &["--for", "300ms"]);
+    let (_, watched) = registry_command("watch", &["--for", "300ms"]);
     assert!(watched.contains("a  127.0.0.1:1001") && !watched.contains("b  127"), "{watched}");
-    let (code, diff) = of("diff", &[]);
+    let (code, diff) = registry_command("diff", &[]);
     assert_eq!((code, diff.lines().count()), (Some(0), 2), "{diff}");
     assert!(diff.lines().all(|l| l.starts_with("PARTNERS/a  127.0.0.1:")), "{diff}");
     registry.set(|m| m.half = true);
-    assert_eq!(of("diff", &[]).0, Some(1));
+    assert_eq!(registry_command("diff", &[]).0, Some(1));
     replica.set(|m| m.half = true);
-    assert_eq!(of("list", &[]).0, Some(1));
+    assert_eq!(registry_command("list", &[]).0, Some(1));
     std::fs::remove_dir_all(folder).expect("removed");
 }
-
-#[test]
-fn a_section_that_makes_no_sense_is_refused_with_its_code_and_place() {
-    let config = include_str!("../examples/config.json");
-    let (settings, names) = cedarbridge::net::config::platform(config).expect("the example's settings");
-    let read = |rest: &str| {
-        let text = format!("version: 1\nregistry: {{addresses: [\"http://h:1/p\"], {rest}}}\n");
-        let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
-        cedarbridge::site::Site::read(&text, platform).map(|s| s.registry.expect("there"))
-    };
-    let shipped = include_str!("../deploy/registry.yaml");
-    let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
-    let shipped =
-        cedarbridge::site::Site::read(shipped, platform).expect("accepted").registry.expect("there");
-    // What the operators' page says holds where a key is left out.
-    let bare = read("poll: 1s").expect("accepted");
-    assert_eq!(
-        (&bare.hold_down, &bare.shrink, bare.back_off),
-        (&shipped.hold_down, &shipped.shrink, shipped.back_off)
-    );
-    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].prefix.as_str()), ("h", "/p"));
-    for (rest, wanted) in [
-        ("poll: 50ms", "time"),
-        ("poll: 1", "unit"),
-        ("polls: 1s", "unknown-key"),
-        ("hold-down: {first: 2s, longest: 1s}", "pause"),
-        ("hold-down: {first: 2s, longest: 3s, forgets: 1s}", "unknown-key"),
-        ("back-off: {first: 20s}", "pause"),
-        ("shrink: {share: 1.5}", "type"),
-        ("shrink: {share: 0}", "type"),
-        ("largest-mb: 0", "type"),
-        ("vip: a, apps: [b]", "type"),
-        ("metadata: {partner: x}", "unknown-key"),
-        ("register: {renew: 1s}", "missing-key"),
-        ("register: {app: A, renew: 2s, lease: 2s}", "lease"),
-    ] {
-        let found = read(rest).expect_err(rest);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
-        assert!(found[0].at.line == 2 && found[0].at.column > 38, "{rest}: {found:?}");
-    }
-    for addresses in
-        ["[]", "[h]", "[\"https://h:1\"]", "[\"http://h\"]", "[\"http://h:1/a\", \"http://h:1/a/\"]"]
-    {
-        let text = format!("version: 1\nregistry: {{addresses: {addresses}}}\n");
-        let platform = cedarbridge::routes::Platform { settings: &settings, names: &names };
-        let found = cedarbridge::site::Site::read(&text, platform).expect_err(addresses);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), ["address"], "{addresses}");
-    }
-}
--- /dev/null
+++ b/tests/reload.rs
@@ -0,0 +1,80 @@
+//! The configuration as it is read at the start and again on SIGHUP. Scenarios over sockets, in the language of
+//! `scenario/mod.rs`.
+
+mod scenario;
+
+use scenario::play;
+use scenario::process::program;
+
+#[test]
+fn a_bad_configuration_ends_the_program_with_one_line() {
+    let folder = std::env::temp_dir().join(format!("cedarbridge-config-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let path = folder.join("config.json");
+    for (text, wanted) in
+        [("{", "not JSON"), ("{}", "missing setting `settings`"), (r#"{"settings":{}}"#, "specifics")]
+    {
+        std::fs::write(&path, text).expect("written");
+        let out = program().arg(&path).output().expect("it runs");
+        let errors = String::from_utf8_lossy(&out.stderr);
+        assert!(!out.status.success() && errors.lines().count() == 1 && errors.contains(wanted), "{errors}");
+    }
+    let _ = std::fs::remove_dir_all(&folder);
+    let out = program().output().expect("it runs");
+    assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("no configuration"));
+}
+
+/// Guards against an index that is no number ending a forwarder, or being accepted without a log line.
+#[test]
+fn an_unusable_forwarder_index_is_logged_and_the_forwarder_serves_without_it() {
+    let cases =
+        [("null", "missing setting"), ("-1", "got -1"), ("0.5", "got 0.5"), ("1", "not under the count")];
+    for (me, why) in cases {
+        play(&format!(
+            "with e1=1 me={me}
+             start
+             log no index among the forwarders, time slots are drawn at random
+             log {why}
+             u1 send m1 dest=1
+             e1 expect m1
+             e1 send m1 200
+             u1 expect 202
+             reload me=0
+             log configuration reloaded
+             u1 send m2 dest=1
+             e1 expect m2
+             e1 send m2 200
+             u1 expect 202"
+        ));
+    }
+}
+
+/// Guards against a program that a typing error ends or leaves without settings, and against limits that only a start
+/// reads.
+#[test]
+fn a_reload_applies_the_complete_file_or_nothing_of_it() {
+    play(
+        "with e1=1 e2=9:one:leaving open=1
+         start
+
+         u1 send m1 dest=9
+         u1 expect 202
+         u1 send m2 dest=9
+         u1 expect 503
+         reload {\"settings\":
+         log the old one holds, error
+         reload
+         log configuration reloaded
+         u1 send m3 dest=9
+         u1 expect 503
+         reload open=3
+         wait reloads=2
+         u1 send m4 dest=9
+         u1 expect 202
+         wait open=2 reloads=2
+         kill
+         start
+
+         wait restored=2",
+    );
+}
--- a/tests/wire.rs
+++ b/tests/simulator_adapter.rs
@@ -1,10 +1,19 @@
-//! The adapter: good lines are answered, bad ones end it with a plain message and nothing on standard output.
+//! The simulator's adapter: valid lines are answered, invalid ones end it with a plain message and nothing on
+//! standard output.
 
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn run(lines: &[String]) -> (bool, String, String) {
+/// What the adapter did with its input.
+struct Run {
+    succeeded: bool,
+    output: String,
+    errors: String,
+}
+
+/// Runs the adapter on some lines of input.
+fn run(lines: &[String]) -> Run {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cedarbridge-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -13,15 +22,16 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("a pipe");
     for line in lines {
-        // It may have ended at an earlier line.
+        // The write fails if the adapter has ended at an earlier line, which the caller checks.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
     let out = child.wait_with_output().expect("it ends");
-    let text = |b: Vec<u8>| String::from_utf8(b).expect("text");
-    (out.status.success(), text(out.stdout), text(out.stderr))
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
+    Run { succeeded: out.status.success(), output: text(out.stdout), errors: text(out.stderr) }
 }
 
+/// The settings of a courier, as the simulator sends them.
 fn params() -> Value {
     json!({
         "azs": ["east"], "zone": "east", "balancers": 1, "kinds": ["k"], "discovery": "pushed",
@@ -33,29 +43,32 @@
     })
 }
 
+/// A line of input: what happens to courier 3 at a time in milliseconds.
 fn batch(t: f64, news: Value) -> String {
     json!({"t": t, "parts": [{"courier-id": 3, "news": news}]}).to_string()
 }
 
+/// The line that creates courier 3 with endpoint 7.
 fn start() -> String {
     let list = json!([[7, "east", "k", 1, "IN", 9.5, null]]);
     batch(100.0, json!([["create", 1, params()], ["catalog", 0, list], ["discovery", "stale_copy", 1, 0]]))
 }
 
+/// A message for destination 1.
 fn job(id: &str) -> Value {
     json!(["job-in", id, "note", null, null, 9000.0, null, 1, 0])
 }
 
 #[test]
-fn a_message_is_sent_and_its_end_is_taken() {
-    let (ok, out, err) = run(&[
+fn a_message_is_sent_and_its_result_is_accepted() {
+    let Run { succeeded, output, errors } = run(&[
         json!({"t": 1.0, "parts": []}).to_string(),
         start(),
         batch(105.0, json!([job("c:a")])),
         batch(150.0, json!([["result", "c:a", 0, 7, 200, 45.0, true, null, {"x0": 0.5, "x1": 9.0}]])),
     ]);
-    assert!(ok, "{err}");
-    let lines: Vec<Value> = out.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
+    assert!(succeeded, "{errors}");
+    let lines: Vec<Value> = output.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
     assert_eq!(lines.len(), 4);
     assert_eq!(lines[0], json!({"parts": []}));
     let first = &lines[2]["parts"][0];
@@ -66,7 +79,7 @@
 }
 
 #[test]
-fn a_list_number_used_again_in_one_batch_is_read_in_order() {
+fn a_list_number_reused_within_a_batch_is_read_in_order() {
     let list = |e: u32| json!([[e, "east", "k", 1, "IN", 9.5, null]]);
     let news = json!([
         ["create", 1, params()],
@@ -76,21 +89,25 @@
         ["discovery", "whole", 2, 0],
         job("c:a")
     ]);
-    let (ok, out, err) = run(&[batch(1.0, news)]);
-    assert!(ok, "{err}");
-    assert!(out.contains("\"submit-to\",\"c:a\"") && out.contains(",8]") && !out.contains(",7]"), "{out}");
+    let Run { succeeded, output, errors } = run(&[batch(1.0, news)]);
+    assert!(succeeded, "{errors}");
+    assert!(
+        output.contains("\"submit-to\",\"c:a\"") && output.contains(",8]") && !output.contains(",7]"),
+        "{output}"
+    );
 }
 
 #[test]
-fn a_courier_that_died_forgets_and_may_start_again_in_one_batch() {
+fn a_stopped_courier_loses_its_state_and_may_restart_in_one_batch() {
     let again = json!([["stop"], ["create", 2, params()], ["discovery", "stale_copy", 1, 0], job("c:b")]);
-    let (ok, out, err) = run(&[start(), batch(105.0, json!([job("c:a")])), batch(110.0, again)]);
-    assert!(ok, "{err}");
-    assert!(out.lines().nth(2).expect("a reply").contains("\"c:b\""));
+    let Run { succeeded, output, errors } =
+        run(&[start(), batch(105.0, json!([job("c:a")])), batch(110.0, again)]);
+    assert!(succeeded, "{errors}");
+    assert!(output.lines().nth(2).expect("a reply").contains("\"c:b\""));
 }
 
 #[test]
-fn malformed_input_is_named_and_ends_the_adapter() {
+fn malformed_input_is_reported_and_ends_the_adapter() {
     let mut no_slots = params();
     no_slots["specifics"].as_object_mut().expect("an object").remove("call-slots");
     let cases = [
@@ -101,8 +118,8 @@
         (batch(1.0, json!([["bell", 1]])), "no instance 3"),
     ];
     for (line, named) in cases {
-        let (ok, out, err) = run(&[line]);
-        assert!(!ok && out.is_empty() && err.contains(named), "{named}: {err}");
+        let Run { succeeded, output, errors } = run(&[line]);
+        assert!(!succeeded && output.is_empty() && errors.contains(named), "{named}: {errors}");
     }
     let later = [
         (json!([["surprise", 1]]), "surprise"),
@@ -112,7 +129,7 @@
         (json!([["discovery", "whole", 2, 9]]), "number 9"),
     ];
     for (news, named) in later {
-        let (ok, out, err) = run(&[start(), batch(105.0, news)]);
-        assert!(!ok && out.lines().count() == 1 && err.contains(named), "{named}: {err}");
+        let Run { succeeded, output, errors } = run(&[start(), batch(105.0, news)]);
+        assert!(!succeeded && output.lines().count() == 1 && errors.contains(named), "{named}: {errors}");
     }
 }
