--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Nothing here takes longer unless it never comes.
+/// How long a test waits for anything; every step of a sound program takes less.
 const PATIENCE: Duration = Duration::from_secs(15);
 
 fn golden(name: &str, seen: &str) {
@@ -30,7 +30,7 @@
     assert_eq!(seen.lines().count(), wanted.lines().count(), "lines of {name}");
 }
 
-/// A command of the program, shut off from the surroundings' variables.
+/// A command of the program, without the environment variables that it would read.
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge"));
     for name in ["NAME", "LISTEN", "DISCOVERY", "STATE", "CONFIG", "OPERATOR"] {
@@ -58,7 +58,7 @@
     }
 }
 
-/// One HTTP message as it came: its head, and its body by its length.
+/// One HTTP message as received: its head, and its body by its length.
 fn read_message(stream: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     loop {
@@ -76,7 +76,7 @@
     Some(text + &String::from_utf8(body).expect("text"))
 }
 
-/// A listener whose connections hand each request on, with the stream to answer on.
+/// A listener that forwards each request to a channel, with the stream to respond on.
 fn listen() -> (SocketAddr, Receiver<(String, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
@@ -98,7 +98,7 @@
     (address, requests)
 }
 
-/// All that was seen, with what changes from run to run put in words.
+/// Everything that was recorded, with the values that change from run to run replaced by names.
 #[derive(Default)]
 struct Transcript {
     text: String,
@@ -261,7 +261,7 @@
     seen.add("duplicate", &exchange(forwarder.client, &post("m1", "notice", 1)));
     answering.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     wait_for(&forwarder, "delivered", 1);
-    // With all four call slots taken, what comes next waits and shares a call.
+    // With all four call slots in use, the next messages wait and form a batch.
     let mut answering: Vec<TcpStream> = Vec::new();
     for id in ["b1", "b2", "b3", "b4"] {
         exchange(forwarder.client, &post(id, "notice", 2));
--- a/tests/scenario/admin.rs
+++ b/tests/scenario/admin.rs
@@ -1,4 +1,4 @@
-//! An operator's calls.
+//! Admin requests.
 
 use super::script::{text_behind, unescape};
 use super::sockets::{connect, write, PATIENCE};
@@ -6,17 +6,17 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Instant;
 
-/// Opens so many connections that write no more than a text and stay.
-pub fn crowd(operator: SocketAddr, count: usize, text: &str) -> Vec<TcpStream> {
-    let caller = |_| {
-        let mut caller = connect(operator);
-        caller.write_all(text.as_bytes()).expect("written");
-        caller
+/// Opens so many connections that write no more than a text and stay open.
+pub fn open_idle_connections(operator: SocketAddr, count: usize, text: &str) -> Vec<TcpStream> {
+    let open = |_| {
+        let mut stream = connect(operator);
+        stream.write_all(text.as_bytes()).expect("written");
+        stream
     };
-    (0..count).map(caller).collect()
+    (0..count).map(open).collect()
 }
 
-/// Makes the call of a line and checks the answer's status.
+/// Sends the request of a line and checks the status of the response.
 pub fn call(operator: SocketAddr, words: &[&str], rest: &str) {
     let (request, status) = match words {
         ["raw", status, ..] => (unescape(text_behind(rest, status)), *status),
--- a/tests/scenario/endpoint.rs
+++ b/tests/scenario/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint: it takes calls and answers as the script says.
+//! An endpoint: it accepts calls and responds as the script says.
 
 use super::script::{numbered, text_behind, unescape};
 use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
@@ -12,7 +12,7 @@
 /// Connections that wait to be accepted by an endpoint that serves.
 const BACKLOG: i32 = 64;
 
-/// A call that came in, with the messages that it holds.
+/// A received call, with the ids of its messages.
 struct Call {
     ids: Vec<String>,
     stream: TcpStream,
--- a/tests/scenario/handover.rs
+++ b/tests/scenario/handover.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::Path;
 
-/// A process that wants to take over.
+/// A process that asks the one that runs for a hand-over.
 #[derive(Default)]
 pub struct Successor {
     stream: Option<BufReader<TcpStream>>,
--- a/tests/scenario/platform.rs
+++ b/tests/scenario/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's agent: it tells the endpoint list and takes delivery reports.
+//! The platform: it sends the endpoint list on watches and accepts delivery reports.
 
 use super::script::numbered;
 use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
@@ -41,7 +41,7 @@
     observer: Observer,
 }
 
-/// Where the platform's threads tell what came in.
+/// Where the platform's threads put the reports and watches that they receive.
 #[derive(Clone)]
 struct Observer {
     reports: Sender<Value>,
@@ -74,7 +74,7 @@
         self.shared.complete_list()
     }
 
-    /// Puts an entry on the list, of which the watches are not told yet.
+    /// Puts an entry on the list, without sending it on the watches yet.
     pub fn set_entry(&self, name: &str, entry: Value) {
         self.shared.list.lock().expect("unpoisoned").insert(name.to_owned(), entry);
     }
@@ -85,7 +85,7 @@
         self.shared.send_on_watches(&self.shared.event(false, entries));
     }
 
-    /// Counts a change of which the watches are not told.
+    /// Counts a change that is not sent on the watches.
     pub fn next_generation(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
@@ -177,14 +177,14 @@
                 return self.unanswered.lock().expect("unpoisoned").push(stream);
             }
             let status = self.take_reports(&request.body, observer);
-            // The forwarder may have gone.
+            // The write fails if the forwarder has ended, which the script checks where it matters.
             let _ = stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         }
     }
 
     fn open_watch(&self, number: u32, mut stream: TcpStream, head: &str, observer: &Observer) {
         let after = head.split("after=").nth(1).and_then(|a| a.split(' ').next()).unwrap_or("-");
-        // The scenario may have ended, and the forwarder gone.
+        // Sending and writing fail if the scenario or the forwarder has ended, which is no fault here.
         let _ = observer.watched.send(after.to_owned());
         while self.delays_list.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(2));
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The forwarder, shut off from the surroundings' variables.
+/// The forwarder, without the environment variables that it would read.
 pub fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge"));
     for name in ["NAME", "LISTEN", "DISCOVERY", "STATE", "CONFIG", "OPERATOR"] {
@@ -30,7 +30,7 @@
 #[derive(Default)]
 pub struct Process {
     child: Option<Child>,
-    /// Where operators call it.
+    /// The address for admin requests.
     pub operator: Option<SocketAddr>,
     log: Arc<Mutex<Vec<String>>>,
 }
@@ -77,7 +77,7 @@
 
     /// Waits for its end.
     pub fn ended(&mut self) -> ExitStatus {
-        // Kept until it has ended: one that hangs is killed with the world.
+        // Kept until it has ended: a process that hangs is killed with the world.
         let child = self.child();
         let status = soon("the end of the program", || child.try_wait().expect("a child"));
         self.child = None;
@@ -103,7 +103,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended just now.
+            // Both fail if it has just ended.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/tests/scenario/script.rs
+++ b/tests/scenario/script.rs
@@ -1,4 +1,4 @@
-//! Words of a script: escapes, numbered ids, settings.
+//! Words of a script: escapes, numbered ids, the text behind a word.
 
 /// `\r` and `\n` as they are written in a line of a script.
 pub fn unescape(text: &str) -> String {
@@ -17,7 +17,7 @@
     ids.iter().flat_map(each).collect()
 }
 
-/// What stands behind a word of a line.
+/// The text behind a word of a line.
 pub fn text_behind<'a>(rest: &'a str, word: &str) -> &'a str {
     rest.split_once(word).expect("the word").1.trim_start()
 }
--- a/tests/scenario/settings.rs
+++ b/tests/scenario/settings.rs
@@ -10,15 +10,15 @@
     pub open: u64,
     /// Megabytes of the state folder.
     pub disk: f64,
-    /// The grace of a drain, in milliseconds.
+    /// The drain grace, in milliseconds.
     pub grace: f64,
     /// The shortest time between two steps, in milliseconds.
     pub tick: f64,
     /// The forwarder's index among all.
     pub me: Value,
-    /// There are classes whose repeats are dropped by zone, and for so many milliseconds only.
+    /// Adds classes that are deduplicated by zone, and for so many milliseconds only.
     pub window: Option<f64>,
-    /// Operators may call.
+    /// Whether there is an address for admin requests.
     pub operator: bool,
     /// Values at places of the configuration.
     pub values: Vec<(String, Value)>,
@@ -46,7 +46,7 @@
 pub struct Place<'a> {
     pub folder: &'a Path,
     pub discovery: SocketAddr,
-    /// Where the predecessor listens, for a process that is to replace it.
+    /// Where the predecessor listens, for its successor.
     pub listen: Option<SocketAddr>,
 }
 
--- a/tests/scenario/sockets.rs
+++ b/tests/scenario/sockets.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nothing in a scenario takes longer unless it never comes.
+/// How long a scenario waits for anything; every step of a sound program takes less.
 pub const PATIENCE: Duration = Duration::from_secs(15);
 
 /// An HTTP message: its head, and its body by its length.
@@ -60,7 +60,7 @@
     });
 }
 
-/// Connects as somebody who waits no longer than [`PATIENCE`] for an answer.
+/// Connects with a read timeout of [`PATIENCE`].
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("it listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
@@ -88,7 +88,7 @@
     })
 }
 
-/// What a look finds, once it finds something.
+/// Polls until the look finds something, for [`PATIENCE`] at most.
 pub fn soon<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + PATIENCE;
     loop {
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -30,17 +30,17 @@
     registry: Option<Registry>,
     endpoints: BTreeMap<String, Endpoint>,
     clients: BTreeMap<String, Client>,
-    /// Connections of clients and operators that stay.
-    crowd: Vec<TcpStream>,
+    /// Connections of clients and operators that send nothing more and stay open.
+    idle_connections: Vec<TcpStream>,
     process: Process,
-    /// The process that the one that runs is to replace.
+    /// The predecessor of the process that runs.
     old: Process,
-    /// The one before that.
+    /// The predecessor of that one.
     first: Process,
     successor: Successor,
     predecessor: Predecessor,
     listen: Option<SocketAddr>,
-    /// The forwarder runs with the library that makes its system calls fail.
+    /// Whether the forwarder runs with the library that makes its system calls fail.
     faults: bool,
     /// When the scenario last said `mark`.
     marked_at: Instant,
@@ -64,7 +64,7 @@
             registry: None,
             endpoints: BTreeMap::new(),
             clients: BTreeMap::new(),
-            crowd: Vec::new(),
+            idle_connections: Vec::new(),
             process: Process::default(),
             old: Process::default(),
             first: Process::default(),
@@ -87,7 +87,7 @@
                 let registry = self.registry.as_ref().expect("started");
                 registry.step(more, rest.trim_start_matches("asked "), &self.endpoints);
             }
-            "admin" => admin_step(&self.process, &mut self.crowd, more, rest),
+            "admin" => admin_step(&self.process, &mut self.idle_connections, more, rest),
             "successor" => self.successor.step(more, &self.folder.join("state/owner")),
             "predecessor" => self.predecessor.step(more, rest, &self.folder.join("state/owner")),
             "old" => self.old_step(more, rest),
@@ -123,7 +123,7 @@
             "crowd" => {
                 let count: usize = words[0].parse().expect("a number");
                 let connect = |_| TcpStream::connect(self.listen.expect("started")).expect("it listens");
-                self.crowd.extend((0..count).map(connect));
+                self.idle_connections.extend((0..count).map(connect));
             }
             _ => return false,
         }
@@ -161,7 +161,7 @@
                 self.process.exit();
                 assert!(begun.elapsed() < milliseconds(words[0]), "it took {:?}", begun.elapsed());
             }
-            // While it is stopped it shows nothing that could be waited on but time.
+            // A stopped process shows nothing else that could be waited for.
             "sleep" => thread::sleep(milliseconds(rest)),
             _ => return false,
         }
@@ -283,7 +283,7 @@
             "kill" => self.old.kill(),
             "exit" => self.old.exit(),
             "log" => self.old.logged(rest.trim_start_matches("log ")),
-            "admin" => admin_step(&self.old, &mut self.crowd, &words[1..], rest),
+            "admin" => admin_step(&self.old, &mut self.idle_connections, &words[1..], rest),
             _ => panic!("no such step of an old process"),
         }
     }
@@ -322,7 +322,7 @@
             command.env("FAULTSHIM_PLAN", self.folder.join("faults"));
             command.env("FAULTSHIM_FOLDER", self.folder.join("state"));
         }
-        // As the platform tells it; the variable stays as it is while the program runs.
+        // The platform starts it so; the variable stays as it is while the program runs.
         command.arg(self.folder.join("config.json"));
         command.env("ROUTER_DISCOVERY", self.platform.address.to_string());
         let site = self.folder.join("site.yaml");
@@ -347,7 +347,7 @@
             self.process.operator = Some(self.process.logged_address("operators may call", "operator: "));
         }
         self.until_healthy();
-        // Past the list that it may have cached: what is sent from here on is a change.
+        // Until it has the list from the watch, not only a cached one: what is sent from here on is a change.
         self.wait("lists>=1");
     }
 
@@ -380,7 +380,7 @@
         soon(condition, look);
     }
 
-    /// Cuts the newest segment so far from its end, or flips a byte there.
+    /// Truncates the newest segment by so many bytes, or flips the byte at that distance from its end.
     fn damage_journal(&self, how: &str, from_end: usize) {
         let files = fs::read_dir(self.folder.join("state")).expect("a folder");
         let newest = files.map(|f| f.expect("a file").path()).max().expect("a segment");
@@ -393,7 +393,7 @@
         fs::write(newest, bytes).expect("written");
     }
 
-    /// Puts a plan of faults in force, rules parted by semicolons, and forgets what the one before has injected.
+    /// Puts a plan of faults in force, rules separated by semicolons, and forgets what the one before has injected.
     fn plan_faults(&self, rules: &str) {
         let beside = self.folder.join("faults.new");
         fs::write(&beside, rules.replace(';', "\n")).expect("written");
@@ -406,13 +406,17 @@
     }
 }
 
-/// An operator's call to a process; `crowd 20 TEXT` opens so many that stay.
-fn admin_step(process: &Process, crowd: &mut Vec<TcpStream>, words: &[&str], rest: &str) {
+/// An admin request to a process; `crowd 20 TEXT` opens so many connections that stay open.
+fn admin_step(process: &Process, idle_connections: &mut Vec<TcpStream>, words: &[&str], rest: &str) {
     let operator = process.operator.expect("operators may call");
     match words {
         ["crowd", count, ..] => {
             let text = unescape(text_behind(rest, count));
-            crowd.extend(admin::crowd(operator, count.parse().expect("a number"), &text));
+            idle_connections.extend(admin::open_idle_connections(
+                operator,
+                count.parse().expect("a number"),
+                &text,
+            ));
         }
         _ => admin::call(operator, words, rest),
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -55,7 +55,7 @@
     Some(AttemptStart { at, zone: zone.into() })
 }
 
-/// All that the journal holds, its times moved by so many microseconds.
+/// All messages in the journal, their times moved by so many microseconds.
 fn expected(shift: u64) -> Vec<(u64, JournaledMessage)> {
     let none = Progress::default;
     let ended = |end| Progress { report: Some(end), ..none() };
@@ -89,7 +89,7 @@
     assert_eq!((restored.last_id, restored.damage), (10, vec![]));
 }
 
-/// After a start of the machine only the wall clock tells how much time has gone by.
+/// After a reboot only the wall clock shows how much time has passed.
 #[test]
 fn a_stored_journal_is_read_on_another_boot_with_its_times_moved() {
     let now = Moment { boot: 8, clock: 70_000_000, wall: WRITTEN.wall + 5_000_000 };
@@ -229,7 +229,7 @@
     assert_eq!(bodies, [b"xxx", b"xxx"]);
 }
 
-/// What the recorded hand-over did not come by, in the words of 5c6b612's types.
+/// Frames that the recorded hand-over does not contain, in the words of 5c6b612's types.
 #[test]
 fn frames_that_were_not_recorded_are_read_and_written_alike() {
     round_trip::<PredecessorFrame>(&[
