--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -123,7 +123,7 @@
     fn is_limit_reached(&self) -> bool {
         let gauges = &self.context.gauges;
         let staying = gauges.client_connections.get().saturating_sub(self.registry.evictions_pending());
-        let limit = self.context.config().user_agents();
+        let limit = self.context.config().max_client_connections();
         staying >= limit.saturating_sub(gauges.predecessor_connections.get())
     }
 
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -4,7 +4,7 @@
 use super::request;
 use super::response::Response;
 use crate::invariants::Rejection;
-use crate::net::config::BODY_LIMIT;
+use crate::net::config::MAX_BODY_BYTES;
 use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
 use crate::net::http::{HttpConnection, HttpError, RequestHead};
 use crate::net::messages::{DeliveryMessage, DEFAULT_RETRY_AFTER};
@@ -338,9 +338,9 @@
 /// Reads a request, and asks for its body where the client waits for that.
 async fn read_request(connection: &mut HttpConnection) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let head = connection.read_request().await?;
-    if head.headers.expects_continue() && !head.is_longer_than(BODY_LIMIT) {
+    if head.headers.expects_continue() && !head.is_longer_than(MAX_BODY_BYTES) {
         connection.write(b"HTTP/1.1 100 Continue\r\n\r\n").await?;
     }
-    let body = connection.request_body(&head, BODY_LIMIT).await?;
+    let body = connection.request_body(&head, MAX_BODY_BYTES).await?;
     Ok((head, body))
 }
--- a/src/net/client/request.rs
+++ b/src/net/client/request.rs
@@ -3,7 +3,7 @@
 use crate::net::config::Config;
 use crate::net::http::{Headers, RequestHead};
 use crate::net::in_flight::Request;
-use crate::settings_json::{index, Names};
+use crate::settings_json::{index_of, Names, UnknownName};
 use crate::{ClassId, DestinationId, Micros, TenantId};
 
 /// The headers that a message is read from; one that comes twice says two things.
@@ -27,8 +27,8 @@
     #[error("an id or key is not plain text of at most {MAX_ID_BYTES} characters")]
     MalformedId,
     /// A class or tenant that is not configured.
-    #[error("{0}")]
-    UnknownName(String),
+    #[error(transparent)]
+    UnknownName(#[from] UnknownName),
     /// The class deduplicates by key, and there is none.
     #[error("no Idempotency-Key, which this class needs")]
     MissingKey,
@@ -61,10 +61,10 @@
     if !is_id(request_id) || key.is_some_and(|key| !is_id(key)) {
         return Err(BadRequest::MalformedId);
     }
-    let class = index(&names.classes, required(headers, "X-Class")?, "class");
-    let class = ClassId(class.map_err(BadRequest::UnknownName)?);
+    let class = index_of(&names.classes, required(headers, "X-Class")?, "class");
+    let class = ClassId(class?);
     let tenant = read_tenant(headers, names)?;
-    if key.is_none() && config.keyed[class.0] {
+    if key.is_none() && config.requires_key[class.0] {
         return Err(BadRequest::MissingKey);
     }
     let destination = read_destination(required(headers, "X-Addressing")?)?;
@@ -99,7 +99,7 @@
 fn read_tenant(headers: &Headers, names: &Names) -> Result<Option<TenantId>, BadRequest> {
     match present(headers, "X-Tenant") {
         Some(name) => {
-            let tenant = index(&names.tenants, name, "tenant").map_err(BadRequest::UnknownName)?;
+            let tenant = index_of(&names.tenants, name, "tenant")?;
             Ok(Some(TenantId(tenant)))
         }
         None if names.tenants.is_empty() => Ok(None),
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -146,7 +146,7 @@
             report["registry"] = self.registry.report(view, self.clock.now());
             report["drains"] = self.endpoint_table.drain_report();
         }
-        if self.config().operator.is_some() {
+        if self.config().operator_address.is_some() {
             report["cordoned"] = self.endpoint_list.cordoned().into();
             report["handed_over"] = self.lifecycle.is_handed_over().into();
             report["sends_away"] = self.lifecycle.is_quiesced().into();
@@ -154,9 +154,9 @@
         report["user_agents"] = self.gauges.client_connections.get().into();
         report["open"] = self.gauges.open_messages.get().into();
         report["notices_owed"] = self.gauges.reports_pending.get().into();
-        let (bytes, owed) = self.journal.sizes();
-        report["journal_bytes"] = bytes.into();
-        report["journal_owed"] = owed.into();
+        let usage = self.journal.usage();
+        report["journal_bytes"] = usage.disk_bytes.into();
+        report["journal_owed"] = usage.unwritten_records.into();
         report["journal_writable"] = self.journal.is_writable().into();
         report
     }
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -1,7 +1,7 @@
 //! Admission: a message that a client sent is rejected, or journaled and brought to the policy.
 
 use super::actor::{AttemptInFlight, DeliveryActor, OpenMessage};
-use crate::invariants::{may_take_on, AdmissionFacts, Rejection};
+use crate::invariants::{may_admit, AdmissionFacts, Rejection, TrackedAttempt, TrackedMessage};
 use crate::journal::{JournalError, JournaledMessage, Progress};
 use crate::net::in_flight::{InFlightMessage, Request};
 use crate::net::messages::{SubmitReply, DEFAULT_RETRY_AFTER};
@@ -34,17 +34,17 @@
 
     /// Journals a message under a new id, if it may be admitted.
     fn admit(&mut self, request: &Request) -> Result<MessageId, Rejection> {
-        may_take_on(&AdmissionFacts {
-            closed: self.stopped,
+        may_admit(&AdmissionFacts {
+            draining: self.stopped,
             id_in_use: self.context.request_ids.in_use(&request.request_id),
-            open: self.context.gauges.open_messages.get(),
-            max_open: self.context.config().max_open_messages,
+            open_messages: self.context.gauges.open_messages.get(),
+            max_open_messages: self.context.config().max_open_messages,
             journal_writable: self.context.journal.is_writable(),
         })?;
         let message = self.journaled(request);
         self.last_id += 1;
         let id = MessageId(self.last_id);
-        self.context.journal.take(id, &message).map_err(|error| match error {
+        self.context.journal.record_received(id, &message).map_err(|error| match error {
             JournalError::Full => Rejection::JournalFull,
             _ => Rejection::JournalFailing,
         })?;
@@ -61,7 +61,7 @@
             destination: request.destination.0,
             deadline: request.deadline,
             body: request.body.to_vec(),
-            progress: Progress { ran: request.failed_over, ..Progress::default() },
+            progress: Progress { earlier_attempt_may_have_run: request.failed_over, ..Progress::default() },
         }
     }
 
@@ -96,12 +96,16 @@
         reply: Option<Sender<SubmitReply>>,
     ) {
         self.context.request_ids.acquire(&message.request.request_id);
-        let rules = self.context.config().repeats[message.request.class.0];
-        let first_attempt = message.first_attempt.map(|(at, zone)| (at, Some(zone)));
-        let in_flight = attempt.as_ref().map(|attempt| attempt.number);
-        let mut ledger = self.context.ledger.borrow_mut();
-        ledger.hold(message.id, rules, message.attempts(), first_attempt, in_flight);
-        drop(ledger);
+        let rules = self.context.config().repeat_policies[message.request.class.0];
+        let tracked = TrackedMessage {
+            repeats: rules,
+            attempts: message.attempts(),
+            first_attempt: message
+                .first_attempt
+                .map(|(started_at, zone)| TrackedAttempt { started_at, zone: Some(zone) }),
+            in_flight: attempt.as_ref().map(|attempt| attempt.number),
+        };
+        self.context.ledger.borrow_mut().track(message.id, tracked);
         self.messages.insert(message.id, OpenMessage { message: Rc::new(message), attempt, reply });
         self.context.gauges.open_messages.increment();
     }
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -58,7 +58,7 @@
     // Each connection has a clone while it is open.
     let open = Rc::new(());
     loop {
-        while Rc::strong_count(&open) > config::OPERATORS + registry.evictions_pending() {
+        while Rc::strong_count(&open) > config::MAX_OPERATOR_CONNECTIONS + registry.evictions_pending() {
             // If none can be evicted all are being answered, which takes no time.
             if !registry.evict_one() {
                 Timer::after(LIMIT_CHECK_INTERVAL).await;
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -102,7 +102,7 @@
         let context = &self.context;
         for report in self.pending.drain(..count) {
             info!(context.log, "message"; "state" => "reported", "id" => &report.request_id, "end" => ?report.end);
-            context.journal.end(report.id);
+            context.journal.record_completed(report.id);
             context.request_ids.release(&report.request_id);
             context.counters.notices.add();
             context.gauges.reports_pending.decrement();
@@ -113,7 +113,7 @@
     /// Sends a request and receives its response; the response's status.
     async fn post(&mut self, body: &str) -> Result<u16, HttpError> {
         // Read anew each time: what is owed goes to where the platform listens now.
-        let address = self.context.config().discovery;
+        let address = self.context.config().agent_address;
         if self.connection.take_if(|open| open.address != address).is_some() {
             info!(self.context.log, "connection ended"; "side" => "delivery-reports", "reason" => "moved");
         }
--- a/src/net/platform/endpoint_list/decode.rs
+++ b/src/net/platform/endpoint_list/decode.rs
@@ -1,7 +1,7 @@
 //! Decodes a version of the endpoint list as the platform's agent and the configuration write it.
 
 use crate::membership::{Key, Listing, State};
-use crate::settings_json::{index, Names};
+use crate::settings_json::{index_of, Names, UnknownName};
 use crate::{DestinationId, KindId, ZoneId};
 use serde::Deserialize;
 use serde_json::Value;
@@ -41,8 +41,8 @@
         lifecycle: String,
     },
     /// An instance's kind or zone is not among the configured ones.
-    #[error("{0}")]
-    UnknownName(String),
+    #[error(transparent)]
+    UnknownName(#[from] UnknownName),
 }
 
 /// A version of the list.
@@ -183,14 +183,14 @@
         let address: SocketAddr = host_port.parse().map_err(|_| DecodeError::NoAddress(id.clone()))?;
         let state = match required_text(self.lifecycle, "lifecycle")?.as_str() {
             "active" => State::Up,
-            "leaving" => State::Leaving,
-            "left" => State::Gone,
+            "leaving" => State::Draining,
+            "left" => State::Removed,
             other => return Err(DecodeError::UnknownLifecycle { id, lifecycle: other.to_owned() }),
         };
         let kind = required_text(self.machine_type, "machineType")?;
-        let kind = index(&names.kinds, &kind, "kind").map_err(DecodeError::UnknownName)?;
+        let kind = index_of(&names.kinds, &kind, "kind")?;
         let zone = required_text(self.zone, "zone")?;
-        let zone = index(&names.zones, &zone, "zone").map_err(DecodeError::UnknownName)?;
+        let zone = index_of(&names.zones, &zone, "zone")?;
         Ok(Listing {
             key: Key { group: String::new(), id },
             address,
--- a/src/net/platform/endpoint_list/drain_log.rs
+++ b/src/net/platform/endpoint_list/drain_log.rs
@@ -1,7 +1,7 @@
 //! Logs, for each endpoint that left, how soon that took effect: when its last call began, counted from the time at which
 //! the change was received.
 
-use crate::membership::Change;
+use crate::membership::MembershipChange;
 use crate::net::Context;
 use crate::Micros;
 use slog::info;
@@ -16,7 +16,7 @@
 /// Endpoints that left and are still to be looked up, the earliest first.
 pub struct DrainLog {
     context: Rc<Context>,
-    pending: VecDeque<Change>,
+    pending: VecDeque<MembershipChange>,
 }
 
 impl DrainLog {
@@ -26,7 +26,7 @@
     }
 
     /// Remembers an endpoint that left.
-    pub fn push(&mut self, change: &Change) {
+    pub fn push(&mut self, change: &MembershipChange) {
         if self.pending.len() < MAX_PENDING {
             self.pending.push_back(change.clone());
         }
@@ -47,7 +47,7 @@
     }
 
     /// Logs those that changes name again: the endpoint table forgets that they left.
-    pub fn log_returning(&mut self, changes: &[Change]) {
+    pub fn log_returning(&mut self, changes: &[MembershipChange]) {
         if self.pending.is_empty() {
             return;
         }
@@ -58,7 +58,7 @@
         returning.iter().for_each(|change| self.log(change));
     }
 
-    fn log(&self, change: &Change) {
+    fn log(&self, change: &MembershipChange) {
         let received_at = change.observed_at;
         let state = self.context.endpoint_table.get(change.endpoint);
         // One that drained before it was removed is logged once.
--- a/src/net/platform/endpoint_list/publish.rs
+++ b/src/net/platform/endpoint_list/publish.rs
@@ -2,7 +2,7 @@
 
 use super::drain_log::SETTLED_AFTER_US;
 use super::EndpointListActor;
-use crate::membership::Change;
+use crate::membership::MembershipChange;
 use crate::net::endpoint::table::EndpointState;
 use crate::net::messages::DeliveryMessage;
 use crate::{EndpointEntry, EndpointId, EndpointListUpdate, Lifecycle, Micros};
@@ -27,7 +27,7 @@
 
 impl EndpointListActor {
     /// Writes changes to the endpoint table, then sends them to the delivery actor.
-    pub(super) async fn publish(&mut self, kind: UpdateKind, changes: Vec<Change>) {
+    pub(super) async fn publish(&mut self, kind: UpdateKind, changes: Vec<MembershipChange>) {
         self.drain_log.log_returning(&changes);
         let entries = match kind {
             UpdateKind::Patch => changes.iter().map(|change| self.write_to_table(change)).collect(),
@@ -48,7 +48,7 @@
     }
 
     /// Writes a change to the endpoint table; what the delivery actor is sent of it.
-    pub(super) fn write_to_table(&self, change: &Change) -> EndpointEntry {
+    pub(super) fn write_to_table(&self, change: &MembershipChange) -> EndpointEntry {
         let listing = &change.listing;
         let per_endpoint_breaker = self.context.config().kinds[listing.kind.0].per_endpoint_breaker;
         let state =
@@ -65,12 +65,12 @@
     }
 
     /// Writes changes and then the rest of the list to the endpoint table, which keeps nothing else.
-    fn replace_table(&self, changes: &[Change]) -> Vec<EndpointEntry> {
+    fn replace_table(&self, changes: &[MembershipChange]) -> Vec<EndpointEntry> {
         // An endpoint that a complete list does not name is removed by that.
         let listed = changes.iter().filter(|change| change.lifecycle != Lifecycle::Removed);
         let mut entries: Vec<EndpointEntry> = listed.map(|change| self.write_to_table(change)).collect();
         let changed: HashSet<EndpointId> = changes.iter().map(|change| change.endpoint).collect();
-        let unchanged = self.membership.list().filter(|change| !changed.contains(&change.endpoint));
+        let unchanged = self.membership.endpoints().filter(|change| !changed.contains(&change.endpoint));
         entries.extend(unchanged.map(|change| self.write_to_table(&change)));
         let endpoints: Vec<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         self.context.endpoint_table.keep_only(&endpoints);
@@ -86,22 +86,22 @@
         let table = &self.context.endpoint_table;
         // With thousands of endpoints that costs more than all else that a change does.
         if table.prune(now) {
-            self.membership.keep_ids(|id| table.get(id).is_some());
+            self.membership.retain_ids(|id| table.get(id).is_some());
         }
     }
 
     /// Logs one line for each change, and remembers endpoints that left for the drain log.
-    fn log_changes(&mut self, changes: &[Change]) {
+    fn log_changes(&mut self, changes: &[MembershipChange]) {
         // A complete registry that comes at once is one line, but for the endpoints that leave.
         let many = changes.len() > MAX_LOGGED_CHANGES;
         if many {
             info!(self.context.log, "endpoint list changed"; "entries" => changes.len());
         }
         for change in changes.iter().filter(|change| !many || change.lifecycle != Lifecycle::Listed) {
-            let source = self.membership.name(change.source);
+            let source = self.membership.source_name(change.source);
             info!(self.context.log, "endpoint list changed"; "endpoint" => change.endpoint.0,
                 "id" => &change.listing.key.id, "address" => %change.listing.address,
-                "lifecycle" => ?change.lifecycle, "why" => change.why, "source" => source,
+                "lifecycle" => ?change.lifecycle, "why" => change.reason, "source" => source,
                 "received_at" => change.observed_at);
             if change.lifecycle != Lifecycle::Listed {
                 self.drain_log.push(change);
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -67,16 +67,16 @@
     }
 
     fn start_registry(&mut self, settings: Arc<RegistrySettings>) {
-        self.membership.set_policy(REGISTRY, settings.policy());
+        self.membership.set_policy(REGISTRY, settings.source_policy());
         let polling = eureka::run(self.context.clone(), settings.clone(), self.own.clone());
-        let view = match self.membership.counts(REGISTRY).heard {
+        let view = match self.membership.stats(REGISTRY).last_update_at {
             Some(_) => ServedView::Live,
-            None => {
-                ServedView::Awaited { read_snapshot_at: self.context.clock.now() + settings.snapshot_after }
-            }
+            None => ServedView::Awaited {
+                read_snapshot_at: self.context.clock.now() + settings.use_snapshot_after,
+            },
         };
         self.registry = Some(RegistrySource {
-            snapshot: RegistrySnapshot::new(&self.context.config().state),
+            snapshot: RegistrySnapshot::new(&self.context.config().state_folder),
             _poller: self.context.executor.spawn(polling),
             settings,
             view,
@@ -88,7 +88,7 @@
     async fn remove_registry(&mut self) {
         self.membership.set_policy(REGISTRY, identified_by_address());
         let nothing = SourceUpdate::Complete { version: None, listings: Vec::new() };
-        let changes = self.membership.take(self.context.clock.now(), REGISTRY, nothing);
+        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, nothing);
         self.publish(UpdateKind::Patch, changes).await;
         self.registry = None;
         self.context.endpoint_list.set_registry_view(None);
@@ -101,7 +101,7 @@
         received_at: Micros,
         in_doubt: &Sender<bool>,
     ) {
-        let changes = self.membership.take(received_at, REGISTRY, update);
+        let changes = self.membership.apply(received_at, REGISTRY, update);
         if let Some(source) = &mut self.registry {
             if !changes.is_empty() {
                 source.persist_at.get_or_insert(received_at + PERSIST_INTERVAL_US);
@@ -113,7 +113,7 @@
             self.publish(UpdateKind::Patch, changes).await;
         }
         // The poller may have been replaced meanwhile.
-        let _ = in_doubt.try_send(self.membership.in_doubt(REGISTRY));
+        let _ = in_doubt.try_send(self.membership.needs_complete_poll(REGISTRY));
         self.show_registry();
     }
 
@@ -153,8 +153,8 @@
 
     fn persist_registry_view(&self) {
         let Some(source) = &self.registry else { return };
-        let folder_limit = self.context.config().disk;
-        match source.snapshot.write(wall(), self.membership.view(REGISTRY), folder_limit) {
+        let folder_limit = self.context.config().max_disk_bytes;
+        match source.snapshot.write(wall(), self.membership.source_listings(REGISTRY), folder_limit) {
             Ok(Some(_)) => {}
             Ok(None) => warn!(self.context.log, "the registry's view is too large to be persisted"),
             Err(error) => warn!(self.context.log, "the registry's view is not persisted"; "error" => %error),
@@ -163,12 +163,12 @@
 
     /// Shows operators what of the list comes from the registry.
     fn show_registry(&self) {
-        let counts = self.membership.counts(REGISTRY);
+        let counts = self.membership.stats(REGISTRY);
         let serves_persisted =
             self.registry.as_ref().is_some_and(|source| matches!(source.view, ServedView::Persisted));
         let view = json!({
-            "entries": self.membership.view(REGISTRY).count(), "stale_entries": counts.stale, "flaps": counts.flaps,
-            "held_down": counts.held_down, "shrinks_not_believed": counts.doubted, "heard": counts.heard,
+            "entries": self.membership.source_listings(REGISTRY).count(), "stale_entries": counts.stale_entries, "flaps": counts.flaps,
+            "held_down": counts.held_down, "shrinks_not_believed": counts.doubted_updates, "heard": counts.last_update_at,
             "serves_kept_view": serves_persisted,
         });
         self.context.endpoint_list.set_registry_view(Some(view));
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -149,7 +149,7 @@
             zone: ZoneId(entry.zone),
             kind: KindId(entry.kind),
             weight: entry.weight,
-            state: if entry.up { State::Up } else { State::Leaving },
+            state: if entry.up { State::Up } else { State::Draining },
             stamp: 0,
         }
     }
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -5,7 +5,7 @@
 //! So a journaled time is read by the next process as it stands. It does not count while the machine sleeps, as no timer of the
 //! program does. Across a boot there is only the wall clock.
 
-use crate::journal::Moment;
+use crate::journal::ClockReading;
 use crate::Micros;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -42,8 +42,8 @@
     }
 
     /// The time now, in a form that another process can read.
-    pub fn moment(&self) -> Moment {
-        Moment { boot: self.boot_id, clock: self.now(), wall: wall() }
+    pub fn moment(&self) -> ClockReading {
+        ClockReading { boot_id: self.boot_id, monotonic_us: self.now(), wall_us: wall() }
     }
 
     /// A time of this clock as an `Instant`, for timers.
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -53,10 +53,10 @@
         let idempotency = self.settings.classes[message.class.0].idempotency;
         let adaptive_timeout = adaptive_timeout(mean_latency_us, idempotency);
         let latest_timeout = end.saturating_sub(self.settings.min_step_interval);
-        let timeout_at = (now + timing.cut(adaptive_timeout)).min(latest_timeout);
+        let timeout_at = (now + timing.attempt_timeout(adaptive_timeout)).min(latest_timeout);
         let final_attempt = timeout_at == latest_timeout;
         let zone = self.endpoints[&endpoint].entry.zone;
-        let message = self.messages.get_mut(&id).expect("it was found above");
+        let message = self.messages.get_mut(&id).expect("looked up above");
         let attempt = message.attempts;
         message.final_deadline = final_attempt.then_some(end);
         message.in_flight = Some(InFlightAttempt { attempt, call });
--- a/tests/endpoint_list_decoding.rs
+++ b/tests/endpoint_list_decoding.rs
@@ -32,7 +32,7 @@
     assert_eq!((listing.weight, listing.state), (2.5, State::Up));
     let complete = decode(r#"{"generation":6,"reset":true,"instances":[]}"#).expect("a list");
     assert!(complete.complete && complete.listings.is_empty());
-    for (lifecycle, state) in [("leaving", State::Leaving), ("left", State::Gone)] {
+    for (lifecycle, state) in [("leaving", State::Draining), ("left", State::Removed)] {
         let line = format!(
             r#"{{"generation":7,"instances":[{}]}}"#,
             ACTIVE.replace("\"active\"", &format!("\"{lifecycle}\""))
--- a/tests/registry_settings.rs
+++ b/tests/registry_settings.rs
@@ -7,7 +7,7 @@
 #[test]
 fn an_invalid_section_is_rejected_with_its_code_and_place() {
     let example = include_str!("../examples/config.json");
-    let (settings, names) = config::platform(example).expect("the example's settings");
+    let (settings, names) = config::read_platform_settings(example).expect("the example's settings");
     let read_site = |text: &str| {
         let platform = Platform { settings: &settings, names: &names };
         Site::read(text, platform).map(|site| site.registry.expect("there"))
@@ -19,10 +19,10 @@
     // The defaults are those that the operators' page states.
     let bare = read("poll: 1s").expect("accepted");
     assert_eq!(
-        (&bare.hold_down, &bare.shrink, bare.back_off),
-        (&shipped.hold_down, &shipped.shrink, shipped.back_off)
+        (&bare.hold_down, &bare.shrink_guard, bare.backoff),
+        (&shipped.hold_down, &shipped.shrink_guard, shipped.backoff)
     );
-    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].prefix.as_str()), ("h", "/p"));
+    assert_eq!((bare.addresses[0].host.as_str(), bare.addresses[0].path_prefix.as_str()), ("h", "/p"));
 
     for (rest, wanted) in [
         ("poll: 50ms", "time"),
@@ -40,7 +40,7 @@
         ("register: {app: A, renew: 2s, lease: 2s}", "lease"),
     ] {
         let found = read(rest).expect_err(rest);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
+        assert_eq!(found.iter().map(|b| b.code.as_str()).collect::<Vec<_>>(), [wanted], "{rest}: {found:?}");
         assert!(found[0].at.line == 2 && found[0].at.column > 38, "{rest}: {found:?}");
     }
 
@@ -49,6 +49,6 @@
     {
         let text = format!("version: 1\nregistry: {{addresses: {addresses}}}\n");
         let found = read_site(&text).expect_err(addresses);
-        assert_eq!(found.iter().map(|b| b.code.word()).collect::<Vec<_>>(), ["address"], "{addresses}");
+        assert_eq!(found.iter().map(|b| b.code.as_str()).collect::<Vec<_>>(), ["address"], "{addresses}");
     }
 }
