--- a/tests/deployment_variants.rs
+++ b/tests/deployment_variants.rs
@@ -96,40 +96,44 @@
          u2 expect 202
          e2 expect m2
          e2 close m2
-         platform expect m1 failed
          e2 expect m2
          e2 send m2 200
+         platform expect m1 failed
 
          wait delivered=1 failed=1 open=0",
     );
 }
 
-/// Batches of five to one endpoint: each message has a result of its own, and what was rejected or lost is retried.
+/// Batches of five to one endpoint, while the only call slot is taken: each message has a result of its own, and what was rejected or lost is retried.
 #[test]
 fn a_batch_of_five_gives_each_message_its_own_result() {
     play(
         "with e1=1:many tick=60
          config settings/specifics/per-call [5,5]
+         config settings/specifics/call-slots 1
          start
 
-         stop
+         u0 send m0
+         u0 expect 202
+         e1 expect m0
          u1 send m1
          u2 send m2
          u3 send m3
          u4 send m4
          u5 send m5
-         continue
          u1 expect 202
          u2 expect 202
          u3 expect 202
          u4 expect 202
          u5 expect 202
+         wait open=6 calls=1
+         e1 send m0 200
          e1 expect m1 m2 m3 m4 m5
          e1 send m1 200 m1=delivered m2=refused m3=delivered m4=failed m5=over
          e1 expect m2 m4
          e1 send m2 200 m2=delivered m4=delivered
 
-         wait delivered=4 calls=2 attempts=7 open=0",
+         wait delivered=5 calls=3 attempts=8 open=0",
     );
 }
 
