--- a/crates/rehearsal/benches/emulator.rs
+++ b/crates/rehearsal/benches/emulator.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use cedarbridge_rehearsal::experiment::Experiment;
-use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::simulation::simulate;
 use cedarbridge_rehearsal::world::World;
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
 use std::path::Path;
@@ -13,9 +13,9 @@
     let mut group = c.benchmark_group("emulator");
     for load in [(0.8, 0.8), (1.1, 1.1)] {
         let world = World::draw(&experiment, load, 1);
-        group.throughput(Throughput::Elements(world.hands.len() as u64));
+        group.throughput(Throughput::Elements(world.requests.len() as u64));
         group.bench_function(format!("a day at {:.0}% of full load", load.0 * 100.0), |b| {
-            b.iter(|| play(&world, None, 1).0.delivered)
+            b.iter(|| simulate(&world, None, 1).0.delivered)
         });
     }
     group.finish();
--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -10,7 +10,7 @@
 const DRAIN_GRACE: Micros = 250_000;
 
 /// So many hand-ins may end at the door in one replacement.
-const AT_THE_DOOR: usize = 2;
+const ALLOWED_REJECTED_IN_UPGRADE: usize = 2;
 
 /// What is let through, as clocks on two sides never agree to the microsecond.
 #[derive(Clone, Copy, Debug)]
@@ -78,7 +78,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct RuleViolation {
     /// Which.
     pub rule: Rule,
     /// When.
@@ -91,7 +91,7 @@
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = self.at.saturating_sub(crate::world::START) as f64 / 1e6;
         write!(f, "[{}] at {at:.3} s", self.rule.name())?;
@@ -120,10 +120,10 @@
 
 /// What is known of a message that a forwarder holds.
 #[derive(Clone, Copy, Debug, Default)]
-struct Track {
+struct MessageRecord {
     forwarder: u32,
     attempts: u32,
-    handed_in: Micros,
+    received: Micros,
     taken: Micros,
     deadline: Micros,
     /// Attempts that are out.
@@ -133,14 +133,14 @@
     first_ran: Option<Micros>,
     end: Option<End>,
     /// When a notice told that end.
-    noticed: Option<Micros>,
+    notified: Option<Micros>,
 }
 
 /// The rules of one day.
 pub struct Audit {
     class: Class,
     slack: Slack,
-    messages: Vec<Track>,
+    messages: Vec<MessageRecord>,
     /// For each forwarder and partner, when a wait was told and until when.
     waits: Vec<Vec<(Micros, Micros)>>,
     /// For each forwarder and endpoint, since when it knows that it drains or is gone.
@@ -148,53 +148,67 @@
     /// For each forwarder, the spans in which no answer is overdue: its restarts.
     excused: Vec<Vec<(Micros, Micros)>>,
     /// What was broken.
-    pub broken: Vec<Breach>,
+    pub violations: Vec<RuleViolation>,
 }
 
 impl Audit {
     /// An audit of so many forwarders, partners and endpoints.
     pub fn new(settings: &Settings, sizes: (usize, usize, usize), slack: Slack) -> Self {
-        let (forwarders, partners, endpoints) = sizes;
+        let (forwarders, destinations, endpoints) = sizes;
         Audit {
             class: settings.classes[0].clone(),
             slack,
             messages: Vec::new(),
-            waits: vec![vec![(0, 0); partners]; forwarders],
+            waits: vec![vec![(0, 0); destinations]; forwarders],
             drains: vec![vec![None; endpoints]; forwarders],
             excused: vec![Vec::new(); forwarders],
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn breach(&mut self, rule: Rule, at: Micros, message: usize, what: impl Into<String>) {
+    fn record_violation(&mut self, rule: Rule, at: Micros, message: usize, what: impl Into<String>) {
         let forwarder = self.messages.get(message).map(|m| m.forwarder as usize);
-        self.broken.push(Breach { rule, at, forwarder, message: Some(message), what: what.into() });
+        self.violations.push(RuleViolation {
+            rule,
+            at,
+            forwarder,
+            message: Some(message),
+            what: what.into(),
+        });
     }
 
     /// Something was sent that is nobody's, or not there.
     pub fn stray(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
         let (rule, forwarder) = (Rule::Strays, Some(forwarder));
-        self.broken.push(Breach { rule, at, forwarder, message: None, what: what.into() });
+        self.violations.push(RuleViolation { rule, at, forwarder, message: None, what: what.into() });
     }
 
     /// A forwarder's process was replaced; so many hand-ins ended at the door meanwhile.
-    pub fn replaced(&mut self, at: Micros, forwarder: usize, at_the_door: usize) {
-        if at_the_door > AT_THE_DOOR {
-            let what = format!("{at_the_door} hand-ins ended at the door, {AT_THE_DOOR} allowed");
+    pub fn replaced(&mut self, at: Micros, forwarder: usize, rejected_during_upgrade: usize) {
+        if rejected_during_upgrade > ALLOWED_REJECTED_IN_UPGRADE {
+            let what = format!(
+                "{rejected_during_upgrade} hand-ins ended at the door, {ALLOWED_REJECTED_IN_UPGRADE} allowed"
+            );
             let (rule, forwarder) = (Rule::Door, Some(forwarder));
-            self.broken.push(Breach { rule, at, forwarder, message: None, what });
+            self.violations.push(RuleViolation { rule, at, forwarder, message: None, what });
         }
     }
 
     /// A message is handed in to a forwarder; messages are numbered as they come.
-    pub fn taken(&mut self, now: Micros, forwarder: usize, handed_in: Micros, time_left: Micros) {
+    pub fn taken(&mut self, now: Micros, forwarder: usize, received: Micros, time_left: Micros) {
         let (forwarder, deadline) = (forwarder as u32, now + time_left);
-        self.messages.push(Track { forwarder, handed_in, taken: now, deadline, ..Track::default() });
+        self.messages.push(MessageRecord {
+            forwarder,
+            received,
+            taken: now,
+            deadline,
+            ..MessageRecord::default()
+        });
     }
 
     /// An attempt goes out whose first byte was seen at a time; the timing is what the plan says of its message.
     pub fn sent(&mut self, now: Micros, first: Micros, to: (usize, usize), message: usize, timing: &Timing) {
-        let (partner, endpoint) = to;
+        let (destination, endpoint) = to;
         let m = self.messages[message];
         let forwarder = m.forwarder as usize;
         let mut found: Vec<(Rule, &str)> = Vec::new();
@@ -218,7 +232,7 @@
             }
             _ => {}
         }
-        let (told, until) = self.waits[forwarder][partner];
+        let (told, until) = self.waits[forwarder][destination];
         if first > told + self.slack.wait && first + 1_000 < until {
             found.push((Rule::Waits, "sent within a told wait"));
         }
@@ -226,7 +240,7 @@
         if self.drains[forwarder][endpoint].is_some_and(|since| first > since + grace) {
             found.push((Rule::Drains, "sent to an endpoint that drains"));
         }
-        found.into_iter().for_each(|(rule, what)| self.breach(rule, now, message, what));
+        found.into_iter().for_each(|(rule, what)| self.record_violation(rule, now, message, what));
         let m = &mut self.messages[message];
         if m.out > 0 && self.slack.overlap > 0 {
             m.suspect.get_or_insert(now);
@@ -235,7 +249,14 @@
     }
 
     /// An attempt that was sent at a time has come back, or was given up.
-    pub fn back(&mut self, now: Micros, partner: usize, message: usize, sent: Micros, outcome: Outcome) {
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        destination: usize,
+        message: usize,
+        sent: Micros,
+        outcome: Outcome,
+    ) {
         let m = &mut self.messages[message];
         m.out = m.out.saturating_sub(1);
         let suspect = m.suspect.take();
@@ -252,10 +273,10 @@
         }
         let forwarder = m.forwarder as usize;
         if let Some(since) = suspect.filter(|s| now > s + self.slack.overlap) {
-            self.breach(Rule::OneOut, since, message, "a second attempt while one is out");
+            self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
         }
         if let Outcome::Rejected(Some(wait)) = outcome {
-            let told = &mut self.waits[forwarder][partner];
+            let told = &mut self.waits[forwarder][destination];
             if now + wait > told.1 {
                 *told = (if told.1 > now { told.0 } else { now }, now + wait);
             }
@@ -303,7 +324,7 @@
         if m.end.is_some_and(|e| e != End::Withdrawn) {
             // On sockets a partner may see a delivery that its forwarder has given up.
             if !(self.slack.sockets && end == End::Delivered) {
-                self.breach(Rule::OneAnswer, now, message, "a second final answer");
+                self.record_violation(Rule::OneAnswer, now, message, "a second final answer");
             }
             return;
         }
@@ -311,29 +332,29 @@
             return;
         }
         if end == End::Refused && m.first_ran.is_some() && self.class.idempotency != Idempotency::Idempotent {
-            self.breach(Rule::Repeats, now, message, "given back though it may have run");
+            self.record_violation(Rule::Repeats, now, message, "given back though it may have run");
         }
         // A reload never shortens the time of an attempt that is out; days here have none.
         // One that comes again after its time is answered at once.
-        let due = self.due(m.forwarder as usize, timing.end(m.handed_in, m.deadline).max(m.taken));
+        let due = self.due(m.forwarder as usize, timing.end(m.received, m.deadline).max(m.taken));
         if end != End::Withdrawn && now > due.saturating_add(self.slack.answer) {
-            self.breach(Rule::InTime, now, message, "its final answer came too late");
+            self.record_violation(Rule::InTime, now, message, "its final answer came too late");
         }
         self.messages[message].end = Some(end);
     }
 
     /// A notice tells that a message was given back or failed. One that says the same again after a restart is
     /// the one whose confirmation was lost; one of a delivered message does no harm.
-    pub fn noticed(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
+    pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
         let m = self.messages[message];
         let restarted =
             |since: Micros| self.excused[m.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now);
-        match (m.end, m.noticed) {
+        match (m.end, m.notified) {
             (Some(End::Delivered | End::Withdrawn), _) => {}
             (Some(before), Some(since)) if before == end && restarted(since) => {}
             _ => self.ended(now, message, timing, end),
         }
-        self.messages[message].noticed.get_or_insert(now);
+        self.messages[message].notified.get_or_insert(now);
     }
 
     /// A forwarder learns what has become of an endpoint.
@@ -355,18 +376,18 @@
         for message in 0..self.messages.len() {
             let m = self.messages[message];
             if m.end.is_none() {
-                self.breach(Rule::OneAnswer, now, message, "never got a final answer");
+                self.record_violation(Rule::OneAnswer, now, message, "never got a final answer");
             }
             if let Some(since) = m.suspect {
-                self.breach(Rule::OneOut, since, message, "a second attempt while one is out");
+                self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
             }
         }
-        for (partner, at) in fallen {
-            let what = format!("partner {} was pushed over on its return", partner + 1);
+        for (destination, at) in fallen {
+            let what = format!("partner {} was pushed over on its return", destination + 1);
             let rule = Rule::PushedOver;
-            self.broken.push(Breach { rule, at, forwarder: None, message: None, what });
+            self.violations.push(RuleViolation { rule, at, forwarder: None, message: None, what });
         }
-        self.broken.sort_by_key(|b| b.at);
+        self.violations.sort_by_key(|b| b.at);
     }
 }
 
@@ -387,7 +408,7 @@
     }
 
     fn back(a: &mut Audit, now: Micros, outcome: Outcome) {
-        a.back(now, 0, 0, now - 1, outcome);
+        a.attempt_ended(now, 0, 0, now - 1, outcome);
     }
 
     /// Each rule broken once, by hand: an audit that cannot fail would prove nothing.
@@ -436,16 +457,20 @@
         for (what, break_it) in cases {
             let mut a = audit(Idempotency::WithKey);
             break_it(&mut a);
-            assert!(a.broken.len() == 1 && a.broken[0].to_string().contains(what), "{what}: {:?}", a.broken);
+            assert!(
+                a.violations.len() == 1 && a.violations[0].to_string().contains(what),
+                "{what}: {:?}",
+                a.violations
+            );
         }
         let mut a = audit(Idempotency::NonIdempotent);
         send(&mut a, 1);
         back(&mut a, 10, Outcome::Error);
         send(&mut a, 20);
-        assert!(a.broken[0].to_string().contains("may not run twice"));
+        assert!(a.violations[0].to_string().contains("may not run twice"));
         a.ended(30, 0, &Timing::default(), End::Failed);
         a.close(40, [(0, 35)].into_iter());
-        assert!(a.broken[1].to_string().contains("pushed over"));
+        assert!(a.violations[1].to_string().contains("pushed over"));
     }
 
     /// On sockets a partner sees a delivery before the forwarder does, and an end before the next begin only nearly.
@@ -457,16 +482,16 @@
         let t = Timing::default();
         a.sent(1, 1, (0, 0), 0, &t);
         a.sent(100, 100, (0, 0), 0, &t);
-        a.back(200, 0, 0, 1, Outcome::TimedOut);
+        a.attempt_ended(200, 0, 0, 1, Outcome::TimedOut);
         a.ended(300, 0, &t, End::Delivered);
-        a.noticed(400, 0, &t, End::Failed);
-        assert_eq!(a.broken, [], "a cut that was seen a moment late, and a notice after a delivery");
-        a.back(100_000, 0, 0, 100, Outcome::Ok);
+        a.notified(400, 0, &t, End::Failed);
+        assert_eq!(a.violations, [], "a cut that was seen a moment late, and a notice after a delivery");
+        a.attempt_ended(100_000, 0, 0, 100, Outcome::Ok);
         a.taken(0, 0, 0, 28_000_000);
         a.sent(200_000, 200_000, (0, 0), 1, &t);
         a.sent(200_001, 200_001, (0, 0), 1, &t);
-        a.back(400_000, 0, 1, 200_000, Outcome::Ok);
-        assert_eq!(a.broken[0].rule, Rule::OneOut);
+        a.attempt_ended(400_000, 0, 1, 200_000, Outcome::Ok);
+        assert_eq!(a.violations[0].rule, Rule::OneOut);
     }
 
     /// Guards against a notice that is told again for the lost confirmation of the first being called a second answer,
@@ -477,13 +502,13 @@
         let mut a = Audit::new(&settings, (1, 1, 1), SOCKETS);
         let t = Timing::default();
         (0..2).for_each(|_| a.taken(0, 0, 0, 28_000_000));
-        a.noticed(10, 0, &t, End::Refused);
+        a.notified(10, 0, &t, End::Refused);
         a.died(20, 0);
         a.excuse(0, 20, 900);
-        a.noticed(800, 0, &t, End::Refused);
-        assert_eq!(a.broken, []);
-        a.noticed(1000, 1, &t, End::Refused);
-        a.noticed(1100, 1, &t, End::Refused);
-        assert_eq!(a.broken[0].rule, Rule::OneAnswer);
+        a.notified(800, 0, &t, End::Refused);
+        assert_eq!(a.violations, []);
+        a.notified(1000, 1, &t, End::Refused);
+        a.notified(1100, 1, &t, End::Refused);
+        assert_eq!(a.violations[0].rule, Rule::OneAnswer);
     }
 }
--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -4,7 +4,7 @@
 //! The file is zstd of one JSON object a line: `{"ms":12.5,"partner":"elva","channel":"lounatv"}`, the time counted
 //! from the first message.
 
-use crate::draw::Coming;
+use crate::scenario_day::PlannedMessage;
 use crate::world::START;
 use cedarbridge::Micros;
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,7 @@
 /// A message of the day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Line {
+pub struct CapturedMessage {
     /// When, in milliseconds from the first one.
     pub ms: f64,
     /// For whom: the destination's number.
@@ -28,49 +28,49 @@
 
 /// A day that was recorded.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Captured {
+pub struct CapturedDay {
     /// Its messages, in the order of time.
-    pub lines: Vec<Line>,
+    pub messages: Vec<CapturedMessage>,
 }
 
 /// A line of the forwarder's log, as far as it counts here.
 #[derive(Deserialize)]
-struct Logged {
+struct LogRecord {
     msg: String,
     wall_ms: Option<f64>,
     destination: Option<u64>,
     channel: Option<String>,
 }
 
-impl Captured {
+impl CapturedDay {
     /// Takes a day from a log in JSON, written at the level `debug`; other lines are passed over. The number of
     /// lines that are no log lines is returned too.
     pub fn from_log(log: impl BufRead) -> io::Result<(Self, usize)> {
         let (mut all, mut odd) = (Vec::new(), 0);
-        for line in log.lines() {
-            let line = line?;
-            let Ok(l) = serde_json::from_str::<Logged>(&line) else {
-                odd += usize::from(!line.trim().is_empty());
+        for message in log.lines() {
+            let message = message?;
+            let Ok(l) = serde_json::from_str::<LogRecord>(&message) else {
+                odd += usize::from(!message.trim().is_empty());
                 continue;
             };
             if !RECEIVED.contains(&l.msg.as_str()) {
                 continue;
             }
             if let (Some(ms), Some(destination)) = (l.wall_ms, l.destination) {
-                all.push(Line { ms, destination, channel: l.channel.unwrap_or_default() });
+                all.push(CapturedMessage { ms, destination, channel: l.channel.unwrap_or_default() });
             }
         }
         all.sort_by(|a, b| a.ms.total_cmp(&b.ms));
         let first = all.first().map_or(0.0, |l| l.ms);
         all.iter_mut().for_each(|l| l.ms -= first);
-        Ok((Captured { lines: all }, odd))
+        Ok((CapturedDay { messages: all }, odd))
     }
 
     /// Writes the file.
     pub fn write(&self, path: &Path) -> io::Result<()> {
         let mut out = zstd::Encoder::new(std::fs::File::create(path)?, 0)?;
-        for line in &self.lines {
-            serde_json::to_writer(&mut out, line)?;
+        for message in &self.messages {
+            serde_json::to_writer(&mut out, message)?;
             out.write_all(b"\n")?;
         }
         out.finish()?.sync_all()
@@ -78,30 +78,37 @@
 
     /// Reads a file; what is not in its form is an error that tells the line.
     pub fn read(path: &Path) -> io::Result<Self> {
-        let mut lines = Vec::new();
+        let mut messages = Vec::new();
         let from = BufReader::new(zstd::Decoder::new(std::fs::File::open(path)?)?);
-        for (n, line) in from.lines().enumerate() {
-            let line = line?;
-            let read: Line = serde_json::from_str(&line)
+        for (n, message) in from.lines().enumerate() {
+            let message = message?;
+            let read: CapturedMessage = serde_json::from_str(&message)
                 .map_err(|e| io::Error::new(io::ErrorKind::InvalidData, format!("line {}: {e}", n + 1)))?;
             if !(read.ms >= 0.0 && read.ms.is_finite()) {
                 let why = format!("line {}: `ms` is a time of 0 or more", n + 1);
                 return Err(io::Error::new(io::ErrorKind::InvalidData, why));
             }
-            lines.push(read);
+            messages.push(read);
         }
-        lines.sort_by(|a, b| a.ms.total_cmp(&b.ms));
-        Ok(Captured { lines })
+        messages.sort_by(|a, b| a.ms.total_cmp(&b.ms));
+        Ok(CapturedDay { messages })
     }
 
     /// Its messages as a scenario's: destinations go round its partners, channels go by name or else to the first,
     /// and what comes after the scenario's end is left out.
-    pub fn messages(&self, partners: &[(String, usize)], channels: &[String], length: Micros) -> Vec<Coming> {
+    pub fn messages(
+        &self,
+        destinations: &[(String, usize)],
+        channels: &[String],
+        length: Micros,
+    ) -> Vec<PlannedMessage> {
         let channel = |name: &str| channels.iter().position(|c| c == name).unwrap_or(0);
-        let at = |l: &Line| (l.ms * 1000.0) as Micros;
-        let within = self.lines.iter().filter(|l| at(l) < length);
+        let at = |l: &CapturedMessage| (l.ms * 1000.0) as Micros;
+        let within = self.messages.iter().filter(|l| at(l) < length);
         within
-            .map(|l| (START + at(l), (l.destination % partners.len() as u64) as usize, channel(&l.channel)))
+            .map(|l| {
+                (START + at(l), (l.destination % destinations.len() as u64) as usize, channel(&l.channel))
+            })
             .collect()
     }
 }
@@ -114,16 +121,16 @@
     fn a_log_becomes_a_day_that_can_be_kept_and_read_again() {
         let log = "{\"msg\":\"handed in\",\"wall_ms\":1005.5,\"destination\":7,\"channel\":\"b\"}\nnot json\n\
                    {\"msg\":\"serving\"}\n{\"msg\":\"handed in\",\"wall_ms\":1000.0,\"destination\":2,\"channel\":\"a\"}\n";
-        let (day, odd) = Captured::from_log(log.as_bytes()).expect("a log");
+        let (day, odd) = CapturedDay::from_log(log.as_bytes()).expect("a log");
         assert_eq!(odd, 1);
         let path = std::env::temp_dir().join(format!("cedarbridge-capture-{}.zst", std::process::id()));
         day.write(&path).expect("written");
-        let read = Captured::read(&path).expect("read");
+        let read = CapturedDay::read(&path).expect("read");
         std::fs::remove_file(&path).expect("there");
         assert_eq!(read, day);
-        let partners = [("x".to_owned(), 0), ("y".to_owned(), 0), ("z".to_owned(), 0)];
-        let messages = read.messages(&partners, &["b".into(), "a".into()], 5_000_000);
+        let destinations = [("x".to_owned(), 0), ("y".to_owned(), 0), ("z".to_owned(), 0)];
+        let messages = read.messages(&destinations, &["b".into(), "a".into()], 5_000_000);
         assert_eq!(messages, [(START, 2, 1), (START + 5500, 1, 0)]);
-        assert_eq!(read.messages(&partners, &[], 5_000).len(), 1, "what comes after the end is left out");
+        assert_eq!(read.messages(&destinations, &[], 5_000).len(), 1, "what comes after the end is left out");
     }
 }
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,7 +1,7 @@
 //! An experiment as it is written in YAML: what days to draw, what goes wrong, and which variants to hold against
 //! each other. It plays nothing.
 
-use crate::scenario::TroubleKind;
+use crate::scenario::FaultKind;
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::{time, Site};
@@ -41,14 +41,14 @@
     /// Traffic as shares of full load, each from a range.
     pub loads: Vec<Range>,
     /// What partners are drawn from.
-    #[serde(default)]
-    pub partners: Partners,
+    #[serde(default, rename = "partners")]
+    pub destinations: Partners,
     /// Share of the messages that come in clumps, and their size in seconds of the partner's limit.
     #[serde(default)]
     pub clumps: Clumps,
     /// What goes wrong.
-    #[serde(default)]
-    pub troubles: Vec<TroubleOf>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<FaultSpec>,
     /// What is held against each other.
     pub variants: Vec<Variant>,
 }
@@ -122,9 +122,9 @@
 /// One trouble of a day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TroubleOf {
+pub struct FaultSpec {
     /// Which.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// How bad: a factor for `slow`, a share for `fail`.
     #[serde(default)]
     pub size: Option<Range>,
@@ -137,11 +137,11 @@
     pub lasts: Span,
 }
 
-impl TroubleOf {
+impl FaultSpec {
     /// The trouble, with its size drawn by a number from 0 to 1.
     pub fn drawn(&self, draw: f64) -> Fault {
         let size = self.size.map_or(1.0, |r| r.0 + (r.1 - r.0) * draw);
-        self.kind.trouble(size)
+        self.kind.fault(size)
     }
 }
 
@@ -158,7 +158,7 @@
 
 /// Why an experiment cannot be played.
 #[derive(Debug, thiserror::Error)]
-pub enum Unfit {
+pub enum InputError {
     /// A file cannot be read.
     #[error("cannot read `{0}`: {1}")]
     Unread(PathBuf, std::io::Error),
@@ -175,30 +175,33 @@
 
 impl Experiment {
     /// Reads an experiment and checks its figures.
-    pub fn read(path: &Path) -> Result<Self, Unfit> {
-        let text = std::fs::read_to_string(path).map_err(|e| Unfit::Unread(path.into(), e))?;
+    pub fn read(path: &Path) -> Result<Self, InputError> {
+        let text = std::fs::read_to_string(path).map_err(|e| InputError::Unread(path.into(), e))?;
         let options = serde_saphyr::options! { with_snippet: false };
         let experiment: Experiment = serde_saphyr::from_str_with_options(&text, options).map_err(|e| {
             let at = e.location().map(|l| format!("{}:{}: ", l.line(), l.column())).unwrap_or_default();
-            Unfit::Form(path.into(), format!("{at}{e}"))
+            InputError::Form(path.into(), format!("{at}{e}"))
         })?;
-        let unfit = |what: &str| Err(Unfit::Figures(path.into(), what.into()));
-        let partners = experiment.partners.count;
-        if experiment.forwarders == 0 || experiment.seeds == 0 || partners == 0 {
+        let unfit = |what: &str| Err(InputError::Figures(path.into(), what.into()));
+        let destinations = experiment.destinations.count;
+        if experiment.forwarders == 0 || experiment.seeds == 0 || destinations == 0 {
             return unfit("forwarders, seeds and partners must be 1 at least");
         }
         if experiment.variants.is_empty() || experiment.loads.is_empty() {
             return unfit("there must be a variant and a load");
         }
-        let ranks = experiment.troubles.iter().map(|t| t.rank);
-        if ranks.chain(experiment.partners.paces.iter().map(|p| p.rank)).any(|r| r == 0 || r > partners) {
+        let ranks = experiment.faults.iter().map(|t| t.rank);
+        if ranks
+            .chain(experiment.destinations.paces.iter().map(|p| p.rank))
+            .any(|r| r == 0 || r > destinations)
+        {
             return unfit("a `rank` is a place among the partners, 1 for the busiest");
         }
-        let needs_size = |t: &TroubleOf| matches!(t.kind, TroubleKind::Slow | TroubleKind::Fail);
-        if experiment.troubles.iter().any(|t| needs_size(t) != t.size.is_some()) {
+        let needs_size = |t: &FaultSpec| matches!(t.kind, FaultKind::Slow | FaultKind::Fail);
+        if experiment.faults.iter().any(|t| needs_size(t) != t.size.is_some()) {
             return unfit("`slow` and `fail` need a `size`, the other troubles have none");
         }
-        let p = &experiment.partners;
+        let p = &experiment.destinations;
         let ranges = [p.rate, p.zipf, p.work_ms, p.headroom, p.spare, p.network_ms, experiment.clumps.share];
         let all = ranges.iter().chain(&experiment.loads).chain([&experiment.clumps.seconds]);
         if all.into_iter().any(|r| !(r.0 > 0.0 && r.0 <= r.1 && r.1.is_finite())) {
@@ -213,14 +216,14 @@
         of: &Variant,
         folder: &Path,
         as_of: &(Settings, Names),
-    ) -> Result<Option<Arc<Plan>>, Unfit> {
+    ) -> Result<Option<Arc<Plan>>, InputError> {
         let Some(site) = &of.site else { return Ok(None) };
         let path = folder.join(site);
-        let text = std::fs::read_to_string(&path).map_err(|e| Unfit::Unread(path.clone(), e))?;
+        let text = std::fs::read_to_string(&path).map_err(|e| InputError::Unread(path.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &as_of.0, names: &as_of.1 });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
-            Unfit::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -15,18 +15,18 @@
 
 /// Worth asked for and delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Worth {
+pub struct DeliveredValue {
     /// Asked for.
-    pub asked: f64,
+    pub offered: f64,
     /// Delivered.
-    pub got: f64,
+    pub delivered_value: f64,
 }
 
-impl Worth {
+impl DeliveredValue {
     /// The share that was delivered; all of nothing.
     pub fn share(self) -> f64 {
-        if self.asked > 0.0 {
-            self.got / self.asked
+        if self.offered > 0.0 {
+            self.delivered_value / self.offered
         } else {
             1.0
         }
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Worth asked for and delivered.
-    pub worth: Worth,
+    pub value: DeliveredValue,
     /// Messages, each client's tries counted once.
     pub messages: u64,
     /// Messages delivered.
@@ -49,19 +49,19 @@
 }
 
 impl Tally {
-    fn add(&mut self, worth: f64) {
+    fn add(&mut self, weight: f64) {
         self.messages += 1;
-        self.worth.asked += worth;
+        self.value.offered += weight;
     }
 
-    fn deliver(&mut self, now: Micros, got: f64, ms: u64) {
+    fn deliver(&mut self, now: Micros, delivered_value: f64, ms: u64) {
         let second = (now.saturating_sub(START) / SECOND) as usize;
         if self.by_second.len() <= second {
             self.by_second.resize(second + 1, 0);
         }
         self.by_second[second] += 1;
         self.delivered += 1;
-        self.worth.got += got;
+        self.value.delivered_value += delivered_value;
         let times = self.times.get_or_insert_with(|| {
             Histogram::new_with_bounds(1, 60_000, 2).expect("bounds that are in order")
         });
@@ -76,13 +76,13 @@
 
 /// A message's first try.
 #[derive(Clone, Copy)]
-struct Try {
+struct RequestState {
     at: Micros,
-    worth: f32,
-    partner: u32,
+    weight: f32,
+    destination: u32,
     tenant: u16,
     forwarder: u32,
-    troubled: bool,
+    faulty: bool,
     delivered: bool,
 }
 
@@ -92,9 +92,9 @@
     /// When.
     pub at: Micros,
     /// Messages held.
-    pub held: usize,
+    pub open_messages: usize,
     /// Calls out.
-    pub out: usize,
+    pub in_flight: usize,
 }
 
 /// The names of outcomes, by [`outcome`]'s numbers.
@@ -124,14 +124,14 @@
     /// From the old one's signal until it had left.
     pub left: Micros,
     /// Hand-ins that were not let in, closed on or left unread meanwhile.
-    pub at_the_door: usize,
+    pub rejected_during_upgrade: usize,
 }
 
 /// The figures of one day.
 pub struct Figures {
-    tries: Vec<Try>,
+    tries: Vec<RequestState>,
     /// By partner.
-    pub by_partner: Vec<Tally>,
+    pub by_destination: Vec<Tally>,
     /// By channel.
     pub by_channel: Vec<Tally>,
     /// Attempts by their outcome, as [`OUTCOMES`] has them.
@@ -140,15 +140,15 @@
     pub samples: Vec<Sample>,
     /// For each partner, when the worst of its breakers changed, and to what.
     pub breakers: Vec<Vec<(Micros, BreakerState)>>,
-    troubled: Vec<bool>,
-    trouble: (Micros, Micros),
+    faulty: Vec<bool>,
+    fault: (Micros, Micros),
     slots: usize,
     /// Worth by window, the troubled partners and the others together.
-    pub windows: Vec<Worth>,
+    pub windows: Vec<DeliveredValue>,
     /// Worth at the troubled partners.
-    pub troubled_worth: Worth,
+    pub faulty_value: DeliveredValue,
     /// Worth at all others.
-    pub other_worth: Worth,
+    pub healthy_value: DeliveredValue,
     /// Slot time that calls to troubled partners took while trouble held, from its begin on.
     slots_lost: Micros,
     /// Times of delivery from the hand-in, in milliseconds, to troubled partners and to the others.
@@ -164,7 +164,7 @@
     /// Processes that were replaced, in the order of time.
     pub upgrades: Vec<Upgrade>,
     /// Worth by the forwarder that a message came to first.
-    pub by_forwarder: Vec<Worth>,
+    pub by_forwarder: Vec<DeliveredValue>,
     /// Connections made to endpoints; counted in virtual time.
     pub connections: u64,
     /// For each partner, the calls that reached it in each second of the day.
@@ -176,34 +176,34 @@
 impl Figures {
     /// Figures of a day before it is played.
     pub fn new(world: &World) -> Self {
-        let mut troubled = vec![false; world.partners.len()];
-        world.troubles.iter().for_each(|t| troubled[t.0] = true);
-        let from = world.troubles.iter().map(|t| t.1).min().unwrap_or(world.end);
-        let to = world.troubles.iter().map(|t| t.2).max().unwrap_or(world.end);
+        let mut faulty = vec![false; world.destinations.len()];
+        world.faults.iter().for_each(|t| faulty[t.0] = true);
+        let from = world.faults.iter().map(|t| t.1).min().unwrap_or(world.end);
+        let to = world.faults.iter().map(|t| t.2).max().unwrap_or(world.end);
         let windows = (world.end - START).div_ceil(WINDOW) as usize;
         let times = || Histogram::new_with_bounds(1, 60_000, 3).expect("bounds that are in order");
-        let tries = world.hands.iter().map(|h| Try {
+        let tries = world.requests.iter().map(|h| RequestState {
             at: h.at,
-            worth: h.worth as f32,
-            partner: h.partner as u32,
+            weight: h.weight as f32,
+            destination: h.destination as u32,
             tenant: h.tenant as u16,
             forwarder: h.forwarder as u32,
-            troubled: troubled[h.partner],
+            faulty: faulty[h.destination],
             delivered: false,
         });
         let mut figures = Figures {
             tries: tries.collect(),
-            by_partner: vec![Tally::default(); world.partners.len()],
+            by_destination: vec![Tally::default(); world.destinations.len()],
             by_channel: vec![Tally::default(); world.names.tenants.len()],
             outcomes: [0; 9],
             samples: Vec::new(),
-            breakers: vec![Vec::new(); world.partners.len()],
-            troubled,
-            trouble: (from, to),
+            breakers: vec![Vec::new(); world.destinations.len()],
+            faulty,
+            fault: (from, to),
             slots: world.settings.max_concurrent_calls * world.fleet.len(),
-            windows: vec![Worth::default(); windows],
-            troubled_worth: Worth::default(),
-            other_worth: Worth::default(),
+            windows: vec![DeliveredValue::default(); windows],
+            faulty_value: DeliveredValue::default(),
+            healthy_value: DeliveredValue::default(),
             slots_lost: 0,
             times: [times(), times()],
             refused: 0,
@@ -211,26 +211,26 @@
             delivered: 0,
             attempts: 0,
             upgrades: Vec::new(),
-            by_forwarder: vec![Worth::default(); world.fleet.len()],
+            by_forwarder: vec![DeliveredValue::default(); world.fleet.len()],
             connections: 0,
-            offered: vec![Vec::new(); world.partners.len()],
-            deliveries: vec![Vec::new(); world.partners.len()],
+            offered: vec![Vec::new(); world.destinations.len()],
+            deliveries: vec![Vec::new(); world.destinations.len()],
         };
-        for h in &world.hands {
-            figures.by_forwarder[h.forwarder].asked += h.worth;
-            figures.side(figures.troubled[h.partner]).asked += h.worth;
-            figures.by_partner[h.partner].add(h.worth);
-            figures.by_channel[h.tenant].add(h.worth);
-            figures.windows[((h.at - START) / WINDOW) as usize].asked += h.worth;
+        for h in &world.requests {
+            figures.by_forwarder[h.forwarder].offered += h.weight;
+            figures.side(figures.faulty[h.destination]).offered += h.weight;
+            figures.by_destination[h.destination].add(h.weight);
+            figures.by_channel[h.tenant].add(h.weight);
+            figures.windows[((h.at - START) / WINDOW) as usize].offered += h.weight;
         }
         figures
     }
 
-    fn side(&mut self, troubled: bool) -> &mut Worth {
-        if troubled {
-            &mut self.troubled_worth
+    fn side(&mut self, faulty: bool) -> &mut DeliveredValue {
+        if faulty {
+            &mut self.faulty_value
         } else {
-            &mut self.other_worth
+            &mut self.healthy_value
         }
     }
 
@@ -240,9 +240,9 @@
     }
 
     /// A call reached a partner.
-    pub fn call(&mut self, now: Micros, partner: usize) {
+    pub fn call(&mut self, now: Micros, destination: usize) {
         let second = (now.saturating_sub(START) / SECOND) as usize;
-        let line = &mut self.offered[partner];
+        let line = &mut self.offered[destination];
         if line.len() <= second {
             line.resize(second + 1, 0);
         }
@@ -250,14 +250,14 @@
     }
 
     /// How long after a time the next message was delivered at a partner.
-    pub fn next_delivery(&self, partner: usize, from: Micros) -> Option<Micros> {
-        let all = &self.deliveries[partner];
+    pub fn next_delivery(&self, destination: usize, from: Micros) -> Option<Micros> {
+        let all = &self.deliveries[destination];
         all.get(all.partition_point(|t| *t < from)).map(|t| t - from)
     }
 
     /// For each trouble that a partner returns from: how long after its end the first message was delivered there.
     pub fn returns(&self, world: &World) -> Vec<(usize, Option<Micros>)> {
-        let back = world.troubles.iter().filter(|t| t.3.is_outage());
+        let back = world.faults.iter().filter(|t| t.3.is_outage());
         back.map(|t| (t.0, self.next_delivery(t.0, t.2))).collect()
     }
 
@@ -267,8 +267,8 @@
     }
 
     /// The worst of a partner's breakers is in this state now.
-    pub fn breaker(&mut self, now: Micros, partner: usize, status: BreakerState) {
-        let line = &mut self.breakers[partner];
+    pub fn breaker(&mut self, now: Micros, destination: usize, status: BreakerState) {
+        let line = &mut self.breakers[destination];
         let before = line.last().map_or(BreakerState::Closed, |l| l.1);
         if before != status {
             line.push((now, status));
@@ -284,15 +284,16 @@
         self.tries[first].delivered = true;
         let age = now.saturating_sub(t.at);
         let late = age.saturating_sub(AIM) as f64 / AIM as f64;
-        let got = f64::from(t.worth) * if age <= AIM { 1.0 } else { 0.5f64.powf(late).max(LATE) };
+        let delivered_value =
+            f64::from(t.weight) * if age <= AIM { 1.0 } else { 0.5f64.powf(late).max(LATE) };
         let ms = (age / 1000).max(1);
-        self.side(t.troubled).got += got;
-        self.by_forwarder[t.forwarder as usize].got += got;
-        self.deliveries[t.partner as usize].push(now);
-        self.by_partner[t.partner as usize].deliver(now, got, ms);
-        self.by_channel[t.tenant as usize].deliver(now, got, ms);
-        self.windows[((t.at - START) / WINDOW) as usize].got += got;
-        self.times[usize::from(!t.troubled)].saturating_record(ms);
+        self.side(t.faulty).delivered_value += delivered_value;
+        self.by_forwarder[t.forwarder as usize].delivered_value += delivered_value;
+        self.deliveries[t.destination as usize].push(now);
+        self.by_destination[t.destination as usize].deliver(now, delivered_value, ms);
+        self.by_channel[t.tenant as usize].deliver(now, delivered_value, ms);
+        self.windows[((t.at - START) / WINDOW) as usize].delivered_value += delivered_value;
+        self.times[usize::from(!t.faulty)].saturating_record(ms);
         self.delivered += 1;
     }
 
@@ -306,23 +307,26 @@
     }
 
     /// A call came back that had held a slot for so long.
-    pub fn slot(&mut self, now: Micros, partner: usize, held: Micros) {
-        let (from, to) = self.trouble;
-        if self.troubled[partner] {
-            let begin = (now - held).max(from);
+    pub fn slot_released(&mut self, now: Micros, destination: usize, open_messages: Micros) {
+        let (from, to) = self.fault;
+        if self.faulty[destination] {
+            let begin = (now - open_messages).max(from);
             self.slots_lost += now.min(to).saturating_sub(begin);
         }
     }
 
     /// Worth of the whole day.
-    pub fn worth(&self) -> Worth {
-        let (a, b) = (self.troubled_worth, self.other_worth);
-        Worth { asked: a.asked + b.asked, got: a.got + b.got }
+    pub fn value(&self) -> DeliveredValue {
+        let (a, b) = (self.faulty_value, self.healthy_value);
+        DeliveredValue {
+            offered: a.offered + b.offered,
+            delivered_value: a.delivered_value + b.delivered_value,
+        }
     }
 
     /// The share of all slot time during the trouble that calls to troubled partners took.
     pub fn slots_lost(&self) -> f64 {
-        let (from, to) = self.trouble;
+        let (from, to) = self.fault;
         let all = (to.saturating_sub(from)) as f64 * self.slots as f64;
         if all > 0.0 {
             self.slots_lost as f64 / all
@@ -332,7 +336,7 @@
     }
 
     /// A quantile of the delivery times, in milliseconds.
-    pub fn time(&self, troubled: bool, quantile: f64) -> u64 {
-        self.times[usize::from(!troubled)].value_at_quantile(quantile)
+    pub fn time(&self, faulty: bool, quantile: f64) -> u64 {
+        self.times[usize::from(!faulty)].value_at_quantile(quantile)
     }
 }
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,13 +1,13 @@
 //! Fleets of several sizes that share one day in virtual time: what each serves, what is refused, how soon it is back at
 //! a partner that returns, and how evenly its forwarders fare. It decides nothing and knows no sockets.
 
-use crate::draw::day;
 use crate::figures::Figures;
-use crate::play::play;
-use crate::report::{mean, Drawn};
+use crate::report::{mean, PlotResult};
 use crate::scenario::{Fleet, Scenario, Signal};
+use crate::scenario_day::day;
+use crate::simulation::simulate;
 use crate::verdict::{colour, escaped};
-use crate::world::{Member, SizeAt, StopAt, World, START};
+use crate::world::{ForwarderProfile, PlannedSize, PlannedStop, World, START};
 use cedarbridge::routes::Plan;
 use cedarbridge::Micros;
 use plotters::prelude::*;
@@ -28,28 +28,37 @@
 
 /// How forwarders come to their turns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum TurnOrder {
     /// By the numbers that the file gives them.
-    Places,
+    Numbered,
     /// By chance: none is told a number.
-    Chance,
+    Random,
     /// One forwarder has all that the others would have together: what a fleet loses by its not talking shows against it.
-    One,
+    Single,
 }
 
-impl Way {
-    fn word(self) -> &'static str {
+impl TurnOrder {
+    /// The label that the progress lines of the command `fleet` print.
+    pub fn progress_label(self) -> &'static str {
         match self {
-            Way::Places => "places",
-            Way::Chance => "chance",
-            Way::One => "one for all",
+            TurnOrder::Numbered => "Places",
+            TurnOrder::Random => "Chance",
+            TurnOrder::Single => "One",
+        }
+    }
+
+    fn name(self) -> &'static str {
+        match self {
+            TurnOrder::Numbered => "places",
+            TurnOrder::Random => "chance",
+            TurnOrder::Single => "one for all",
         }
     }
 }
 
 /// What one day came to.
 #[derive(Clone, Debug)]
-pub struct Day {
+pub struct DayResult {
     /// The share of the worth that was delivered.
     pub served: f64,
     /// The same less the prices.
@@ -63,7 +72,7 @@
     /// From there to its rate from before, the longest; what never comes counts up to the day's end.
     pub rate: Option<Micros>,
     /// Jain's index of the share that each forwarder served of what came to it: 1 if all served alike.
-    pub jain: f64,
+    pub fairness: f64,
     /// Calls that reached partners with a limit, over what these limits let through, in the mean.
     pub offered: f64,
     /// The share of seconds in which a partner was sent more calls than its limit, over all that have one.
@@ -71,7 +80,7 @@
     /// The worst such second, as a multiple of the limit.
     pub worst: f64,
     /// Rules broken.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Days of one fleet.
@@ -79,39 +88,39 @@
     /// How many forwarders it has at the begin.
     pub count: usize,
     /// How they come to their turns.
-    pub way: Way,
+    pub turns: TurnOrder,
     /// The days, by seed.
-    pub days: Vec<Day>,
+    pub days: Vec<DayResult>,
 }
 
 /// The day of a scenario for a fleet.
-pub fn draw(scenario: &Scenario, count: usize, way: Way, seed: u64) -> World {
+pub fn draw(scenario: &Scenario, count: usize, turns: TurnOrder, seed: u64) -> World {
     let mut scenario = scenario.clone();
-    scenario.forwarders.count = if way == Way::One { 1 } else { count };
+    scenario.forwarders.count = if turns == TurnOrder::Single { 1 } else { count };
     let mut world = day(&scenario, seed, None);
-    if let Some(fleet) = scenario.fleet.as_ref().filter(|_| way != Way::One) {
-        people(&mut world, &scenario, &fleet.value, way, seed);
+    if let Some(fleet) = scenario.fleet.as_ref().filter(|_| turns != TurnOrder::Single) {
+        assign_forwarders(&mut world, &scenario, &fleet.value, turns, seed);
     }
     world
 }
 
 /// Gives the day its forwarders, with their numbers, clocks, ends and parts of the traffic.
-fn people(world: &mut World, scenario: &Scenario, of: &Fleet, way: Way, seed: u64) {
+fn assign_forwarders(world: &mut World, scenario: &Scenario, of: &Fleet, turns: TurnOrder, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ APART);
     let count = world.fleet.len();
     let moment = |m| START + scenario.moment(m).expect("checked as it was read");
-    world.sizes = vec![SizeAt { at: START, count, within: 0 }];
+    world.sizes = vec![PlannedSize { at: START, count, within: 0 }];
     let later =
-        of.sizes.iter().map(|s| SizeAt { at: moment(&s.at), count: s.count.value, within: s.within.0 });
+        of.sizes.iter().map(|s| PlannedSize { at: moment(&s.at), count: s.count.value, within: s.within.0 });
     world.sizes.extend(later);
     let most = world.sizes.iter().map(|s| s.count).max().unwrap_or(count);
-    world.told = of.told;
+    world.told_count_factor = of.told_count_factor;
     world.fleet = (0..most as u64)
         .map(|n| {
             let clock = rng.random_range(0..=of.clocks.0);
             let (bare, doubled) = (rng.random_bool(of.unnumbered), rng.random_bool(of.doubled));
             let number = n - u64::from(doubled && n > 0);
-            Member { number: (!bare && way == Way::Places).then_some(number), clock }
+            ForwarderProfile { number: (!bare && turns == TurnOrder::Numbered).then_some(number), clock }
         })
         .collect();
     if let Some(dead) = &of.dead {
@@ -119,8 +128,10 @@
         all.shuffle(&mut rng);
         all.truncate((count as f64 * dead.share).round() as usize);
         let (at, back) = (moment(&dead.at), dead.lasts.0);
-        world.stops =
-            all.into_iter().map(|forwarder| StopAt { forwarder, at, signal: Signal::Kill, back }).collect();
+        world.stops = all
+            .into_iter()
+            .map(|forwarder| PlannedStop { forwarder, at, signal: Signal::Kill, back })
+            .collect();
     }
     // Who has much traffic has it by chance, whatever its number.
     let mut ranks: Vec<usize> = (0..most).collect();
@@ -133,59 +144,68 @@
             sum
         })
         .collect();
-    for hand in &mut world.hands {
-        let size = world.sizes.iter().rfind(|s| s.at <= hand.at).map_or(count, |s| s.count);
+    for request in &mut world.requests {
+        let size = world.sizes.iter().rfind(|s| s.at <= request.at).map_or(count, |s| s.count);
         let draw = rng.random::<f64>() * upto[size - 1];
-        hand.forwarder = upto[..size].partition_point(|s| *s <= draw).min(size - 1);
+        request.forwarder = upto[..size].partition_point(|s| *s <= draw).min(size - 1);
     }
 }
 
 /// Plays the day of one fleet.
-pub fn play_one(scenario: &Scenario, plan: Option<Arc<Plan>>, count: usize, way: Way, seed: u64) -> Day {
-    let world = draw(scenario, count, way, seed);
-    let (figures, broken) = play(&world, plan, seed);
+pub fn simulate_fleet_day(
+    scenario: &Scenario,
+    plan: Option<Arc<Plan>>,
+    count: usize,
+    turns: TurnOrder,
+    seed: u64,
+) -> DayResult {
+    let world = draw(scenario, count, turns, seed);
+    let (figures, violations) = simulate(&world, plan, seed);
     let prices = scenario.fleet.as_ref().map(|f| f.value.prices).unwrap_or_default();
-    Day { broken: broken.iter().map(ToString::to_string).collect(), ..figured(&world, &figures, prices) }
+    DayResult {
+        violations: violations.iter().map(ToString::to_string).collect(),
+        ..summarize(&world, &figures, prices)
+    }
 }
 
-fn figured(world: &World, f: &Figures, prices: crate::scenario::Prices) -> Day {
-    let messages = world.hands.len().max(1) as f64;
-    let (served, full) = (f.worth().share(), f.outcomes[2] as f64);
+fn summarize(world: &World, f: &Figures, prices: crate::scenario::Prices) -> DayResult {
+    let messages = world.requests.len().max(1) as f64;
+    let (served, full) = (f.value().share(), f.outcomes[2] as f64);
     let connections = f.connections as f64 / messages;
-    let shares = f.by_forwarder.iter().filter(|w| w.asked > 0.0).map(|w| w.share());
+    let shares = f.by_forwarder.iter().filter(|w| w.offered > 0.0).map(|w| w.share());
     let (n, sum, squares) = shares.fold((0.0, 0.0, 0.0), |a, x| (a.0 + 1.0, a.1 + x, a.2 + x * x));
     let (mut seconds, mut over, mut worst, mut offered) = (0u32, 0u32, 0.0f64, 0.0f64);
-    for (partner, model) in world.partners.iter().enumerate() {
+    for (destination, model) in world.destinations.iter().enumerate() {
         let Some(limit) = model.limit else { continue };
-        for (second, calls) in f.offered[partner].iter().enumerate() {
+        for (second, calls) in f.offered[destination].iter().enumerate() {
             let at = START + second as Micros * SECOND;
-            let lowered = world.troubles.iter().filter(|t| t.0 == partner && t.1 <= at && at < t.2);
+            let lowered = world.faults.iter().filter(|t| t.0 == destination && t.1 <= at && at < t.2);
             let now = limit * lowered.filter_map(|t| t.3.limit_share()).product::<f64>();
             let part = f64::from(*calls) / now;
             (seconds, over, worst) = (seconds + 1, over + u32::from(part > 1.0), worst.max(part));
             offered += part;
         }
     }
-    let returns = || world.troubles.iter().filter(|t| t.3.is_outage());
+    let returns = || world.faults.iter().filter(|t| t.3.is_outage());
     let end = |t: &(usize, Micros, Micros, _)| world.end.saturating_sub(t.2);
-    Day {
+    DayResult {
         served,
         priced: served - prices.refused * full / messages - prices.connections * connections,
         refused: full / (f.attempts as f64).max(1.0),
         connections,
         first: returns().map(|t| f.next_delivery(t.0, t.2).unwrap_or(end(t))).max(),
         rate: returns().map(|t| back_at_rate(f, t.0, (t.1, t.2)).unwrap_or(end(t))).max(),
-        jain: if squares > 0.0 { sum * sum / (n * squares) } else { 1.0 },
+        fairness: if squares > 0.0 { sum * sum / (n * squares) } else { 1.0 },
         offered: offered / f64::from(seconds.max(1)),
         over: f64::from(over) / f64::from(seconds.max(1)),
         worst,
-        broken: Vec::new(),
+        violations: Vec::new(),
     }
 }
 
 /// How long after a partner's return a second brings [`BACK`] of what it took in the mean before.
-fn back_at_rate(f: &Figures, partner: usize, (begin, end): (Micros, Micros)) -> Option<Micros> {
-    let all = &f.deliveries[partner];
+fn back_at_rate(f: &Figures, destination: usize, (begin, end): (Micros, Micros)) -> Option<Micros> {
+    let all = &f.deliveries[destination];
     let between =
         |from: Micros, to: Micros| all.partition_point(|t| *t < to) - all.partition_point(|t| *t < from);
     let before = between(START, begin) as f64 * SECOND as f64 / (begin - START).max(1) as f64;
@@ -201,7 +221,7 @@
 }
 
 /// A figure of a day: its name, what it is, and how it is drawn.
-type Column = (&'static str, &'static str, fn(&Day) -> f64);
+type Column = (&'static str, &'static str, fn(&DayResult) -> f64);
 
 const COLUMNS: [Column; 10] = [
     ("served", "share of the worth delivered", |d| d.served),
@@ -210,7 +230,7 @@
     ("connects", "connections made for each message", |d| d.connections),
     ("first s", "from a return to the first delivery, s", |d| d.first.map_or(f64::NAN, |t| t as f64 / 1e6)),
     ("rate s", "from a return to 90% of the rate, s", |d| d.rate.map_or(f64::NAN, |t| t as f64 / 1e6)),
-    ("jain", "Jain's index of the served shares", |d| d.jain),
+    ("jain", "Jain's index of the served shares", |d| d.fairness),
     ("offered", "calls over the limits, in the mean", |d| d.offered),
     ("over", "share of seconds over a limit", |d| d.over),
     ("worst", "the worst second, in limits", |d| d.worst),
@@ -218,12 +238,12 @@
 
 impl Row {
     /// Mean and half of its 95% interval.
-    fn of(&self, figure: fn(&Day) -> f64) -> (f64, f64) {
+    fn of(&self, figure: fn(&DayResult) -> f64) -> (f64, f64) {
         mean(&self.days.iter().map(figure).collect::<Vec<_>>())
     }
 
-    fn broken(&self) -> usize {
-        self.days.iter().map(|d| d.broken.len()).sum()
+    fn violations(&self) -> usize {
+        self.days.iter().map(|d| d.violations.len()).sum()
     }
 }
 
@@ -235,16 +255,16 @@
     COLUMNS.iter().for_each(|c| out += &format!(" {:>9}", c.0));
     out += &format!(" {:>7}\n", "broken");
     for row in rows {
-        let _ = write!(out, "{:>10} {:<12}", row.count, row.way.word());
+        let _ = write!(out, "{:>10} {:<12}", row.count, row.turns.name());
         for c in COLUMNS {
             let value = row.of(c.2).0;
             out += &if value.is_nan() { format!(" {:>9}", "-") } else { format!(" {value:>9.3}") };
         }
-        let _ = writeln!(out, " {:>7}", row.broken());
+        let _ = writeln!(out, " {:>7}", row.violations());
     }
     for row in rows {
-        for what in row.days.iter().flat_map(|d| &d.broken).take(5) {
-            let _ = writeln!(out, "BROKEN {} {}: {what}", row.count, row.way.word());
+        for what in row.days.iter().flat_map(|d| &d.violations).take(5) {
+            let _ = writeln!(out, "BROKEN {} {}: {what}", row.count, row.turns.name());
         }
     }
     out
@@ -262,9 +282,9 @@
             })
             .collect();
         figures.insert("forwarders".into(), json!(r.count));
-        figures.insert("turns".into(), json!(r.way.word()));
+        figures.insert("turns".into(), json!(r.turns.name()));
         figures.insert("days".into(), json!(r.days.len()));
-        figures.insert("broken".into(), json!(r.broken()));
+        figures.insert("broken".into(), json!(r.violations()));
         Value::Object(figures)
     };
     json!({"title": scenario.title, "fleets": rows.iter().map(row).collect::<Vec<_>>()})
@@ -273,13 +293,17 @@
 /// What was not as the scenario expects it.
 pub fn unmet(scenario: &Scenario, rows: &[Row]) -> Vec<String> {
     let mut all = Vec::new();
-    for row in rows.iter().filter(|r| r.way == Way::Places) {
+    for row in rows.iter().filter(|r| r.turns == TurnOrder::Numbered) {
         let (count, expect) = (row.count, &scenario.expect);
-        if row.broken() > expect.broken {
-            all.push(format!("{count} forwarders: {} rules broken, {} allowed", row.broken(), expect.broken));
+        if row.violations() > expect.violations {
+            all.push(format!(
+                "{count} forwarders: {} rules broken, {} allowed",
+                row.violations(),
+                expect.violations
+            ));
         }
         let least = row.days.iter().map(|d| d.served).fold(f64::INFINITY, f64::min);
-        if let Some(worth) = expect.worth.as_ref().filter(|w| least < w.value) {
+        if let Some(worth) = expect.delivered_share.as_ref().filter(|w| least < w.value) {
             all.push(format!("{count} forwarders: {least:.3} served, {} expected at least", worth.value));
         }
         let longest = row.days.iter().filter_map(|d| d.first).max().unwrap_or(0);
@@ -297,7 +321,7 @@
 const SIZE: (u32, u32) = (520, 260);
 
 /// A figure over the fleet's size, a line for each way.
-fn plot(rows: &[Row], column: Column, svg: &mut String) -> Drawn {
+fn plot(rows: &[Row], column: Column, svg: &mut String) -> PlotResult {
     let value = |r: &Row| (r.count.max(1) as f64, r.of(column.2).0);
     let all: Vec<(f64, f64)> = rows.iter().map(value).filter(|p| p.1.is_finite()).collect();
     let most = all.iter().map(|p| p.1).fold(0.0, f64::max).max(1e-6) * 1.08;
@@ -311,16 +335,17 @@
         .y_label_area_size(48)
         .build_cartesian_2d((counts.0.min(counts.1) * 0.9..counts.1 * 1.1).log_scale(), 0.0..most)?;
     chart.configure_mesh().x_desc("forwarders").x_label_formatter(&|x| format!("{x:.0}")).draw()?;
-    for (n, way) in [Way::Places, Way::Chance, Way::One].into_iter().enumerate() {
+    for (n, turns) in [TurnOrder::Numbered, TurnOrder::Random, TurnOrder::Single].into_iter().enumerate() {
         let points: Vec<_> =
-            rows.iter().filter(|r| r.way == way).map(value).filter(|p| p.1.is_finite()).collect();
+            rows.iter().filter(|r| r.turns == turns).map(value).filter(|p| p.1.is_finite()).collect();
         let Some(first) = points.first().copied() else { continue };
         let c = colour(n);
         // One for all has a single figure, which holds across.
-        let line = if way == Way::One { vec![(counts.0, first.1), (counts.1, first.1)] } else { points };
+        let line =
+            if turns == TurnOrder::Single { vec![(counts.0, first.1), (counts.1, first.1)] } else { points };
         let drawn = chart.draw_series(LineSeries::new(line, c.stroke_width(2)))?;
         drawn
-            .label(way.word())
+            .label(turns.name())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2)));
     }
     chart.configure_series_labels().position(SeriesLabelPosition::LowerLeft).border_style(BLACK).draw()?;
--- a/crates/rehearsal/src/words.rs
+++ b/crates/rehearsal/src/forwarder_config.rs
@@ -15,7 +15,7 @@
 
 /// The addresses of a forwarder.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ForwarderAddresses {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators call, if they may.
@@ -25,7 +25,7 @@
 }
 
 /// The configuration of a forwarder.
-pub fn config(world: &World, forwarder: usize, places: Places, state: &Path) -> Value {
+pub fn config(world: &World, forwarder: usize, places: ForwarderAddresses, state: &Path) -> Value {
     let s = &world.settings;
     let class = &s.classes[0];
     let full: f64 = s.tenants.iter().map(|t| t.quota_per_s).sum();
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -2,21 +2,21 @@
 //! a load with a few partners that carry much of it and with clumps, and audits every rule while it runs. It has
 //! no sockets; what the network code adds is outside of it.
 //!
-//! A day is drawn from a seed ([`world`]), played ([`play`]) under each variant of an experiment ([`experiment`]),
+//! A day is drawn from a seed ([`world`]), played ([`simulation`]) under each variant of an experiment ([`experiment`]),
 //! measured ([`figures`]) and told ([`report`]). The same seed gives the same bytes.
 
 pub mod audit;
 pub mod capture;
-pub mod draw;
 pub mod experiment;
 pub mod figures;
 pub mod fleet;
+pub mod forwarder_config;
 pub mod live;
-pub mod play;
 pub mod report;
 pub mod scenario;
+pub mod scenario_day;
+pub mod simulation;
 pub mod table;
 pub mod verdict;
 pub mod view;
-pub mod words;
 pub mod world;
--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -1,8 +1,8 @@
 //! The platform's agent on each forwarder's machine: the pushed list, and notices.
 
-use super::{clients, Failure, Stage};
+use super::{clients, LiveError, LiveRun};
 use crate::audit::End;
-use crate::words::entry;
+use crate::forwarder_config::entry;
 use async_io::{Async, Timer};
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::{Lifecycle, Micros};
@@ -13,14 +13,14 @@
 use std::time::Duration;
 
 /// A watch says that it lives this often.
-const ALIVE: Duration = Duration::from_secs(2);
+const WATCH_HEARTBEAT: Duration = Duration::from_secs(2);
 /// Notices come in bodies of at most this.
-const BODY: usize = 4 << 20;
+const MAX_NOTICE_BODY: usize = 4 << 20;
 
 /// Starts the agent of a forwarder.
-pub fn start(stage: &Rc<Stage>, forwarder: usize) -> Result<SocketAddr, Failure> {
+pub fn start(stage: &Rc<LiveRun>, forwarder: usize) -> Result<SocketAddr, LiveError> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0));
-    let listener = listener.map_err(|e| Failure::System("no address for an agent".into(), e))?;
+    let listener = listener.map_err(|e| LiveError::System("no address for an agent".into(), e))?;
     let address = listener.get_ref().local_addr().expect("bound");
     let (faulty, stage_fault) = (stage.clone(), stage.options.fault);
     let stage = stage.clone();
@@ -36,34 +36,34 @@
 }
 
 /// The list says something else of an endpoint from now on.
-pub fn change(stage: &Stage, endpoint: usize, lifecycle: Lifecycle) {
+pub fn change(stage: &LiveRun, endpoint: usize, lifecycle: Lifecycle) {
     stage.list.borrow_mut()[endpoint] = lifecycle;
     stage.version.set(stage.version.get() + 1);
     // Whoever watches is woken by the end of its channel.
-    stage.news.borrow_mut().drain(..).for_each(|n| {
+    stage.list_watchers.borrow_mut().drain(..).for_each(|n| {
         n.close();
     });
 }
 
-async fn serve(stage: Rc<Stage>, forwarder: usize, mut wire: HttpConnection) {
-    while let Ok(head) = wire.read_request().await {
-        let Ok(body) = wire.request_body(&head, BODY).await else { return };
+async fn serve(stage: Rc<LiveRun>, forwarder: usize, mut connection: HttpConnection) {
+    while let Ok(head) = connection.read_request().await {
+        let Ok(body) = connection.request_body(&head, MAX_NOTICE_BODY).await else { return };
         let answered = match (head.method.as_str(), head.target.split('?').next().unwrap_or_default()) {
             ("POST", "/reports") => {
                 let status =
                     if notices(&stage, forwarder, &body) { "204 No Content" } else { "400 Bad Request" };
-                wire.write(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await
+                connection.write(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await
             }
             ("GET", "/catalog/members") if head.target.contains("watch=1") => {
-                let _ = watch(&stage, forwarder, &mut wire).await;
+                let _ = watch(&stage, forwarder, &mut connection).await;
                 return;
             }
             ("GET", "/catalog/members") => {
-                let list = whole(&stage, forwarder).to_string();
+                let list = complete_list(&stage, forwarder).to_string();
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
-                wire.write((head + &list).as_bytes()).await
+                connection.write((head + &list).as_bytes()).await
             }
-            _ => wire.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await,
+            _ => connection.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await,
         };
         if answered.is_err() {
             return;
@@ -71,7 +71,7 @@
     }
 }
 
-fn whole(stage: &Stage, forwarder: usize) -> Value {
+fn complete_list(stage: &LiveRun, forwarder: usize) -> Value {
     let addresses = stage.addresses.borrow();
     let list = stage.list.borrow();
     let held = list.iter().enumerate().filter(|(_, l)| **l != Lifecycle::Removed);
@@ -79,29 +79,33 @@
     json!({"generation": stage.version.get(), "reset": true, "instances": all})
 }
 
-async fn chunk(wire: &mut HttpConnection, text: &str) -> std::io::Result<()> {
-    wire.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
+async fn chunk(connection: &mut HttpConnection, text: &str) -> std::io::Result<()> {
+    connection.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
 }
 
 /// The list, and each change of it. What is written counts as told.
-async fn watch(stage: &Rc<Stage>, forwarder: usize, wire: &mut HttpConnection) -> std::io::Result<()> {
-    wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+async fn watch(
+    stage: &Rc<LiveRun>,
+    forwarder: usize,
+    connection: &mut HttpConnection,
+) -> std::io::Result<()> {
+    connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let mut known: Vec<Lifecycle> = vec![Lifecycle::Removed; stage.world.list.len()];
     let mut first = true;
     loop {
         let (sender, changed) = async_channel::bounded::<()>(1);
-        stage.news.borrow_mut().push(sender);
+        stage.list_watchers.borrow_mut().push(sender);
         let now: Vec<Lifecycle> = stage.list.borrow().clone();
         let line = if first {
-            whole(stage, forwarder)
+            complete_list(stage, forwarder)
         } else {
             let addresses = stage.addresses.borrow();
-            let news = (0..now.len()).filter(|e| now[*e] != known[*e]);
-            let news: Vec<Value> =
-                news.map(|e| entry(&stage.world, e, now[e], addresses[forwarder][e])).collect();
-            json!({"generation": stage.version.get(), "reset": false, "instances": news})
+            let list_watchers = (0..now.len()).filter(|e| now[*e] != known[*e]);
+            let list_watchers: Vec<Value> =
+                list_watchers.map(|e| entry(&stage.world, e, now[e], addresses[forwarder][e])).collect();
+            json!({"generation": stage.version.get(), "reset": false, "instances": list_watchers})
         };
-        chunk(wire, &format!("{line}\n")).await?;
+        chunk(connection, &format!("{line}\n")).await?;
         let at = stage.now();
         for (endpoint, lifecycle) in now.iter().enumerate() {
             if first || known[endpoint] != *lifecycle {
@@ -110,24 +114,24 @@
         }
         (known, first) = (now, false);
         loop {
-            let news = async {
+            let list_watchers = async {
                 let _ = changed.recv().await;
                 true
             };
             let quiet = async {
-                Timer::after(ALIVE).await;
+                Timer::after(WATCH_HEARTBEAT).await;
                 false
             };
-            if future::or(news, quiet).await {
+            if future::or(list_watchers, quiet).await {
                 break;
             }
-            chunk(wire, "\n").await?;
+            chunk(connection, "\n").await?;
         }
     }
 }
 
 /// Takes notices; false if a line cannot be read.
-fn notices(stage: &Rc<Stage>, forwarder: usize, body: &[u8]) -> bool {
+fn notices(stage: &Rc<LiveRun>, forwarder: usize, body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body);
     let lines: Option<Vec<(String, End, Option<Micros>)>> =
         text.lines().filter(|l| !l.trim().is_empty()).map(notice).collect();
--- a/crates/rehearsal/src/live/clients.rs
+++ b/crates/rehearsal/src/live/clients.rs
@@ -1,9 +1,9 @@
 //! User agents: each message is handed in when the day says, whatever became of those before it (an open loop), and
 //! what its client hears decides whether it comes again.
 
-use super::{Handed, Stage};
+use super::{LiveRun, SentRequest};
 use crate::audit::End;
-use crate::play::{ELSEWHERE, PATIENCE};
+use crate::simulation::{CLIENT_PATIENCE, RECONNECT_DELAY};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, HttpError, ResponseHead};
 use cedarbridge::Micros;
@@ -14,199 +14,204 @@
 use std::time::Duration;
 
 /// A client waits so long for its answer.
-const HEARS: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Connections that stand idle and are kept, for each forwarder.
-const KEPT: usize = 200;
+const IDLE_CONNECTIONS: usize = 200;
 
 /// Hands in the day's messages, each at its time.
-pub async fn run(stage: &Rc<Stage>) {
-    for first in 0..stage.world.hands.len() {
-        let at = stage.world.hands[first].at;
+pub async fn run(stage: &Rc<LiveRun>) {
+    for first in 0..stage.world.requests.len() {
+        let at = stage.world.requests[first].at;
         if at > stage.now() {
             stage.until(at).await;
         }
         stage.sent.set(first + 1);
-        stage.spawn(hand_in(stage.clone(), first, None, at));
+        stage.spawn(deliver_request(stage.clone(), first, None, at));
     }
     stage.until(stage.world.end).await;
 }
 
 /// How a client comes again.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Again {
+enum RetryReason {
     /// After a refusal.
     Refused,
     /// Its forwarder died or did not answer.
-    Lost,
+    NoResponse,
 }
 
 /// What a client heard.
-enum Heard {
-    Answer(u16, Option<Micros>),
+enum ClientOutcome {
+    Response(u16, Option<Micros>),
     /// The connection ended with no answer.
-    Broken,
+    ConnectionLost,
     /// Nothing in its time.
-    Nothing,
+    NoAnswer,
 }
 
-async fn hand_in(stage: Rc<Stage>, first: usize, again: Option<Again>, planned: Micros) {
-    let hand = stage.world.hands[first];
-    let couriers = stage.world.fleet.len();
-    let mut to = match again {
-        Some(_) => stage.rng.borrow_mut().random_range(0..couriers),
-        None => hand.forwarder,
+async fn deliver_request(
+    stage: Rc<LiveRun>,
+    first: usize,
+    retry_reason: Option<RetryReason>,
+    planned: Micros,
+) {
+    let request = stage.world.requests[first];
+    let forwarder_count = stage.world.fleet.len();
+    let mut to = match retry_reason {
+        Some(_) => stage.rng.borrow_mut().random_range(0..forwarder_count),
+        None => request.forwarder,
     };
-    if again.is_none() {
+    if retry_reason.is_none() {
         stage.count_send(planned);
     }
-    let deadline = hand.at + stage.world.settings.classes[0].deadline;
+    let deadline = request.at + stage.world.settings.classes[0].deadline;
     let since = stage.now();
     loop {
         let now = stage.now();
-        if now >= deadline || now > since + PATIENCE {
+        if now >= deadline || now > since + CLIENT_PATIENCE {
             // Whoever finds no forwarder in its patience is as good as refused.
             return stage.figures.borrow_mut().given_up(true);
         }
-        match ask(&stage, to, first, deadline - now, again).await {
+        match send_request(&stage, to, first, deadline - now, retry_reason).await {
             None => {
-                stage.at_the_door(to);
-                to = (to + 1) % couriers;
-                Timer::after(Duration::from_micros(ELSEWHERE)).await;
+                stage.count_rejected_in_upgrade(to);
+                to = (to + 1) % forwarder_count;
+                Timer::after(Duration::from_micros(RECONNECT_DELAY)).await;
             }
-            Some((message, heard)) => {
-                if matches!(heard, Heard::Broken | Heard::Nothing) {
-                    stage.at_the_door(to);
+            Some((message, outcome)) => {
+                if matches!(outcome, ClientOutcome::ConnectionLost | ClientOutcome::NoAnswer) {
+                    stage.count_rejected_in_upgrade(to);
                 }
-                return hear(&stage, message, heard);
+                return handle_outcome(&stage, message, outcome);
             }
         }
     }
 }
 
 /// Writes down a hand-in just before its first byte is written, and gives it its number.
-fn note(stage: &Stage, forwarder: usize, first: usize, left: Micros, retried: bool) -> usize {
-    let hand = stage.world.hands[first];
-    let message = stage.handed.borrow().len();
-    stage.handed.borrow_mut().push(Handed { first, retried });
-    stage.ids.borrow_mut().insert(word(message), message);
-    stage.audit.borrow_mut().taken(stage.now(), forwarder, hand.at, left);
+fn record_request(stage: &LiveRun, forwarder: usize, first: usize, left: Micros, retried: bool) -> usize {
+    let request = stage.world.requests[first];
+    let message = stage.sent_requests.borrow().len();
+    stage.sent_requests.borrow_mut().push(SentRequest { first, retried });
+    stage.ids.borrow_mut().insert(message_id(message), message);
+    stage.audit.borrow_mut().taken(stage.now(), forwarder, request.at, left);
     stage.open.set(stage.open.get() + 1);
     message
 }
 
 /// The id of a message.
-fn word(message: usize) -> String {
+fn message_id(message: usize) -> String {
     format!("m{message}")
 }
 
 /// Hands a message in; nothing if nobody is there.
-async fn ask(
-    stage: &Rc<Stage>,
+async fn send_request(
+    stage: &Rc<LiveRun>,
     forwarder: usize,
     first: usize,
     left: Micros,
-    again: Option<Again>,
-) -> Option<(usize, Heard)> {
-    let hand = stage.world.hands[first];
-    let kept = stage.pools.borrow_mut()[forwarder].pop();
-    let mut fresh = kept.is_none();
-    let mut wire = match kept {
-        Some(wire) => wire,
+    retry_reason: Option<RetryReason>,
+) -> Option<(usize, ClientOutcome)> {
+    let request = stage.world.requests[first];
+    let pooled = stage.pools.borrow_mut()[forwarder].pop();
+    let mut fresh = pooled.is_none();
+    let mut connection = match pooled {
+        Some(connection) => connection,
         None => connect(stage, forwarder).await?,
     };
-    let message = note(stage, forwarder, first, left, again.is_some());
-    let retry = match again {
+    let message = record_request(stage, forwarder, first, left, retry_reason.is_some());
+    let retry = match retry_reason {
         None => "",
-        Some(Again::Refused) => "X-Retry: 1\r\n",
-        Some(Again::Lost) => "X-Retry: again\r\n",
+        Some(RetryReason::Refused) => "X-Retry: 1\r\n",
+        Some(RetryReason::NoResponse) => "X-Retry: again\r\n",
     };
     let body = format!("notice {first}");
     let request = format!(
         "POST /api HTTP/1.1\r\nHost: kit\r\nX-Request-Id: {}\r\nX-Class: {}\r\nX-Tenant: {}\r\n\
          X-Deadline: {left}u\r\nIdempotency-Key: k{first}\r\nX-Addressing: dest={}\r\n{retry}\
          Content-Length: {}\r\n\r\n{body}",
-        word(message),
+        message_id(message),
         stage.world.names.classes[0],
-        stage.world.names.tenants[hand.tenant],
-        hand.partner,
+        stage.world.names.tenants[request.tenant],
+        request.destination,
         body.len()
     );
-    let late = async {
-        Timer::after(HEARS).await;
-        (Heard::Nothing, None)
+    let timed_out = async {
+        Timer::after(RESPONSE_TIMEOUT).await;
+        (ClientOutcome::NoAnswer, None)
     };
-    let said = async {
+    let exchanged = async {
         loop {
-            match exchange(&mut wire, request.as_bytes()).await {
+            match exchange(&mut connection, request.as_bytes()).await {
                 Ok(head) => {
                     let after = head.headers.get("Retry-After").and_then(|r| r.parse::<f64>().ok());
-                    let heard = Heard::Answer(head.status, after.map(|s| (s * 1e6) as Micros));
-                    return (heard, Some(wire).filter(|_| head.keep_alive));
+                    let outcome = ClientOutcome::Response(head.status, after.map(|s| (s * 1e6) as Micros));
+                    return (outcome, Some(connection).filter(|_| head.keep_alive));
                 }
                 // It was closed between requests: once more on a new one.
                 Err(HttpError::Closed | HttpError::Socket(_)) if !fresh => {
                     fresh = true;
                     match connect(stage, forwarder).await {
-                        Some(new) => wire = new,
-                        None => return (Heard::Broken, None),
+                        Some(new) => connection = new,
+                        None => return (ClientOutcome::ConnectionLost, None),
                     }
                 }
-                Err(_) => return (Heard::Broken, None),
+                Err(_) => return (ClientOutcome::ConnectionLost, None),
             }
         }
     };
-    let (heard, wire) = future::or(said, late).await;
+    let (outcome, connection) = future::or(exchanged, timed_out).await;
     let mut pools = stage.pools.borrow_mut();
-    let room = pools[forwarder].len() < KEPT;
-    pools[forwarder].extend(wire.filter(|_| room));
-    Some((message, heard))
+    let has_space = pools[forwarder].len() < IDLE_CONNECTIONS;
+    pools[forwarder].extend(connection.filter(|_| has_space));
+    Some((message, outcome))
 }
 
-async fn connect(stage: &Stage, forwarder: usize) -> Option<HttpConnection> {
+async fn connect(stage: &LiveRun, forwarder: usize) -> Option<HttpConnection> {
     let address = stage.daemons.borrow()[forwarder].address();
     Async::<TcpStream>::connect(address).await.ok().map(HttpConnection::new)
 }
 
-async fn exchange(wire: &mut HttpConnection, request: &[u8]) -> Result<ResponseHead, HttpError> {
-    wire.write(request).await.map_err(HttpError::Socket)?;
-    let head = wire.read_response().await?;
-    wire.response_body(&head, 64 * 1024).await?;
+async fn exchange(connection: &mut HttpConnection, request: &[u8]) -> Result<ResponseHead, HttpError> {
+    connection.write(request).await.map_err(HttpError::Socket)?;
+    let head = connection.read_response().await?;
+    connection.response_body(&head, 64 * 1024).await?;
     Ok(head)
 }
 
-fn hear(stage: &Rc<Stage>, message: usize, heard: Heard) {
-    match heard {
-        Heard::Answer(200 | 202, _) => {}
-        Heard::Answer(429 | 503, after) => {
+fn handle_outcome(stage: &Rc<LiveRun>, message: usize, outcome: ClientOutcome) {
+    match outcome {
+        ClientOutcome::Response(200 | 202, _) => {}
+        ClientOutcome::Response(429 | 503, after) => {
             stage.ended(message, End::Refused, false);
             refused(stage, message, after);
         }
-        Heard::Answer(_, _) => stage.ended(message, End::Failed, false),
-        Heard::Broken | Heard::Nothing => {
+        ClientOutcome::Response(_, _) => stage.ended(message, End::Failed, false),
+        ClientOutcome::ConnectionLost | ClientOutcome::NoAnswer => {
             // What the forwarder makes of it counts for nothing now; its client comes again at once.
             stage.ended(message, End::Withdrawn, false);
-            let h = stage.handed.borrow()[message];
-            come_again(stage, h.first, ELSEWHERE, Again::Lost);
+            let sent = stage.sent_requests.borrow()[message];
+            retry_later(stage, sent.first, RECONNECT_DELAY, RetryReason::NoResponse);
         }
     }
 }
 
 /// A message was given back: its client may come again, once, no sooner than it was told.
-pub fn refused(stage: &Rc<Stage>, message: usize, after: Option<Micros>) {
-    let h = stage.handed.borrow()[message];
-    let again = stage.world.hands[h.first].again;
-    if let Some(wait) = again.filter(|_| !h.retried) {
-        come_again(stage, h.first, wait.max(after.unwrap_or(0)), Again::Refused);
+pub fn refused(stage: &Rc<LiveRun>, message: usize, after: Option<Micros>) {
+    let sent = stage.sent_requests.borrow()[message];
+    let retry_reason = stage.world.requests[sent.first].retry_after;
+    if let Some(wait) = retry_reason.filter(|_| !sent.retried) {
+        retry_later(stage, sent.first, wait.max(after.unwrap_or(0)), RetryReason::Refused);
     }
 }
 
-fn come_again(stage: &Rc<Stage>, first: usize, wait: Micros, how: Again) {
-    stage.looking.set(stage.looking.get() + 1);
+fn retry_later(stage: &Rc<LiveRun>, first: usize, wait: Micros, how: RetryReason) {
+    stage.clients_waiting.set(stage.clients_waiting.get() + 1);
     let stage = stage.clone();
     stage.clone().spawn(async move {
         Timer::after(Duration::from_micros(wait)).await;
         let planned = stage.now();
-        hand_in(stage.clone(), first, Some(how), planned).await;
-        stage.looking.set(stage.looking.get() - 1);
+        deliver_request(stage.clone(), first, Some(how), planned).await;
+        stage.clients_waiting.set(stage.clients_waiting.get() - 1);
     });
 }
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -1,10 +1,10 @@
 //! Forwarders as processes: their files, their starts and ends. None outlives the kit: each is started by the kit's
 //! keeper, which asks the system to end it with its parent.
 
-use super::{Failure, Stage, MUST_LEAVE};
+use super::{LiveError, LiveRun, SHUTDOWN_LIMIT};
 use crate::figures::Upgrade;
+use crate::forwarder_config::{config, ForwarderAddresses};
 use crate::scenario;
-use crate::words::{config, Places};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::Micros;
@@ -18,12 +18,12 @@
 /// Answers are overdue again so long after a restarted forwarder is ready.
 const AGAIN_DUE: Micros = 1_500_000;
 /// How often a process or an address is looked at.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A new process must take clients so long after its start.
 const MUST_TAKE: Duration = Duration::from_secs(6);
 /// What an old process still does at the door is counted up to so long after its end.
-const DOOR: Duration = Duration::from_millis(300);
+const UPGRADE_SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// A process: ended when this is dropped.
 struct Process(Child);
@@ -39,25 +39,25 @@
 pub struct Daemon {
     folder: PathBuf,
     ip: [u8; 4],
-    places: Places,
+    addresses: ForwarderAddresses,
     child: Option<Process>,
-    older: Option<Process>,
+    predecessor: Option<Process>,
 }
 
 /// Which of a forwarder's processes.
 #[derive(Clone, Copy)]
-enum Which {
-    Own,
-    Older,
+enum ProcessRole {
+    Current,
+    Predecessor,
 }
 
-fn system(what: &str) -> impl Fn(std::io::Error) -> Failure + '_ {
-    move |e| Failure::System(what.into(), e)
+fn system(what: &str) -> impl Fn(std::io::Error) -> LiveError + '_ {
+    move |e| LiveError::System(what.into(), e)
 }
 
 impl Daemon {
     /// Writes its files. It gets an address of its own, so that nobody else takes the port while it is away.
-    pub fn prepare(stage: &Stage, forwarder: usize, agent: SocketAddr) -> Result<Daemon, Failure> {
+    pub fn prepare(stage: &LiveRun, forwarder: usize, agent: SocketAddr) -> Result<Daemon, LiveError> {
         let folder = stage.options.folder.join(format!("forwarder-{}", forwarder + 1));
         let state = folder.join("state");
         std::fs::create_dir_all(&state).map_err(system("cannot make a forwarder's folder"))?;
@@ -66,54 +66,59 @@
         // Operators call only where a day has them replace something.
         let replaced = stage.world.stops.iter().any(|s| s.signal == scenario::Signal::Upgrade);
         let operator = replaced.then(|| pick(ip)).transpose()?;
-        let daemon =
-            Daemon { folder, ip, places: Places { listen, operator, agent }, child: None, older: None };
+        let daemon = Daemon {
+            folder,
+            ip,
+            addresses: ForwarderAddresses { listen, operator, agent },
+            child: None,
+            predecessor: None,
+        };
         daemon.configure(stage, forwarder)?;
         Ok(daemon)
     }
 
-    fn configure(&self, stage: &Stage, forwarder: usize) -> Result<(), Failure> {
-        let text = config(&stage.world, forwarder, self.places, &self.folder.join("state")).to_string();
+    fn configure(&self, stage: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
+        let text = config(&stage.world, forwarder, self.addresses, &self.folder.join("state")).to_string();
         std::fs::write(self.folder.join("config.json"), text).map_err(system("cannot write a configuration"))
     }
 
     /// Where it listens.
     pub fn listen(&self) -> Option<SocketAddr> {
-        self.child.as_ref().map(|_| self.places.listen)
+        self.child.as_ref().map(|_| self.addresses.listen)
     }
 
     /// Where it listens when it is there.
     pub fn address(&self) -> SocketAddr {
-        self.places.listen
+        self.addresses.listen
     }
 
-    fn process(&mut self, which: Which) -> &mut Option<Process> {
-        match which {
-            Which::Own => &mut self.child,
-            Which::Older => &mut self.older,
+    fn process(&mut self, role: ProcessRole) -> &mut Option<Process> {
+        match role {
+            ProcessRole::Current => &mut self.child,
+            ProcessRole::Predecessor => &mut self.predecessor,
         }
     }
 
-    fn pid(&mut self, which: Which) -> Option<Pid> {
-        self.process(which).as_ref().and_then(|c| Pid::from_raw(c.0.id() as i32))
+    fn pid(&mut self, role: ProcessRole) -> Option<Pid> {
+        self.process(role).as_ref().and_then(|c| Pid::from_raw(c.0.id() as i32))
     }
 
     /// How it ended, once it has.
-    fn gone(&mut self, which: Which) -> Option<ExitStatus> {
-        let process = self.process(which);
+    fn exit_status(&mut self, role: ProcessRole) -> Option<ExitStatus> {
+        let process = self.process(role);
         let status = process.as_mut()?.0.try_wait().ok()??;
         *process = None;
         Some(status)
     }
 }
 
-fn pick(ip: [u8; 4]) -> Result<SocketAddr, Failure> {
+fn pick(ip: [u8; 4]) -> Result<SocketAddr, LiveError> {
     let picked = TcpListener::bind(SocketAddr::from((ip, 0)));
     picked.and_then(|l| l.local_addr()).map_err(system("no address for a forwarder"))
 }
 
 /// Starts a forwarder.
-pub fn start(stage: &Stage, forwarder: usize) -> Result<(), Failure> {
+pub fn start(stage: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
     let d = &mut stage.daemons.borrow_mut()[forwarder];
     let log = std::fs::OpenOptions::new().create(true).append(true).open(d.folder.join("log"));
     let log = log.map_err(system("cannot open a log"))?;
@@ -159,13 +164,13 @@
 }
 
 /// Waits until a forwarder has answered that it is ready.
-pub async fn until_ready(stage: &Stage, forwarder: usize, within: Duration) -> Result<(), String> {
-    let address = stage.daemons.borrow()[forwarder].places.listen;
+pub async fn until_ready(stage: &LiveRun, forwarder: usize, within: Duration) -> Result<(), String> {
+    let address = stage.daemons.borrow()[forwarder].addresses.listen;
     until_healthy(stage, forwarder, (address, "/_health"), within).await
 }
 
 async fn until_healthy(
-    stage: &Stage,
+    stage: &LiveRun,
     forwarder: usize,
     asked: (SocketAddr, &str),
     within: Duration,
@@ -175,8 +180,8 @@
         if healthy(asked.0, asked.1).await {
             return Ok(());
         }
-        let gone = stage.daemons.borrow_mut()[forwarder].gone(Which::Own);
-        if let Some(status) = gone {
+        let exit_status = stage.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current);
+        if let Some(status) = exit_status {
             let log = stage.daemons.borrow()[forwarder].folder.join("log");
             return Err(format!(
                 "forwarder {} ended as it started ({status}); see {}",
@@ -184,57 +189,57 @@
                 log.display()
             ));
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     Err(format!("forwarder {} was not ready in {} s", forwarder + 1, within.as_secs()))
 }
 
 /// Sends a signal to a forwarder.
-pub fn signal(stage: &Stage, forwarder: usize, signal: Signal) {
-    signal_to(stage, forwarder, Which::Own, signal);
+pub fn signal(stage: &LiveRun, forwarder: usize, signal: Signal) {
+    signal_to(stage, forwarder, ProcessRole::Current, signal);
 }
 
-fn signal_to(stage: &Stage, forwarder: usize, which: Which, signal: Signal) {
-    if let Some(pid) = stage.daemons.borrow_mut()[forwarder].pid(which) {
+fn signal_to(stage: &LiveRun, forwarder: usize, role: ProcessRole, signal: Signal) {
+    if let Some(pid) = stage.daemons.borrow_mut()[forwarder].pid(role) {
         // It may just have ended, which is seen elsewhere.
         let _ = kill_process(pid, signal);
     }
 }
 
 /// Waits for a forwarder's end; after its time it is killed, which is a mishap.
-async fn until_gone(stage: &Stage, forwarder: usize, which: Which) {
-    let until = Instant::now() + MUST_LEAVE;
+async fn until_gone(stage: &LiveRun, forwarder: usize, role: ProcessRole) {
+    let until = Instant::now() + SHUTDOWN_LIMIT;
     loop {
-        let gone = stage.daemons.borrow_mut()[forwarder].gone(which);
-        match gone {
+        let exit_status = stage.daemons.borrow_mut()[forwarder].exit_status(role);
+        match exit_status {
             Some(status) if !status.success() => {
                 return stage.mishap(format!("forwarder {} ended with {status}", forwarder + 1));
             }
             Some(_) => return,
             None if Instant::now() > until => {
                 stage.mishap(format!("forwarder {} was there 3.7 s after SIGTERM", forwarder + 1));
-                signal_to(stage, forwarder, which, Signal::KILL);
-                while stage.daemons.borrow_mut()[forwarder].gone(which).is_none() {
-                    Timer::after(LOOK).await;
+                signal_to(stage, forwarder, role, Signal::KILL);
+                while stage.daemons.borrow_mut()[forwarder].exit_status(role).is_none() {
+                    Timer::after(POLL_INTERVAL).await;
                 }
                 return;
             }
-            None => Timer::after(LOOK).await,
+            None => Timer::after(POLL_INTERVAL).await,
         };
     }
 }
 
 /// Ends a forwarder, in order or at once, and starts it again a while later.
-pub async fn restart(stage: &Rc<Stage>, forwarder: usize, in_order: bool, back: Micros) {
+pub async fn restart(stage: &Rc<LiveRun>, forwarder: usize, in_order: bool, back: Micros) {
     // What falls due while it is away is excused until it is back, whenever that is.
     stage.audit.borrow_mut().excuse(forwarder, stage.now(), Micros::MAX);
     if in_order {
         signal(stage, forwarder, Signal::TERM);
-        until_gone(stage, forwarder, Which::Own).await;
+        until_gone(stage, forwarder, ProcessRole::Current).await;
     } else {
         signal(stage, forwarder, Signal::KILL);
-        while stage.daemons.borrow_mut()[forwarder].gone(Which::Own).is_none() {
-            Timer::after(LOOK).await;
+        while stage.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current).is_none() {
+            Timer::after(POLL_INTERVAL).await;
         }
     }
     stage.pools.borrow_mut()[forwarder].clear();
@@ -250,7 +255,7 @@
 }
 
 /// Stops a forwarder's process where it stands and lets it go on after a while. What it owes falls due a while after.
-pub async fn stall(stage: &Rc<Stage>, forwarder: usize, lasts: Micros) {
+pub async fn stall(stage: &Rc<LiveRun>, forwarder: usize, lasts: Micros) {
     stage.audit.borrow_mut().excuse(forwarder, stage.now(), Micros::MAX);
     signal(stage, forwarder, Signal::STOP);
     Timer::after(Duration::from_micros(lasts)).await;
@@ -260,14 +265,14 @@
 
 /// Replaces a forwarder's process while it serves, as the platform does: a second one on the same folder, with an
 /// operators' address of its own, and SIGTERM to the first once the second takes clients.
-pub async fn upgrade(stage: &Rc<Stage>, forwarder: usize) {
+pub async fn upgrade(stage: &Rc<LiveRun>, forwarder: usize) {
     let begun = stage.now();
-    stage.door.borrow_mut()[forwarder] = Some(0);
+    stage.rejected_in_upgrade.borrow_mut()[forwarder] = Some(0);
     let placed = {
         let d = &mut stage.daemons.borrow_mut()[forwarder];
-        d.older = d.child.take();
+        d.predecessor = d.child.take();
         pick(d.ip).and_then(|operator| {
-            d.places.operator = Some(operator);
+            d.addresses.operator = Some(operator);
             d.configure(stage, forwarder).map(|()| operator)
         })
     };
@@ -280,17 +285,18 @@
     if let Err(why) = taken {
         stage.mishap(why);
     }
-    signal_to(stage, forwarder, Which::Older, Signal::TERM);
-    until_gone(stage, forwarder, Which::Older).await;
+    signal_to(stage, forwarder, ProcessRole::Predecessor, Signal::TERM);
+    until_gone(stage, forwarder, ProcessRole::Predecessor).await;
     let left = stage.now() - begun - ready;
-    Timer::after(DOOR).await;
-    let at_the_door = stage.door.borrow_mut()[forwarder].take().unwrap_or_default();
-    stage.audit.borrow_mut().replaced(stage.now(), forwarder, at_the_door);
-    stage.figures.borrow_mut().upgrades.push(Upgrade { ready, left, at_the_door });
+    Timer::after(UPGRADE_SETTLE_TIME).await;
+    let rejected_during_upgrade =
+        stage.rejected_in_upgrade.borrow_mut()[forwarder].take().unwrap_or_default();
+    stage.audit.borrow_mut().replaced(stage.now(), forwarder, rejected_during_upgrade);
+    stage.figures.borrow_mut().upgrades.push(Upgrade { ready, left, rejected_during_upgrade });
 }
 
 /// Ends a forwarder for good.
-pub async fn end(stage: &Stage, forwarder: usize) {
+pub async fn end(stage: &LiveRun, forwarder: usize) {
     signal(stage, forwarder, Signal::TERM);
-    until_gone(stage, forwarder, Which::Own).await;
+    until_gone(stage, forwarder, ProcessRole::Current).await;
 }
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -1,7 +1,7 @@
 //! Partners' endpoints on sockets: each listens once for each forwarder, so that it is known who calls. What becomes
 //! of a call is what the partner's model says, as in virtual time; connections, breaks and silence are real.
 
-use super::{Failure, Stage};
+use super::{LiveError, LiveRun};
 use crate::audit::End;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -19,13 +19,13 @@
 const BACKLOG: i32 = 1024;
 
 /// Starts all endpoints for all forwarders.
-pub fn start(stage: &Rc<Stage>) -> Result<(), Failure> {
+pub fn start(stage: &Rc<LiveRun>) -> Result<(), LiveError> {
     for forwarder in 0..stage.world.fleet.len() {
         for endpoint in 0..stage.world.list.len() {
             // An address of its own keeps its port from others while it refuses.
             let ip = [127, 100 + (forwarder % 100) as u8, (endpoint >> 8) as u8, 1 + (endpoint & 0xfe) as u8];
             let listener = listen(SocketAddr::from((ip, 0)), BACKLOG)
-                .map_err(|e| Failure::System("no address for an endpoint".into(), e))?;
+                .map_err(|e| LiveError::System("no address for an endpoint".into(), e))?;
             let address = listener.get_ref().local_addr().expect("bound");
             let told = match stage.options.fault {
                 Some(fault) if fault.at_calls() => super::fault::before(stage, endpoint, address, fault)?,
@@ -47,7 +47,7 @@
 }
 
 /// A listener that nobody's connection reaches: its queue is full, so that the system lets new ones wait in vain.
-fn deaf(address: SocketAddr) -> std::io::Result<(Socket, Vec<Socket>)> {
+fn unresponsive_listener(address: SocketAddr) -> std::io::Result<(Socket, Vec<Socket>)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -65,28 +65,28 @@
 
 /// Takes connections as long as the partner does; refuses or is deaf while a trouble says so.
 async fn serve(
-    stage: Rc<Stage>,
+    stage: Rc<LiveRun>,
     forwarder: usize,
     endpoint: usize,
     listener: Async<TcpListener>,
     address: SocketAddr,
 ) {
-    let partner = stage.world.list[endpoint].1;
+    let destination = stage.world.list[endpoint].1;
     let mut listener = Some(listener);
     let mut closed_to_all = None;
     loop {
-        let (trouble, changed) = {
-            let partners = stage.partners.borrow();
-            (partners[partner].model.visible_fault(), partners[partner].changed.1.clone())
+        let (fault, changed) = {
+            let destinations = stage.destinations.borrow();
+            (destinations[destination].model.visible_fault(), destinations[destination].changed.1.clone())
         };
         // An endpoint that has left the list is gone as a process is.
         let gone = stage.list.borrow()[endpoint] == Lifecycle::Removed && stage.now() > crate::world::START;
-        match trouble {
+        match fault {
             Some(Fault::RefuseConnections) => (listener, closed_to_all) = (None, None),
             Some(Fault::Silent) if closed_to_all.is_some() => {}
             Some(Fault::Silent) => {
                 listener = None;
-                closed_to_all = deaf(address).ok();
+                closed_to_all = unresponsive_listener(address).ok();
             }
             _ if listener.is_none() => {
                 closed_to_all = None;
@@ -99,7 +99,7 @@
             }
             _ => {}
         }
-        let taken = async {
+        let calls_ended = async {
             match &listener {
                 Some(l) if !gone => l.accept().await.ok().map(|c| c.0),
                 _ => future::pending().await,
@@ -109,9 +109,11 @@
             let _ = changed.recv().await;
             None
         };
-        match future::or(other, taken).await {
+        match future::or(other, calls_ended).await {
             // An endpoint holds so many from all forwarders together.
-            Some(stream) if stage.held[endpoint].get() >= stage.world.connections[partner] => drop(stream),
+            Some(stream) if stage.held[endpoint].get() >= stage.world.connections[destination] => {
+                drop(stream)
+            }
             Some(stream) => {
                 stage.held[endpoint].set(stage.held[endpoint].get() + 1);
                 let stage = stage.clone();
@@ -128,14 +130,14 @@
 /// A message in a call: its id, and the number of its hand-in.
 type Carried = (String, usize);
 
-async fn converse(stage: &Rc<Stage>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
-    let partner = stage.world.list[endpoint].1;
+async fn converse(stage: &Rc<LiveRun>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
+    let destination = stage.world.list[endpoint].1;
     let opened = stage.now();
-    let mut wire = HttpConnection::new(stream);
+    let mut connection = HttpConnection::new(stream);
     loop {
         // Idle connections break as the partner goes away.
-        let changed = stage.partners.borrow()[partner].changed.1.clone();
-        let came = async { Some(wire.fill().await) };
+        let changed = stage.destinations.borrow()[destination].changed.1.clone();
+        let came = async { Some(connection.fill().await) };
         let other = async {
             let _ = changed.recv().await;
             None
@@ -144,89 +146,89 @@
             Some(Ok(n)) if n > 0 => {}
             Some(_) => return,
             None if matches!(
-                stage.partners.borrow()[partner].model.visible_fault(),
+                stage.destinations.borrow()[destination].model.visible_fault(),
                 Some(Fault::RefuseConnections)
             ) =>
             {
-                return reset(&wire);
+                return reset(&connection);
             }
             None => continue,
         }
         let first = stage.now();
-        let Ok(head) = wire.read_request().await else { return };
-        let Ok(body) = wire.request_body(&head, BODY).await else { return };
+        let Ok(head) = connection.read_request().await else { return };
+        let Ok(body) = connection.request_body(&head, BODY).await else { return };
         let now = stage.now();
-        stage.figures.borrow_mut().call(now, partner);
+        stage.figures.borrow_mut().call(now, destination);
         let batch = head.target == "/v1/messages:batch";
         let carried = match read(stage, &head, &body, batch) {
             Ok(carried) => carried,
             Err(why) => {
                 stage.audit.borrow_mut().stray(now, forwarder, why);
-                let _ = wire.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
+                let _ = connection.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             }
         };
         for (id, message) in &carried {
-            let first_try = stage.handed.borrow()[*message].first;
-            if stage.world.hands[first_try].partner != partner {
+            let first_try = stage.sent_requests.borrow()[*message].first;
+            if stage.world.requests[first_try].destination != destination {
                 stage.audit.borrow_mut().stray(now, forwarder, format!("`{id}` came to another's endpoint"));
             }
             let timing = stage.timing(first_try);
-            stage.audit.borrow_mut().sent(now, first, (partner, endpoint), *message, &timing);
+            stage.audit.borrow_mut().sent(now, first, (destination, endpoint), *message, &timing);
             stage.figures.borrow_mut().attempt();
         }
-        stage.out.set(stage.out.get() + 1);
-        let outcome = work(stage, endpoint, partner, opened, &carried, &mut wire, batch).await;
-        stage.out.set(stage.out.get() - 1);
+        stage.calls_in_flight.set(stage.calls_in_flight.get() + 1);
+        let outcome = work(stage, endpoint, destination, opened, &carried, &mut connection, batch).await;
+        stage.calls_in_flight.set(stage.calls_in_flight.get() - 1);
         if let Some(end) = outcome {
             if end == Outcome::Reset {
-                reset(&wire);
+                reset(&connection);
             }
             return;
         }
-        stage.figures.borrow_mut().slot(stage.now(), partner, stage.now() - now);
+        stage.figures.borrow_mut().slot_released(stage.now(), destination, stage.now() - now);
     }
 }
 
 /// Breaks a connection rather than ending it.
-fn reset(wire: &HttpConnection) {
-    let _ = SockRef::from(wire.socket()).set_linger(Some(Duration::ZERO));
+fn reset(connection: &HttpConnection) {
+    let _ = SockRef::from(connection.socket()).set_linger(Some(Duration::ZERO));
 }
 
 /// Does a call's work and answers; what ends the connection is returned.
 async fn work(
-    stage: &Rc<Stage>,
+    stage: &Rc<LiveRun>,
     endpoint: usize,
-    partner: usize,
+    destination: usize,
     opened: Micros,
     carried: &[Carried],
-    wire: &mut HttpConnection,
+    connection: &mut HttpConnection,
     batch: bool,
 ) -> Option<Outcome> {
     let now = stage.now();
     let sent = now;
-    let (fate, taken) = {
-        let mut partners = stage.partners.borrow_mut();
-        let p = &mut partners[partner];
+    let (fate, calls_ended) = {
+        let mut destinations = stage.destinations.borrow_mut();
+        let p = &mut destinations[destination];
         let stranded = p.half_open.is_some_and(|since| opened < since);
         let fate = if stranded && p.model.visible_fault() == Some(Fault::HalfOpenConnections) {
             CallFate { answer: None, report: None, unconnected: false }
         } else {
             p.model.call(now, stage.world.list[endpoint].2, carried.len())
         };
-        (fate, p.taken)
+        (fate, p.calls_ended)
     };
     let back = |outcome: Outcome| {
         let now = stage.now();
         for (_, message) in carried {
-            stage.audit.borrow_mut().back(now, partner, *message, sent, outcome);
+            stage.audit.borrow_mut().attempt_ended(now, destination, *message, sent, outcome);
             stage.figures.borrow_mut().outcome(outcome);
         }
     };
     // Until the answer is due, the forwarder may give up and a trouble may take what is under way.
     let mut due = fate.answer.map(|a| a.at);
     loop {
-        let changed: Receiver<()> = stage.partners.borrow()[partner].changed.1.clone();
+        let changed: Receiver<()> = stage.destinations.borrow()[destination].changed.1.clone();
         let answer = async {
             match due {
                 Some(at) => stage.until(at).await,
@@ -240,7 +242,7 @@
         };
         let left = async {
             // A forwarder sends nothing more before its answer: it has ended the connection.
-            let _ = wire.fill().await;
+            let _ = connection.fill().await;
             None
         };
         match future::or(left, future::or(other, answer)).await {
@@ -250,12 +252,12 @@
             }
             Some(true) => break,
             Some(false) => {
-                let (now_taken, breaks) = {
-                    let p = &stage.partners.borrow()[partner];
-                    (p.taken, p.breaks)
+                let (now_taken, ended_by_reset) = {
+                    let p = &stage.destinations.borrow()[destination];
+                    (p.calls_ended, p.ended_by_reset)
                 };
-                if now_taken != taken {
-                    if breaks {
+                if now_taken != calls_ended {
+                    if ended_by_reset {
                         back(Outcome::Reset);
                         return Some(Outcome::Reset);
                     }
@@ -288,7 +290,7 @@
     };
     let text = format!("HTTP/1.1 {status}\r\n{extra}{load}Content-Length: {}\r\n\r\n{body}", body.len());
     // It may have given up by now.
-    if wire.write(text.as_bytes()).await.is_err() {
+    if connection.write(text.as_bytes()).await.is_err() {
         back(Outcome::TimedOut);
         return Some(Outcome::TimedOut);
     }
@@ -302,7 +304,7 @@
 }
 
 /// The messages of a call, or why it cannot be one.
-fn read(stage: &Stage, head: &RequestHead, body: &[u8], batch: bool) -> Result<Vec<Carried>, String> {
+fn read(stage: &LiveRun, head: &RequestHead, body: &[u8], batch: bool) -> Result<Vec<Carried>, String> {
     let number = |id: &str| {
         let found = stage.ids.borrow().get(id).copied();
         found.map(|n| (id.to_owned(), n)).ok_or_else(|| format!("`{id}` was handed in by nobody"))
--- a/crates/rehearsal/src/live/fault.rs
+++ b/crates/rehearsal/src/live/fault.rs
@@ -1,7 +1,7 @@
 //! Faults put between a forwarder and its surroundings, to see that the audit catches each: a proxy that a forwarder
 //! does not know of repeats its calls, sends during a wait, or keeps its notices. For tests of the kit alone.
 
-use super::{Failure, Stage};
+use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::Lifecycle;
@@ -40,20 +40,20 @@
     }
 }
 
-fn listen() -> Result<(Async<TcpListener>, SocketAddr), Failure> {
+fn listen() -> Result<(Async<TcpListener>, SocketAddr), LiveError> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0));
-    let listener = listener.map_err(|e| Failure::System("no address for a fault".into(), e))?;
+    let listener = listener.map_err(|e| LiveError::System("no address for a fault".into(), e))?;
     let address = listener.get_ref().local_addr().expect("bound");
     Ok((listener, address))
 }
 
 /// A proxy before an endpoint; its address is what the list tells.
 pub(crate) fn before(
-    stage: &Rc<Stage>,
+    stage: &Rc<LiveRun>,
     endpoint: usize,
     real: SocketAddr,
     fault: ProxyFault,
-) -> Result<SocketAddr, Failure> {
+) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
     let stage = stage.clone();
     stage.clone().spawn(async move {
@@ -89,10 +89,10 @@
 
 /// Sends a call and gives back the answer as it came.
 async fn send(real: SocketAddr, bytes: &[u8]) -> Option<(Vec<u8>, Option<f64>, u16)> {
-    let mut wire = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
-    wire.write(bytes).await.ok()?;
-    let head = wire.read_response().await.ok()?;
-    let body = wire.response_body(&head, 1 << 20).await.ok()?;
+    let mut connection = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
+    connection.write(bytes).await.ok()?;
+    let head = connection.read_response().await.ok()?;
+    let body = connection.response_body(&head, 1 << 20).await.ok()?;
     let mut text = format!("HTTP/1.1 {} Passed On\r\n", head.status);
     for name in ["X-RateLimit-Wait-Ms", "X-Load"] {
         if let Some(value) = head.headers.get(name) {
@@ -106,7 +106,7 @@
 }
 
 async fn pass(
-    stage: &Rc<Stage>,
+    stage: &Rc<LiveRun>,
     mut from: HttpConnection,
     real: SocketAddr,
     fault: ProxyFault,
@@ -153,7 +153,7 @@
     }
 }
 
-async fn after_drain(stage: Rc<Stage>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
+async fn after_drain(stage: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
     while stage.list.borrow()[endpoint] != Lifecycle::Draining {
         Timer::after(Duration::from_millis(10)).await;
     }
@@ -163,13 +163,13 @@
     }
 }
 
-async fn push(stage: Rc<Stage>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
-    let partner = stage.world.list[endpoint].1;
+async fn push(stage: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
+    let destination = stage.world.list[endpoint].1;
     let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
     let mut was_away = false;
     loop {
-        let trouble = stage.partners.borrow()[partner].model.visible_fault();
-        if was_away && !away(trouble) {
+        let fault = stage.destinations.borrow()[destination].model.visible_fault();
+        if was_away && !away(fault) {
             let Some(bytes) = last.take() else { return };
             for _ in 0..400 {
                 let bytes = bytes.clone();
@@ -180,17 +180,17 @@
             }
             return;
         }
-        was_away = away(trouble);
+        was_away = away(fault);
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
 /// A proxy before an agent.
 pub(crate) fn before_agent(
-    stage: &Rc<Stage>,
+    stage: &Rc<LiveRun>,
     real: SocketAddr,
     fault: ProxyFault,
-) -> Result<SocketAddr, Failure> {
+) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
     let stage = stage.clone();
     stage.clone().spawn(async move {
--- a/crates/rehearsal/src/live/load.rs
+++ b/crates/rehearsal/src/live/load.rs
@@ -1,7 +1,7 @@
 //! A load that holds its schedule, whatever the answers take: each message has its time, one that finds no free
 //! connection is sent late and counted as late, and every time is taken from the plan, not from the send.
 
-use crate::capture::Captured;
+use crate::capture::CapturedDay;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -35,14 +35,14 @@
     /// The class.
     pub class: String,
     /// A day whose messages are sent at its own times in place of the rate.
-    pub day: Option<Captured>,
+    pub day: Option<CapturedDay>,
     /// Begins each id, so that two loads do not share one.
     pub name: String,
 }
 
 /// What came of it.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadResult {
     /// Messages sent.
     pub sent: u64,
     /// Sent later than planned by more than [`LATE`].
@@ -61,16 +61,16 @@
     pub took: Duration,
 }
 
-struct Work {
+struct LoadRun {
     load: Load,
     begun: Instant,
-    told: RefCell<Loaded>,
+    result: RefCell<LoadResult>,
 }
 
 /// Sends it, on this thread.
-pub fn run(load: Load) -> std::io::Result<Loaded> {
+pub fn run(load: Load) -> std::io::Result<LoadResult> {
     let times = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
-    let told = Loaded {
+    let result = LoadResult {
         sent: 0,
         late: 0,
         taken: 0,
@@ -81,46 +81,48 @@
         took: Duration::ZERO,
     };
     let executor = Rc::new(LocalExecutor::new());
-    let work = async {
-        let (due, dues) = async_channel::unbounded::<(u64, Duration)>();
-        let mut wires = Vec::new();
+    let run_state = async {
+        let (due, due_messages) = async_channel::unbounded::<(u64, Duration)>();
+        let mut connections = Vec::new();
         for _ in 0..load.connections {
-            wires.push(HttpConnection::new(Async::<TcpStream>::connect(load.to).await?));
+            connections.push(HttpConnection::new(Async::<TcpStream>::connect(load.to).await?));
         }
         let total = match &load.day {
-            Some(day) => day.lines.len() as u64,
+            Some(day) => day.messages.len() as u64,
             None => (load.rate * load.length.as_secs_f64()) as u64,
         };
-        let work = Rc::new(Work { begun: Instant::now(), load, told: RefCell::new(told) });
-        let senders: Vec<_> =
-            wires.into_iter().map(|w| executor.spawn(send(work.clone(), w, dues.clone()))).collect();
-        drop(dues);
-        plan(&work, total, &due).await;
+        let run_state = Rc::new(LoadRun { begun: Instant::now(), load, result: RefCell::new(result) });
+        let senders: Vec<_> = connections
+            .into_iter()
+            .map(|w| executor.spawn(send(run_state.clone(), w, due_messages.clone())))
+            .collect();
+        drop(due_messages);
+        plan(&run_state, total, &due).await;
         drop(due);
         for s in senders {
             s.await;
         }
-        let took = work.begun.elapsed();
-        let work = Rc::try_unwrap(work).unwrap_or_else(|_| unreachable!("all senders have ended"));
-        Ok(Loaded { took, ..work.told.into_inner() })
+        let took = run_state.begun.elapsed();
+        let run_state = Rc::try_unwrap(run_state).unwrap_or_else(|_| unreachable!("all senders have ended"));
+        Ok(LoadResult { took, ..run_state.result.into_inner() })
     };
-    async_io::block_on(executor.run(work))
+    async_io::block_on(executor.run(run_state))
 }
 
 /// When a message is due.
 fn due(load: &Load, n: u64) -> Duration {
     match &load.day {
-        Some(day) => Duration::from_secs_f64(day.lines[n as usize].ms / 1e3),
+        Some(day) => Duration::from_secs_f64(day.messages[n as usize].ms / 1e3),
         None => Duration::from_secs_f64(n as f64 / load.rate),
     }
 }
 
-async fn plan(work: &Work, total: u64, to: &Sender<(u64, Duration)>) {
+async fn plan(run_state: &LoadRun, total: u64, to: &Sender<(u64, Duration)>) {
     let mut next = 0;
     while next < total {
-        let now = work.begun.elapsed();
-        while next < total && due(&work.load, next) <= now {
-            let _ = to.try_send((next, due(&work.load, next)));
+        let now = run_state.begun.elapsed();
+        while next < total && due(&run_state.load, next) <= now {
+            let _ = to.try_send((next, due(&run_state.load, next)));
             next += 1;
         }
         Timer::after(TICK).await;
@@ -128,7 +130,7 @@
 }
 
 fn request(load: &Load, n: u64) -> String {
-    let line = load.day.as_ref().map(|d| &d.lines[n as usize]);
+    let line = load.day.as_ref().map(|d| &d.messages[n as usize]);
     let channel = line.map_or(load.channel.as_str(), |l| l.channel.as_str());
     let to = line.map_or(n % load.destinations, |l| l.destination);
     let id = format!("{}{n}", load.name);
@@ -139,41 +141,45 @@
     )
 }
 
-async fn send(work: Rc<Work>, mut wire: HttpConnection, dues: Receiver<(u64, Duration)>) {
+async fn send(
+    run_state: Rc<LoadRun>,
+    mut connection: HttpConnection,
+    due_messages: Receiver<(u64, Duration)>,
+) {
     let micros = |d: Duration| (d.as_micros() as u64).max(1);
-    while let Ok((n, planned)) = dues.recv().await {
-        let request = request(&work.load, n);
-        let late = work.begun.elapsed().saturating_sub(planned);
+    while let Ok((n, planned)) = due_messages.recv().await {
+        let request = request(&run_state.load, n);
+        let late = run_state.begun.elapsed().saturating_sub(planned);
         {
-            let mut told = work.told.borrow_mut();
-            told.sent += 1;
-            told.late += u64::from(late > LATE);
-            told.lateness.saturating_record(micros(late));
+            let mut result = run_state.result.borrow_mut();
+            result.sent += 1;
+            result.late += u64::from(late > LATE);
+            result.lateness.saturating_record(micros(late));
         }
-        let status = exchange(&mut wire, request.as_bytes()).await;
-        let answered = work.begun.elapsed().saturating_sub(planned);
+        let status = exchange(&mut connection, request.as_bytes()).await;
+        let answered = run_state.begun.elapsed().saturating_sub(planned);
         {
-            let mut told = work.told.borrow_mut();
-            told.answers.saturating_record(micros(answered));
+            let mut result = run_state.result.borrow_mut();
+            result.answers.saturating_record(micros(answered));
             match status {
-                Some((200 | 202, _)) => told.taken += 1,
-                Some((429 | 503, _)) => told.refused += 1,
-                _ => told.failed += 1,
+                Some((200 | 202, _)) => result.taken += 1,
+                Some((429 | 503, _)) => result.refused += 1,
+                _ => result.failed += 1,
             }
         }
         if !status.is_some_and(|s| s.1) {
-            if let Ok(stream) = Async::<TcpStream>::connect(work.load.to).await {
-                wire = HttpConnection::new(stream);
+            if let Ok(stream) = Async::<TcpStream>::connect(run_state.load.to).await {
+                connection = HttpConnection::new(stream);
             }
         }
     }
 }
 
 /// The status, and whether the connection stays.
-async fn exchange(wire: &mut HttpConnection, request: &[u8]) -> Option<(u16, bool)> {
-    wire.write(request).await.ok()?;
-    let head = wire.read_response().await.ok()?;
-    wire.response_body(&head, 64 * 1024).await.ok()?;
+async fn exchange(connection: &mut HttpConnection, request: &[u8]) -> Option<(u16, bool)> {
+    connection.write(request).await.ok()?;
+    let head = connection.read_response().await.ok()?;
+    connection.response_body(&head, 64 * 1024).await.ok()?;
     Some((head.status, head.keep_alive))
 }
 
@@ -185,7 +191,7 @@
         let executor = Rc::new(LocalExecutor::new());
         let serve = async {
             while let Ok((stream, _)) = listener.accept().await {
-                executor.spawn(swallow(HttpConnection::new(stream))).detach();
+                executor.spawn(accept_all(HttpConnection::new(stream))).detach();
             }
         };
         async_io::block_on(executor.run(serve));
@@ -193,12 +199,12 @@
     Ok(address)
 }
 
-async fn swallow(mut wire: HttpConnection) {
-    while let Ok(head) = wire.read_request().await {
-        if wire.request_body(&head, 64 * 1024).await.is_err() {
+async fn accept_all(mut connection: HttpConnection) {
+    while let Ok(head) = connection.read_request().await {
+        if connection.request_body(&head, 64 * 1024).await.is_err() {
             return;
         }
-        if wire.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await.is_err() {
+        if connection.write(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await.is_err() {
             return;
         }
     }
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -12,10 +12,10 @@
 pub mod fault;
 pub mod load;
 
-use crate::audit::{Audit, Breach, End, SOCKETS};
+use crate::audit::{Audit, End, RuleViolation, SOCKETS};
 use crate::figures::{Figures, Sample};
 use crate::scenario::Signal;
-use crate::verdict::{Lateness, LATE};
+use crate::verdict::{Lateness, SEND_LATE};
 use crate::world::{World, START};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -43,13 +43,13 @@
 /// How long forwarders may take to get ready.
 const READY: Duration = Duration::from_secs(10);
 /// Between that and the day's begin.
-const LEAD: Duration = Duration::from_millis(300);
+const START_DELAY: Duration = Duration::from_millis(300);
 /// After the day's last message all must have ended within its time and this.
-const TAIL: Micros = 30_000_000;
+const COMPLETION_LIMIT: Micros = 30_000_000;
 /// A forwarder must be out so long after SIGTERM.
-const MUST_LEAVE: Duration = Duration::from_millis(3_700);
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
 /// How often forwarders are asked how they stand.
-const SAMPLES: Duration = Duration::from_millis(500);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 /// How often the kit looks at its own lateness.
 const TICK: Duration = Duration::from_millis(5);
 
@@ -72,11 +72,11 @@
 }
 
 /// What came of a run.
-pub struct Played {
+pub struct LiveResult {
     /// The figures.
     pub figures: Figures,
     /// Rules broken.
-    pub broken: Vec<Breach>,
+    pub violations: Vec<RuleViolation>,
     /// How late the kit itself was.
     pub late: Lateness,
     /// What else went wrong.
@@ -85,7 +85,7 @@
 
 /// Why a run could not be made.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum LiveError {
     /// The machine does not give what the scenario asks.
     #[error("this machine cannot play it: {0}")]
     Machine(String),
@@ -105,7 +105,7 @@
 
 /// What a view of a run under way is told.
 #[derive(Clone, Debug)]
-pub enum Told {
+pub enum ViewUpdate {
     /// How it stands, twice a second.
     Progress(Progress),
 }
@@ -118,46 +118,46 @@
     /// Hand-ins sent, and all that are planned.
     pub sent: (usize, usize),
     /// Worth delivered and asked so far.
-    pub worth: (f64, f64),
+    pub value: (f64, f64),
     /// Rules broken so far.
-    pub broken: usize,
+    pub violations: usize,
     /// What each forwarder tells of itself, `/_counters?by=partner`; nothing from one that is away.
     pub forwarders: Vec<Option<Value>>,
 }
 
 /// What a view may ask for.
 #[derive(Clone, Copy, Debug)]
-pub enum Ask {
+pub enum ViewCommand {
     /// Strike a partner with a trouble, or let all of its struck troubles end.
-    Strike(usize, Option<Fault>),
+    InjectFault(usize, Option<Fault>),
     /// Break the run off.
     Quit,
 }
 
 /// A message as it was handed in: one a hand-in.
 #[derive(Clone, Copy)]
-struct Handed {
+struct SentRequest {
     first: usize,
     retried: bool,
 }
 
 /// A partner at work, with what its connections must know.
-struct Live {
+struct LiveDestination {
     model: DestinationModel,
     /// Connections from before this lead nowhere, while it is half-open.
     half_open: Option<Micros>,
     /// Counts up as a trouble takes what is under way; calls look at it.
-    taken: u32,
+    calls_ended: u32,
     /// How what was under way is taken: broken, or else left silent.
-    breaks: bool,
+    ended_by_reset: bool,
     /// Waiters for a change of trouble.
     changed: (Sender<()>, Receiver<()>),
     /// Troubles struck by hand.
-    struck: Vec<Fault>,
+    injected: Vec<Fault>,
 }
 
 /// Everything of a run, shared by its tasks.
-pub(crate) struct Stage {
+pub(crate) struct LiveRun {
     world: Rc<World>,
     plan: Option<Arc<Plan>>,
     options: Options,
@@ -165,8 +165,8 @@
     begun: Cell<Option<Instant>>,
     audit: RefCell<Audit>,
     figures: RefCell<Figures>,
-    partners: RefCell<Vec<Live>>,
-    handed: RefCell<Vec<Handed>>,
+    destinations: RefCell<Vec<LiveDestination>>,
+    sent_requests: RefCell<Vec<SentRequest>>,
     ids: RefCell<HashMap<String, usize>>,
     /// By forwarder and endpoint of the list, where it listens for that forwarder.
     addresses: RefCell<Vec<Vec<SocketAddr>>>,
@@ -174,29 +174,29 @@
     list: RefCell<Vec<Lifecycle>>,
     version: Cell<u64>,
     /// Wakes those who watch the list.
-    news: RefCell<Vec<Sender<()>>>,
+    list_watchers: RefCell<Vec<Sender<()>>>,
     daemons: RefCell<Vec<Daemon>>,
     rng: RefCell<ChaCha8Rng>,
     /// Clients that will come again or look for a forwarder.
-    looking: Cell<usize>,
+    clients_waiting: Cell<usize>,
     open: Cell<usize>,
     sent: Cell<usize>,
     late: RefCell<(Histogram<u32>, u64, u64)>,
     /// How long forwarders took to tell how they stand, in microseconds.
-    tells: RefCell<Histogram<u32>>,
+    answer_times: RefCell<Histogram<u32>>,
     mishaps: RefCell<Vec<String>>,
     pools: RefCell<Vec<Vec<HttpConnection>>>,
     /// For each forwarder whose process is being replaced, the hand-ins that ended at its door meanwhile.
-    door: RefCell<Vec<Option<usize>>>,
+    rejected_in_upgrade: RefCell<Vec<Option<usize>>>,
     /// Calls out at partners.
-    out: Cell<usize>,
+    calls_in_flight: Cell<usize>,
     /// By endpoint, the connections that it holds.
     held: Vec<Cell<usize>>,
     /// A task has panicked: what follows would tell nothing.
     panicked: (Sender<()>, Receiver<()>),
 }
 
-impl Stage {
+impl LiveRun {
     /// The day's time; its begin, before that.
     fn now(&self) -> Micros {
         self.begun.get().map_or(START, |b| START + b.elapsed().as_micros() as Micros)
@@ -210,14 +210,14 @@
     }
 
     fn timing(&self, first: usize) -> Timing {
-        let partner = self.world.hands[first].partner;
-        let (to, kind) = (DestinationId(partner as u64), KindId(self.world.kinds[partner]));
+        let destination = self.world.requests[first].destination;
+        let (to, kind) = (DestinationId(destination as u64), KindId(self.world.kinds[destination]));
         self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), ClassId(0)))
     }
 
     /// A hand-in was not let in, closed on or left unread.
-    fn at_the_door(&self, forwarder: usize) {
-        self.door.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
+    fn count_rejected_in_upgrade(&self, forwarder: usize) {
+        self.rejected_in_upgrade.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
     }
 
     fn mishap(&self, what: String) {
@@ -237,12 +237,12 @@
 
     /// A message has got an end that was told to its client or the platform.
     fn ended(&self, message: usize, end: End, notice: bool) {
-        let first = self.handed.borrow()[message].first;
+        let first = self.sent_requests.borrow()[message].first;
         let (now, timing) = (self.now(), self.timing(first));
         let mut audit = self.audit.borrow_mut();
         let before = audit.open_at(message);
         if notice {
-            audit.noticed(now, message, &timing, end);
+            audit.notified(now, message, &timing, end);
         } else {
             audit.ended(now, message, &timing, end);
         }
@@ -258,21 +258,21 @@
     }
 
     /// The troubles of a partner have changed: by the day's plan, or by hand.
-    fn trouble(&self, partner: usize, begun: Option<Fault>) {
+    fn apply_faults(&self, destination: usize, begun: Option<Fault>) {
         let now = self.now();
-        let planned = self.world.troubles.iter().filter(|t| t.0 == partner && t.1 <= now && now < t.2);
+        let planned = self.world.faults.iter().filter(|t| t.0 == destination && t.1 <= now && now < t.2);
         let mut all: Vec<Fault> = planned.map(|t| t.3).collect();
-        let mut partners = self.partners.borrow_mut();
-        let p = &mut partners[partner];
-        all.extend(&p.struck);
+        let mut destinations = self.destinations.borrow_mut();
+        let p = &mut destinations[destination];
+        all.extend(&p.injected);
         p.half_open = match all.contains(&Fault::HalfOpenConnections) {
             true => p.half_open.or(Some(now)),
             false => None,
         };
         p.model.set_faults(now, all);
-        if let Some(taken) = begun.and_then(Fault::effect_on_calls_in_flight) {
-            p.taken += 1;
-            p.breaks = taken == cedarbridge_endpoint_model::InFlightEffect::Broken;
+        if let Some(calls_ended) = begun.and_then(Fault::effect_on_calls_in_flight) {
+            p.calls_ended += 1;
+            p.ended_by_reset = calls_ended == cedarbridge_endpoint_model::InFlightEffect::Broken;
         }
         // All who wait are woken by the channel's end.
         let (sender, receiver) = async_channel::bounded(1);
@@ -282,16 +282,16 @@
 }
 
 /// What the scenario needs of the machine, held against what there is.
-fn fits(world: &World) -> Result<(), Failure> {
-    let couriers = world.fleet.len();
-    let listeners = couriers * (world.list.len() + 1);
-    let calls = couriers * world.settings.max_concurrent_calls;
-    let clients = couriers * world.settings.max_open_messages.min(2_000);
+fn check_descriptors(world: &World) -> Result<(), LiveError> {
+    let forwarder_count = world.fleet.len();
+    let listeners = forwarder_count * (world.list.len() + 1);
+    let calls = forwarder_count * world.settings.max_concurrent_calls;
+    let clients = forwarder_count * world.settings.max_open_messages.min(2_000);
     let needed = listeners + 2 * calls + clients + 128;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
-        Some(most) if (needed as u64) > most => Err(Failure::Machine(format!(
-            "it needs about {needed} descriptors ({listeners} listeners for {couriers} forwarders and {} endpoints), \
+        Some(most) if (needed as u64) > most => Err(LiveError::Machine(format!(
+            "it needs about {needed} descriptors ({listeners} listeners for {forwarder_count} forwarders and {} endpoints), \
              {most} are allowed; `simulate` plays it without sockets",
             world.list.len()
         ))),
@@ -305,11 +305,11 @@
     plan: Option<Arc<Plan>>,
     seed: u64,
     options: Options,
-    view: Option<(Sender<Told>, Receiver<Ask>)>,
-) -> (Rc<World>, Result<Played, Failure>) {
+    view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
+) -> (Rc<World>, Result<LiveResult, LiveError>) {
     let world = Rc::new(world);
-    let played = play(world.clone(), plan, seed, options, view);
-    (world, played)
+    let day_done = play(world.clone(), plan, seed, options, view);
+    (world, day_done)
 }
 
 fn play(
@@ -317,49 +317,49 @@
     plan: Option<Arc<Plan>>,
     seed: u64,
     options: Options,
-    view: Option<(Sender<Told>, Receiver<Ask>)>,
-) -> Result<Played, Failure> {
-    fits(&world)?;
+    view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
+) -> Result<LiveResult, LiveError> {
+    check_descriptors(&world)?;
     let executor = Rc::new(LocalExecutor::new());
-    let partners = world.partners.iter().zip(0u64..).map(|(m, n)| Live {
+    let destinations = world.destinations.iter().zip(0u64..).map(|(m, n)| LiveDestination {
         model: DestinationModel::new(m.clone(), seed ^ n << 16),
         half_open: None,
-        taken: 0,
-        breaks: false,
+        calls_ended: 0,
+        ended_by_reset: false,
         changed: async_channel::bounded(1),
-        struck: Vec::new(),
+        injected: Vec::new(),
     });
-    let couriers = world.fleet.len();
+    let forwarder_count = world.fleet.len();
     let list = (0..world.list.len())
         .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
         .collect();
     let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
     let limit = options.limit;
-    let stage = Rc::new(Stage {
+    let stage = Rc::new(LiveRun {
         audit: RefCell::new(Audit::new(
             &world.settings,
-            (couriers, world.partners.len(), world.list.len()),
+            (forwarder_count, world.destinations.len(), world.list.len()),
             SOCKETS,
         )),
         figures: RefCell::new(Figures::new(&world)),
-        partners: RefCell::new(partners.collect()),
-        handed: RefCell::default(),
+        destinations: RefCell::new(destinations.collect()),
+        sent_requests: RefCell::default(),
         ids: RefCell::default(),
-        addresses: RefCell::new(vec![Vec::new(); couriers]),
+        addresses: RefCell::new(vec![Vec::new(); forwarder_count]),
         list: RefCell::new(list),
         version: Cell::new(1),
-        news: RefCell::default(),
+        list_watchers: RefCell::default(),
         daemons: RefCell::default(),
         rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
-        looking: Cell::new(0),
+        clients_waiting: Cell::new(0),
         open: Cell::new(0),
         sent: Cell::new(0),
-        tells: RefCell::new(times.clone()),
+        answer_times: RefCell::new(times.clone()),
         late: RefCell::new((times, 0, 0)),
         mishaps: RefCell::default(),
-        pools: RefCell::new((0..couriers).map(|_| Vec::new()).collect()),
-        door: RefCell::new(vec![None; couriers]),
-        out: Cell::new(0),
+        pools: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
+        rejected_in_upgrade: RefCell::new(vec![None; forwarder_count]),
+        calls_in_flight: Cell::new(0),
         held: vec![Cell::new(0); world.list.len()],
         panicked: async_channel::bounded(1),
         begun: Cell::new(None),
@@ -374,7 +374,7 @@
             match signals {
                 Ok(mut signals) => {
                     signals.next().await;
-                    Err(Failure::BrokenOff)
+                    Err(LiveError::BrokenOff)
                 }
                 Err(_) => future::pending().await,
             }
@@ -386,7 +386,7 @@
         };
         let panicked = async {
             let _ = stage.panicked.1.recv().await;
-            Err(Failure::Panic)
+            Err(LiveError::Panic)
         };
         future::or(panicked, future::or(broken_off, future::or(day(&stage, view), too_long))).await
     };
@@ -395,28 +395,31 @@
     stage.daemons.borrow_mut().clear();
     done?;
     let now = stage.now();
-    let fallen: Vec<_> = stage
-        .partners
+    let overloaded: Vec<_> = stage
+        .destinations
         .borrow()
         .iter()
         .enumerate()
         .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
         .collect();
     let mut audit = stage.audit.replace(Audit::new(&stage.world.settings, (0, 0, 0), SOCKETS));
-    audit.close(now, fallen.into_iter());
+    audit.close(now, overloaded.into_iter());
     let (times, late_sends, sends) = stage.late.borrow().clone();
     let late = Lateness {
         loop_p99: times.value_at_quantile(0.99),
         loop_most: times.max(),
         late_sends,
         sends,
-        tells_p90: stage.tells.borrow().value_at_quantile(0.9),
+        counters_p90: stage.answer_times.borrow().value_at_quantile(0.9),
     };
     let figures = stage.figures.replace(Figures::new(&stage.world));
-    Ok(Played { figures, broken: audit.broken, late, mishaps: stage.mishaps.take() })
+    Ok(LiveResult { figures, violations: audit.violations, late, mishaps: stage.mishaps.take() })
 }
 
-async fn day(stage: &Rc<Stage>, view: Option<(Sender<Told>, Receiver<Ask>)>) -> Result<(), Failure> {
+async fn day(
+    stage: &Rc<LiveRun>,
+    view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
+) -> Result<(), LiveError> {
     endpoint::start(stage)?;
     for forwarder in 0..stage.world.fleet.len() {
         let agent = agent::start(stage, forwarder)?;
@@ -425,18 +428,18 @@
         daemon::start(stage, forwarder)?;
     }
     for forwarder in 0..stage.world.fleet.len() {
-        daemon::until_ready(stage, forwarder, READY).await.map_err(Failure::Daemon)?;
+        daemon::until_ready(stage, forwarder, READY).await.map_err(LiveError::Daemon)?;
     }
-    Timer::after(LEAD).await;
+    Timer::after(START_DELAY).await;
     stage.begun.set(Some(Instant::now()));
     stage.spawn(watch_own_lateness(stage.clone()));
-    for (partner, from, to, trouble) in stage.world.troubles.iter().copied() {
+    for (destination, from, to, apply_faults) in stage.world.faults.iter().copied() {
         let stage = stage.clone();
         stage.clone().spawn(async move {
             stage.until(from).await;
-            stage.trouble(partner, Some(trouble));
+            stage.apply_faults(destination, Some(apply_faults));
             stage.until(to).await;
-            stage.trouble(partner, None);
+            stage.apply_faults(destination, None);
         });
     }
     for (at, endpoint, lifecycle) in stage.world.changes.iter().copied() {
@@ -462,42 +465,44 @@
             let _ = stopped.send(()).await;
         });
     }
-    let (told, asks) = match view {
-        Some((told, asks)) => (Some(told), Some(asks)),
+    let (updates, commands) = match view {
+        Some((updates, commands)) => (Some(updates), Some(commands)),
         None => (None, None),
     };
-    stage.spawn(sample(stage.clone(), told));
-    let played = async {
+    stage.spawn(sample(stage.clone(), updates));
+    let day_done = async {
         clients::run(stage).await;
         for _ in 0..stops {
             let _ = all_stopped.recv().await;
         }
-        while (stage.open.get() > 0 || stage.looking.get() > 0) && stage.now() < stage.world.end + TAIL {
+        while (stage.open.get() > 0 || stage.clients_waiting.get() > 0)
+            && stage.now() < stage.world.end + COMPLETION_LIMIT
+        {
             Timer::after(Duration::from_millis(50)).await;
         }
         Ok(())
     };
-    let asked = async {
+    let commanded = async {
         loop {
-            let ask = match &asks {
-                Some(asks) => asks.recv().await.ok(),
+            let command = match &commands {
+                Some(commands) => commands.recv().await.ok(),
                 None => None,
             };
-            match ask {
-                Some(Ask::Strike(partner, Some(trouble))) => {
-                    stage.partners.borrow_mut()[partner].struck.push(trouble);
-                    stage.trouble(partner, Some(trouble));
+            match command {
+                Some(ViewCommand::InjectFault(destination, Some(apply_faults))) => {
+                    stage.destinations.borrow_mut()[destination].injected.push(apply_faults);
+                    stage.apply_faults(destination, Some(apply_faults));
                 }
-                Some(Ask::Strike(partner, None)) => {
-                    stage.partners.borrow_mut()[partner].struck.clear();
-                    stage.trouble(partner, None);
+                Some(ViewCommand::InjectFault(destination, None)) => {
+                    stage.destinations.borrow_mut()[destination].injected.clear();
+                    stage.apply_faults(destination, None);
                 }
-                Some(Ask::Quit) => return Err(Failure::BrokenOff),
+                Some(ViewCommand::Quit) => return Err(LiveError::BrokenOff),
                 None => future::pending().await,
             }
         }
     };
-    future::or(played, asked).await?;
+    future::or(day_done, commanded).await?;
     // In order, as an operator would end them.
     let ends = (0..stage.world.fleet.len()).map(|f| daemon::end(stage, f));
     for end in ends.collect::<Vec<_>>() {
@@ -506,7 +511,7 @@
     Ok(())
 }
 
-async fn watch_own_lateness(stage: Rc<Stage>) {
+async fn watch_own_lateness(stage: Rc<LiveRun>) {
     loop {
         let due = Instant::now() + TICK;
         Timer::at(due).await;
@@ -515,33 +520,33 @@
     }
 }
 
-impl Stage {
+impl LiveRun {
     fn count_send(&self, planned: Micros) {
         let mut late = self.late.borrow_mut();
         late.2 += 1;
-        late.1 += u64::from(self.now() > planned + LATE);
+        late.1 += u64::from(self.now() > planned + SEND_LATE);
     }
 }
 
 /// Asks the forwarders how they stand, and tells the view.
-async fn sample(stage: Rc<Stage>, told: Option<Sender<Told>>) {
+async fn sample(stage: Rc<LiveRun>, updates: Option<Sender<ViewUpdate>>) {
     loop {
         let mut reports = Vec::new();
         for forwarder in 0..stage.world.fleet.len() {
             let address = stage.daemons.borrow().get(forwarder).and_then(|d| d.listen());
-            let asked = Instant::now();
+            let commanded = Instant::now();
             let report = match address {
                 Some(address) => counters(address).await,
                 None => None,
             };
             if report.is_some() {
-                let took = asked.elapsed().as_micros() as u64;
-                stage.tells.borrow_mut().saturating_record(took.max(1));
+                let took = commanded.elapsed().as_micros() as u64;
+                stage.answer_times.borrow_mut().saturating_record(took.max(1));
             }
             reports.push(report);
         }
         let now = stage.now();
-        let mut worst = vec![BreakerState::Closed; stage.world.partners.len()];
+        let mut worst = vec![BreakerState::Closed; stage.world.destinations.len()];
         let mut held = 0;
         for report in reports.iter().flatten() {
             held += report["open"].as_u64().unwrap_or(0) as usize;
@@ -558,29 +563,33 @@
         }
         {
             let mut figures = stage.figures.borrow_mut();
-            figures.samples.push(Sample { at: now, held, out: stage.out.get() });
+            figures.samples.push(Sample {
+                at: now,
+                open_messages: held,
+                in_flight: stage.calls_in_flight.get(),
+            });
             worst.into_iter().enumerate().for_each(|(p, s)| figures.breaker(now, p, s));
         }
-        if let Some(told) = &told {
+        if let Some(updates) = &updates {
             let world = &stage.world;
-            let asked: f64 = world.hands.iter().take_while(|h| h.at <= now).map(|h| h.worth).sum();
+            let commanded: f64 = world.requests.iter().take_while(|h| h.at <= now).map(|h| h.weight).sum();
             let progress = Progress {
                 at: (now - START, world.end - START),
-                sent: (stage.sent.get(), world.hands.len()),
-                worth: (stage.figures.borrow().worth().got, asked),
-                broken: stage.audit.borrow().broken.len(),
+                sent: (stage.sent.get(), world.requests.len()),
+                value: (stage.figures.borrow().value().delivered_value, commanded),
+                violations: stage.audit.borrow().violations.len(),
                 forwarders: reports,
             };
             // A view that is slow misses some.
-            let _ = told.try_send(Told::Progress(progress));
+            let _ = updates.try_send(ViewUpdate::Progress(progress));
         }
-        Timer::after(SAMPLES).await;
+        Timer::after(SAMPLE_INTERVAL).await;
     }
 }
 
 /// What a forwarder tells of itself and of each partner; nothing if it does not answer at once.
 pub async fn counters(address: SocketAddr) -> Option<Value> {
-    let asked = async {
+    let commanded = async {
         let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
         wire.write(b"GET /_counters?by=partner HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n")
             .await
@@ -593,5 +602,5 @@
         Timer::after(Duration::from_secs(1)).await;
         None
     };
-    future::or(asked, late).await
+    future::or(commanded, late).await
 }
--- a/crates/rehearsal/src/load.rs
+++ b/crates/rehearsal/src/load.rs
@@ -1,8 +1,8 @@
 //! The command `load`.
 
-use cedarbridge_rehearsal::capture::Captured;
-use cedarbridge_rehearsal::experiment::Unfit;
-use cedarbridge_rehearsal::live::load::{self, Load, Loaded, LATE};
+use cedarbridge_rehearsal::capture::CapturedDay;
+use cedarbridge_rehearsal::experiment::InputError;
+use cedarbridge_rehearsal::live::load::{self, Load, LoadResult, LATE};
 use clap::Args;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -38,15 +38,16 @@
 
 impl LoadArgs {
     /// Sends it and tells what came of it; true if all was sent in time.
-    pub fn run(self) -> Result<bool, Unfit> {
-        let wrong =
-            |what: &str| Unfit::Unread(PathBuf::from("the call"), std::io::Error::other(what.to_owned()));
+    pub fn run(self) -> Result<bool, InputError> {
+        let wrong = |what: &str| {
+            InputError::Unread(PathBuf::from("the call"), std::io::Error::other(what.to_owned()))
+        };
         if !(self.rate > 0.0 && self.rate.is_finite()) || self.connections == 0 || self.destinations == 0 {
             return Err(wrong("`--rate`, `--connections` and `--destinations` are above 0"));
         }
-        let system = |e| Unfit::Unread(PathBuf::from("the load"), e);
+        let system = |e| InputError::Unread(PathBuf::from("the load"), e);
         let day = match &self.capture {
-            Some(path) => Some(Captured::read(path).map_err(|e| Unfit::Unread(path.clone(), e))?),
+            Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unread(path.clone(), e))?),
             None => None,
         };
         let to = match self.to {
@@ -64,13 +65,13 @@
             day,
             name: format!("load-{}-", std::process::id()),
         };
-        let told = load::run(load).map_err(system)?;
-        tell(&told);
-        Ok(told.late == 0 && told.failed == 0)
+        let result = load::run(load).map_err(system)?;
+        print_result(&result);
+        Ok(result.late == 0 && result.failed == 0)
     }
 }
 
-fn tell(l: &Loaded) {
+fn print_result(l: &LoadResult) {
     let took = l.took.as_secs_f64();
     println!(
         "{} sent in {took:.2} s, {:.0} a second: {} taken on, {} turned away, {} failed",
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -4,10 +4,10 @@
 mod rehearsal;
 
 use cedarbridge::routes::Plan;
-use cedarbridge_rehearsal::capture::Captured;
-use cedarbridge_rehearsal::experiment::{Experiment, Unfit, Variant};
-use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::capture::CapturedDay;
+use cedarbridge_rehearsal::experiment::{Experiment, InputError, Variant};
 use cedarbridge_rehearsal::report::{page, table, Row};
+use cedarbridge_rehearsal::simulation::simulate;
 use cedarbridge_rehearsal::verdict::Verdict;
 use cedarbridge_rehearsal::world::{platform, World};
 use clap::{Args, Parser, Subcommand};
@@ -43,7 +43,7 @@
 }
 
 #[derive(Args)]
-struct How {
+struct SeedOptions {
     /// Days a load and variant, in place of the file's
     #[arg(long)]
     seeds: Option<u64>,
@@ -58,7 +58,7 @@
 /// Days without a number of their own are as many as this.
 const DAYS: u64 = 10;
 
-impl How {
+impl SeedOptions {
     fn days(&self) -> rehearsal::Seeds {
         rehearsal::Seeds { count: self.seeds.unwrap_or(DAYS), first: self.first_seed }
     }
@@ -71,7 +71,7 @@
         /// The experiment (YAML)
         experiment: PathBuf,
         #[command(flatten)]
-        how: How,
+        options: SeedOptions,
     },
     /// Play the same days two ways: two site files, two scenarios, or two builds of the forwarder (live)
     Compare {
@@ -86,7 +86,7 @@
         #[arg(long)]
         scenario: Option<PathBuf>,
         #[command(flatten)]
-        how: How,
+        options: SeedOptions,
     },
     /// Play an experiment at one load after another, or a scenario with one figure varied
     Sweep {
@@ -105,7 +105,7 @@
         #[arg(long, default_value_t = 5)]
         steps: u32,
         #[command(flatten)]
-        how: How,
+        options: SeedOptions,
     },
     /// Check scenarios or experiments and the site files that they name, and play nothing
     Check {
@@ -118,7 +118,7 @@
         /// The scenario (YAML)
         scenario: PathBuf,
         #[command(flatten)]
-        how: rehearsal::How,
+        options: rehearsal::RunOptions,
         #[command(flatten)]
         live: rehearsal::Live,
     },
@@ -151,14 +151,14 @@
         /// The scenario (YAML)
         scenario: PathBuf,
         #[command(flatten)]
-        how: rehearsal::Fleets,
+        options: rehearsal::Fleets,
     },
     /// Play a scenario in virtual time, without sockets
     Simulate {
         /// The scenario (YAML)
         scenario: PathBuf,
         #[command(flatten)]
-        how: rehearsal::How,
+        options: rehearsal::RunOptions,
     },
 }
 
@@ -169,7 +169,7 @@
 }
 
 impl Ready {
-    fn read(path: &Path, change: impl FnOnce(&mut Experiment)) -> Result<Self, Unfit> {
+    fn read(path: &Path, change: impl FnOnce(&mut Experiment)) -> Result<Self, InputError> {
         let mut experiment = Experiment::read(path)?;
         change(&mut experiment);
         let folder = path.parent().unwrap_or(Path::new("."));
@@ -180,8 +180,8 @@
     }
 
     /// Plays all days; true if no rule was broken.
-    fn play(mut self, how: &How) -> Result<bool, Unfit> {
-        self.experiment.seeds = how.seeds.unwrap_or(self.experiment.seeds).max(1);
+    fn play(mut self, options: &SeedOptions) -> Result<bool, InputError> {
+        self.experiment.seeds = options.seeds.unwrap_or(self.experiment.seeds).max(1);
         let experiment = &self.experiment;
         let (begun, mut messages) = (Instant::now(), 0);
         let mut rows = Vec::new();
@@ -191,58 +191,58 @@
                 load: *load,
                 variant: v.name.clone(),
                 days: Vec::new(),
-                broken: Vec::new(),
+                violations: Vec::new(),
             }));
-            for seed in how.first_seed..how.first_seed + experiment.seeds {
+            for seed in options.first_seed..options.first_seed + experiment.seeds {
                 let world = World::draw(experiment, *load, seed);
                 for (row, plan) in rows[from..].iter_mut().zip(&self.plans) {
-                    messages += world.hands.len();
-                    let (figures, broken) = play(&world, plan.clone(), seed);
+                    messages += world.requests.len();
+                    let (figures, violations) = simulate(&world, plan.clone(), seed);
                     row.days.push(figures);
-                    row.broken.extend(broken.into_iter().map(|b| format!("seed {seed}, {b}")));
+                    row.violations.extend(violations.into_iter().map(|b| format!("seed {seed}, {b}")));
                 }
             }
         }
         print!("{}", table(experiment, &rows));
         let took = begun.elapsed().as_secs_f64();
         eprintln!("played {messages} messages in {took:.2} s, {:.0} a second", messages as f64 / took);
-        if let Some(out) = &how.out {
+        if let Some(out) = &options.out {
             let text = page(experiment, &rows).expect("plots of finite figures");
-            std::fs::write(out, text).map_err(|e| Unfit::Unread(out.into(), e))?;
+            std::fs::write(out, text).map_err(|e| InputError::Unread(out.into(), e))?;
         }
-        Ok(rows.iter().all(|r| r.broken.is_empty()))
+        Ok(rows.iter().all(|r| r.violations.is_empty()))
     }
 }
 
 /// A site file as a variant, found from the folder that the command was called in.
-fn variant(site: &Path) -> Result<Variant, Unfit> {
-    let place = site.canonicalize().map_err(|e| Unfit::Unread(site.into(), e))?;
+fn variant(site: &Path) -> Result<Variant, InputError> {
+    let place = site.canonicalize().map_err(|e| InputError::Unread(site.into(), e))?;
     Ok(Variant { name: site.display().to_string(), site: Some(place) })
 }
 
-fn run(command: Command) -> Result<ExitCode, Unfit> {
+fn run(command: Command) -> Result<ExitCode, InputError> {
     match command {
-        Command::Run { experiment, how } => Ready::read(&experiment, |_| {})?.play(&how).map(verdict),
-        Command::Compare { before, after, experiment: Some(experiment), how, .. } => {
+        Command::Run { experiment, options } => Ready::read(&experiment, |_| {})?.play(&options).map(verdict),
+        Command::Compare { before, after, experiment: Some(experiment), options, .. } => {
             let variants = vec![variant(&before)?, variant(&after)?];
-            Ready::read(&experiment, |e| e.variants = variants)?.play(&how).map(verdict)
+            Ready::read(&experiment, |e| e.variants = variants)?.play(&options).map(verdict)
         }
-        Command::Compare { before, after, scenario, how, .. } => {
+        Command::Compare { before, after, scenario, options, .. } => {
             let scenario = scenario.expect("one of the two, as the call was read");
-            rehearsal::compare(&before, &after, &scenario, &how.days()).map(verdict)
+            rehearsal::compare(&before, &after, &scenario, &options.days()).map(verdict)
         }
-        Command::Sweep { file, vary, from, to, steps, how } => {
+        Command::Sweep { file, vary, from, to, steps, options } => {
             if !(from > 0.0 && to > from && to.is_finite() && steps >= 2) {
                 let why = "`--from` must be above zero and under `--to`, with two steps at least";
-                return Err(Unfit::Figures(file, why.into()));
+                return Err(InputError::Figures(file, why.into()));
             }
             let at = |step: u32| from + (to - from) * f64::from(step) / f64::from(steps - 1);
             if is_scenario(&file)? {
                 let values: Vec<f64> = (0..steps).map(at).collect();
-                return rehearsal::sweep(&file, vary, &values, &how.days()).map(verdict);
+                return rehearsal::sweep(&file, vary, &values, &options.days()).map(verdict);
             }
             let loads = (0..steps).map(|s| (at(s), at(s))).collect();
-            Ready::read(&file, |e| e.loads = loads)?.play(&how).map(verdict)
+            Ready::read(&file, |e| e.loads = loads)?.play(&options).map(verdict)
         }
         Command::Check { files } => {
             let mut fine = true;
@@ -251,13 +251,15 @@
             }
             Ok(verdict(fine))
         }
-        Command::Fleet { scenario, how } => rehearsal::fleet(&scenario, &how).map(verdict),
-        Command::Simulate { scenario, how } => rehearsal::simulate(&scenario, &how).map(verdict),
-        Command::Rehearse { scenario, how, live } => Ok(match rehearsal::rehearse(&scenario, &how, &live)? {
-            Verdict::Passed => ExitCode::SUCCESS,
-            Verdict::Failed(_) => ExitCode::FAILURE,
-            Verdict::NotJudged(_) => ExitCode::from(NOT_JUDGED),
-        }),
+        Command::Fleet { scenario, options } => rehearsal::fleet(&scenario, &options).map(verdict),
+        Command::Simulate { scenario, options } => rehearsal::simulate(&scenario, &options).map(verdict),
+        Command::Rehearse { scenario, options, live } => {
+            Ok(match rehearsal::rehearse(&scenario, &options, &live)? {
+                Verdict::Passed => ExitCode::SUCCESS,
+                Verdict::Failed(_) => ExitCode::FAILURE,
+                Verdict::NotJudged(_) => ExitCode::from(NOT_JUDGED),
+            })
+        }
         Command::Load(args) => args.run().map(verdict),
         Command::Capture { log, out } => capture(&log, &out).map(verdict),
         Command::Forwarder { arguments } => {
@@ -279,10 +281,10 @@
 }
 
 /// Becomes a program that the system ends together with the parent, however that ends.
-fn under(parent: i32, program: &[OsString]) -> Result<ExitCode, Unfit> {
+fn under(parent: i32, program: &[OsString]) -> Result<ExitCode, InputError> {
     use rustix::process::{getppid, set_parent_process_death_signal, Signal};
     use std::os::unix::process::CommandExt;
-    let unfit = |e: std::io::Error| Unfit::Unread(PathBuf::from(&program[0]), e);
+    let unfit = |e: std::io::Error| InputError::Unread(PathBuf::from(&program[0]), e);
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| unfit(e.into()))?;
     // It may have ended before this was asked for.
     if getppid().map(|p| p.as_raw_nonzero().get()) != Some(parent) {
@@ -291,36 +293,36 @@
     Err(unfit(std::process::Command::new(&program[0]).args(&program[1..]).exec()))
 }
 
-fn capture(log: &Path, out: &Path) -> Result<bool, Unfit> {
+fn capture(log: &Path, out: &Path) -> Result<bool, InputError> {
     let unread = |path: &Path| {
         let path = path.to_owned();
-        move |e| Unfit::Unread(path, e)
+        move |e| InputError::Unread(path, e)
     };
     let from = std::io::BufReader::new(std::fs::File::open(log).map_err(unread(log))?);
-    let (day, odd) = Captured::from_log(from).map_err(unread(log))?;
+    let (day, odd) = CapturedDay::from_log(from).map_err(unread(log))?;
     day.write(out).map_err(unread(out))?;
-    println!("{}: {} messages; {odd} lines of the log are none", out.display(), day.lines.len());
-    if day.lines.is_empty() {
+    println!("{}: {} messages; {odd} lines of the log are none", out.display(), day.messages.len());
+    if day.messages.is_empty() {
         eprintln!(
             "cedarbridge-rehearsal: the log has no `message received`: write it with --log-format json --log-level debug"
         );
     }
-    Ok(!day.lines.is_empty())
+    Ok(!day.messages.is_empty())
 }
 
 /// A file with `phases` is a scenario, any other an experiment.
-fn is_scenario(file: &Path) -> Result<bool, Unfit> {
-    let text = std::fs::read_to_string(file).map_err(|e| Unfit::Unread(file.into(), e))?;
+fn is_scenario(file: &Path) -> Result<bool, InputError> {
+    let text = std::fs::read_to_string(file).map_err(|e| InputError::Unread(file.into(), e))?;
     Ok(text.lines().any(|l| l.starts_with("phases:")))
 }
 
-fn check(file: &Path) -> Result<bool, Unfit> {
+fn check(file: &Path) -> Result<bool, InputError> {
     if is_scenario(file)? {
         let ready = rehearsal::Ready::read(file)?;
         println!(
             "{}: {} partners, {} forwarders, {} s, nothing against it",
             file.display(),
-            ready.scenario.partner_count(),
+            ready.scenario.destination_count(),
             ready.scenario.forwarders.count,
             ready.scenario.length() / 1_000_000
         );
@@ -337,7 +339,7 @@
         Ok(code) => code,
         Err(e) => {
             eprintln!("cedarbridge-rehearsal: {e}");
-            ExitCode::from(if matches!(e, Unfit::Unread(..)) { 2 } else { 1 })
+            ExitCode::from(if matches!(e, InputError::Unread(..)) { 2 } else { 1 })
         }
     }
 }
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -2,17 +2,17 @@
 
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::site::Site;
-use cedarbridge_rehearsal::audit::Breach;
-use cedarbridge_rehearsal::capture::Captured;
-use cedarbridge_rehearsal::draw::day;
-use cedarbridge_rehearsal::experiment::Unfit;
+use cedarbridge_rehearsal::audit::RuleViolation;
+use cedarbridge_rehearsal::capture::CapturedDay;
+use cedarbridge_rehearsal::experiment::InputError;
 use cedarbridge_rehearsal::figures::Figures;
-use cedarbridge_rehearsal::fleet::{self, Row, Way};
+use cedarbridge_rehearsal::fleet::{self, Row, TurnOrder};
 use cedarbridge_rehearsal::live::fault::ProxyFault;
 use cedarbridge_rehearsal::live::{self, Options};
-use cedarbridge_rehearsal::play::{play, play_telling};
 use cedarbridge_rehearsal::report::mean;
 use cedarbridge_rehearsal::scenario::Scenario;
+use cedarbridge_rehearsal::scenario_day::day;
+use cedarbridge_rehearsal::simulation::{self, simulate_with_progress};
 use cedarbridge_rehearsal::verdict::{self, Run, Verdict};
 use cedarbridge_rehearsal::view;
 use cedarbridge_rehearsal::world::{World, START};
@@ -26,7 +26,7 @@
 
 /// What is common to the ways of playing.
 #[derive(Args, Clone, Default)]
-pub struct How {
+pub struct RunOptions {
     /// The day's seed, in place of the scenario's
     #[arg(long)]
     pub seed: Option<u64>,
@@ -53,14 +53,14 @@
 
 impl Ready {
     /// Reads a scenario; what is wrong comes with its place.
-    pub fn read(path: &Path) -> Result<Self, Unfit> {
+    pub fn read(path: &Path) -> Result<Self, InputError> {
         let scenario = Scenario::read(path).map_err(|all| {
             let lines: Vec<String> = all.iter().map(|r| format!("{}:{r}", path.display())).collect();
-            Unfit::Site(lines.join("\n"))
+            InputError::Site(lines.join("\n"))
         })?;
         let folder = path.parent().unwrap_or(Path::new(".")).to_owned();
         let ready = Ready { scenario, folder };
-        ready.plan(&day(&ready.scenario, 1, Some(&Captured::default())))?;
+        ready.plan(&day(&ready.scenario, 1, Some(&CapturedDay::default())))?;
         Ok(ready)
     }
 
@@ -70,13 +70,13 @@
     }
 
     /// Its plan, checked by the forwarder's own check.
-    fn plan(&self, world: &World) -> Result<Option<Arc<Plan>>, Unfit> {
+    fn plan(&self, world: &World) -> Result<Option<Arc<Plan>>, InputError> {
         let Some(site) = self.site() else { return Ok(None) };
-        let text = std::fs::read_to_string(&site).map_err(|e| Unfit::Unread(site.clone(), e))?;
+        let text = std::fs::read_to_string(&site).map_err(|e| InputError::Unread(site.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &world.settings, names: &world.names });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = site.display().to_string();
-            Unfit::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
@@ -88,13 +88,15 @@
         program: Option<&Path>,
         fault: Option<ProxyFault>,
         log_level: &str,
-    ) -> Result<Options, Unfit> {
+    ) -> Result<Options, InputError> {
         let own = std::env::current_exe().map_err(system)?;
         let daemon = match program {
-            Some(program) => vec![program.canonicalize().map_err(|e| Unfit::Unread(program.into(), e))?],
+            Some(program) => {
+                vec![program.canonicalize().map_err(|e| InputError::Unread(program.into(), e))?]
+            }
             None => vec![own.clone(), "forwarder".into()],
         };
-        let site = self.site().map(|s| s.canonicalize().map_err(|e| Unfit::Unread(s, e))).transpose()?;
+        let site = self.site().map(|s| s.canonicalize().map_err(|e| InputError::Unread(s, e))).transpose()?;
         let limit = Duration::from_micros(self.scenario.limit.0);
         Ok(Options {
             daemon,
@@ -108,12 +110,12 @@
     }
 
     /// The day that is to be played.
-    pub fn day(&self, how: &How) -> Result<(World, u64, Option<Arc<Plan>>), Unfit> {
-        let captured = match &how.capture {
-            Some(path) => Some(Captured::read(path).map_err(|e| Unfit::Unread(path.clone(), e))?),
+    pub fn day(&self, options: &RunOptions) -> Result<(World, u64, Option<Arc<Plan>>), InputError> {
+        let captured = match &options.capture {
+            Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unread(path.clone(), e))?),
             None => None,
         };
-        let seed = how.seed.unwrap_or(self.scenario.seed);
+        let seed = options.seed.unwrap_or(self.scenario.seed);
         let world = day(&self.scenario, seed, captured.as_ref());
         let plan = self.plan(&world)?;
         Ok((world, seed, plan))
@@ -143,17 +145,17 @@
 /// A folder that goes when it is dropped.
 struct Folder(PathBuf, bool);
 
-fn system(e: std::io::Error) -> Unfit {
-    Unfit::Unread(PathBuf::from("this machine"), e)
+fn system(e: std::io::Error) -> InputError {
+    InputError::Unread(PathBuf::from("this machine"), e)
 }
 
 impl Folder {
-    fn kept(path: &Path) -> Result<Self, Unfit> {
+    fn kept(path: &Path) -> Result<Self, InputError> {
         std::fs::create_dir_all(path).map_err(system)?;
         Ok(Folder(path.to_owned(), true))
     }
 
-    fn of_run() -> Result<Self, Unfit> {
+    fn of_run() -> Result<Self, InputError> {
         let path = std::env::temp_dir().join(format!("cedarbridge-rehearsal-{}", std::process::id()));
         std::fs::create_dir_all(&path).map_err(system)?;
         Ok(Folder(path, false))
@@ -170,60 +172,60 @@
 
 /// Plays a scenario on sockets, with real forwarders. Without a name for the page it goes beside the working folder's
 /// other files, named by the scenario.
-pub fn rehearse(path: &Path, how: &How, live: &Live) -> Result<Verdict, Unfit> {
+pub fn rehearse(path: &Path, options: &RunOptions, live: &Live) -> Result<Verdict, InputError> {
     let ready = Ready::read(path)?;
-    let (world, seed, plan) = ready.day(how)?;
+    let (world, seed, plan) = ready.day(options)?;
     let folder = match &live.keep {
         Some(folder) => Folder::kept(folder)?,
         None => Folder::of_run()?,
     };
-    let options = ready.options(&folder, live.daemon.as_deref(), live.fault, &live.log_level)?;
+    let live_options = ready.options(&folder, live.daemon.as_deref(), live.fault, &live.log_level)?;
     let begun = Instant::now();
-    let view = view::start(&ready.scenario.title, &world.partner_names, live.plain);
+    let view = view::start(&ready.scenario.title, &world.destination_names, live.plain);
     let channels = Some(view.channels());
-    let (world, played) = live::rehearse(world, plan, seed, options, channels);
+    let (world, played) = live::rehearse(world, plan, seed, live_options, channels);
     drop(view);
-    let played = played.map_err(|e| Unfit::Figures(path.into(), e.to_string()))?;
+    let played = played.map_err(|e| InputError::Figures(path.into(), e.to_string()))?;
     let run = Run {
         scenario: &ready.scenario,
         world: &world,
         seed,
         figures: &played.figures,
-        broken: &played.broken,
-        how: verdict::How::Live(played.late),
-        mishaps: &played.mishaps,
+        violations: &played.violations,
+        run_mode: verdict::RunMode::Live(played.late),
+        incidents: &played.mishaps,
         took: begun.elapsed(),
     };
     let page = path.file_stem().map(|s| PathBuf::from(s).with_extension("html"));
-    let how = How { html: how.html.clone().or(page), ..how.clone() };
-    tell(&run, &how)?;
-    if let Some(page) = &how.html {
+    let options = RunOptions { html: options.html.clone().or(page), ..options.clone() };
+    write_outputs(&run, &options)?;
+    if let Some(page) = &options.html {
         println!("the report: {}", page.display());
     }
     Ok(run.verdict())
 }
 
 /// Prints the summary and writes what was asked for; true if all was as expected.
-pub fn tell(run: &Run<'_>, how: &How) -> Result<bool, Unfit> {
+pub fn write_outputs(run: &Run<'_>, options: &RunOptions) -> Result<bool, InputError> {
     print!("{}", run.summary());
     let write = |path: &Option<PathBuf>, text: &dyn Fn() -> String| match path {
-        Some(path) => std::fs::write(path, text()).map_err(|e| Unfit::Unread(path.clone(), e)),
+        Some(path) => std::fs::write(path, text()).map_err(|e| InputError::Unread(path.clone(), e)),
         None => Ok(()),
     };
-    write(&how.html, &|| run.page().expect("plots of finite figures"))?;
-    write(&how.json, &|| format!("{:#}\n", run.json()))?;
-    write(&how.junit, &|| run.junit())?;
+    write(&options.html, &|| run.page().expect("plots of finite figures"))?;
+    write(&options.json, &|| format!("{:#}\n", run.json()))?;
+    write(&options.junit, &|| run.junit())?;
     Ok(matches!(run.verdict(), Verdict::Passed))
 }
 
 /// Plays a scenario in virtual time.
-pub fn simulate(path: &Path, how: &How) -> Result<bool, Unfit> {
+pub fn simulate(path: &Path, options: &RunOptions) -> Result<bool, InputError> {
     let ready = Ready::read(path)?;
-    let (world, seed, plan) = ready.day(how)?;
+    let (world, seed, plan) = ready.day(options)?;
     let begun = Instant::now();
     let (begin, whole) = (START, world.end - START);
     let mut last = begun;
-    let (figures, broken) = play_telling(&world, plan, seed, &mut |now| {
+    let (figures, violations) = simulate_with_progress(&world, plan, seed, &mut |now| {
         if last.elapsed() >= TELLS {
             last = Instant::now();
             let share = (now - begin) as f64 / whole as f64;
@@ -240,12 +242,12 @@
         world: &world,
         seed,
         figures: &figures,
-        broken: &broken,
-        how: verdict::How::Virtual,
-        mishaps: &[],
+        violations: &violations,
+        run_mode: verdict::RunMode::Virtual,
+        incidents: &[],
         took: begun.elapsed(),
     };
-    tell(&run, how)
+    write_outputs(&run, options)
 }
 
 /// How fleets of several sizes are played.
@@ -270,50 +272,54 @@
 
 /// Plays a scenario in virtual time with each of its fleets, and one forwarder in place of all; true if all was as
 /// expected.
-pub fn fleet(path: &Path, how: &Fleets) -> Result<bool, Unfit> {
+pub fn fleet(path: &Path, options: &Fleets) -> Result<bool, InputError> {
     let ready = Ready::read(path)?;
     let scenario = &ready.scenario;
     let Some(section) = &scenario.fleet else {
-        return Err(Unfit::Site(format!("{}:1:1: it has no section `fleet`", path.display())));
+        return Err(InputError::Site(format!("{}:1:1: it has no section `fleet`", path.display())));
     };
-    let counts = match &how.counts[..] {
+    let counts = match &options.counts[..] {
         [] => section.value.counts.iter().map(|c| c.value).collect(),
         given => given.to_vec(),
     };
-    if counts.contains(&0) || how.seeds == Some(0) {
-        return Err(Unfit::Figures(path.into(), "`--counts` and `--seeds` are 1 at least".into()));
+    if counts.contains(&0) || options.seeds == Some(0) {
+        return Err(InputError::Figures(path.into(), "`--counts` and `--seeds` are 1 at least".into()));
     }
-    let days = how.seeds.unwrap_or(section.value.seeds) as u64;
-    let mut fleets = vec![(1, Way::One)];
+    let days = options.seeds.unwrap_or(section.value.seeds) as u64;
+    let mut fleets = vec![(1, TurnOrder::Single)];
     for count in counts {
-        fleets.push((count, Way::Places));
-        fleets.extend(how.chance.then_some((count, Way::Chance)));
+        fleets.push((count, TurnOrder::Numbered));
+        fleets.extend(options.chance.then_some((count, TurnOrder::Random)));
     }
     let mut rows = Vec::new();
-    for (count, way) in fleets {
+    for (count, turns) in fleets {
         let begun = Instant::now();
         let seeds = scenario.seed..scenario.seed + days;
-        let one = |seed| -> Result<_, Unfit> {
-            let plan = ready.plan(&fleet::draw(scenario, count, way, seed))?;
-            Ok(fleet::play_one(scenario, plan, count, way, seed))
+        let one = |seed| -> Result<_, InputError> {
+            let plan = ready.plan(&fleet::draw(scenario, count, turns, seed))?;
+            Ok(fleet::simulate_fleet_day(scenario, plan, count, turns, seed))
         };
-        rows.push(Row { count, way, days: seeds.map(one).collect::<Result<_, _>>()? });
-        eprintln!("{count} forwarders, {way:?}: {days} days in {:.1} s", begun.elapsed().as_secs_f64());
+        rows.push(Row { count, turns, days: seeds.map(one).collect::<Result<_, _>>()? });
+        eprintln!(
+            "{count} forwarders, {}: {days} days in {:.1} s",
+            turns.progress_label(),
+            begun.elapsed().as_secs_f64()
+        );
     }
     let unread = |path: &Path| {
         let path = path.to_owned();
-        move |e| Unfit::Unread(path, e)
+        move |e| InputError::Unread(path, e)
     };
     let json = format!("{:#}\n", fleet::as_json(scenario, &rows));
-    match &how.json {
+    match &options.json {
         Some(to) if to.as_os_str() == "-" => print!("{json}"),
         Some(to) => std::fs::write(to, json).map_err(unread(to))?,
         None => {}
     }
-    if how.json.as_ref().is_none_or(|to| to.as_os_str() != "-") {
+    if options.json.as_ref().is_none_or(|to| to.as_os_str() != "-") {
         print!("{}", fleet::table(scenario, &rows));
     }
-    if let Some(to) = &how.html {
+    if let Some(to) = &options.html {
         std::fs::write(to, fleet::page(scenario, &rows).expect("plots of finite figures"))
             .map_err(unread(to))?;
     }
@@ -334,7 +340,7 @@
 type Column = (&'static str, fn(&Figures) -> f64);
 
 const COLUMNS: [Column; 5] = [
-    ("worth", |f| f.worth().share()),
+    ("worth", |f| f.value().share()),
     ("refused", |f| f.refused as f64),
     ("failed", |f| f.failed as f64),
     ("attempts", |f| f.attempts as f64),
@@ -349,35 +355,36 @@
     pub first: u64,
 }
 
-fn side(path: &Path, scenario: &Path) -> Result<Side, Unfit> {
-    let text = std::fs::read(path).map_err(|e| Unfit::Unread(path.into(), e))?;
+fn side(path: &Path, scenario: &Path) -> Result<Side, InputError> {
+    let text = std::fs::read(path).map_err(|e| InputError::Unread(path.into(), e))?;
     if text.starts_with(b"\x7fELF") {
-        return Ok(Side::Program(path.canonicalize().map_err(|e| Unfit::Unread(path.into(), e))?));
+        return Ok(Side::Program(path.canonicalize().map_err(|e| InputError::Unread(path.into(), e))?));
     }
     if String::from_utf8_lossy(&text).lines().any(|l| l.starts_with("phases:")) {
         return Ok(Side::Virtual(Box::new(Ready::read(path)?)));
     }
     let mut ready = Ready::read(scenario)?;
-    ready.scenario.forwarders.site = Some(path.canonicalize().map_err(|e| Unfit::Unread(path.into(), e))?);
+    ready.scenario.forwarders.site =
+        Some(path.canonicalize().map_err(|e| InputError::Unread(path.into(), e))?);
     Ok(Side::Virtual(Box::new(ready)))
 }
 
 /// Plays the same days two ways: with two site files, two scenarios that differ in a setting, or two builds of the
 /// forwarder (live), and tells what the change did; true if neither broke a rule.
-pub fn compare(before: &Path, after: &Path, scenario: &Path, seeds: &Seeds) -> Result<bool, Unfit> {
-    let (mut rows, mut broken) = ([Vec::new(), Vec::new()], 0);
+pub fn compare(before: &Path, after: &Path, scenario: &Path, seeds: &Seeds) -> Result<bool, InputError> {
+    let (mut rows, mut violations) = ([Vec::new(), Vec::new()], 0);
     for (row, path) in rows.iter_mut().zip([before, after]) {
         let side = side(path, scenario)?;
         for seed in seeds.first..seeds.first + seeds.count.max(1) {
-            let how = How { seed: Some(seed), ..How::default() };
+            let options = RunOptions { seed: Some(seed), ..RunOptions::default() };
             let (figures, rules) = match &side {
                 Side::Virtual(ready) => {
-                    let (world, seed, plan) = ready.day(&how)?;
-                    play(&world, plan, seed)
+                    let (world, seed, plan) = ready.day(&options)?;
+                    simulation::simulate(&world, plan, seed)
                 }
-                Side::Program(program) => live_day(scenario, &how, program)?,
+                Side::Program(program) => live_day(scenario, &options, program)?,
             };
-            broken += rules.len();
+            violations += rules.len();
             for b in rules.iter().take(3) {
                 println!("BROKEN {}, seed {seed}: {b}", path.display());
             }
@@ -394,19 +401,23 @@
         let (change, half) = mean(&pairs);
         println!("{name:<10} {:>12.3} {:>12.3} {change:>+12.3} ±{half:.3}", mean(&a).0, mean(&b).0);
     }
-    Ok(broken == 0)
+    Ok(violations == 0)
 }
 
-fn live_day(scenario: &Path, how: &How, program: &Path) -> Result<(Figures, Vec<Breach>), Unfit> {
+fn live_day(
+    scenario: &Path,
+    options: &RunOptions,
+    program: &Path,
+) -> Result<(Figures, Vec<RuleViolation>), InputError> {
     let ready = Ready::read(scenario)?;
-    let (world, seed, plan) = ready.day(how)?;
+    let (world, seed, plan) = ready.day(options)?;
     let folder = Folder::of_run()?;
-    let view = view::start(&ready.scenario.title, &world.partner_names, true);
+    let view = view::start(&ready.scenario.title, &world.destination_names, true);
     let options = ready.options(&folder, Some(program), None, "warning")?;
     let played = live::rehearse(world, plan, seed, options, Some(view.channels())).1;
     drop(view);
-    let played = played.map_err(|e| Unfit::Figures(scenario.into(), e.to_string()))?;
-    Ok((played.figures, played.broken))
+    let played = played.map_err(|e| InputError::Figures(scenario.into(), e.to_string()))?;
+    Ok((played.figures, played.violations))
 }
 
 /// A figure of a scenario that can be varied.
@@ -425,8 +436,8 @@
 }
 
 /// Plays a scenario in virtual time with one figure varied over a range; true if no rule was broken.
-pub fn sweep(path: &Path, vary: Vary, values: &[f64], seeds: &Seeds) -> Result<bool, Unfit> {
-    let mut broken = 0;
+pub fn sweep(path: &Path, vary: Vary, values: &[f64], seeds: &Seeds) -> Result<bool, InputError> {
+    let mut violations = 0;
     println!(
         "{:>12} {:>18} {:>10} {:>10} {:>10} {:>10}",
         format!("{vary:?}"),
@@ -442,16 +453,16 @@
         let whole = value.round().max(1.0) as usize;
         match vary {
             Vary::Load => s.phases.iter_mut().for_each(|p| p.load.value *= value),
-            Vary::Headroom => s.partners.iter_mut().for_each(|p| p.headroom *= value),
+            Vary::Headroom => s.destinations.iter_mut().for_each(|p| p.headroom *= value),
             Vary::Slots => s.forwarders.slots = Some(whole),
             Vary::Held => s.forwarders.held = Some(whole),
             Vary::Forwarders => s.forwarders.count = whole,
         }
         let mut rows = Vec::new();
         for seed in seeds.first..seeds.first + seeds.count.max(1) {
-            let (world, seed, plan) = ready.day(&How { seed: Some(seed), ..How::default() })?;
-            let (figures, rules) = play(&world, plan, seed);
-            broken += rules.len();
+            let (world, seed, plan) = ready.day(&RunOptions { seed: Some(seed), ..RunOptions::default() })?;
+            let (figures, rules) = simulation::simulate(&world, plan, seed);
+            violations += rules.len();
             rows.push(COLUMNS.map(|c| c.1(&figures)));
         }
         let of = |n: usize| mean(&rows.iter().map(|r| r[n]).collect::<Vec<_>>());
@@ -465,8 +476,8 @@
             of(4).0
         );
     }
-    if broken > 0 {
-        println!("{broken} rules broken");
+    if violations > 0 {
+        println!("{violations} rules broken");
     }
-    Ok(broken == 0)
+    Ok(violations == 0)
 }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,7 +1,7 @@
 //! What an experiment came to, as a table and as a page with plots. The same figures give the same bytes.
 
 use crate::experiment::Experiment;
-use crate::figures::{Figures, Worth, WINDOW};
+use crate::figures::{DeliveredValue, Figures, WINDOW};
 use crate::verdict::{colour, escaped};
 use plotters::prelude::*;
 use std::fmt::Write;
@@ -15,7 +15,7 @@
     /// The days, by seed.
     pub days: Vec<Figures>,
     /// Rules broken, with their seeds.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Two-sided 95% points of Student's t by degrees of freedom, from 1; beyond them the normal one.
@@ -42,8 +42,8 @@
     }
 
     /// A quantile over all days together.
-    fn time(&self, troubled: bool, quantile: f64) -> u64 {
-        let side = usize::from(!troubled);
+    fn time(&self, faulty: bool, quantile: f64) -> u64 {
+        let side = usize::from(!faulty);
         let mut all = self.days[0].times[side].clone();
         for day in &self.days[1..] {
             all.add(&day.times[side]).expect("like bounds");
@@ -64,9 +64,9 @@
 type Column = (&'static str, fn(&Figures) -> f64);
 
 const SHARES: [Column; 3] = [
-    ("worth", |f| f.worth().share()),
-    ("of the troubled", |f| f.troubled_worth.share()),
-    ("of the others", |f| f.other_worth.share()),
+    ("worth", |f| f.value().share()),
+    ("of the troubled", |f| f.faulty_value.share()),
+    ("of the others", |f| f.healthy_value.share()),
 ];
 
 /// The table: means over the days, and the change against the first variant on the same days with its 95%
@@ -78,7 +78,7 @@
         experiment.seeds,
         experiment.length.0 / 1_000_000,
         experiment.forwarders,
-        experiment.partners.count
+        experiment.destinations.count
     );
     let _ = writeln!(
         out,
@@ -113,7 +113,7 @@
             of(|f| f.refused as f64),
             of(|f| f.failed as f64),
             of(|f| f.attempts as f64),
-            row.broken.len()
+            row.violations.len()
         );
     }
     let _ = writeln!(out, "\nchange against the first variant on the same days, mean and 95% interval");
@@ -131,8 +131,8 @@
         out.push('\n');
     }
     for row in rows {
-        for broken in row.broken.iter().take(5) {
-            let _ = writeln!(out, "BROKEN {} {}: {broken}", load(row.load), row.variant);
+        for violations in row.violations.iter().take(5) {
+            let _ = writeln!(out, "BROKEN {} {}: {violations}", load(row.load), row.variant);
         }
     }
     out
@@ -141,10 +141,10 @@
 const SIZE: (u32, u32) = (760, 300);
 
 /// A plot that is drawn, or why it cannot be.
-pub type Drawn = Result<(), Box<dyn std::error::Error>>;
+pub type PlotResult = Result<(), Box<dyn std::error::Error>>;
 
 /// Worth by the time of the hand-in, a line a variant.
-fn draw_windows(rows: &[&Row], svg: &mut String) -> Drawn {
+fn draw_windows(rows: &[&Row], svg: &mut String) -> PlotResult {
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let windows = rows.iter().flat_map(|r| r.days.iter().map(|d| d.windows.len())).max().unwrap_or(1);
@@ -158,11 +158,13 @@
     chart.configure_mesh().x_desc("handed in at, s").y_desc("share of the worth").draw()?;
     for (n, row) in rows.iter().enumerate() {
         let points = (0..windows).map(|w| {
-            let sum = row
-                .days
-                .iter()
-                .filter_map(|d| d.windows.get(w))
-                .fold(Worth::default(), |a, b| Worth { asked: a.asked + b.asked, got: a.got + b.got });
+            let sum =
+                row.days.iter().filter_map(|d| d.windows.get(w)).fold(DeliveredValue::default(), |a, b| {
+                    DeliveredValue {
+                        offered: a.offered + b.offered,
+                        delivered_value: a.delivered_value + b.delivered_value,
+                    }
+                });
             ((w as f64 + 0.5) * span, sum.share())
         });
         let c = colour(n);
@@ -176,7 +178,7 @@
 }
 
 /// How long deliveries took: the share that was delivered within a time, a line a variant and side.
-fn draw_times(rows: &[&Row], svg: &mut String) -> Drawn {
+fn draw_times(rows: &[&Row], svg: &mut String) -> PlotResult {
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -187,14 +189,14 @@
         .build_cartesian_2d((50.0..30_000.0f64).log_scale(), 0.0..1.02)?;
     chart.configure_mesh().x_desc("from the hand-in, ms").y_desc("share of the delivered").draw()?;
     for (n, row) in rows.iter().enumerate() {
-        for (troubled, width) in [(true, 1), (false, 3)] {
+        for (faulty, width) in [(true, 1), (false, 3)] {
             let points = (1..=100).map(|p| {
                 let q = f64::from(p) / 100.0;
-                ((row.time(troubled, q) as f64).max(50.0), q)
+                ((row.time(faulty, q) as f64).max(50.0), q)
             });
             let c = colour(n);
             let line = chart.draw_series(LineSeries::new(points, c.stroke_width(width)))?;
-            if !troubled {
+            if !faulty {
                 let legend = move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(3));
                 line.label(&row.variant).legend(legend);
             }
