--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -24,7 +24,7 @@
 const MOST_LOAD: f64 = 5.0;
 
 /// A text with its place.
-pub type Word = Spanned<String>;
+pub type SpannedName = Spanned<String>;
 
 /// The whole file.
 #[derive(Clone, Debug, Deserialize)]
@@ -47,15 +47,16 @@
     #[serde(default)]
     pub channels: Vec<Channel>,
     /// The partners.
-    pub partners: Vec<PartnerOf>,
+    #[serde(rename = "partners")]
+    pub destinations: Vec<DestinationGroup>,
     /// The day, part by part.
     pub phases: Vec<Phase>,
     /// Messages for one partner that come at once.
     #[serde(default)]
     pub clumps: Vec<Clump>,
     /// What goes wrong.
-    #[serde(default)]
-    pub troubles: Vec<TroubleOf>,
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<FaultSpec>,
     /// Forwarders that are ended.
     #[serde(default)]
     pub stops: Vec<Stop>,
@@ -122,7 +123,7 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Channel {
     /// Its name.
-    pub name: Word,
+    pub name: SpannedName,
     /// Its agreed share of full load.
     pub share: f64,
     /// What it sends of its share.
@@ -137,7 +138,7 @@
 /// The kinds of partner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum KindOf {
+pub enum DestinationKind {
     /// Takes up to ten messages a call.
     CableOperator,
     /// Takes one a call.
@@ -147,14 +148,14 @@
 /// A partner, or several alike.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct PartnerOf {
+pub struct DestinationGroup {
     /// Its name; of several, the name with a number from 1 on.
-    pub name: Word,
+    pub name: SpannedName,
     /// How many.
     #[serde(default = "single")]
     pub count: usize,
     /// Its kind.
-    pub kind: KindOf,
+    pub kind: DestinationKind,
     /// Its part of the traffic, against the others'.
     pub share: f64,
     /// The mean time of a message's work.
@@ -212,7 +213,7 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Phase {
     /// Its name.
-    pub name: Word,
+    pub name: SpannedName,
     /// How long it lasts.
     #[serde(rename = "for")]
     pub lasts: Span,
@@ -228,9 +229,9 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Moment {
     /// A phase's name.
-    pub phase: Option<Word>,
+    pub phase: Option<SpannedName>,
     /// A clump's name: while it is in flight.
-    pub clump: Option<Word>,
+    pub clump: Option<SpannedName>,
     /// So long after its begin.
     pub after: Option<Span>,
 }
@@ -240,9 +241,10 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Clump {
     /// Its name.
-    pub name: Word,
+    pub name: SpannedName,
     /// For which partner.
-    pub partner: Word,
+    #[serde(rename = "partner")]
+    pub destination: SpannedName,
     /// When it begins.
     pub at: Moment,
     /// How many.
@@ -254,7 +256,7 @@
 /// The kinds of trouble.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Works so many times slower.
     Slow,
     /// Takes calls and answers none.
@@ -275,19 +277,19 @@
     Lowered,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// What the partner model knows it as; the size is a factor or a share, where the kind has one.
-    pub fn trouble(self, size: f64) -> Fault {
+    pub fn fault(self, size: f64) -> Fault {
         match self {
-            TroubleKind::Slow => Fault::Slow(size),
-            TroubleKind::Hang => Fault::Hang,
-            TroubleKind::Refuse => Fault::RefuseConnections,
-            TroubleKind::Fail => Fault::FailCalls(size),
-            TroubleKind::Shut => Fault::RejectAll,
-            TroubleKind::Silent => Fault::Silent,
-            TroubleKind::Reset => Fault::ResetConnections,
-            TroubleKind::HalfOpen => Fault::HalfOpenConnections,
-            TroubleKind::Lowered => Fault::ReducedLimit(size),
+            FaultKind::Slow => Fault::Slow(size),
+            FaultKind::Hang => Fault::Hang,
+            FaultKind::Refuse => Fault::RefuseConnections,
+            FaultKind::Fail => Fault::FailCalls(size),
+            FaultKind::Shut => Fault::RejectAll,
+            FaultKind::Silent => Fault::Silent,
+            FaultKind::Reset => Fault::ResetConnections,
+            FaultKind::HalfOpen => Fault::HalfOpenConnections,
+            FaultKind::Lowered => Fault::ReducedLimit(size),
         }
     }
 }
@@ -295,13 +297,14 @@
 /// One trouble.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct TroubleOf {
+pub struct FaultSpec {
     /// Which.
-    pub kind: Spanned<TroubleKind>,
+    pub kind: Spanned<FaultKind>,
     /// How bad: a factor for `slow`, a share for `fail` and `lowered`.
     pub size: Option<f64>,
     /// Whose.
-    pub partner: Word,
+    #[serde(rename = "partner")]
+    pub destination: SpannedName,
     /// When it begins.
     pub at: Moment,
     /// How long it lasts.
@@ -309,10 +312,10 @@
     pub lasts: Span,
 }
 
-impl TroubleOf {
+impl FaultSpec {
     /// What the partner model knows it as.
-    pub fn trouble(&self) -> Fault {
-        self.kind.value.trouble(self.size.unwrap_or(1.0))
+    pub fn fault(&self) -> Fault {
+        self.kind.value.fault(self.size.unwrap_or(1.0))
     }
 }
 
@@ -370,7 +373,8 @@
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Replacement {
     /// Whose: its first endpoint.
-    pub partner: Word,
+    #[serde(rename = "partner")]
+    pub destination: SpannedName,
     /// When it begins to drain.
     pub at: Moment,
     /// How long it drains before it is gone; the other is listed as it begins.
@@ -393,8 +397,8 @@
     #[serde(default = "none")]
     pub clocks: Span,
     /// The count that forwarders are told, over the true one.
-    #[serde(default = "whole")]
-    pub told: f64,
+    #[serde(default = "whole", rename = "told")]
+    pub told_count_factor: f64,
     /// The share of them that is told no number.
     #[serde(default)]
     pub unnumbered: f64,
@@ -456,20 +460,22 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
     /// The share of the worth that is delivered, at least.
-    pub worth: Option<Spanned<f64>>,
+    #[serde(rename = "worth")]
+    pub delivered_share: Option<Spanned<f64>>,
     /// Messages refused, at most.
     pub refused: Option<u64>,
     /// Messages failed, at most.
     pub failed: Option<u64>,
     /// Rules broken, at most.
-    pub broken: usize,
+    #[serde(rename = "broken")]
+    pub violations: usize,
     /// After each trouble that a partner returns from, its first delivery comes within this.
     pub returns: Option<Span>,
 }
 
 /// What is wrong with a scenario, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct ScenarioError {
     /// The line, from 1; 0 for the whole file.
     pub line: u64,
     /// The column, from 1.
@@ -478,33 +484,34 @@
     pub reason: String,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: {}", self.line, self.column, self.reason)
     }
 }
 
-impl Refusal {
+impl ScenarioError {
     fn at(at: Location, reason: impl Into<String>) -> Self {
-        Refusal { line: at.line(), column: at.column(), reason: reason.into() }
+        ScenarioError { line: at.line(), column: at.column(), reason: reason.into() }
     }
 }
 
 impl Scenario {
     /// Reads a file; what is wrong comes in one go.
-    pub fn read(path: &Path) -> Result<Self, Vec<Refusal>> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|e| vec![Refusal { line: 0, column: 0, reason: format!("cannot be read: {e}") }])?;
+    pub fn read(path: &Path) -> Result<Self, Vec<ScenarioError>> {
+        let text = std::fs::read_to_string(path).map_err(|e| {
+            vec![ScenarioError { line: 0, column: 0, reason: format!("cannot be read: {e}") }]
+        })?;
         Scenario::parse(&text)
     }
 
     /// Reads a text.
-    pub fn parse(text: &str) -> Result<Self, Vec<Refusal>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<ScenarioError>> {
         let options = serde_saphyr::options! { with_snippet: false };
         let read = serde_saphyr::from_str_with_options::<Scenario>(text, options).map_err(|e| {
             let at = e.location().map_or((1, 1), |l| (l.line(), l.column()));
             let reason = e.to_string().lines().next().unwrap_or("not YAML").to_owned();
-            vec![Refusal { line: at.0, column: at.1, reason }]
+            vec![ScenarioError { line: at.0, column: at.1, reason }]
         })?;
         let mut found = Vec::new();
         read.check(&mut found);
@@ -517,14 +524,14 @@
     }
 
     /// How many partners there are, groups counted out.
-    pub fn partner_count(&self) -> usize {
-        self.partners.iter().map(|p| p.count).sum()
+    pub fn destination_count(&self) -> usize {
+        self.destinations.iter().map(|p| p.count).sum()
     }
 
     /// The partners' names, groups counted out, each with its place in the file's list.
-    pub fn partner_names(&self) -> Vec<(String, usize)> {
-        let mut names = Vec::with_capacity(self.partner_count());
-        for (n, p) in self.partners.iter().enumerate() {
+    pub fn destination_names(&self) -> Vec<(String, usize)> {
+        let mut names = Vec::with_capacity(self.destination_count());
+        for (n, p) in self.destinations.iter().enumerate() {
             match p.count {
                 1 => names.push((p.name.value.clone(), n)),
                 count => names.extend((1..=count).map(|i| (format!("{}-{i}", p.name.value), n))),
@@ -564,21 +571,21 @@
         Some(begin + of.after.map_or(0, |s| s.0))
     }
 
-    fn check(&self, found: &mut Vec<Refusal>) {
+    fn check(&self, found: &mut Vec<ScenarioError>) {
         if !(self.rate.value > 0.0 && self.rate.value <= 1e6) {
-            found.push(Refusal::at(
+            found.push(ScenarioError::at(
                 self.rate.referenced,
                 "`rate` is above 0 and at most 1000000 messages a second",
             ));
         }
-        let whole_file = |reason: &str| Refusal { line: 1, column: 1, reason: reason.into() };
+        let whole_file = |reason: &str| ScenarioError { line: 1, column: 1, reason: reason.into() };
         if !(1..=MOST_FORWARDERS).contains(&self.forwarders.count) {
             found.push(whole_file(&format!("`forwarders` has a `count` from 1 to {MOST_FORWARDERS}")));
         }
-        if self.partners.is_empty() || self.phases.is_empty() {
+        if self.destinations.is_empty() || self.phases.is_empty() {
             found.push(whole_file("there must be a partner and a phase"));
         }
-        if self.partner_count() > MOST_PARTNERS {
+        if self.destination_count() > MOST_PARTNERS {
             found.push(whole_file(&format!("there are more than {MOST_PARTNERS} partners")));
         }
         let c = &self.clients;
@@ -587,72 +594,73 @@
                 "`clients`: `again` is a share, `after` goes from a time to one no shorter",
             ));
         }
-        unlike("channel", self.channels.iter().map(|c| &c.name), found);
-        unlike("partner", self.partners.iter().map(|p| &p.name), found);
-        unlike("phase", self.phases.iter().map(|p| &p.name), found);
-        unlike("clump", self.clumps.iter().map(|c| &c.name), found);
+        check_unique_names("channel", self.channels.iter().map(|c| &c.name), found);
+        check_unique_names("partner", self.destinations.iter().map(|p| &p.name), found);
+        check_unique_names("phase", self.phases.iter().map(|p| &p.name), found);
+        check_unique_names("clump", self.clumps.iter().map(|c| &c.name), found);
         for c in self.channels.iter().filter(|c| !(c.share > 0.0 && c.uses > 0.0)) {
-            found.push(Refusal::at(c.name.referenced, "a channel's `share` and `uses` are above 0"));
+            found.push(ScenarioError::at(c.name.referenced, "a channel's `share` and `uses` are above 0"));
         }
-        self.partners.iter().for_each(|p| check_partner(p, found));
+        self.destinations.iter().for_each(|p| check_destination(p, found));
         self.check_phases(found);
-        let names: BTreeSet<String> = self.partner_names().into_iter().map(|n| n.0).collect();
-        let named = |word: &Word, found: &mut Vec<Refusal>| {
+        let names: BTreeSet<String> = self.destination_names().into_iter().map(|n| n.0).collect();
+        let check_destination_name = |word: &SpannedName, found: &mut Vec<ScenarioError>| {
             if !names.contains(&word.value) {
                 let some: Vec<&str> = names.iter().take(6).map(String::as_str).collect();
                 let reason = format!("there is no partner `{}`; there are {}", word.value, some.join(", "));
-                found.push(Refusal::at(word.referenced, reason));
+                found.push(ScenarioError::at(word.referenced, reason));
             }
         };
         for c in &self.clumps {
-            named(&c.partner, found);
+            check_destination_name(&c.destination, found);
             self.check_moment(&c.at, &c.name, c.within.0, found);
             if let Some(clump) = &c.at.clump {
-                found.push(Refusal::at(clump.referenced, "a clump does not go by another clump"));
+                found.push(ScenarioError::at(clump.referenced, "a clump does not go by another clump"));
             }
         }
-        for t in &self.troubles {
-            named(&t.partner, found);
-            self.check_moment(&t.at, &t.partner, t.lasts.0, found);
+        for t in &self.faults {
+            check_destination_name(&t.destination, found);
+            self.check_moment(&t.at, &t.destination, t.lasts.0, found);
             let fits = match (t.kind.value, t.size) {
-                (TroubleKind::Slow, Some(factor)) => factor > 1.0 && factor.is_finite(),
-                (TroubleKind::Fail, Some(share)) => share > 0.0 && share <= 1.0,
-                (TroubleKind::Lowered, Some(share)) => share > 0.0 && share < 1.0,
-                (TroubleKind::Slow | TroubleKind::Fail | TroubleKind::Lowered, None) => false,
+                (FaultKind::Slow, Some(factor)) => factor > 1.0 && factor.is_finite(),
+                (FaultKind::Fail, Some(share)) => share > 0.0 && share <= 1.0,
+                (FaultKind::Lowered, Some(share)) => share > 0.0 && share < 1.0,
+                (FaultKind::Slow | FaultKind::Fail | FaultKind::Lowered, None) => false,
                 (_, size) => size.is_none(),
             };
             if !fits {
                 let reason =
                     "`slow` needs a `size` above 1, `fail` one above 0 and up to 1, `lowered` one between \
                               0 and 1; the others have none";
-                found.push(Refusal::at(t.kind.referenced, reason));
+                found.push(ScenarioError::at(t.kind.referenced, reason));
             }
         }
         for r in &self.replacements {
-            named(&r.partner, found);
-            self.check_moment(&r.at, &r.partner, r.drains.0, found);
+            check_destination_name(&r.destination, found);
+            self.check_moment(&r.at, &r.destination, r.drains.0, found);
         }
         self.check_stops(found);
         if let Some(fleet) = &self.fleet {
             self.check_fleet(fleet, found);
         }
-        if let Some(worth) = self.expect.worth.as_ref().filter(|w| !(0.0..=1.0).contains(&w.value)) {
-            found.push(Refusal::at(worth.referenced, "the expected `worth` is a share from 0 to 1"));
+        if let Some(worth) = self.expect.delivered_share.as_ref().filter(|w| !(0.0..=1.0).contains(&w.value))
+        {
+            found.push(ScenarioError::at(worth.referenced, "the expected `worth` is a share from 0 to 1"));
         }
     }
 
     /// Clumps must leave room for each other: what they bring is within the phase's traffic.
-    fn check_phases(&self, found: &mut Vec<Refusal>) {
+    fn check_phases(&self, found: &mut Vec<ScenarioError>) {
         for p in &self.phases {
             let (load, share) = (p.load.value, p.clumps.as_ref().map_or(0.0, |c| c.value));
             if !(load > 0.0 && load <= MOST_LOAD) {
-                found.push(Refusal::at(
+                found.push(ScenarioError::at(
                     p.load.referenced,
                     format!("`load` is above 0 and at most {MOST_LOAD}"),
                 ));
             }
             if let Some(clumps) = p.clumps.as_ref().filter(|_| !(0.0..=1.0).contains(&share)) {
-                found.push(Refusal::at(clumps.referenced, "`clumps` is a share from 0 to 1"));
+                found.push(ScenarioError::at(clumps.referenced, "`clumps` is a share from 0 to 1"));
             }
             let Some((begin, end)) = self.phase(&p.name.value) else { continue };
             let all = self.rate.value * load * (end - begin) as f64 / 1e6;
@@ -666,7 +674,7 @@
                             "with this clump, clumps come to more than 100% of the {all:.0} messages of phase `{}`",
                             p.name.value
                         );
-                        found.push(Refusal::at(c.messages.referenced, reason));
+                        found.push(ScenarioError::at(c.messages.referenced, reason));
                         break;
                     }
                 }
@@ -674,15 +682,18 @@
         }
     }
 
-    fn check_moment(&self, of: &Moment, by: &Word, lasts: Micros, found: &mut Vec<Refusal>) {
+    fn check_moment(&self, of: &Moment, by: &SpannedName, lasts: Micros, found: &mut Vec<ScenarioError>) {
         if let (Some(phase), Some(_)) = (&of.phase, &of.clump) {
-            found.push(Refusal::at(phase.referenced, "a moment goes by a phase or by a clump, not by both"));
+            found.push(ScenarioError::at(
+                phase.referenced,
+                "a moment goes by a phase or by a clump, not by both",
+            ));
         }
         match self.moment(of) {
             None => {
                 let word = of.phase.as_ref().or(of.clump.as_ref()).unwrap_or(by);
                 let reason = format!("there is no phase or clump `{}`", word.value);
-                found.push(Refusal::at(word.referenced, reason));
+                found.push(ScenarioError::at(word.referenced, reason));
             }
             Some(at) if at + lasts > self.length() => {
                 let s = |t: Micros| t as f64 / 1e6;
@@ -692,13 +703,13 @@
                     s(at + lasts),
                     s(self.length())
                 );
-                found.push(Refusal::at(by.referenced, reason));
+                found.push(ScenarioError::at(by.referenced, reason));
             }
             Some(_) => {}
         }
     }
 
-    fn check_fleet(&self, of: &Spanned<Fleet>, found: &mut Vec<Refusal>) {
+    fn check_fleet(&self, of: &Spanned<Fleet>, found: &mut Vec<ScenarioError>) {
         let (f, place) = (&of.value, of.referenced);
         let share = |x: f64| (0.0..=1.0).contains(&x);
         let price = |x: f64| (0.0..=10.0).contains(&x);
@@ -709,35 +720,44 @@
             ),
             (share(f.unnumbered) && share(f.doubled), "`unnumbered` and `doubled` are shares from 0 to 1"),
             ((0.0..=5.0).contains(&f.uneven), "`uneven` is an exponent from 0 to 5"),
-            (f.told > 0.0 && f.told <= 1000.0, "`told` is above 0 and at most 1000"),
+            (
+                f.told_count_factor > 0.0 && f.told_count_factor <= 1000.0,
+                "`told` is above 0 and at most 1000",
+            ),
             (f.clocks.0 <= MOST_CLOCK, "`clocks` differ by an hour at most"),
             (price(f.prices.refused) && price(f.prices.connections), "`prices` are from 0 to 10"),
         ];
-        let unmet = rules.iter().filter(|r| !r.0).map(|r| Refusal::at(place, r.1));
+        let unmet = rules.iter().filter(|r| !r.0).map(|r| ScenarioError::at(place, r.1));
         found.extend(unmet);
         for c in f.counts.iter().chain(f.sizes.iter().map(|s| &s.count)) {
             if !(1..=MOST_FLEET).contains(&c.value) {
-                found.push(Refusal::at(c.referenced, format!("a fleet has 1 to {MOST_FLEET} forwarders")));
+                found.push(ScenarioError::at(
+                    c.referenced,
+                    format!("a fleet has 1 to {MOST_FLEET} forwarders"),
+                ));
             }
         }
         let word = Spanned { value: String::from("fleet"), referenced: place, defined: of.defined };
         if let Some(dead) = &f.dead {
             self.check_moment(&dead.at, &word, dead.lasts.0, found);
             if !share(dead.share) {
-                found.push(Refusal::at(place, "the `share` of `dead` is from 0 to 1"));
+                found.push(ScenarioError::at(place, "the `share` of `dead` is from 0 to 1"));
             }
         }
         f.sizes.iter().for_each(|s| self.check_moment(&s.at, &word, s.within.0, found));
         let times: Vec<_> = f.sizes.iter().filter_map(|s| self.moment(&s.at)).collect();
         if times.windows(2).any(|t| t[0] >= t[1]) {
-            found.push(Refusal::at(place, "`sizes` come one after the other"));
+            found.push(ScenarioError::at(place, "`sizes` come one after the other"));
         }
         if !self.stops.is_empty() {
-            found.push(Refusal::at(place, "a day with `fleet` has `dead` and `sizes` in place of `stops`"));
+            found.push(ScenarioError::at(
+                place,
+                "a day with `fleet` has `dead` and `sizes` in place of `stops`",
+            ));
         }
     }
 
-    fn check_stops(&self, found: &mut Vec<Refusal>) {
+    fn check_stops(&self, found: &mut Vec<ScenarioError>) {
         // In order it takes up to 3.7 s to end; a second stop must find the forwarder running.
         let once = |s: &Stop| match s.signal {
             Signal::Hup => 0,
@@ -750,13 +770,14 @@
             let place = s.forwarder.referenced;
             if !(1..=self.forwarders.count).contains(&s.forwarder.value) {
                 let reason = format!("forwarders are numbered from 1 to {}", self.forwarders.count);
-                found.push(Refusal::at(place, reason));
+                found.push(ScenarioError::at(place, reason));
             }
             let word =
                 Spanned { value: String::from("stop"), referenced: place, defined: s.forwarder.defined };
             self.check_moment(&s.at, &word, 0, found);
             if s.times == 0 || s.times > 1 && s.every.0 < once(s) {
-                found.push(Refusal::at(place, "`times` is 1 at least, and `every` leaves time for one"));
+                found
+                    .push(ScenarioError::at(place, "`times` is 1 at least, and `every` leaves time for one"));
             }
             let at = self.moment(&s.at);
             let hits = |o: &Stop| {
@@ -764,22 +785,29 @@
                 o.forwarder.value == s.forwarder.value && a < b + away(o) && b < a + away(s)
             };
             if self.stops[..n].iter().any(hits) {
-                found.push(Refusal::at(place, "this forwarder is not back yet from its stop before"));
+                found.push(ScenarioError::at(place, "this forwarder is not back yet from its stop before"));
             }
         }
     }
 }
 
-fn unlike<'a>(what: &str, names: impl Iterator<Item = &'a Word>, found: &mut Vec<Refusal>) {
+fn check_unique_names<'a>(
+    what: &str,
+    names: impl Iterator<Item = &'a SpannedName>,
+    found: &mut Vec<ScenarioError>,
+) {
     let mut seen = BTreeSet::new();
     for name in names {
         if !seen.insert(&name.value) {
-            found.push(Refusal::at(name.referenced, format!("another {what} is called `{}`", name.value)));
+            found.push(ScenarioError::at(
+                name.referenced,
+                format!("another {what} is called `{}`", name.value),
+            ));
         }
     }
 }
 
-fn check_partner(p: &PartnerOf, found: &mut Vec<Refusal>) {
+fn check_destination(p: &DestinationGroup, found: &mut Vec<ScenarioError>) {
     let at = p.name.referenced;
     let positive = |x: f64| x > 0.0 && x.is_finite();
     let rules = [
@@ -794,5 +822,5 @@
         ((0.0..=1.0).contains(&p.errors), "`errors` is a share from 0 to 1"),
         (p.cold.0 > 0.0 && p.cold.0 <= 1.0, "`cold` begins with a share above 0"),
     ];
-    found.extend(rules.iter().filter(|r| !r.0).map(|r| Refusal::at(at, r.1)));
+    found.extend(rules.iter().filter(|r| !r.0).map(|r| ScenarioError::at(at, r.1)));
 }
--- a/crates/rehearsal/src/draw.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -1,9 +1,9 @@
 //! Makes a day of a scenario: partner models from their figures, every message with its time, and the moments of
 //! what goes wrong. The same seed gives the same day, whether it is then played in virtual time or on sockets.
 
-use crate::capture::Captured;
-use crate::scenario::{KindOf, PartnerOf, Scenario};
-use crate::world::{plain_fleet, platform, Hand, StopAt, World, START};
+use crate::capture::CapturedDay;
+use crate::scenario::{DestinationGroup, DestinationKind, Scenario};
+use crate::world::{numbered_fleet, platform, ClientRequest, PlannedStop, World, START};
 use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
 use cedarbridge_endpoint_model::DestinationProfile;
 use rand::{RngExt, SeedableRng};
@@ -29,21 +29,21 @@
 const SLOTS: f64 = 2.1;
 
 /// A day of a scenario; a captured day's messages take the place of the drawn ones.
-pub fn day(scenario: &Scenario, seed: u64, captured: Option<&Captured>) -> World {
+pub fn day(scenario: &Scenario, seed: u64, captured: Option<&CapturedDay>) -> World {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let names = scenario.partner_names();
-    let of = |i: usize| &scenario.partners[names[i].1];
+    let names = scenario.destination_names();
+    let of = |i: usize| &scenario.destinations[names[i].1];
     let shares: f64 = (0..names.len()).map(|i| of(i).share).sum();
     let traffic: Vec<f64> = (0..names.len()).map(|i| of(i).share / shares).collect();
     let full = scenario.rate.value;
-    let partners: Vec<DestinationProfile> =
+    let destinations: Vec<DestinationProfile> =
         (0..names.len()).map(|i| model(of(i), full * traffic[i])).collect();
     let mut settings = platform().0;
     let (_, mut words) = platform();
     let forwarders = scenario.forwarders.count;
     settings.forwarders = forwarders;
     let busy: f64 =
-        partners.iter().zip(&traffic).map(|(p, t)| full * t * p.service_time as f64 / SECOND).sum();
+        destinations.iter().zip(&traffic).map(|(p, t)| full * t * p.service_time as f64 / SECOND).sum();
     let slots = (busy / forwarders as f64 * SLOTS).ceil() as usize;
     settings.max_concurrent_calls = scenario.forwarders.slots.unwrap_or(slots.max(3));
     let held = (full / forwarders as f64 * HELD) as usize;
@@ -56,22 +56,22 @@
     settings.tenants = channels.iter().map(|c| Tenant { quota_per_s: full * c.1 }).collect();
     words.tenants = channels.iter().map(|c| c.0.clone()).collect();
     let mut list = Vec::new();
-    let mut add = |partner: usize, place: usize, rng: &mut ChaCha8Rng| {
-        let p = &partners[partner];
+    let mut add = |destination: usize, place: usize, rng: &mut ChaCha8Rng| {
+        let p = &destinations[destination];
         let weight = p.limit.unwrap_or(p.capacity) * rng.random_range(0.67..1.5);
         let entry = EndpointEntry {
             endpoint: EndpointId(list.len() as u32 + 1),
-            destination: DestinationId(partner as u64),
+            destination: DestinationId(destination as u64),
             zone: ZoneId(0),
-            kind: KindId(usize::from(of(partner).kind == KindOf::SmallPartner)),
+            kind: KindId(usize::from(of(destination).kind == DestinationKind::SmallPartner)),
             lifecycle: Lifecycle::Listed,
             weight,
         };
-        list.push((entry, partner, place));
+        list.push((entry, destination, place));
         list.len() - 1
     };
-    let mut first = Vec::with_capacity(partners.len());
-    for (i, p) in partners.iter().enumerate() {
+    let mut first = Vec::with_capacity(destinations.len());
+    for (i, p) in destinations.iter().enumerate() {
         (0..p.endpoints).for_each(|e| {
             let at = add(i, e, &mut rng);
             if e == 0 {
@@ -79,15 +79,15 @@
             }
         });
     }
-    let listed = first.last().zip(partners.last()).map_or(0, |(f, p)| f + p.endpoints);
+    let listed = first.last().zip(destinations.last()).map_or(0, |(f, p)| f + p.endpoints);
     let number = |name: &str| names.iter().position(|n| n.0 == name).expect("checked as it was read");
     let moment = |m| START + scenario.moment(m).expect("checked as it was read");
     let mut changes = Vec::new();
     for r in &scenario.replacements {
-        let (partner, at) = (number(&r.partner.value), moment(&r.at));
-        let old = first[partner];
-        let new = add(partner, 0, &mut rng);
-        first[partner] = new;
+        let (destination, at) = (number(&r.destination.value), moment(&r.at));
+        let old = first[destination];
+        let new = add(destination, 0, &mut rng);
+        first[destination] = new;
         let gone = at + r.drains.0;
         changes.extend([
             (at, old, Lifecycle::Draining),
@@ -96,38 +96,38 @@
         ]);
     }
     changes.sort_by_key(|c| c.0);
-    let troubles = scenario.troubles.iter().map(|t| {
+    let faults = scenario.faults.iter().map(|t| {
         let from = moment(&t.at);
-        (number(&t.partner.value), from, from + t.lasts.0, t.trouble())
+        (number(&t.destination.value), from, from + t.lasts.0, t.fault())
     });
     let stops = scenario.stops.iter().flat_map(|s| {
         let (forwarder, first, signal, back) = (s.forwarder.value - 1, moment(&s.at), s.signal, s.back.0);
-        (0..s.times as u64).map(move |n| StopAt { forwarder, at: first + n * s.every.0, signal, back })
+        (0..s.times as u64).map(move |n| PlannedStop { forwarder, at: first + n * s.every.0, signal, back })
     });
-    let mut stops: Vec<StopAt> = stops.collect();
+    let mut stops: Vec<PlannedStop> = stops.collect();
     stops.sort_by_key(|s| s.at);
     let times = match captured {
         Some(day) => day.messages(&names, &words.tenants, scenario.length()),
-        None => times(scenario, &partners, &traffic, &channels, &number, &mut rng),
+        None => times(scenario, &destinations, &traffic, &channels, &number, &mut rng),
     };
     let phases = scenario.phases.iter().map(|p| {
         let (from, to) = scenario.phase(&p.name.value).expect("itself");
         (p.name.value.clone(), START + from, START + to)
     });
     World {
-        kinds: (0..names.len()).map(|i| usize::from(of(i).kind == KindOf::SmallPartner)).collect(),
+        kinds: (0..names.len()).map(|i| usize::from(of(i).kind == DestinationKind::SmallPartner)).collect(),
         connections: (0..names.len()).map(|i| of(i).connections).collect(),
-        hands: hands(scenario, &settings.tenants, times, &mut rng),
-        troubles: troubles.collect(),
+        requests: requests(scenario, &settings.tenants, times, &mut rng),
+        faults: faults.collect(),
         phases: phases.collect(),
         end: START + scenario.length(),
         network: NETWORK,
-        fleet: plain_fleet(forwarders),
+        fleet: numbered_fleet(forwarders),
         sizes: Vec::new(),
-        told: 1.0,
-        partner_names: names.into_iter().map(|n| n.0).collect(),
+        told_count_factor: 1.0,
+        destination_names: names.into_iter().map(|n| n.0).collect(),
         names: words,
-        partners,
+        destinations,
         traffic,
         settings,
         list,
@@ -137,11 +137,11 @@
     }
 }
 
-fn model(of: &PartnerOf, rate: f64) -> DestinationProfile {
+fn model(of: &DestinationGroup, rate: f64) -> DestinationProfile {
     let limited = of.headroom > 0.0;
     let limit = (rate * if limited { of.headroom } else { UNLIMITED }).max(LEAST);
     let capacity = limit * of.spare;
-    let small = of.kind == KindOf::SmallPartner;
+    let small = of.kind == DestinationKind::SmallPartner;
     DestinationProfile {
         endpoints: of.endpoints,
         service_time: of.work.0,
@@ -162,16 +162,16 @@
 }
 
 /// When a message comes, for which partner, from which channel.
-pub type Coming = (Micros, usize, usize);
+pub type PlannedMessage = (Micros, usize, usize);
 
 fn times(
     scenario: &Scenario,
-    partners: &[DestinationProfile],
+    destinations: &[DestinationProfile],
     traffic: &[f64],
     channels: &[(String, f64, f64)],
     number: &impl Fn(&str) -> usize,
     rng: &mut ChaCha8Rng,
-) -> Vec<Coming> {
+) -> Vec<PlannedMessage> {
     let sums = |all: &mut dyn Iterator<Item = f64>| {
         let mut sum = 0.0;
         all.map(|x| {
@@ -189,9 +189,9 @@
     let mut all: Vec<(Micros, usize)> = Vec::new();
     for c in &scenario.clumps {
         let at = START + scenario.moment(&c.at).expect("checked as it was read");
-        let partner = number(&c.partner.value);
+        let destination = number(&c.destination.value);
         let gap = c.within.0 as f64 / c.messages.value.max(1) as f64;
-        all.extend((0..c.messages.value).map(|n| (at + (n as f64 * gap) as Micros, partner)));
+        all.extend((0..c.messages.value).map(|n| (at + (n as f64 * gap) as Micros, destination)));
     }
     for phase in &scenario.phases {
         let (from, to) = scenario.phase(&phase.name.value).expect("itself");
@@ -201,12 +201,12 @@
         let mut clumped = left * phase.clumps.as_ref().map_or(0.0, |c| c.value);
         left -= clumped;
         while clumped >= 1.0 {
-            let partner = of(&by_traffic, rng);
-            let takes = partners[partner].limit.unwrap_or(partners[partner].capacity);
+            let destination = of(&by_traffic, rng);
+            let takes = destinations[destination].limit.unwrap_or(destinations[destination].capacity);
             let size = (takes * rng.random_range(CLUMP.0 .0..CLUMP.0 .1)).min(clumped).ceil();
             let begin = from as f64 + rng.random::<f64>() * (span - CLUMP.1).max(0.0) * SECOND;
             let gap = CLUMP.1.min(span) * SECOND / size;
-            all.extend((0..size as usize).map(|n| (START + (begin + n as f64 * gap) as Micros, partner)));
+            all.extend((0..size as usize).map(|n| (START + (begin + n as f64 * gap) as Micros, destination)));
             clumped -= size;
         }
         if left > 0.0 {
@@ -223,21 +223,34 @@
         }
     }
     all.sort_unstable();
-    all.into_iter().map(|(at, partner)| (at, partner, of(&by_channel, rng))).collect()
+    all.into_iter().map(|(at, destination)| (at, destination, of(&by_channel, rng))).collect()
 }
 
-fn hands(scenario: &Scenario, tenants: &[Tenant], times: Vec<Coming>, rng: &mut ChaCha8Rng) -> Vec<Hand> {
+fn requests(
+    scenario: &Scenario,
+    tenants: &[Tenant],
+    times: Vec<PlannedMessage>,
+    rng: &mut ChaCha8Rng,
+) -> Vec<ClientRequest> {
     let mut buckets: Vec<(f64, Micros)> = tenants.iter().map(|t| (t.quota_per_s, START)).collect();
     let after = (scenario.clients.after.0 .0, scenario.clients.after.1 .0);
-    let hand = |(at, partner, tenant): Coming| {
+    let request = |(at, destination, tenant): PlannedMessage| {
         let quota = tenants[tenant].quota_per_s;
         let b = &mut buckets[tenant];
         *b = ((b.0 + quota * (at - b.1) as f64 / SECOND).min(quota.max(1.0)), at);
         let within = b.0 >= 1.0;
         b.0 -= f64::from(u8::from(within));
-        let again = rng.random_bool(scenario.clients.again).then(|| rng.random_range(after.0..=after.1));
+        let retry_after =
+            rng.random_bool(scenario.clients.again).then(|| rng.random_range(after.0..=after.1));
         let forwarder = rng.random_range(0..scenario.forwarders.count);
-        Hand { at, partner, tenant, forwarder, worth: if within { 1.0 } else { OVER_SHARE }, again }
+        ClientRequest {
+            at,
+            destination,
+            tenant,
+            forwarder,
+            weight: if within { 1.0 } else { OVER_SHARE },
+            retry_after,
+        }
     };
-    times.into_iter().map(hand).collect()
+    times.into_iter().map(request).collect()
 }
--- a/crates/rehearsal/src/table.rs
+++ b/crates/rehearsal/src/table.rs
@@ -10,7 +10,7 @@
 
 /// How partners are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sorted {
+pub enum SortOrder {
     /// By their numbers.
     Number,
     /// Open breakers first, then those that hold most.
@@ -21,30 +21,30 @@
     Slowest,
 }
 
-impl Sorted {
+impl SortOrder {
     /// The next way.
     pub fn next(self) -> Self {
         match self {
-            Sorted::Number => Sorted::Worst,
-            Sorted::Worst => Sorted::Held,
-            Sorted::Held => Sorted::Slowest,
-            Sorted::Slowest => Sorted::Number,
+            SortOrder::Number => SortOrder::Worst,
+            SortOrder::Worst => SortOrder::Held,
+            SortOrder::Held => SortOrder::Slowest,
+            SortOrder::Slowest => SortOrder::Number,
         }
     }
 
     fn name(self) -> &'static str {
         match self {
-            Sorted::Number => "by number",
-            Sorted::Worst => "worst first",
-            Sorted::Held => "most held first",
-            Sorted::Slowest => "slowest first",
+            SortOrder::Number => "by number",
+            SortOrder::Worst => "worst first",
+            SortOrder::Held => "most held first",
+            SortOrder::Slowest => "slowest first",
         }
     }
 }
 
 /// A partner, over all forwarders.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct DestinationRow {
     /// Its number.
     pub destination: u64,
     /// What it is called.
@@ -60,20 +60,20 @@
     /// What is left of a told wait, in milliseconds, the longest.
     pub wait_ms: f64,
     /// It is back and used sparingly.
-    pub cold: bool,
+    pub slow_start: bool,
     /// What it told of its limit.
     pub limit: Option<f64>,
 }
 
 const BREAKERS: [&str; 3] = ["closed", "half", "open"];
 
-impl Row {
+impl DestinationRow {
     /// The partners that these reports of forwarders name.
-    pub fn of(reports: &[&Value], names: Option<&[String]>) -> Vec<Row> {
-        let mut all: BTreeMap<u64, Row> = BTreeMap::new();
+    pub fn of(reports: &[&Value], names: Option<&[String]>) -> Vec<DestinationRow> {
+        let mut all: BTreeMap<u64, DestinationRow> = BTreeMap::new();
         for p in reports.iter().flat_map(|r| r["partners"].as_array().into_iter().flatten()) {
             let Some(destination) = p["destination"].as_u64() else { continue };
-            let row = all.entry(destination).or_insert_with(|| Row {
+            let row = all.entry(destination).or_insert_with(|| DestinationRow {
                 destination,
                 name: names
                     .and_then(|n| n.get(destination as usize).cloned())
@@ -83,7 +83,7 @@
                 out: 0,
                 answer_ms: None,
                 wait_ms: 0.0,
-                cold: false,
+                slow_start: false,
                 limit: None,
             });
             let breaker = BREAKERS.iter().position(|b| p["breaker"] == *b).unwrap_or(0);
@@ -93,7 +93,7 @@
             let answer = p["answer_ms"].as_f64();
             row.answer_ms = row.answer_ms.map_or(answer, |a| Some(a.max(answer.unwrap_or(a))));
             row.wait_ms = row.wait_ms.max(p["wait_ms"].as_f64().unwrap_or(0.0));
-            row.cold |= p["cold"].as_bool().unwrap_or(false);
+            row.slow_start |= p["cold"].as_bool().unwrap_or(false);
             row.limit = p["limit_per_s"].as_f64().or(row.limit);
         }
         all.into_values().collect()
@@ -111,11 +111,11 @@
         all.into_iter().map(|(name, n)| (name, n, n as f64 / sum.max(1) as f64)).collect()
     }
 
-    fn words(&self) -> [String; 7] {
+    fn cells(&self) -> [String; 7] {
         let or_none = |x: Option<f64>| x.map_or("-".into(), |x| format!("{x:.0}"));
         [
             self.name.clone(),
-            format!("{}{}", BREAKERS[self.breaker as usize], if self.cold { ", cold" } else { "" }),
+            format!("{}{}", BREAKERS[self.breaker as usize], if self.slow_start { ", cold" } else { "" }),
             self.held.to_string(),
             self.out.to_string(),
             or_none(self.answer_ms),
@@ -134,11 +134,11 @@
     /// One line above all.
     pub headline: String,
     /// The partners.
-    pub rows: Vec<Row>,
+    pub rows: Vec<DestinationRow>,
     /// The channels, with what they handed in and its part of all.
     pub channels: Vec<(String, u64, f64)>,
     /// How partners are sorted.
-    pub sorted: Sorted,
+    pub sorted: SortOrder,
     state: TableState,
 }
 
@@ -153,7 +153,7 @@
             headline: String::new(),
             rows,
             channels,
-            sorted: Sorted::Number,
+            sorted: SortOrder::Number,
             state,
         }
     }
@@ -173,14 +173,14 @@
         self.ordered().get(self.state.selected()?).map(|r| r.destination)
     }
 
-    fn ordered(&self) -> Vec<&Row> {
-        let mut all: Vec<&Row> = self.rows.iter().collect();
+    fn ordered(&self) -> Vec<&DestinationRow> {
+        let mut all: Vec<&DestinationRow> = self.rows.iter().collect();
         match self.sorted {
-            Sorted::Number => {}
-            Sorted::Worst => all.sort_by_key(|r| std::cmp::Reverse((r.breaker, r.held))),
-            Sorted::Held => all.sort_by_key(|r| std::cmp::Reverse(r.held)),
-            Sorted::Slowest => {
-                let of = |r: &Row| r.answer_ms.unwrap_or(0.0);
+            SortOrder::Number => {}
+            SortOrder::Worst => all.sort_by_key(|r| std::cmp::Reverse((r.breaker, r.held))),
+            SortOrder::Held => all.sort_by_key(|r| std::cmp::Reverse(r.held)),
+            SortOrder::Slowest => {
+                let of = |r: &DestinationRow| r.answer_ms.unwrap_or(0.0);
                 all.sort_by(|a, b| of(b).total_cmp(&of(a)));
             }
         }
@@ -201,7 +201,7 @@
             .into_iter()
             .map(|r| {
                 let colour = [Color::Reset, Color::Yellow, Color::Red][r.breaker as usize];
-                widgets::Row::new(r.words().map(Cell::from)).style(Style::new().fg(colour))
+                widgets::Row::new(r.cells().map(Cell::from)).style(Style::new().fg(colour))
             })
             .collect();
         let widths =
@@ -239,7 +239,7 @@
     }
 
     /// All of it as lines, for where there is no terminal.
-    pub fn plain(rows: &[Row], report: &Value) -> String {
+    pub fn plain(rows: &[DestinationRow], report: &Value) -> String {
         let mut out = Self::totals(report);
         let line = |w: &[String]| {
             format!(
@@ -248,8 +248,8 @@
             )
         };
         out += &line(&HEADS.map(String::from));
-        rows.iter().for_each(|r| out += &line(&r.words()));
-        for (name, n, share) in Row::channels(&[report]) {
+        rows.iter().for_each(|r| out += &line(&r.cells()));
+        for (name, n, share) in DestinationRow::channels(&[report]) {
             out += &format!("\nchannel {name:<12} {n:>8} handed in, {:.1}%", share * 100.0);
         }
         out
@@ -273,11 +273,11 @@
             "channels": [{"name": "a", "handed_in": 0}]});
         let names = ["elva".to_owned(), "tartu".to_owned()];
         let mut table = Table::new("a rehearsal", "keys");
-        table.rows = Row::of(&[&one, &two], Some(&names));
-        table.channels = Row::channels(&[&one, &two]);
-        assert_eq!((table.rows[1].held, table.rows[1].breaker, table.rows[1].cold), (7, 2, true));
+        table.rows = DestinationRow::of(&[&one, &two], Some(&names));
+        table.channels = DestinationRow::channels(&[&one, &two]);
+        assert_eq!((table.rows[1].held, table.rows[1].breaker, table.rows[1].slow_start), (7, 2, true));
         assert_eq!(table.channels, [("a".to_owned(), 30, 0.75), ("b".to_owned(), 10, 0.25)]);
-        table.sorted = Sorted::Worst;
+        table.sorted = SortOrder::Worst;
         assert_eq!(table.chosen(), Some(1));
         table.down();
         assert_eq!(table.chosen(), Some(0));
--- a/crates/rehearsal/src/verdict.rs
+++ b/crates/rehearsal/src/verdict.rs
@@ -1,9 +1,9 @@
 //! What a rehearsal came to, in all its forms: a summary for the terminal, a page with plots, JSON for scripts and
 //! JUnit for other people's CI. Worth delivered against worth asked stands at the top of each.
 
-use crate::audit::{Breach, Rule};
+use crate::audit::{Rule, RuleViolation};
 use crate::figures::{Figures, Tally, Upgrade, OUTCOMES, WINDOW};
-use crate::report::Drawn;
+use crate::report::PlotResult;
 use crate::scenario::Scenario;
 use crate::world::{World, START};
 use cedarbridge::{BreakerState, Micros};
@@ -26,11 +26,11 @@
     /// All hand-ins.
     pub sends: u64,
     /// How long forwarders took to tell how they stand, at the 90th percentile.
-    pub tells_p90: Micros,
+    pub counters_p90: Micros,
 }
 
 /// A hand-in is late beyond this.
-pub const LATE: Micros = 50_000;
+pub const SEND_LATE: Micros = 50_000;
 /// A run whose event loop was late by more than this at the 99th percentile is not judged, ...
 const LOOP_LATE: Micros = 40_000;
 /// ... nor one with more than this share of late hand-ins.
@@ -38,11 +38,11 @@
 
 /// ... nor one whose forwarders got so little of the machine that they took longer than this, at the 90th percentile, to
 /// answer a question that needs no thought.
-const TELLS_LATE: Micros = 60_000;
+const COUNTERS_LATE: Micros = 60_000;
 
 /// How a run was made.
 #[derive(Clone, Copy, Debug)]
-pub enum How {
+pub enum RunMode {
     /// In virtual time.
     Virtual,
     /// On sockets, with real forwarders.
@@ -60,11 +60,11 @@
     /// What came of it.
     pub figures: &'a Figures,
     /// Rules broken.
-    pub broken: &'a [Breach],
+    pub violations: &'a [RuleViolation],
     /// How it was made.
-    pub how: How,
+    pub run_mode: RunMode,
     /// What else went wrong: a forwarder that ended by itself, a run broken off.
-    pub mishaps: &'a [String],
+    pub incidents: &'a [String],
     /// How long it took.
     pub took: Duration,
 }
@@ -85,10 +85,10 @@
     fn checks(&self) -> Vec<(&'static str, bool, String)> {
         let (e, f) = (&self.scenario.expect, self.figures);
         let mut all = Vec::new();
-        let rules = self.broken.len();
-        all.push(("rules", rules <= e.broken, format!("{rules} rules broken, {} allowed", e.broken)));
-        if let Some(least) = &e.worth {
-            let worth = f.worth().share();
+        let rules = self.violations.len();
+        all.push(("rules", rules <= e.violations, format!("{rules} rules broken, {} allowed", e.violations)));
+        if let Some(least) = &e.delivered_share {
+            let worth = f.value().share();
             let what = format!("worth {worth:.3}, {} expected at least", least.value);
             all.push(("worth", worth >= least.value, what));
         }
@@ -104,26 +104,26 @@
             let what = format!("first delivery after a return: {}, {} at most", ms(longest), ms(most.0));
             all.push(("returns", longest <= most.0, what));
         }
-        let mishaps = self.mishaps.join("; ");
+        let incidents = self.incidents.join("; ");
         all.push((
             "run",
-            self.mishaps.is_empty(),
-            if mishaps.is_empty() { "nothing odd".into() } else { mishaps },
+            self.incidents.is_empty(),
+            if incidents.is_empty() { "nothing odd".into() } else { incidents },
         ));
         all
     }
 
     /// The verdict.
     pub fn verdict(&self) -> Verdict {
-        if let How::Live(late) = self.how {
+        if let RunMode::Live(late) = self.run_mode {
             let share = late.late_sends as f64 / late.sends.max(1) as f64;
-            if late.loop_p99 > LOOP_LATE || share > SENDS_LATE || late.tells_p90 > TELLS_LATE {
+            if late.loop_p99 > LOOP_LATE || share > SENDS_LATE || late.counters_p90 > COUNTERS_LATE {
                 return Verdict::NotJudged(format!(
                     "the machine was loaded: the kit ran late by {:.0} ms at p99 and sent {:.1}% of the messages late, \
                      forwarders took {:.0} ms at p90 to tell how they stand",
                     late.loop_p99 as f64 / 1e3,
                     share * 100.0,
-                    late.tells_p90 as f64 / 1e3
+                    late.counters_p90 as f64 / 1e3
                 ));
             }
         }
@@ -136,19 +136,24 @@
     }
 
     fn headline(&self) -> String {
-        let w = self.figures.worth();
+        let w = self.figures.value();
         let verdict = match self.verdict() {
             Verdict::Passed => "as expected".into(),
             Verdict::Failed(why) => format!("NOT AS EXPECTED: {}", why.join("; ")),
             Verdict::NotJudged(why) => format!("NOT JUDGED: {why}"),
         };
-        format!("worth delivered {:.1} of {:.1} asked: {:.3}; {verdict}", w.got, w.asked, w.share())
+        format!(
+            "worth delivered {:.1} of {:.1} asked: {:.3}; {verdict}",
+            w.delivered_value,
+            w.offered,
+            w.share()
+        )
     }
 
-    fn how(&self) -> String {
-        let what = match self.how {
-            How::Virtual => "in virtual time".into(),
-            How::Live(l) => format!(
+    fn run_mode(&self) -> String {
+        let what = match self.run_mode {
+            RunMode::Virtual => "in virtual time".into(),
+            RunMode::Live(l) => format!(
                 "live; the kit itself late by {:.1} ms at p99, {:.1} ms at most, {} of {} hand-ins late",
                 l.loop_p99 as f64 / 1e3,
                 l.loop_most as f64 / 1e3,
@@ -162,11 +167,11 @@
     /// The summary for a terminal.
     pub fn summary(&self) -> String {
         let f = self.figures;
-        let mut out = format!("{}\n{}\n{}\n\n", self.scenario.title, self.headline(), self.how());
+        let mut out = format!("{}\n{}\n{}\n\n", self.scenario.title, self.headline(), self.run_mode());
         let _ = writeln!(
             out,
             "{} messages: {} delivered, {} refused, {} failed; {} attempts ({})",
-            self.world.hands.len(),
+            self.world.requests.len(),
             f.delivered,
             f.refused,
             f.failed,
@@ -186,7 +191,7 @@
                 name,
                 t.messages,
                 t.delivered,
-                t.worth.share(),
+                t.value.share(),
                 t.time(0.5),
                 t.time(0.99),
                 t.time(0.999)
@@ -203,15 +208,15 @@
         out.push('\n');
         // The worst first; a page has all of them.
         const ROWS: usize = 20;
-        let mut partners: Vec<_> = self.world.partner_names.iter().zip(&f.by_partner).collect();
-        if partners.len() > ROWS {
-            partners.sort_by(|a, b| a.1.worth.share().total_cmp(&b.1.worth.share()));
+        let mut destinations: Vec<_> = self.world.destination_names.iter().zip(&f.by_destination).collect();
+        if destinations.len() > ROWS {
+            destinations.sort_by(|a, b| a.1.value.share().total_cmp(&b.1.value.share()));
         }
-        for (name, t) in partners.iter().take(ROWS) {
+        for (name, t) in destinations.iter().take(ROWS) {
             row(&mut out, name, t);
         }
-        if partners.len() > ROWS {
-            let _ = writeln!(out, "... and {} more that fared better", partners.len() - ROWS);
+        if destinations.len() > ROWS {
+            let _ = writeln!(out, "... and {} more that fared better", destinations.len() - ROWS);
         }
         if !f.upgrades.is_empty() {
             let of = |what: fn(&Upgrade) -> u64| {
@@ -220,7 +225,7 @@
                 (all[all.len() / 2] as f64 / 1e3, all[all.len() - 1] as f64 / 1e3)
             };
             let (ready, left) = (of(|u| u.ready), of(|u| u.left));
-            let door: usize = f.upgrades.iter().map(|u| u.at_the_door).sum();
+            let door: usize = f.upgrades.iter().map(|u| u.rejected_during_upgrade).sum();
             let _ = writeln!(
                 out,
                 "\n{} processes replaced: the new one took clients after {:.0} ms at the median, {:.0} ms at most; the old \
@@ -232,11 +237,11 @@
                 left.1
             );
         }
-        for b in self.broken.iter().take(10) {
+        for b in self.violations.iter().take(10) {
             let _ = writeln!(out, "BROKEN {b}");
         }
-        if self.broken.len() > 10 {
-            let _ = writeln!(out, "... and {} more", self.broken.len() - 10);
+        if self.violations.len() > 10 {
+            let _ = writeln!(out, "... and {} more", self.violations.len() - 10);
         }
         out
     }
@@ -245,7 +250,7 @@
     pub fn json(&self) -> Value {
         let f = self.figures;
         let tally = |t: &Tally| {
-            json!({"messages": t.messages, "delivered": t.delivered, "asked": t.worth.asked, "got": t.worth.got,
+            json!({"messages": t.messages, "delivered": t.delivered, "asked": t.value.offered, "got": t.value.delivered_value,
                 "by_second": t.by_second, "ms": {"p50": t.time(0.5), "p90": t.time(0.9), "p99": t.time(0.99), "p99.9": t.time(0.999)}})
         };
         let named = |names: &[String], all: &[Tally]| -> Value {
@@ -261,24 +266,24 @@
             Verdict::Failed(why) => ("failed", why),
             Verdict::NotJudged(why) => ("not judged", vec![why]),
         };
-        let w = f.worth();
+        let w = f.value();
         let outcomes: serde_json::Map<String, Value> =
             OUTCOMES.iter().zip(f.outcomes).map(|(n, c)| ((*n).to_owned(), c.into())).collect();
         json!({
             "title": self.scenario.title, "seed": self.seed, "verdict": verdict, "reasons": reasons,
-            "worth": {"asked": w.asked, "delivered": w.got, "share": w.share()},
-            "live": matches!(self.how, How::Live(_)), "seconds": self.took.as_secs_f64(),
-            "messages": self.world.hands.len(), "delivered": f.delivered, "refused": f.refused,
+            "worth": {"asked": w.offered, "delivered": w.delivered_value, "share": w.share()},
+            "live": matches!(self.run_mode, RunMode::Live(_)), "seconds": self.took.as_secs_f64(),
+            "messages": self.world.requests.len(), "delivered": f.delivered, "refused": f.refused,
             "failed": f.failed, "attempts": f.attempts, "outcomes": outcomes,
             "upgrades": f.upgrades.iter().map(|u| json!({"ready_us": u.ready, "left_us": u.left,
-                "at_the_door": u.at_the_door})).collect::<Vec<_>>(),
+                "at_the_door": u.rejected_during_upgrade})).collect::<Vec<_>>(),
             "channels": named(&self.world.names.tenants, &f.by_channel),
-            "partners": named(&self.world.partner_names, &f.by_partner),
-            "breakers": self.world.partner_names.iter().zip(&f.breakers).map(|(name, line)| {
+            "partners": named(&self.world.destination_names, &f.by_destination),
+            "breakers": self.world.destination_names.iter().zip(&f.breakers).map(|(name, line)| {
                 let line = line.iter().map(|(at, s)| json!([Self::s(*at), s.name()]));
                 (name.clone(), line.collect::<Vec<_>>().into())
             }).collect::<serde_json::Map<_, Value>>(),
-            "broken": self.broken.iter().map(|b| json!({"rule": b.rule.name(), "at_us": b.at.saturating_sub(START),
+            "broken": self.violations.iter().map(|b| json!({"rule": b.rule.name(), "at_us": b.at.saturating_sub(START),
                 "forwarder": b.forwarder.map(|f| f + 1), "message": b.message, "what": b.what})).collect::<Vec<_>>(),
         })
     }
@@ -323,9 +328,9 @@
             Rule::Strays,
         ];
         for rule in rules {
-            let broken: Vec<String> =
-                self.broken.iter().filter(|b| b.rule == rule).map(Breach::to_string).collect();
-            case(format!("rule {}", rule.name()), broken.is_empty(), broken.join("\n"));
+            let violations: Vec<String> =
+                self.violations.iter().filter(|b| b.rule == rule).map(RuleViolation::to_string).collect();
+            case(format!("rule {}", rule.name()), violations.is_empty(), violations.join("\n"));
         }
         report.add_test_suite(suite);
         report.to_string().expect("text without control characters")
@@ -339,17 +344,17 @@
              <body style=\"font-family: sans-serif; max-width: 62em; margin: 2em auto\">\n<h1>{title}</h1>\n\
              <p><b>{}</b></p>\n<p>{}</p>\n",
             escaped(&self.headline()),
-            escaped(&self.how())
+            escaped(&self.run_mode())
         );
-        if !self.broken.is_empty() {
+        if !self.violations.is_empty() {
             out += "<h2>Rules broken</h2>\n<ul>\n";
-            for b in self.broken.iter().take(200) {
+            for b in self.violations.iter().take(200) {
                 let _ = writeln!(out, "<li>{}</li>", escaped(&b.to_string()));
             }
             out += "</ul>\n";
         }
         for (heading, draw) in [
-            ("Worth by the time of the hand-in", Self::draw_worth as fn(&Self, &mut String) -> Drawn),
+            ("Worth by the time of the hand-in", Self::draw_value as fn(&Self, &mut String) -> PlotResult),
             ("Held and in flight", Self::draw_held),
             ("Breakers", Self::draw_breakers),
             ("Delivery times by channel", Self::draw_times),
@@ -363,7 +368,7 @@
                 <th>p50 ms<th>p90<th>p99<th>p99.9</tr>\n";
         let f = self.figures;
         let channels = self.world.names.tenants.iter().zip(&f.by_channel);
-        for (name, t) in channels.chain(self.world.partner_names.iter().zip(&f.by_partner)) {
+        for (name, t) in channels.chain(self.world.destination_names.iter().zip(&f.by_destination)) {
             let _ = writeln!(
                 out,
                 "<tr><td>{}<td align=right>{}<td align=right>{}<td align=right>{:.3}<td align=right>{}\
@@ -371,7 +376,7 @@
                 escaped(name),
                 t.messages,
                 t.delivered,
-                t.worth.share(),
+                t.value.share(),
                 t.time(0.5),
                 t.time(0.9),
                 t.time(0.99),
@@ -392,7 +397,7 @@
         Self::s(last.max(self.world.end))
     }
 
-    fn draw_worth(&self, svg: &mut String) -> Drawn {
+    fn draw_value(&self, svg: &mut String) -> PlotResult {
         let root = SVGBackend::with_string(svg, (820, 300)).into_drawing_area();
         root.fill(&WHITE)?;
         let end = self.end();
@@ -401,12 +406,12 @@
             .x_label_area_size(34)
             .y_label_area_size(44)
             .build_cartesian_2d(0.0..end, 0.0..1.06)?;
-        for (n, (partner, from, to, trouble)) in self.world.troubles.iter().enumerate().take(40) {
+        for (n, (destination, from, to, fault)) in self.world.faults.iter().enumerate().take(40) {
             let (from, to) = (Self::s(*from), Self::s(*to));
             let c = colour(n + 1);
             let band = Rectangle::new([(from, 0.0), (to, 1.06)], c.mix(0.10).filled());
             chart.draw_series([band])?;
-            let label = format!("{} {}", self.world.partner_names[*partner], word(*trouble));
+            let label = format!("{} {}", self.world.destination_names[*destination], word(*fault));
             let place = (from, 1.04 - 0.06 * (n % 8) as f64);
             chart.draw_series([Text::new(label, place, ("sans-serif", 10).into_font().color(&c))])?;
         }
@@ -426,19 +431,19 @@
         Ok(())
     }
 
-    fn draw_held(&self, svg: &mut String) -> Drawn {
+    fn draw_held(&self, svg: &mut String) -> PlotResult {
         let root = SVGBackend::with_string(svg, (820, 220)).into_drawing_area();
         root.fill(&WHITE)?;
         let samples = &self.figures.samples;
-        let most = samples.iter().map(|s| s.held.max(s.out)).max().unwrap_or(1).max(1) as f64;
+        let most = samples.iter().map(|s| s.open_messages.max(s.in_flight)).max().unwrap_or(1).max(1) as f64;
         let mut chart = ChartBuilder::on(&root)
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(44)
             .build_cartesian_2d(0.0..self.end(), 0.0..most * 1.05)?;
         chart.configure_mesh().disable_x_mesh().x_desc("s").y_desc("messages, calls").draw()?;
-        let held = samples.iter().map(|s| (Self::s(s.at), s.held as f64));
-        let out = samples.iter().map(|s| (Self::s(s.at), s.out as f64));
+        let held = samples.iter().map(|s| (Self::s(s.at), s.open_messages as f64));
+        let out = samples.iter().map(|s| (Self::s(s.at), s.in_flight as f64));
         let legend = |c: RGBColor| move |(x, y)| PathElement::new([(x, y), (x + 18, y)], c.stroke_width(2));
         chart
             .draw_series(LineSeries::new(held, colour(0).stroke_width(2)))?
@@ -456,8 +461,8 @@
     }
 
     /// A line a partner: closed, half and open, with its troubles above.
-    fn draw_breakers(&self, svg: &mut String) -> Drawn {
-        let shown = self.world.partner_names.len().min(64);
+    fn draw_breakers(&self, svg: &mut String) -> PlotResult {
+        let shown = self.world.destination_names.len().min(64);
         let height = 60 + 18 * shown as u32;
         let root = SVGBackend::with_string(svg, (820, height)).into_drawing_area();
         root.fill(&WHITE)?;
@@ -467,7 +472,7 @@
             .x_label_area_size(34)
             .y_label_area_size(110)
             .build_cartesian_2d(0.0..end, 0.0..shown as f64)?;
-        let names = &self.world.partner_names;
+        let names = &self.world.destination_names;
         let name = |y: &f64| names.get(shown.wrapping_sub(1 + *y as usize)).cloned().unwrap_or_default();
         chart
             .configure_mesh()
@@ -476,9 +481,9 @@
             .y_labels(shown + 1)
             .y_label_formatter(&name)
             .draw()?;
-        let place = |partner: usize| (shown - 1 - partner) as f64;
-        for (partner, line) in self.figures.breakers.iter().enumerate().take(shown) {
-            let y = place(partner);
+        let place = |destination: usize| (shown - 1 - destination) as f64;
+        for (destination, line) in self.figures.breakers.iter().enumerate().take(shown) {
+            let y = place(destination);
             let ends = line.iter().map(|l| Self::s(l.0)).skip(1).chain([end]);
             let first = line.first().map_or(end, |l| Self::s(l.0));
             let spans = line.iter().zip(ends).map(|(l, to)| (Self::s(l.0), to, l.1));
@@ -491,8 +496,8 @@
                 chart.draw_series([Rectangle::new([(from, y + 0.15), (to, y + 0.7)], c.filled())])?;
             }
         }
-        for (partner, from, to, _) in self.world.troubles.iter().filter(|t| t.0 < shown) {
-            let y = place(*partner) + 0.85;
+        for (destination, from, to, _) in self.world.faults.iter().filter(|t| t.0 < shown) {
+            let y = place(*destination) + 0.85;
             let line = [(Self::s(*from), y), (Self::s(*to), y)];
             chart.draw_series([PathElement::new(line, RGBColor(0x55, 0x55, 0x55).stroke_width(2))])?;
         }
@@ -500,7 +505,7 @@
         Ok(())
     }
 
-    fn draw_times(&self, svg: &mut String) -> Drawn {
+    fn draw_times(&self, svg: &mut String) -> PlotResult {
         let root = SVGBackend::with_string(svg, (820, 260)).into_drawing_area();
         root.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&root)
@@ -527,7 +532,7 @@
         Ok(())
     }
 
-    fn draw_outcomes(&self, svg: &mut String) -> Drawn {
+    fn draw_outcomes(&self, svg: &mut String) -> PlotResult {
         let root = SVGBackend::with_string(svg, (820, 200)).into_drawing_area();
         root.fill(&WHITE)?;
         let all: Vec<(&str, u64)> =
@@ -553,8 +558,8 @@
 }
 
 /// What a trouble is called in a scenario.
-pub fn word(trouble: Fault) -> String {
-    match trouble {
+pub fn word(fault: Fault) -> String {
+    match fault {
         Fault::Slow(factor) => format!("slow ×{factor}"),
         Fault::FailCalls(share) => format!("fails {:.0}%", share * 100.0),
         Fault::Hang => "hangs".into(),
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -1,8 +1,8 @@
 //! Views of a rehearsal under way: on a terminal a table of partners and channels with keys, elsewhere a line every
 //! few seconds with a bar.
 
-use crate::live::{Ask, Progress, Told};
-use crate::table::{Row, Sorted, Table};
+use crate::live::{Progress, ViewCommand, ViewUpdate};
+use crate::table::{DestinationRow, SortOrder, Table};
 use async_channel::{Receiver, Sender};
 use cedarbridge_endpoint_model::Fault;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
@@ -17,14 +17,14 @@
 
 /// A view in a thread of its own; it ends when this is dropped.
 pub struct View {
-    told: Option<Sender<Told>>,
-    asks: Receiver<Ask>,
+    told: Option<Sender<ViewUpdate>>,
+    asks: Receiver<ViewCommand>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl View {
     /// What a run tells it, and what it asks of the run.
-    pub fn channels(&self) -> (Sender<Told>, Receiver<Ask>) {
+    pub fn channels(&self) -> (Sender<ViewUpdate>, Receiver<ViewCommand>) {
         (self.told.clone().expect("not dropped yet"), self.asks.clone())
     }
 }
@@ -41,16 +41,16 @@
 }
 
 /// Starts a view of a run with these partners.
-pub fn start(title: &str, partners: &[String], plain: bool) -> View {
-    let (told, heard) = async_channel::bounded(4);
-    let (ask, asks) = async_channel::unbounded();
-    let (title, names) = (title.to_owned(), partners.to_vec());
+pub fn start(title: &str, destinations: &[String], plain: bool) -> View {
+    let (told, updates) = async_channel::bounded(4);
+    let (commands, asks) = async_channel::unbounded();
+    let (title, names) = (title.to_owned(), destinations.to_vec());
     let rich = !plain && std::io::stdout().is_terminal() && std::io::stdin().is_terminal();
     let thread = std::thread::spawn(move || {
         if rich {
-            screen(&title, names, &heard, &ask);
+            screen(&title, names, &updates, &commands);
         } else {
-            lines(&heard);
+            lines(&updates);
         }
     });
     View { told: Some(told), asks, thread: Some(thread) }
@@ -73,15 +73,15 @@
         "{} {at:>5.1} of {whole:.0} s  {:>6} sent  worth {:.3}  {held:>4} held  {open} breakers open  {up} of {} up  {} broken",
         bar(p.at.0 as f64 / p.at.1.max(1) as f64),
         p.sent.0,
-        if p.worth.1 > 0.0 { p.worth.0 / p.worth.1 } else { 1.0 },
+        if p.value.1 > 0.0 { p.value.0 / p.value.1 } else { 1.0 },
         p.forwarders.len(),
-        p.broken
+        p.violations
     )
 }
 
-fn lines(heard: &Receiver<Told>) {
+fn lines(updates: &Receiver<ViewUpdate>) {
     let mut last: Option<Instant> = None;
-    while let Ok(Told::Progress(p)) = heard.recv_blocking() {
+    while let Ok(ViewUpdate::Progress(p)) = updates.recv_blocking() {
         if last.is_none_or(|l| l.elapsed() >= LINES) {
             eprintln!("{}", line(&p));
             last = Some(Instant::now());
@@ -98,7 +98,7 @@
     ('x', "shut", Fault::RejectAll),
 ];
 
-fn screen(title: &str, names: Vec<String>, heard: &Receiver<Told>, ask: &Sender<Ask>) {
+fn screen(title: &str, names: Vec<String>, updates: &Receiver<ViewUpdate>, commands: &Sender<ViewCommand>) {
     let mut terminal = ratatui::init();
     let mut table = Table::new(
         title,
@@ -106,16 +106,16 @@
     );
     let (mut paused, mut latest) = (false, Progress::default());
     loop {
-        match heard.try_recv() {
-            Ok(Told::Progress(p)) if !paused => latest = p,
+        match updates.try_recv() {
+            Ok(ViewUpdate::Progress(p)) if !paused => latest = p,
             Ok(_) => {}
             Err(async_channel::TryRecvError::Closed) => break,
             Err(async_channel::TryRecvError::Empty) => {}
         }
         table.headline = line(&latest);
         let reports: Vec<_> = latest.forwarders.iter().flatten().collect();
-        table.rows = Row::of(&reports, Some(&names));
-        table.channels = Row::channels(&reports);
+        table.rows = DestinationRow::of(&reports, Some(&names));
+        table.channels = DestinationRow::channels(&reports);
         if terminal.draw(|f| table.draw(f)).is_err() {
             break;
         }
@@ -128,17 +128,17 @@
         }
         match key.code {
             KeyCode::Char('q') | KeyCode::Esc => {
-                let _ = ask.try_send(Ask::Quit);
+                let _ = commands.try_send(ViewCommand::Quit);
             }
             KeyCode::Char('c') if key.modifiers.contains(event::KeyModifiers::CONTROL) => {
-                let _ = ask.try_send(Ask::Quit);
+                let _ = commands.try_send(ViewCommand::Quit);
             }
             KeyCode::Char('p') => paused = !paused,
             KeyCode::Char('s') => table.sorted = table.sorted.next(),
-            KeyCode::Char('o') => strike(&table, ask, None),
+            KeyCode::Char('o') => inject_fault(&table, commands, None),
             KeyCode::Char(c) => {
-                if let Some((_, _, trouble)) = STRIKES.iter().find(|s| s.0 == c) {
-                    strike(&table, ask, Some(*trouble));
+                if let Some((_, _, fault)) = STRIKES.iter().find(|s| s.0 == c) {
+                    inject_fault(&table, commands, Some(*fault));
                 }
             }
             KeyCode::Down => table.down(),
@@ -149,9 +149,9 @@
     ratatui::restore();
 }
 
-fn strike(table: &Table, ask: &Sender<Ask>, trouble: Option<Fault>) {
-    if let Some(partner) = table.chosen() {
-        let _ = ask.try_send(Ask::Strike(partner as usize, trouble));
+fn inject_fault(table: &Table, commands: &Sender<ViewCommand>, fault: Option<Fault>) {
+    if let Some(destination) = table.chosen() {
+        let _ = commands.try_send(ViewCommand::InjectFault(destination as usize, fault));
     }
 }
 
@@ -168,7 +168,7 @@
     if plain || !std::io::stdout().is_terminal() {
         let mut n = 0;
         loop {
-            println!("{}", Table::plain(&Row::of(&[&report], None), &report));
+            println!("{}", Table::plain(&DestinationRow::of(&[&report], None), &report));
             n += 1;
             if looks.is_some_and(|most| n >= most) {
                 return Ok(());
@@ -180,7 +180,7 @@
     let mut terminal = ratatui::init();
     let mut table = Table::new(&format!("forwarder at {address}"), "↑↓ scroll, s sort, p pause, q quit");
     let (mut last, mut paused, mut there) = (Instant::now(), false, true);
-    table.sorted = Sorted::Worst;
+    table.sorted = SortOrder::Worst;
     loop {
         if last.elapsed() >= every && !paused {
             last = Instant::now();
@@ -190,8 +190,8 @@
             }
         }
         table.headline = if there { Table::totals(&report) } else { format!("no answer from {address}") };
-        table.rows = Row::of(&[&report], None);
-        table.channels = Row::channels(&[&report]);
+        table.rows = DestinationRow::of(&[&report], None);
+        table.channels = DestinationRow::channels(&[&report]);
         if let Err(e) = terminal.draw(|f| table.draw(f)) {
             ratatui::restore();
             return Err(e);
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -29,24 +29,24 @@
 
 /// A message as a client hands it in.
 #[derive(Clone, Copy, Debug)]
-pub struct Hand {
+pub struct ClientRequest {
     /// When.
     pub at: Micros,
     /// For which partner.
-    pub partner: usize,
+    pub destination: usize,
     /// From which channel.
     pub tenant: usize,
     /// To which forwarder.
     pub forwarder: usize,
     /// What it is worth if it is in time.
-    pub worth: f64,
+    pub weight: f64,
     /// A client that is refused comes again after so long, if at all.
-    pub again: Option<Micros>,
+    pub retry_after: Option<Micros>,
 }
 
 /// A forwarder's end.
 #[derive(Clone, Copy, Debug)]
-pub struct StopAt {
+pub struct PlannedStop {
     /// Which forwarder.
     pub forwarder: usize,
     /// When.
@@ -59,7 +59,7 @@
 
 /// A forwarder, as it is set up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct ForwarderProfile {
     /// The number that it is told, if it is told one.
     pub number: Option<u64>,
     /// How far its clock is ahead of the slowest one.
@@ -68,7 +68,7 @@
 
 /// A fleet's size from some time on.
 #[derive(Clone, Copy, Debug)]
-pub struct SizeAt {
+pub struct PlannedSize {
     /// When it begins.
     pub at: Micros,
     /// How many forwarders serve.
@@ -80,7 +80,7 @@
 /// A day, before it is played.
 pub struct World {
     /// By number; the busiest first.
-    pub partners: Vec<DestinationProfile>,
+    pub destinations: Vec<DestinationProfile>,
     /// The kind of each partner.
     pub kinds: Vec<usize>,
     /// Its share of the traffic.
@@ -88,27 +88,27 @@
     /// What a forwarder is told; all are told the same but for their numbers.
     pub settings: Settings,
     /// The forwarders.
-    pub fleet: Vec<Member>,
+    pub fleet: Vec<ForwarderProfile>,
     /// How many of them serve, where that changes.
-    pub sizes: Vec<SizeAt>,
+    pub sizes: Vec<PlannedSize>,
     /// The count that they are told, over the true one.
-    pub told: f64,
+    pub told_count_factor: f64,
     /// What the settings call classes and kinds.
     pub names: Names,
     /// The list of endpoints, and for each its partner and its place there.
     pub list: Vec<(EndpointEntry, usize, usize)>,
     /// All messages, in the order of time.
-    pub hands: Vec<Hand>,
+    pub requests: Vec<ClientRequest>,
     /// What goes wrong: partner, begin, end, what.
-    pub troubles: Vec<(usize, Micros, Micros, Fault)>,
+    pub faults: Vec<(usize, Micros, Micros, Fault)>,
     /// How many of the list's endpoints are listed from the begin on.
     pub listed: usize,
     /// What the list tells later: when, of which endpoint, what.
     pub changes: Vec<(Micros, usize, Lifecycle)>,
     /// Forwarders that are ended: in the order of time.
-    pub stops: Vec<StopAt>,
+    pub stops: Vec<PlannedStop>,
     /// What partners are called.
-    pub partner_names: Vec<String>,
+    pub destination_names: Vec<String>,
     /// Connections that an endpoint of each partner holds.
     pub connections: Vec<usize>,
     /// Parts of the day: name, begin and end.
@@ -120,8 +120,8 @@
 }
 
 /// So many forwarders, numbered, whose clocks agree.
-pub fn plain_fleet(count: usize) -> Vec<Member> {
-    (0..count as u64).map(|n| Member { number: Some(n), clock: 0 }).collect()
+pub fn numbered_fleet(count: usize) -> Vec<ForwarderProfile> {
+    (0..count as u64).map(|n| ForwarderProfile { number: Some(n), clock: 0 }).collect()
 }
 
 fn pick(rng: &mut ChaCha8Rng, range: (f64, f64)) -> f64 {
@@ -180,15 +180,15 @@
 
 impl World {
     /// The settings as one of so many forwarders is told them.
-    pub fn told_to(&self, forwarder: usize, count: usize) -> Settings {
-        let forwarders = ((count as f64 * self.told).round() as usize).max(1);
+    pub fn settings_for(&self, forwarder: usize, count: usize) -> Settings {
+        let forwarders = ((count as f64 * self.told_count_factor).round() as usize).max(1);
         Settings { forwarders, forwarder_index: self.fleet[forwarder].number, ..self.settings.clone() }
     }
 
     /// Draws a day at a load, which is a share of full load.
     pub fn draw(experiment: &Experiment, load: (f64, f64), seed: u64) -> World {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let of = &experiment.partners;
+        let of = &experiment.destinations;
         let zipf = pick(&mut rng, of.zipf);
         let weights: Vec<f64> = (0..of.count).map(|i| 1.0 / ((i + 1) as f64).powf(zipf)).collect();
         let sum: f64 = weights.iter().sum();
@@ -198,15 +198,15 @@
         let kinds: Vec<usize> =
             (0..of.count).map(|i| usize::from(i % 2 == 1 || i >= of.count * 2 / 3)).collect();
         let work = pick(&mut rng, of.work_ms) * 1000.0;
-        let mut partners: Vec<DestinationProfile> = (0..of.count)
-            .map(|i| draw_partner(&mut rng, experiment, full * traffic[i], kinds[i], work))
+        let mut destinations: Vec<DestinationProfile> = (0..of.count)
+            .map(|i| draw_destination(&mut rng, experiment, full * traffic[i], kinds[i], work))
             .collect();
-        of.paces.iter().for_each(|p| partners[p.rank - 1].service_time = p.work.0);
+        of.paces.iter().for_each(|p| destinations[p.rank - 1].service_time = p.work.0);
         let mut settings = platform().0;
         let load = pick(&mut rng, load);
         settings.forwarders = experiment.forwarders;
         let each = full / experiment.forwarders as f64;
-        let busy: f64 = partners
+        let busy: f64 = destinations
             .iter()
             .zip(&traffic)
             .map(|(p, t)| full * t * p.service_time as f64 / SECOND as f64)
@@ -218,9 +218,9 @@
             tenant.quota_per_s = full * QUOTA * of.1;
         }
         let end = START + experiment.length.0;
-        let hands = draw_hands(&mut rng, experiment, &partners, &traffic, &settings, full * load);
+        let requests = draw_requests(&mut rng, experiment, &destinations, &traffic, &settings, full * load);
         let mut list = Vec::new();
-        for (i, p) in partners.iter().enumerate() {
+        for (i, p) in destinations.iter().enumerate() {
             // The list tells a rough figure for what the partner takes: up to half too high or too low.
             let weight = p.limit.unwrap_or(p.capacity) * pick(&mut rng, (0.67, 1.5));
             for e in 0..p.endpoints {
@@ -235,35 +235,35 @@
                 list.push((entry, i, e));
             }
         }
-        let troubles = experiment.troubles.iter().map(|t| {
+        let faults = experiment.faults.iter().map(|t| {
             let from = START + t.from.0;
             (t.rank - 1, from, from + t.lasts.0, t.drawn(rng.random()))
         });
-        let troubles = troubles.collect();
+        let faults = faults.collect();
         // One endpoint of a partner with several leaves for a while, as in a restart.
-        let several = list.iter().position(|e| partners[e.1].endpoints > 1);
+        let several = list.iter().position(|e| destinations[e.1].endpoints > 1);
         let part = |of: u64| START + experiment.length.0 / of;
         let changes = several.map(|e| [(part(4), e, Lifecycle::Draining), (part(2), e, Lifecycle::Listed)]);
         let changes = changes.into_iter().flatten().collect();
         let network = ((of.network_ms.0 * 1e3) as Micros, (of.network_ms.1 * 1e3) as Micros);
         let names = platform().1;
         World {
-            fleet: plain_fleet(experiment.forwarders),
+            fleet: numbered_fleet(experiment.forwarders),
             sizes: Vec::new(),
-            told: 1.0,
+            told_count_factor: 1.0,
             listed: list.len(),
             stops: Vec::new(),
-            partner_names: (1..=partners.len()).map(|n| format!("partner-{n}")).collect(),
-            connections: vec![usize::MAX; partners.len()],
+            destination_names: (1..=destinations.len()).map(|n| format!("partner-{n}")).collect(),
+            connections: vec![usize::MAX; destinations.len()],
             phases: Vec::new(),
-            partners,
+            destinations,
             kinds,
             traffic,
             settings,
             names,
             list,
-            hands,
-            troubles,
+            requests,
+            faults,
             changes,
             network,
             end,
@@ -271,14 +271,14 @@
     }
 }
 
-fn draw_partner(
+fn draw_destination(
     rng: &mut ChaCha8Rng,
     experiment: &Experiment,
     rate: f64,
     kind: usize,
     work: f64,
 ) -> DestinationProfile {
-    let of = &experiment.partners;
+    let of = &experiment.destinations;
     let headroom = pick(rng, of.headroom);
     let spare = pick(rng, of.spare);
     let unlike = of.unlike.max(1.0).powf(pick(rng, (-1.0, 1.0)));
@@ -308,14 +308,14 @@
 }
 
 /// All messages: an even stream for each partner, and clumps.
-fn draw_hands(
+fn draw_requests(
     rng: &mut ChaCha8Rng,
     experiment: &Experiment,
-    partners: &[DestinationProfile],
+    destinations: &[DestinationProfile],
     traffic: &[f64],
     settings: &Settings,
     rate: f64,
-) -> Vec<Hand> {
+) -> Vec<ClientRequest> {
     let length = experiment.length.0 as f64 / SECOND as f64;
     let clumped = pick(rng, experiment.clumps.share);
     let usage: Vec<f64> = TENANTS.iter().map(|t| t.1 * pick(rng, t.2)).collect();
@@ -336,22 +336,22 @@
     let mut left = rate * length * clumped;
     while left >= 1.0 {
         let mut draw = rng.random::<f64>();
-        let partner = traffic.iter().position(|t| {
+        let destination = traffic.iter().position(|t| {
             draw -= t;
             draw < 0.0
         });
-        let partner = partner.unwrap_or(0);
-        let takes = partners[partner].limit.unwrap_or(partners[partner].capacity);
+        let destination = destination.unwrap_or(0);
+        let takes = destinations[destination].limit.unwrap_or(destinations[destination].capacity);
         let size = (takes * pick(rng, experiment.clumps.seconds)).min(left).ceil();
         // One in CLUMP_GAP seconds; all of it lies within the day.
         let begin = rng.random::<f64>() * (length - size * CLUMP_GAP).max(0.0);
-        let hands = (0..size as usize).map(|n| begin + n as f64 * CLUMP_GAP).filter(|t| *t < length);
-        times.extend(hands.map(|t| (at(t), partner)));
+        let requests = (0..size as usize).map(|n| begin + n as f64 * CLUMP_GAP).filter(|t| *t < length);
+        times.extend(requests.map(|t| (at(t), destination)));
         left -= size;
     }
     times.sort();
     let mut buckets: Vec<(f64, Micros)> = settings.tenants.iter().map(|t| (t.quota_per_s, START)).collect();
-    let hand = |(at, partner): (Micros, usize)| {
+    let request = |(at, destination): (Micros, usize)| {
         let mut draw = rng.random::<f64>() * all;
         let tenant = usage.iter().position(|u| {
             draw -= u;
@@ -363,9 +363,16 @@
         *b = ((b.0 + quota * (at - b.1) as f64 / SECOND as f64).min(quota.max(1.0)), at);
         let within = b.0 >= 1.0;
         b.0 -= f64::from(u8::from(within));
-        let again = rng.random_bool(0.75).then(|| (pick(rng, (0.53, 1.5)) * SECOND as f64) as Micros);
+        let retry_after = rng.random_bool(0.75).then(|| (pick(rng, (0.53, 1.5)) * SECOND as f64) as Micros);
         let forwarder = rng.random_range(0..settings.forwarders);
-        Hand { at, partner, tenant, forwarder, worth: if within { 1.0 } else { OVER_SHARE }, again }
+        ClientRequest {
+            at,
+            destination,
+            tenant,
+            forwarder,
+            weight: if within { 1.0 } else { OVER_SHARE },
+            retry_after,
+        }
     };
-    times.into_iter().map(hand).collect()
+    times.into_iter().map(request).collect()
 }
--- a/crates/rehearsal/tests/experiments.rs
+++ b/crates/rehearsal/tests/experiments.rs
@@ -1,8 +1,8 @@
 //! The shipped experiments, on few days: they can be read, repeat themselves, and break no rule.
 
-use cedarbridge_rehearsal::experiment::{Experiment, Unfit};
-use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::experiment::{Experiment, InputError};
 use cedarbridge_rehearsal::report::{page, Row};
+use cedarbridge_rehearsal::simulation::simulate;
 use cedarbridge_rehearsal::world::{platform, World};
 use std::path::{Path, PathBuf};
 
@@ -15,12 +15,12 @@
     let world = World::draw(experiment, load, 5);
     let plays = experiment.variants.iter().map(|v| {
         let plan = experiment.plan(v, &folder(), &platform()).expect("accepted");
-        let (figures, broken) = play(&world, plan, 5);
+        let (figures, violations) = simulate(&world, plan, 5);
         Row {
             load,
             variant: v.name.clone(),
             days: vec![figures],
-            broken: broken.iter().map(ToString::to_string).collect(),
+            violations: violations.iter().map(ToString::to_string).collect(),
         }
     });
     plays.collect()
@@ -34,10 +34,10 @@
         experiment.length.0 /= 2;
         let first = rows(&experiment);
         for row in &first {
-            assert_eq!(row.broken, Vec::<String>::new(), "{file}, {}", row.variant);
+            assert_eq!(row.violations, Vec::<String>::new(), "{file}, {}", row.variant);
             // A day on which nothing is sent would break no rule either.
             assert!(
-                row.days[0].delivered > 500 && row.days[0].worth().share() > 0.5,
+                row.days[0].delivered > 500 && row.days[0].value().share() > 0.5,
                 "{file}, {}",
                 row.variant
             );
@@ -65,7 +65,7 @@
         assert!(told.contains(wanted), "{told}");
     }
     std::fs::remove_file(&path).expect("removed");
-    assert!(matches!(Experiment::read(&path), Err(Unfit::Unread(..))));
+    assert!(matches!(Experiment::read(&path), Err(InputError::Unread(..))));
 }
 
 #[test]
--- a/crates/rehearsal/tests/fleet.rs
+++ b/crates/rehearsal/tests/fleet.rs
@@ -1,6 +1,8 @@
 //! Whole fleets in virtual time: the hard cases, each at 3, 48, 100 and 300 forwarders with its counts.
 
-use cedarbridge_rehearsal::fleet::{as_json, draw, page, play_one, table, unmet, Day, Row, Way};
+use cedarbridge_rehearsal::fleet::{
+    as_json, draw, page, simulate_fleet_day, table, unmet, DayResult, Row, TurnOrder,
+};
 use cedarbridge_rehearsal::scenario::Scenario;
 
 const SIZES: [usize; 4] = [3, 48, 100, 300];
@@ -18,10 +20,10 @@
 }
 
 /// The day of each size, with no rule broken and no partner pushed over.
-fn days(of: &Scenario) -> Vec<(usize, Day)> {
+fn days(of: &Scenario) -> Vec<(usize, DayResult)> {
     let day = |count| {
-        let day = play_one(of, None, count, Way::Places, 11);
-        assert_eq!(day.broken, Vec::<String>::new(), "{count} forwarders");
+        let day = simulate_fleet_day(of, None, count, TurnOrder::Numbered, 11);
+        assert_eq!(day.violations, Vec::<String>::new(), "{count} forwarders");
         (count, day)
     };
     SIZES.into_iter().map(day).collect()
@@ -29,7 +31,7 @@
 
 /// At least these shares are served, and no more than this share of the calls refused. The bounds lie 0.03 to 0.04 under
 /// what one play brought.
-fn holds(of: &Scenario, served: [f64; 4], refused: f64) -> Vec<(usize, Day)> {
+fn holds(of: &Scenario, served: [f64; 4], refused: f64) -> Vec<(usize, DayResult)> {
     let all = days(of);
     for ((count, day), least) in all.iter().zip(served) {
         assert!(day.served >= least, "{count} forwarders served {:.3}, {least} wanted", day.served);
@@ -39,7 +41,7 @@
 }
 
 /// In every fleet the first delivery comes within a second of the return.
-fn first_within_a_second(all: &[(usize, Day)]) {
+fn first_within_a_second(all: &[(usize, DayResult)]) {
     for (count, day) in all {
         let first = day.first.expect("a partner returned");
         assert!(first <= 1_000_000, "{count} forwarders: the first delivery {first} µs after the return");
@@ -125,9 +127,9 @@
         "phases: [{name: day, for: 30s, load: 0.85, clumps: 0.05}]\n\
          fleet:\n  counts: [3]\n  sizes:\n    - {at: {after: 8s}, count: 300, within: 4s}\n    - {at: {after: 18s}, count: 3, within: 4s}\n",
     );
-    let day = play_one(&of, None, 3, Way::Places, 11);
-    assert_eq!(day.broken, Vec::<String>::new());
-    assert!(day.served >= 0.85 && day.refused <= 0.06 && day.jain >= 0.9, "{day:?}");
+    let day = simulate_fleet_day(&of, None, 3, TurnOrder::Numbered, 11);
+    assert_eq!(day.violations, Vec::<String>::new());
+    assert!(day.served >= 0.85 && day.refused <= 0.06 && day.fairness >= 0.9, "{day:?}");
 }
 
 /// What the places of forwarders with nothing to send come to: those who are busy take more than their even part as long
@@ -140,8 +142,8 @@
             "phases: [{{name: day, for: 25s, load: 1.9}}]\nfleet: {{counts: [3], dead: {{share: {idle}, at: {{after: 50ms}}, for: 24s}}}}\n"
         ));
         for count in [48, 100, 300] {
-            let day = play_one(&of, None, count, Way::Places, 5);
-            assert_eq!(day.broken, Vec::<String>::new(), "{count} forwarders, {idle} idle");
+            let day = simulate_fleet_day(&of, None, count, TurnOrder::Numbered, 5);
+            assert_eq!(day.violations, Vec::<String>::new(), "{count} forwarders, {idle} idle");
             assert!(day.offered <= 1.12, "{count} forwarders, {idle} idle: {day:?}");
         }
     }
@@ -168,11 +170,18 @@
     let of = scenario(&format!(
         "{CALM}fleet: {{counts: [3], prices: {{refused: 0.5}}}}\nexpect: {{worth: 0.999, returns: 1s}}\n"
     ));
-    let rows = |ways: &[Way]| -> Vec<Row> {
-        let row = |way: &Way| Row { count: 12, way: *way, days: vec![play_one(&of, None, 12, *way, 3)] };
+    let rows = |ways: &[TurnOrder]| -> Vec<Row> {
+        let row = |turns: &TurnOrder| Row {
+            count: 12,
+            turns: *turns,
+            days: vec![simulate_fleet_day(&of, None, 12, *turns, 3)],
+        };
         ways.iter().map(row).collect()
     };
-    let (a, b) = (rows(&[Way::One, Way::Places, Way::Chance]), rows(&[Way::One, Way::Places, Way::Chance]));
+    let (a, b) = (
+        rows(&[TurnOrder::Single, TurnOrder::Numbered, TurnOrder::Random]),
+        rows(&[TurnOrder::Single, TurnOrder::Numbered, TurnOrder::Random]),
+    );
     assert_eq!(table(&of, &a), table(&of, &b));
     assert_eq!(page(&of, &a).unwrap(), page(&of, &b).unwrap());
     let json = as_json(&of, &a);
@@ -180,7 +189,7 @@
     assert!(a[1].days[0].priced < a[1].days[0].served, "refused calls have a price");
     let unmet = unmet(&of, &a);
     assert!(unmet.len() == 1 && unmet[0].contains("0.999 expected"), "{unmet:?}");
-    assert_eq!(draw(&of, 12, Way::Chance, 3).fleet.iter().filter(|m| m.number.is_some()).count(), 0);
+    assert_eq!(draw(&of, 12, TurnOrder::Random, 3).fleet.iter().filter(|m| m.number.is_some()).count(), 0);
     for (section, line, reason) in [
         ("fleet: {counts: [0]}", 8, "1 to 2000 forwarders"),
         ("fleet: {counts: [], seeds: 1}", 8, "a list of `counts`"),
--- a/crates/rehearsal/tests/rehearsal.rs
+++ b/crates/rehearsal/tests/rehearsal.rs
@@ -2,11 +2,11 @@
 //! stays behind.
 
 use cedarbridge_rehearsal::audit::Rule;
-use cedarbridge_rehearsal::capture::Captured;
-use cedarbridge_rehearsal::draw::day;
-use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::capture::CapturedDay;
 use cedarbridge_rehearsal::scenario::Scenario;
-use cedarbridge_rehearsal::verdict::{How, Lateness, Run, Verdict};
+use cedarbridge_rehearsal::scenario_day::day;
+use cedarbridge_rehearsal::simulation::simulate;
+use cedarbridge_rehearsal::verdict::{Lateness, Run, RunMode, Verdict};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -79,8 +79,8 @@
 fn virtually(text: &str, seed: u64) -> (f64, usize) {
     let scenario = Scenario::parse(text).expect("a scenario");
     let world = day(&scenario, seed, None);
-    let (figures, broken) = play(&world, None, seed);
-    (figures.worth().share(), broken.len())
+    let (figures, violations) = simulate(&world, None, seed);
+    (figures.value().share(), violations.len())
 }
 
 /// Guards against an emulator that is trusted for no reason: the same day on sockets comes to the same worth. A machine
@@ -134,12 +134,12 @@
     let made =
         Command::new(LAB).arg("capture").arg(log).arg("--out").arg(&capture).output().expect("the kit");
     assert!(made.status.success(), "{made:?}");
-    let day = Captured::read(&capture).expect("a day");
-    assert!(day.lines.len() as u64 + of("refused") >= of("messages"), "{}", day.lines.len());
+    let day = CapturedDay::read(&capture).expect("a day");
+    assert!(day.messages.len() as u64 + of("refused") >= of("messages"), "{}", day.messages.len());
     let again = Command::new(LAB).arg("simulate").arg(&scenario).arg("--capture").arg(&capture).output();
     let again = String::from_utf8(again.expect("the kit").stdout).expect("text");
     let played = again.lines().find_map(|l| l.split_once(" messages:")?.0.parse::<usize>().ok());
-    assert!(played.is_some_and(|n| n > 0 && n <= day.lines.len()), "{again}");
+    assert!(played.is_some_and(|n| n > 0 && n <= day.messages.len()), "{again}");
 }
 
 /// Guards against a hand-over that loses, repeats or turns away what comes meanwhile: the audit sees both sides.
@@ -201,13 +201,13 @@
     for (fault, rule, folder, child) in runs {
         let out = child.wait_with_output().expect("an end");
         let told = told(&folder, &out);
-        let broken = told["broken"].as_array().expect("a list");
+        let violations = told["broken"].as_array().expect("a list");
         let Some(rule) = rule else {
             assert_kept(&told);
             continue;
         };
-        let found = broken.iter().find(|b| b["rule"] == rule.name());
-        let found = found.unwrap_or_else(|| panic!("{fault} went unseen: {broken:#?}"));
+        let found = violations.iter().find(|b| b["rule"] == rule.name());
+        let found = found.unwrap_or_else(|| panic!("{fault} went unseen: {violations:#?}"));
         assert!(found["at_us"].as_u64().is_some_and(|t| t > 0), "{found}");
         let names = |key: &str| found[key].is_u64();
         match rule {
@@ -259,22 +259,22 @@
     let text = std::fs::read_to_string(shipped("brief.yaml")).expect("there");
     let scenario = Scenario::parse(&text).expect("a scenario");
     let world = day(&scenario, 1, None);
-    let (figures, _) = play(&world, None, 1);
-    let mishaps = ["odd".to_owned()];
+    let (figures, _) = simulate(&world, None, 1);
+    let incidents = ["odd".to_owned()];
     let run = |late_sends| Run {
         scenario: &scenario,
         world: &world,
         seed: 1,
         figures: &figures,
-        broken: &[],
-        how: How::Live(Lateness {
+        violations: &[],
+        run_mode: RunMode::Live(Lateness {
             loop_p99: 2_000,
             loop_most: 9_000,
             late_sends,
             sends: 100,
-            tells_p90: 9_000,
+            counters_p90: 9_000,
         }),
-        mishaps: &mishaps,
+        incidents: &incidents,
         took: Duration::from_secs(1),
     };
     assert!(matches!(run(1).verdict(), Verdict::Failed(_)));
@@ -292,7 +292,7 @@
         let scenario = Scenario::parse(&text).unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
         let first = virtually(&text, scenario.seed);
         assert_eq!(first.1, 0, "{}", path.display());
-        let least = scenario.expect.worth.as_ref().map_or(0.0, |w| w.value);
+        let least = scenario.expect.delivered_share.as_ref().map_or(0.0, |w| w.value);
         assert!(first.0 >= least, "{}: {}", path.display(), first.0);
         assert_eq!(first, virtually(&text, scenario.seed), "{}", path.display());
         seen += 1;
