--- /dev/null
+++ b/crates/rehearsal/src/simulation/policy_step.rs
@@ -0,0 +1,126 @@
+//! Steps of forwarders' delivery policies, and the actions that come of them.
+
+use super::event_queue::SimulationEvent;
+use super::Simulation;
+use cedarbridge::{Action, DeliveryPolicy, Event, Micros};
+use rayon::prelude::*;
+
+/// A forwarder's step.
+pub(super) struct PolicyStep {
+    pub(super) forwarder: usize,
+    pub(super) policy: DeliveryPolicy,
+    pub(super) events: Vec<Event>,
+    pub(super) actions: Vec<Action>,
+}
+
+impl PolicyStep {
+    pub(super) fn step(&mut self, now: Micros) {
+        self.policy.step(now, &self.events, &mut self.actions);
+    }
+}
+
+impl Simulation<'_> {
+    /// Queues an event for a forwarder's next step.
+    pub(super) fn push_event(&mut self, forwarder: usize, event: Event) {
+        self.forwarders[forwarder].events.push(event);
+        self.schedule_step(forwarder, self.now);
+    }
+
+    /// Schedules a step at a time, but no sooner after the last one than the minimum step interval.
+    pub(super) fn schedule_step(&mut self, forwarder: usize, at: Micros) {
+        let f = &mut self.forwarders[forwarder];
+        if !f.up {
+            return;
+        }
+        let at = at.max(f.last_step + self.world.settings.min_step_interval);
+        let at = if self.common_steps {
+            at.next_multiple_of(self.world.settings.min_step_interval.max(1))
+        } else {
+            at
+        };
+        if f.due.is_none_or(|due| at < due) {
+            f.due = Some(at);
+            self.schedule(at, SimulationEvent::PolicyStep(forwarder));
+        }
+    }
+
+    /// Steps a forwarder, if a step is due now.
+    pub(super) fn step_alone(&mut self, forwarder: usize) {
+        if let Some(mut step) = self.take_due_step(forwarder) {
+            step.step(self.now + self.world.fleet[forwarder].clock);
+            self.apply_step(step);
+        }
+    }
+
+    /// Steps all forwarders that are due at this moment in parallel; none sees another's actions before the moment is over.
+    pub(super) fn step_together(&mut self, first: usize) {
+        let now = self.now;
+        let mut due = vec![first];
+        while let Some(event) = self.events.peek_at(now) {
+            let SimulationEvent::PolicyStep(forwarder) = *event else {
+                // Every other event of this moment comes before the steps: they are queued again behind it.
+                due.drain(..).for_each(|f| self.schedule(now, SimulationEvent::PolicyStep(f)));
+                return;
+            };
+            self.events.pop();
+            due.push(forwarder);
+        }
+        let mut steps: Vec<PolicyStep> = due.into_iter().filter_map(|f| self.take_due_step(f)).collect();
+        let fleet = &self.world.fleet;
+        steps.par_iter_mut().for_each(|s| s.step(now + fleet[s.forwarder].clock));
+        steps.into_iter().for_each(|s| self.apply_step(s));
+    }
+
+    /// Takes a forwarder's policy and pending events for a step, if one is due now.
+    pub(super) fn take_due_step(&mut self, forwarder: usize) -> Option<PolicyStep> {
+        let now = self.now;
+        let f = &mut self.forwarders[forwarder];
+        // A step that was scheduled for an earlier time has replaced this one.
+        if f.due != Some(now) {
+            return None;
+        }
+        f.due = None;
+        f.last_step = now;
+        let mut events = std::mem::take(&mut f.events);
+        for event in &mut events {
+            // The time left counts from the step that reads the message.
+            if let Event::Message(m) = event {
+                let first = self.messages[m.id.0 as usize].first as usize;
+                let deadline = self.world.requests[first].at + self.world.settings.classes[0].deadline;
+                m.time_left = deadline.saturating_sub(now);
+            }
+        }
+        Some(PolicyStep { forwarder, policy: std::mem::take(&mut f.policy), events, actions: Vec::new() })
+    }
+
+    /// Carries out the actions of a step, in their order.
+    pub(super) fn apply_step(&mut self, step: PolicyStep) {
+        let (now, forwarder) = (self.now, step.forwarder);
+        let clock = self.world.fleet[forwarder].clock;
+        self.forwarders[forwarder].policy = step.policy;
+        let mut open: Option<(u64, usize)> = None;
+        for action in step.actions {
+            match action {
+                Action::Send { id, endpoint, call, timeout_at, final_attempt: last, .. } => {
+                    let number = match open.filter(|o| o.0 == call) {
+                        Some((_, number)) => number,
+                        None => self.begin_call(forwarder, endpoint),
+                    };
+                    open = Some((call, number));
+                    self.add_attempt(number, id.0 as usize, timeout_at.saturating_sub(clock), last);
+                }
+                Action::Reject { id, retry_after, .. } => {
+                    self.reject_or_fail(id.0 as usize, Some(retry_after))
+                }
+                Action::Fail { id, .. } => self.reject_or_fail(id.0 as usize, None),
+                Action::Cancel { id, attempt } => self.cancel(id.0 as usize, attempt),
+                Action::Timer { delay, .. } => self.schedule(now + delay, SimulationEvent::Timer(forwarder)),
+                Action::CloseIdle { endpoint } => {
+                    let at = forwarder * self.world.list.len() + endpoint.0 as usize - 1;
+                    self.links[at].idle.clear();
+                }
+                Action::HealthCheck { .. } | Action::Subscribe | Action::Log(_) => {}
+            }
+        }
+    }
+}
