--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -2,27 +2,16 @@
 //! each other. It plays nothing.
 
 use crate::scenario::FaultKind;
+use crate::span::Span;
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::settings_json::Names;
-use cedarbridge::site::{time, Site};
-use cedarbridge::{Micros, Settings};
+use cedarbridge::site::Site;
+use cedarbridge::Settings;
 use cedarbridge_endpoint_model::Fault;
-use serde::de::Error as _;
-use serde::{Deserialize, Deserializer};
+use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A span of time, written as in the site file.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span(pub Micros);
-
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(d)?;
-        time(&text).map(Span).map_err(|(_, reason)| D::Error::custom(reason))
-    }
-}
-
 /// A range that figures are drawn from, the ends included.
 pub type Range = (f64, f64);
 
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -2,11 +2,11 @@
 //! a partner that returns, and how evenly its forwarders fare. It decides nothing and knows no sockets.
 
 use crate::figures::Figures;
-use crate::report::{mean, PlotResult};
+use crate::plot::{colour, escaped, PlotResult};
+use crate::report::mean;
 use crate::scenario::{Fleet, Scenario, Signal};
 use crate::scenario_day::day;
 use crate::simulation::simulate;
-use crate::verdict::{colour, escaped};
 use crate::world::{ForwarderProfile, PlannedSize, PlannedStop, World, START};
 use cedarbridge::routes::Plan;
 use cedarbridge::Micros;
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use crate::figures::{DeliveredValue, Figures, WINDOW};
-use crate::verdict::{colour, escaped};
+use crate::plot::{colour, escaped, PlotResult};
 use plotters::prelude::*;
 use std::fmt::Write;
 
@@ -140,9 +140,6 @@
 
 const SIZE: (u32, u32) = (760, 300);
 
-/// A plot that is drawn, or why it cannot be.
-pub type PlotResult = Result<(), Box<dyn std::error::Error>>;
-
 /// Worth by the time of the hand-in, a line a variant.
 fn draw_windows(rows: &[&Row], svg: &mut String) -> PlotResult {
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
