--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -4,8 +4,7 @@
 //! The file is zstd of one JSON object a line: `{"ms":12.5,"partner":"elva","channel":"lounatv"}`, the time counted
 //! from the first message.
 
-use crate::scenario_day::PlannedMessage;
-use crate::world::START;
+use crate::world::{PlannedMessage, START};
 use cedarbridge::Micros;
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, BufReader, Write};
@@ -106,31 +105,11 @@
         let at = |l: &CapturedMessage| (l.ms * 1000.0) as Micros;
         let within = self.messages.iter().filter(|l| at(l) < length);
         within
-            .map(|l| {
-                (START + at(l), (l.destination % destinations.len() as u64) as usize, channel(&l.channel))
+            .map(|l| PlannedMessage {
+                at: START + at(l),
+                destination: (l.destination % destinations.len() as u64) as usize,
+                tenant: channel(&l.channel),
             })
             .collect()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_log_becomes_a_day_that_can_be_kept_and_read_again() {
-        let log = "{\"msg\":\"handed in\",\"wall_ms\":1005.5,\"destination\":7,\"channel\":\"b\"}\nnot json\n\
-                   {\"msg\":\"serving\"}\n{\"msg\":\"handed in\",\"wall_ms\":1000.0,\"destination\":2,\"channel\":\"a\"}\n";
-        let (day, odd) = CapturedDay::from_log(log.as_bytes()).expect("a log");
-        assert_eq!(odd, 1);
-        let path = std::env::temp_dir().join(format!("cedarbridge-capture-{}.zst", std::process::id()));
-        day.write(&path).expect("written");
-        let read = CapturedDay::read(&path).expect("read");
-        std::fs::remove_file(&path).expect("there");
-        assert_eq!(read, day);
-        let destinations = [("x".to_owned(), 0), ("y".to_owned(), 0), ("z".to_owned(), 0)];
-        let messages = read.messages(&destinations, &["b".into(), "a".into()], 5_000_000);
-        assert_eq!(messages, [(START, 2, 1), (START + 5500, 1, 0)]);
-        assert_eq!(read.messages(&destinations, &[], 5_000).len(), 1, "what comes after the end is left out");
-    }
-}
--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -100,10 +100,10 @@
             complete_list(stage, forwarder)
         } else {
             let addresses = stage.addresses.borrow();
-            let list_watchers = (0..now.len()).filter(|e| now[*e] != known[*e]);
-            let list_watchers: Vec<Value> =
-                list_watchers.map(|e| entry(&stage.world, e, now[e], addresses[forwarder][e])).collect();
-            json!({"generation": stage.version.get(), "reset": false, "instances": list_watchers})
+            let changes = (0..now.len()).filter(|e| now[*e] != known[*e]);
+            let changes: Vec<Value> =
+                changes.map(|e| entry(&stage.world, e, now[e], addresses[forwarder][e])).collect();
+            json!({"generation": stage.version.get(), "reset": false, "instances": changes})
         };
         chunk(connection, &format!("{line}\n")).await?;
         let at = stage.now();
@@ -114,7 +114,7 @@
         }
         (known, first) = (now, false);
         loop {
-            let list_watchers = async {
+            let changes = async {
                 let _ = changed.recv().await;
                 true
             };
@@ -122,7 +122,7 @@
                 Timer::after(WATCH_HEARTBEAT).await;
                 false
             };
-            if future::or(list_watchers, quiet).await {
+            if future::or(changes, quiet).await {
                 break;
             }
             chunk(connection, "\n").await?;
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -51,6 +51,29 @@
     Predecessor,
 }
 
+/// Why a forwarder did not get ready.
+#[derive(Debug, thiserror::Error)]
+pub enum DaemonError {
+    /// Its process ended.
+    #[error("forwarder {number} ended as it started ({status}); see {}", log.display())]
+    EndedAtStart {
+        /// The forwarder, from 1.
+        number: usize,
+        /// How the process ended.
+        status: ExitStatus,
+        /// Its log.
+        log: PathBuf,
+    },
+    /// It did not report ready in time.
+    #[error("forwarder {number} was not ready in {} s", within.as_secs())]
+    NotReady {
+        /// The forwarder, from 1.
+        number: usize,
+        /// The time that it had.
+        within: Duration,
+    },
+}
+
 fn system(what: &str) -> impl Fn(std::io::Error) -> LiveError + '_ {
     move |e| LiveError::System(what.into(), e)
 }
@@ -164,7 +187,7 @@
 }
 
 /// Waits until a forwarder has answered that it is ready.
-pub async fn until_ready(stage: &LiveRun, forwarder: usize, within: Duration) -> Result<(), String> {
+pub async fn until_ready(stage: &LiveRun, forwarder: usize, within: Duration) -> Result<(), DaemonError> {
     let address = stage.daemons.borrow()[forwarder].addresses.listen;
     until_healthy(stage, forwarder, (address, "/_health"), within).await
 }
@@ -174,7 +197,7 @@
     forwarder: usize,
     asked: (SocketAddr, &str),
     within: Duration,
-) -> Result<(), String> {
+) -> Result<(), DaemonError> {
     let until = Instant::now() + within;
     while Instant::now() < until {
         if healthy(asked.0, asked.1).await {
@@ -183,15 +206,11 @@
         let exit_status = stage.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current);
         if let Some(status) = exit_status {
             let log = stage.daemons.borrow()[forwarder].folder.join("log");
-            return Err(format!(
-                "forwarder {} ended as it started ({status}); see {}",
-                forwarder + 1,
-                log.display()
-            ));
+            return Err(DaemonError::EndedAtStart { number: forwarder + 1, status, log });
         }
         Timer::after(POLL_INTERVAL).await;
     }
-    Err(format!("forwarder {} was not ready in {} s", forwarder + 1, within.as_secs()))
+    Err(DaemonError::NotReady { number: forwarder + 1, within })
 }
 
 /// Sends a signal to a forwarder.
@@ -248,8 +267,8 @@
     if let Err(e) = start(stage, forwarder) {
         return stage.mishap(e.to_string());
     }
-    if let Err(why) = until_ready(stage, forwarder, super::READY).await {
-        return stage.mishap(why);
+    if let Err(why) = until_ready(stage, forwarder, super::day::READY).await {
+        return stage.mishap(why.to_string());
     }
     stage.audit.borrow_mut().excused_until(forwarder, stage.now() + AGAIN_DUE);
 }
@@ -283,7 +302,7 @@
     let taken = until_healthy(stage, forwarder, (operator, "/admin/health"), MUST_TAKE).await;
     let ready = stage.now() - begun;
     if let Err(why) = taken {
-        stage.mishap(why);
+        stage.mishap(why.to_string());
     }
     signal_to(stage, forwarder, ProcessRole::Predecessor, Signal::TERM);
     until_gone(stage, forwarder, ProcessRole::Predecessor).await;
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -163,7 +163,7 @@
         let carried = match read(stage, &head, &body, batch) {
             Ok(carried) => carried,
             Err(why) => {
-                stage.audit.borrow_mut().stray(now, forwarder, why);
+                stage.audit.borrow_mut().stray(now, forwarder, why.to_string());
                 let _ = connection.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             }
@@ -267,6 +267,31 @@
         }
     }
     let answer = fate.answer.expect("one that was due").answer;
+    let Some((text, outcome)) = response_text(&fate, answer, carried, batch) else {
+        back(Outcome::Reset);
+        return Some(Outcome::Reset);
+    };
+    // It may have given up by now.
+    if connection.write(text.as_bytes()).await.is_err() {
+        back(Outcome::TimedOut);
+        return Some(Outcome::TimedOut);
+    }
+    back(outcome);
+    if outcome == Outcome::Ok {
+        for (_, message) in carried {
+            stage.ended(*message, End::Delivered, false);
+        }
+    }
+    None
+}
+
+/// The response to a call, and the outcome it stands for; none if the connection breaks in place of it.
+fn response_text(
+    fate: &CallFate,
+    answer: Answer,
+    carried: &[Carried],
+    batch: bool,
+) -> Option<(String, Outcome)> {
     let load = fate
         .report
         .map_or(String::new(), |r| format!("X-Load: x0={:.4},x1={:.4}\r\n", r.remaining_share, r.rate));
@@ -279,35 +304,30 @@
             format!("X-RateLimit-Wait-Ms: {:.3}\r\n", wait as f64 / 1e3),
             Outcome::Rejected(Some(wait)),
         ),
-        Answer::ConnectionBroken | Answer::ConnectionRefused => {
-            back(Outcome::Reset);
-            return Some(Outcome::Reset);
-        }
+        Answer::ConnectionBroken | Answer::ConnectionRefused => return None,
     };
     let body = match (answer, batch) {
         (Answer::Ok, true) => carried.iter().map(|(id, _)| format!("{id} delivered\r\n")).collect(),
         _ => String::new(),
     };
     let text = format!("HTTP/1.1 {status}\r\n{extra}{load}Content-Length: {}\r\n\r\n{body}", body.len());
-    // It may have given up by now.
-    if connection.write(text.as_bytes()).await.is_err() {
-        back(Outcome::TimedOut);
-        return Some(Outcome::TimedOut);
-    }
-    back(outcome);
-    if outcome == Outcome::Ok {
-        for (_, message) in carried {
-            stage.ended(*message, End::Delivered, false);
-        }
-    }
-    None
+    Some((text, outcome))
+}
+
+/// Why a call of a forwarder is not accepted.
+#[derive(Debug, thiserror::Error)]
+enum CallError {
+    #[error("`{0}` was handed in by nobody")]
+    UnknownMessage(String),
+    #[error("a call of several that cannot be read")]
+    Malformed,
 }
 
-/// The messages of a call, or why it cannot be one.
-fn read(stage: &LiveRun, head: &RequestHead, body: &[u8], batch: bool) -> Result<Vec<Carried>, String> {
+/// Reads the messages of a call.
+fn read(stage: &LiveRun, head: &RequestHead, body: &[u8], batch: bool) -> Result<Vec<Carried>, CallError> {
     let number = |id: &str| {
         let found = stage.ids.borrow().get(id).copied();
-        found.map(|n| (id.to_owned(), n)).ok_or_else(|| format!("`{id}` was handed in by nobody"))
+        found.map(|n| (id.to_owned(), n)).ok_or_else(|| CallError::UnknownMessage(id.to_owned()))
     };
     if !batch {
         return Ok(vec![number(head.headers.get("X-Request-Id").unwrap_or_default())?]);
@@ -315,7 +335,7 @@
     let mut all = Vec::new();
     let mut rest = body;
     while !rest.is_empty() {
-        let odd = || "a call of several that cannot be read".to_owned();
+        let odd = || CallError::Malformed;
         let end = rest.windows(2).position(|w| w == b"\r\n").ok_or_else(odd)?;
         let line = std::str::from_utf8(&rest[..end]).map_err(|_| odd())?;
         let mut words = line.split(' ');
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -8,23 +8,27 @@
 mod agent;
 mod clients;
 mod daemon;
+mod day;
 mod endpoint;
 pub mod fault;
 pub mod load;
+mod sampling;
 
 use crate::audit::{Audit, End, RuleViolation, SOCKETS};
-use crate::figures::{Figures, Sample};
-use crate::scenario::Signal;
-use crate::verdict::{Lateness, SEND_LATE};
+use crate::figures::Figures;
+use crate::verdict::Lateness;
 use crate::world::{World, START};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
+use async_io::Timer;
 use async_signal::Signals;
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::routes::{Plan, Timing};
-use cedarbridge::{BreakerState, ClassId, DestinationId, KindId, Lifecycle, Micros};
+use cedarbridge::{ClassId, DestinationId, KindId, Lifecycle, Micros};
 use cedarbridge_endpoint_model::{DestinationModel, Fault};
+pub use daemon::DaemonError;
+pub use sampling::counters;
+
 use daemon::Daemon;
 use fault::ProxyFault;
 use futures_lite::{future, FutureExt, StreamExt};
@@ -34,24 +38,14 @@
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long forwarders may take to get ready.
-const READY: Duration = Duration::from_secs(10);
-/// Between that and the day's begin.
-const START_DELAY: Duration = Duration::from_millis(300);
-/// After the day's last message all must have ended within its time and this.
-const COMPLETION_LIMIT: Micros = 30_000_000;
 /// A forwarder must be out so long after SIGTERM.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
-/// How often forwarders are asked how they stand.
-const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the kit looks at its own lateness.
-const TICK: Duration = Duration::from_millis(5);
 
 /// How to run.
 pub struct Options {
@@ -100,7 +94,7 @@
     Panic,
     /// A forwarder did not start.
     #[error("{0}")]
-    Daemon(String),
+    Daemon(#[from] DaemonError),
 }
 
 /// What a view of a run under way is told.
@@ -321,64 +315,9 @@
 ) -> Result<LiveResult, LiveError> {
     check_descriptors(&world)?;
     let executor = Rc::new(LocalExecutor::new());
-    let destinations = world.destinations.iter().zip(0u64..).map(|(m, n)| LiveDestination {
-        model: DestinationModel::new(m.clone(), seed ^ n << 16),
-        half_open: None,
-        calls_ended: 0,
-        ended_by_reset: false,
-        changed: async_channel::bounded(1),
-        injected: Vec::new(),
-    });
-    let forwarder_count = world.fleet.len();
-    let list = (0..world.list.len())
-        .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
-        .collect();
-    let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
     let limit = options.limit;
-    let stage = Rc::new(LiveRun {
-        audit: RefCell::new(Audit::new(
-            &world.settings,
-            (forwarder_count, world.destinations.len(), world.list.len()),
-            SOCKETS,
-        )),
-        figures: RefCell::new(Figures::new(&world)),
-        destinations: RefCell::new(destinations.collect()),
-        sent_requests: RefCell::default(),
-        ids: RefCell::default(),
-        addresses: RefCell::new(vec![Vec::new(); forwarder_count]),
-        list: RefCell::new(list),
-        version: Cell::new(1),
-        list_watchers: RefCell::default(),
-        daemons: RefCell::default(),
-        rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
-        clients_waiting: Cell::new(0),
-        open: Cell::new(0),
-        sent: Cell::new(0),
-        answer_times: RefCell::new(times.clone()),
-        late: RefCell::new((times, 0, 0)),
-        mishaps: RefCell::default(),
-        pools: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
-        rejected_in_upgrade: RefCell::new(vec![None; forwarder_count]),
-        calls_in_flight: Cell::new(0),
-        held: vec![Cell::new(0); world.list.len()],
-        panicked: async_channel::bounded(1),
-        begun: Cell::new(None),
-        executor: executor.clone(),
-        world,
-        plan,
-        options,
-    });
+    let stage = Rc::new(LiveRun::new(world, plan, seed, options, executor.clone()));
     let run = async {
-        let broken_off = async {
-            let signals = Signals::new([async_signal::Signal::Int, async_signal::Signal::Term]);
-            match signals {
-                Ok(mut signals) => {
-                    signals.next().await;
-                    Err(LiveError::BrokenOff)
-                }
-                Err(_) => future::pending().await,
-            }
-        };
         let too_long = async {
             Timer::after(limit).await;
             stage.mishap(format!("not over after {} s: broken off", limit.as_secs()));
@@ -388,219 +327,104 @@
             let _ = stage.panicked.1.recv().await;
             Err(LiveError::Panic)
         };
-        future::or(panicked, future::or(broken_off, future::or(day(&stage, view), too_long))).await
+        future::or(panicked, future::or(interrupted(), future::or(day::day(&stage, view), too_long))).await
     };
     let done = async_io::block_on(executor.run(run));
     // Whatever came of it, nothing that was started stays.
     stage.daemons.borrow_mut().clear();
     done?;
-    let now = stage.now();
-    let overloaded: Vec<_> = stage
-        .destinations
-        .borrow()
-        .iter()
-        .enumerate()
-        .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
-        .collect();
-    let mut audit = stage.audit.replace(Audit::new(&stage.world.settings, (0, 0, 0), SOCKETS));
-    audit.close(now, overloaded.into_iter());
-    let (times, late_sends, sends) = stage.late.borrow().clone();
-    let late = Lateness {
-        loop_p99: times.value_at_quantile(0.99),
-        loop_most: times.max(),
-        late_sends,
-        sends,
-        counters_p90: stage.answer_times.borrow().value_at_quantile(0.9),
-    };
-    let figures = stage.figures.replace(Figures::new(&stage.world));
-    Ok(LiveResult { figures, violations: audit.violations, late, mishaps: stage.mishaps.take() })
+    Ok(stage.take_result())
 }
 
-async fn day(
-    stage: &Rc<LiveRun>,
-    view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
-) -> Result<(), LiveError> {
-    endpoint::start(stage)?;
-    for forwarder in 0..stage.world.fleet.len() {
-        let agent = agent::start(stage, forwarder)?;
-        let daemon = Daemon::prepare(stage, forwarder, agent)?;
-        stage.daemons.borrow_mut().push(daemon);
-        daemon::start(stage, forwarder)?;
-    }
-    for forwarder in 0..stage.world.fleet.len() {
-        daemon::until_ready(stage, forwarder, READY).await.map_err(LiveError::Daemon)?;
-    }
-    Timer::after(START_DELAY).await;
-    stage.begun.set(Some(Instant::now()));
-    stage.spawn(watch_own_lateness(stage.clone()));
-    for (destination, from, to, apply_faults) in stage.world.faults.iter().copied() {
-        let stage = stage.clone();
-        stage.clone().spawn(async move {
-            stage.until(from).await;
-            stage.apply_faults(destination, Some(apply_faults));
-            stage.until(to).await;
-            stage.apply_faults(destination, None);
-        });
-    }
-    for (at, endpoint, lifecycle) in stage.world.changes.iter().copied() {
-        let stage = stage.clone();
-        stage.clone().spawn(async move {
-            stage.until(at).await;
-            agent::change(&stage, endpoint, lifecycle);
-        });
-    }
-    let stops = stage.world.stops.len();
-    let (stopped, all_stopped) = async_channel::bounded(stops.max(1));
-    for stop in stage.world.stops.iter().copied() {
-        let (stage, stopped) = (stage.clone(), stopped.clone());
-        stage.clone().spawn(async move {
-            stage.until(stop.at).await;
-            match stop.signal {
-                Signal::Hup => daemon::signal(&stage, stop.forwarder, rustix::process::Signal::HUP),
-                Signal::Kill => daemon::restart(&stage, stop.forwarder, false, stop.back).await,
-                Signal::Term => daemon::restart(&stage, stop.forwarder, true, stop.back).await,
-                Signal::Upgrade => daemon::upgrade(&stage, stop.forwarder).await,
-                Signal::Stall => daemon::stall(&stage, stop.forwarder, stop.back).await,
-            }
-            let _ = stopped.send(()).await;
+impl LiveRun {
+    fn new(
+        world: Rc<World>,
+        plan: Option<Arc<Plan>>,
+        seed: u64,
+        options: Options,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Self {
+        let destinations = world.destinations.iter().zip(0u64..).map(|(m, n)| LiveDestination {
+            model: DestinationModel::new(m.clone(), seed ^ n << 16),
+            half_open: None,
+            calls_ended: 0,
+            ended_by_reset: false,
+            changed: async_channel::bounded(1),
+            injected: Vec::new(),
         });
-    }
-    let (updates, commands) = match view {
-        Some((updates, commands)) => (Some(updates), Some(commands)),
-        None => (None, None),
-    };
-    stage.spawn(sample(stage.clone(), updates));
-    let day_done = async {
-        clients::run(stage).await;
-        for _ in 0..stops {
-            let _ = all_stopped.recv().await;
-        }
-        while (stage.open.get() > 0 || stage.clients_waiting.get() > 0)
-            && stage.now() < stage.world.end + COMPLETION_LIMIT
-        {
-            Timer::after(Duration::from_millis(50)).await;
+        let forwarder_count = world.fleet.len();
+        let list = (0..world.list.len())
+            .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
+            .collect();
+        let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
+        LiveRun {
+            audit: RefCell::new(Audit::new(
+                &world.settings,
+                (forwarder_count, world.destinations.len(), world.list.len()),
+                SOCKETS,
+            )),
+            figures: RefCell::new(Figures::new(&world)),
+            destinations: RefCell::new(destinations.collect()),
+            sent_requests: RefCell::default(),
+            ids: RefCell::default(),
+            addresses: RefCell::new(vec![Vec::new(); forwarder_count]),
+            list: RefCell::new(list),
+            version: Cell::new(1),
+            list_watchers: RefCell::default(),
+            daemons: RefCell::default(),
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
+            clients_waiting: Cell::new(0),
+            open: Cell::new(0),
+            sent: Cell::new(0),
+            answer_times: RefCell::new(times.clone()),
+            late: RefCell::new((times, 0, 0)),
+            mishaps: RefCell::default(),
+            pools: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
+            rejected_in_upgrade: RefCell::new(vec![None; forwarder_count]),
+            calls_in_flight: Cell::new(0),
+            held: vec![Cell::new(0); world.list.len()],
+            panicked: async_channel::bounded(1),
+            begun: Cell::new(None),
+            executor,
+            world,
+            plan,
+            options,
         }
-        Ok(())
-    };
-    let commanded = async {
-        loop {
-            let command = match &commands {
-                Some(commands) => commands.recv().await.ok(),
-                None => None,
-            };
-            match command {
-                Some(ViewCommand::InjectFault(destination, Some(apply_faults))) => {
-                    stage.destinations.borrow_mut()[destination].injected.push(apply_faults);
-                    stage.apply_faults(destination, Some(apply_faults));
-                }
-                Some(ViewCommand::InjectFault(destination, None)) => {
-                    stage.destinations.borrow_mut()[destination].injected.clear();
-                    stage.apply_faults(destination, None);
-                }
-                Some(ViewCommand::Quit) => return Err(LiveError::BrokenOff),
-                None => future::pending().await,
-            }
-        }
-    };
-    future::or(day_done, commanded).await?;
-    // In order, as an operator would end them.
-    let ends = (0..stage.world.fleet.len()).map(|f| daemon::end(stage, f));
-    for end in ends.collect::<Vec<_>>() {
-        end.await;
     }
-    Ok(())
-}
 
-async fn watch_own_lateness(stage: Rc<LiveRun>) {
-    loop {
-        let due = Instant::now() + TICK;
-        Timer::at(due).await;
-        let late = due.elapsed().as_micros() as u64;
-        stage.late.borrow_mut().0.saturating_record(late.max(1));
-    }
-}
-
-impl LiveRun {
-    fn count_send(&self, planned: Micros) {
-        let mut late = self.late.borrow_mut();
-        late.2 += 1;
-        late.1 += u64::from(self.now() > planned + SEND_LATE);
+    /// The figures and violations once the day is over.
+    fn take_result(&self) -> LiveResult {
+        let now = self.now();
+        let overloaded: Vec<_> = self
+            .destinations
+            .borrow()
+            .iter()
+            .enumerate()
+            .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
+            .collect();
+        let mut audit = self.audit.replace(Audit::new(&self.world.settings, (0, 0, 0), SOCKETS));
+        audit.close(now, overloaded.into_iter());
+        let (times, late_sends, sends) = self.late.borrow().clone();
+        let late = Lateness {
+            loop_p99: times.value_at_quantile(0.99),
+            loop_most: times.max(),
+            late_sends,
+            sends,
+            counters_p90: self.answer_times.borrow().value_at_quantile(0.9),
+        };
+        let figures = self.figures.replace(Figures::new(&self.world));
+        LiveResult { figures, violations: audit.violations, late, mishaps: self.mishaps.take() }
     }
 }
 
-/// Asks the forwarders how they stand, and tells the view.
-async fn sample(stage: Rc<LiveRun>, updates: Option<Sender<ViewUpdate>>) {
-    loop {
-        let mut reports = Vec::new();
-        for forwarder in 0..stage.world.fleet.len() {
-            let address = stage.daemons.borrow().get(forwarder).and_then(|d| d.listen());
-            let commanded = Instant::now();
-            let report = match address {
-                Some(address) => counters(address).await,
-                None => None,
-            };
-            if report.is_some() {
-                let took = commanded.elapsed().as_micros() as u64;
-                stage.answer_times.borrow_mut().saturating_record(took.max(1));
-            }
-            reports.push(report);
-        }
-        let now = stage.now();
-        let mut worst = vec![BreakerState::Closed; stage.world.destinations.len()];
-        let mut held = 0;
-        for report in reports.iter().flatten() {
-            held += report["open"].as_u64().unwrap_or(0) as usize;
-            for p in report["partners"].as_array().into_iter().flatten() {
-                let status = match p["breaker"].as_str() {
-                    Some("open") => BreakerState::Open,
-                    Some("half") => BreakerState::HalfOpen,
-                    _ => BreakerState::Closed,
-                };
-                if let Some(w) = p["destination"].as_u64().and_then(|d| worst.get_mut(d as usize)) {
-                    *w = (*w).max(status);
-                }
-            }
-        }
-        {
-            let mut figures = stage.figures.borrow_mut();
-            figures.samples.push(Sample {
-                at: now,
-                open_messages: held,
-                in_flight: stage.calls_in_flight.get(),
-            });
-            worst.into_iter().enumerate().for_each(|(p, s)| figures.breaker(now, p, s));
-        }
-        if let Some(updates) = &updates {
-            let world = &stage.world;
-            let commanded: f64 = world.requests.iter().take_while(|h| h.at <= now).map(|h| h.weight).sum();
-            let progress = Progress {
-                at: (now - START, world.end - START),
-                sent: (stage.sent.get(), world.requests.len()),
-                value: (stage.figures.borrow().value().delivered_value, commanded),
-                violations: stage.audit.borrow().violations.len(),
-                forwarders: reports,
-            };
-            // A view that is slow misses some.
-            let _ = updates.try_send(ViewUpdate::Progress(progress));
+/// Ends when the kit is asked to stop by a signal.
+async fn interrupted() -> Result<(), LiveError> {
+    let signals = Signals::new([async_signal::Signal::Int, async_signal::Signal::Term]);
+    match signals {
+        Ok(mut signals) => {
+            signals.next().await;
+            Err(LiveError::BrokenOff)
         }
-        Timer::after(SAMPLE_INTERVAL).await;
+        Err(_) => future::pending().await,
     }
 }
-
-/// What a forwarder tells of itself and of each partner; nothing if it does not answer at once.
-pub async fn counters(address: SocketAddr) -> Option<Value> {
-    let commanded = async {
-        let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
-        wire.write(b"GET /_counters?by=partner HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n")
-            .await
-            .ok()?;
-        let head = wire.read_response().await.ok()?;
-        let body = wire.response_body(&head, 16 << 20).await.ok()?;
-        serde_json::from_slice(&body).ok()
-    };
-    let late = async {
-        Timer::after(Duration::from_secs(1)).await;
-        None
-    };
-    future::or(commanded, late).await
-}
--- a/crates/rehearsal/src/scenario_day.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -3,7 +3,7 @@
 
 use crate::capture::CapturedDay;
 use crate::scenario::{DestinationGroup, DestinationKind, Scenario};
-use crate::world::{numbered_fleet, platform, ClientRequest, PlannedStop, World, START};
+use crate::world::{numbered_fleet, platform, ClientRequest, PlannedMessage, PlannedStop, World, START};
 use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
 use cedarbridge_endpoint_model::DestinationProfile;
 use rand::{RngExt, SeedableRng};
@@ -161,9 +161,6 @@
     }
 }
 
-/// When a message comes, for which partner, from which channel.
-pub type PlannedMessage = (Micros, usize, usize);
-
 fn times(
     scenario: &Scenario,
     destinations: &[DestinationProfile],
@@ -223,7 +220,9 @@
         }
     }
     all.sort_unstable();
-    all.into_iter().map(|(at, destination)| (at, destination, of(&by_channel, rng))).collect()
+    all.into_iter()
+        .map(|(at, destination)| PlannedMessage { at, destination, tenant: of(&by_channel, rng) })
+        .collect()
 }
 
 fn requests(
@@ -234,7 +233,7 @@
 ) -> Vec<ClientRequest> {
     let mut buckets: Vec<(f64, Micros)> = tenants.iter().map(|t| (t.quota_per_s, START)).collect();
     let after = (scenario.clients.after.0 .0, scenario.clients.after.1 .0);
-    let request = |(at, destination, tenant): PlannedMessage| {
+    let request = |PlannedMessage { at, destination, tenant }: PlannedMessage| {
         let quota = tenants[tenant].quota_per_s;
         let b = &mut buckets[tenant];
         *b = ((b.0 + quota * (at - b.1) as f64 / SECOND).min(quota.max(1.0)), at);
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -27,7 +27,18 @@
 /// From one message of a clump to the next, in seconds.
 const CLUMP_GAP: f64 = 0.004;
 
-/// A message as a client hands it in.
+/// A message before it is known which forwarder receives it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PlannedMessage {
+    /// When it is sent.
+    pub at: Micros,
+    /// For which destination.
+    pub destination: usize,
+    /// From which channel.
+    pub tenant: usize,
+}
+
+/// A message as a client sends it to a forwarder.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientRequest {
     /// When.
