--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -1,33 +1,33 @@
-//! The rules, held against what both sides saw: what user agents heard, what partners were sent, what the list told
-//! and when. It knows nothing of the forwarder's own records. Every breach is told by rule, time, forwarder and
-//! message. The emulator and live rehearsals are judged by the same code, with slack as the platform's page has it.
+//! The rules, checked against what clients and destinations observed and what the endpoint list said at the time,
+//! without the forwarder's own records. A violation is reported by rule, time, forwarder and message. Simulations and
+//! live rehearsals are audited by the same code, with the tolerances of the platform's page.
 
 use cedarbridge::routes::{Timing, MOST_ATTEMPTS};
 use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
 
-/// New work may go to an endpoint for so long after the forwarder was told that it drains.
+/// New work may still go to a draining endpoint for so long after the forwarder received the update.
 const DRAIN_GRACE: Micros = 250_000;
 
-/// So many hand-ins may end at the door in one replacement.
+/// Requests that may be rejected or left unanswered in one upgrade.
 const ALLOWED_REJECTED_IN_UPGRADE: usize = 2;
 
-/// What is let through, as clocks on two sides never agree to the microsecond.
+/// Tolerances, as the clocks of two sides never agree to the microsecond.
 #[derive(Clone, Copy, Debug)]
 pub struct Slack {
-    /// A wait or a drain binds so long after it was told: what was under way goes through.
+    /// A retry_after or a drain binds so long after it was received: attempts in flight are allowed.
     pub wait: Micros,
-    /// A final answer may come so late.
+    /// How late a final answer may be.
     pub answer: Micros,
-    /// Added to the time that work may go to an endpoint that drains.
+    /// Added to the time that work may go to a draining endpoint.
     pub drain: Micros,
-    /// The end of an attempt may be seen so long after the next one's begin.
+    /// How long after the next attempt's start the end of an attempt may be observed.
     pub overlap: Micros,
-    /// A partner sees deliveries before the forwarder does, which may then repeat what it may repeat.
+    /// Destinations observe deliveries before the forwarder does, which may then retry where the class allows it.
     pub sockets: bool,
 }
 
-/// In virtual time both sides see everything in order.
+/// In virtual time both sides observe everything in order.
 pub const VIRTUAL: Slack = Slack { wait: 1_000, answer: 50_000, drain: 0, overlap: 0, sockets: false };
 /// On sockets, as the platform's rules have it.
 pub const SOCKETS: Slack =
@@ -40,21 +40,21 @@
     OneAnswer,
     /// The final answer comes in time.
     InTime,
-    /// No second attempt while one is out.
+    /// No second attempt while one is in flight.
     OneOut,
     /// No more attempts than allowed.
     Attempts,
-    /// No repeat beyond what the class allows.
+    /// No retry beyond what the class allows.
     Repeats,
-    /// Told waits are heeded.
+    /// A destination's retry_after is respected.
     Waits,
     /// Nothing new to an endpoint that drains.
     Drains,
-    /// A partner that returns is not pushed over.
+    /// A destination that recovers is not overloaded again.
     PushedOver,
-    /// Hardly a hand-in ends at the door while a process is replaced.
+    /// Hardly a request is rejected while a process is upgraded.
     Door,
-    /// Only messages that were handed in are sent, and only to their own partner.
+    /// Only messages that clients sent are forwarded, and only to their own destination.
     Strays,
 }
 
@@ -83,9 +83,9 @@
     pub rule: Rule,
     /// When.
     pub at: Micros,
-    /// By whom: the forwarder, if it is one's doing, from 0.
+    /// The forwarder that broke it, from 0; none if no single one did.
     pub forwarder: Option<usize>,
-    /// The message, as it was numbered at its hand-in.
+    /// The message's number, in the order of requests.
     pub message: Option<usize>,
     /// What happened.
     pub what: String,
@@ -110,15 +110,15 @@
 pub enum End {
     /// Delivered.
     Delivered,
-    /// Given back: the client may come again.
+    /// Rejected: the client may retry.
     Refused,
     /// Failed.
     Failed,
-    /// Its user agent left before the answer: whatever came of it counts for nothing.
+    /// The client disconnected before the answer: its outcome is not judged.
     Withdrawn,
 }
 
-/// What is known of a message that a forwarder holds.
+/// What is known of a message that a forwarder received.
 #[derive(Clone, Copy, Debug, Default)]
 struct MessageRecord {
     forwarder: u32,
@@ -126,13 +126,13 @@
     received: Micros,
     taken: Micros,
     deadline: Micros,
-    /// Attempts that are out.
+    /// Attempts in flight.
     out: u32,
-    /// A second attempt went out while one was.
+    /// When a second attempt was sent while one was in flight.
     suspect: Option<Micros>,
     first_ran: Option<Micros>,
     end: Option<End>,
-    /// When a notice told that end.
+    /// When a notice reported that end.
     notified: Option<Micros>,
 }
 
@@ -141,18 +141,18 @@
     class: Class,
     slack: Slack,
     messages: Vec<MessageRecord>,
-    /// For each forwarder and partner, when a wait was told and until when.
+    /// For each forwarder and destination, when a retry_after was received and until when it binds.
     waits: Vec<Vec<(Micros, Micros)>>,
-    /// For each forwarder and endpoint, since when it knows that it drains or is gone.
+    /// For each forwarder and endpoint, since when the forwarder knows that it is draining or removed.
     drains: Vec<Vec<Option<Micros>>>,
-    /// For each forwarder, the spans in which no answer is overdue: its restarts.
+    /// For each forwarder, the spans in which no answer is overdue, such as restarts.
     excused: Vec<Vec<(Micros, Micros)>>,
-    /// What was broken.
+    /// The violations so far.
     pub violations: Vec<RuleViolation>,
 }
 
 impl Audit {
-    /// An audit of so many forwarders, partners and endpoints.
+    /// An audit of so many forwarders, destinations and endpoints.
     pub fn new(settings: &Settings, sizes: (usize, usize, usize), slack: Slack) -> Self {
         let (forwarders, destinations, endpoints) = sizes;
         Audit {
@@ -177,13 +177,13 @@
         });
     }
 
-    /// Something was sent that is nobody's, or not there.
+    /// Something was sent that belongs to no message, or to another destination.
     pub fn stray(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
         let (rule, forwarder) = (Rule::Strays, Some(forwarder));
         self.violations.push(RuleViolation { rule, at, forwarder, message: None, what: what.into() });
     }
 
-    /// A forwarder's process was replaced; so many hand-ins ended at the door meanwhile.
+    /// A forwarder's process was upgraded; so many requests were rejected or left unanswered meanwhile.
     pub fn replaced(&mut self, at: Micros, forwarder: usize, rejected_during_upgrade: usize) {
         if rejected_during_upgrade > ALLOWED_REJECTED_IN_UPGRADE {
             let what = format!(
@@ -194,7 +194,7 @@
         }
     }
 
-    /// A message is handed in to a forwarder; messages are numbered as they come.
+    /// A forwarder receives a message; messages are numbered in this order.
     pub fn taken(&mut self, now: Micros, forwarder: usize, received: Micros, time_left: Micros) {
         let (forwarder, deadline) = (forwarder as u32, now + time_left);
         self.messages.push(MessageRecord {
@@ -206,7 +206,7 @@
         });
     }
 
-    /// An attempt goes out whose first byte was seen at a time; the timing is what the plan says of its message.
+    /// An attempt is sent; `first` is when its first byte was observed, the timing is the plan's for its message.
     pub fn sent(&mut self, now: Micros, first: Micros, to: (usize, usize), message: usize, timing: &Timing) {
         let (destination, endpoint) = to;
         let m = self.messages[message];
@@ -248,7 +248,7 @@
         (m.out, m.attempts) = (m.out + 1, m.attempts + 1);
     }
 
-    /// An attempt that was sent at a time has come back, or was given up.
+    /// An attempt ended, with an answer or without.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
@@ -283,8 +283,7 @@
         }
     }
 
-    /// A forwarder has died: its attempts that were out may have run, it knows of no waits, and no answer is overdue
-    /// until a time.
+    /// A forwarder's process ended: its attempts in flight may have run, and it has forgotten every retry_after.
     pub fn died(&mut self, now: Micros, forwarder: usize) {
         for m in self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.out > 0) {
             m.out = 0;
@@ -295,7 +294,7 @@
         self.drains[forwarder].fill(None);
     }
 
-    /// A forwarder has gone for good, and another goes on with a message of its.
+    /// A forwarder stays away, and another takes over one of its messages.
     pub fn moved(&mut self, message: usize, to: usize) {
         self.messages[message].forwarder = to as u32;
     }
@@ -305,14 +304,14 @@
         self.excused[forwarder].push((from, to));
     }
 
-    /// The forwarder is back: the last span ends then.
+    /// The forwarder is running again: its last excused span ends then.
     pub fn excused_until(&mut self, forwarder: usize, to: Micros) {
         if let Some(last) = self.excused[forwarder].last_mut() {
             last.1 = to;
         }
     }
 
-    /// The end that is told later, where a restart lay over it.
+    /// When an answer is due, extended where a restart covers it.
     fn due(&self, forwarder: usize, end: Micros) -> Micros {
         let within = |e: &&(Micros, Micros)| e.0 <= end + self.slack.answer && end < e.1;
         self.excused[forwarder].iter().filter(within).map(|e| e.1).max().unwrap_or(end).max(end)
@@ -322,7 +321,7 @@
     pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
         let m = self.messages[message];
         if m.end.is_some_and(|e| e != End::Withdrawn) {
-            // On sockets a partner may see a delivery that its forwarder has given up.
+            // On sockets a destination may observe a delivery after its forwarder's timeout.
             if !(self.slack.sockets && end == End::Delivered) {
                 self.record_violation(Rule::OneAnswer, now, message, "a second final answer");
             }
@@ -334,8 +333,8 @@
         if end == End::Refused && m.first_ran.is_some() && self.class.idempotency != Idempotency::Idempotent {
             self.record_violation(Rule::Repeats, now, message, "given back though it may have run");
         }
-        // A reload never shortens the time of an attempt that is out; days here have none.
-        // One that comes again after its time is answered at once.
+        // A reload never shortens the time of an attempt in flight; days here have none.
+        // A retry that arrives after its deadline is answered at once.
         let due = self.due(m.forwarder as usize, timing.end(m.received, m.deadline).max(m.taken));
         if end != End::Withdrawn && now > due.saturating_add(self.slack.answer) {
             self.record_violation(Rule::InTime, now, message, "its final answer came too late");
@@ -343,8 +342,8 @@
         self.messages[message].end = Some(end);
     }
 
-    /// A notice tells that a message was given back or failed. One that says the same again after a restart is
-    /// the one whose confirmation was lost; one of a delivered message does no harm.
+    /// A notice reports that a message was rejected or failed. The same notice again after a restart is one whose
+    /// acknowledgement was lost; a notice of a delivered message does no harm.
     pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
         let m = self.messages[message];
         let restarted =
@@ -357,7 +356,7 @@
         self.messages[message].notified.get_or_insert(now);
     }
 
-    /// A forwarder learns what has become of an endpoint.
+    /// A forwarder receives an endpoint's lifecycle.
     pub fn lists(&mut self, now: Micros, forwarder: usize, endpoint: usize, lifecycle: Lifecycle) {
         let since = &mut self.drains[forwarder][endpoint];
         *since = match lifecycle {
@@ -371,7 +370,7 @@
         self.messages[message].end.is_none()
     }
 
-    /// The day is over: all must have ended, and no partner may have been pushed over.
+    /// The day is over: all messages must have ended, and no destination may have been overloaded on its recovery.
     pub fn close(&mut self, now: Micros, fallen: impl Iterator<Item = (usize, Micros)>) {
         for message in 0..self.messages.len() {
             let m = self.messages[message];
--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -1,5 +1,4 @@
-//! A day's traffic without its bodies, as the forwarder's log tells it: taken from the log, kept compressed, and
-//! replayed by the kit.
+//! A day's traffic without its bodies: read from the forwarder's log, stored compressed, and replayed by the kit.
 //!
 //! The file is zstd of one JSON object a line: `{"ms":12.5,"partner":"elva","channel":"lounatv"}`, the time counted
 //! from the first message.
@@ -10,7 +9,7 @@
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
 
-/// The text of a line that tells of a received message: today, and in the logs of releases up to 5c6b612.
+/// The log message of a received message: today's, and that of releases up to 5c6b612.
 const RECEIVED: [&str; 2] = ["message received", "handed in"];
 
 /// A message of the day.
@@ -75,7 +74,10 @@
         out.finish()?.sync_all()
     }
 
-    /// Reads a file; what is not in its form is an error that tells the line.
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// An unreadable file, or a line that is no message, with the line's number.
     pub fn read(path: &Path) -> io::Result<Self> {
         let mut messages = Vec::new();
         let from = BufReader::new(zstd::Decoder::new(std::fs::File::open(path)?)?);
@@ -93,8 +95,8 @@
         Ok(CapturedDay { messages })
     }
 
-    /// Its messages as a scenario's: destinations go round its partners, channels go by name or else to the first,
-    /// and what comes after the scenario's end is left out.
+    /// Its messages as a scenario's: destinations are mapped round robin, channels by name or else to the first, and
+    /// messages after the scenario's end are left out.
     pub fn messages(
         &self,
         destinations: &[(String, usize)],
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,5 +1,5 @@
-//! An experiment as it is written in YAML: what days to draw, what goes wrong, and which variants to hold against
-//! each other. It plays nothing.
+//! An experiment as it is written in YAML: the days to draw, their faults, and the variants to compare. Nothing is
+//! played here.
 
 use crate::scenario::FaultKind;
 use crate::span::Span;
@@ -15,13 +15,13 @@
 /// A range that figures are drawn from, the ends included.
 pub type Range = (f64, f64);
 
-/// The whole file.
+/// The complete file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// What it is called in the report.
     pub title: String,
-    /// How long messages come; a day goes on until all have ended.
+    /// How long clients send messages; a day goes on until all have ended.
     pub length: Span,
     /// Forwarders that share the traffic.
     pub forwarders: usize,
@@ -29,20 +29,20 @@
     pub seeds: u64,
     /// Traffic as shares of full load, each from a range.
     pub loads: Vec<Range>,
-    /// What partners are drawn from.
+    /// The ranges that destinations are drawn from.
     #[serde(default, rename = "partners")]
     pub destinations: Partners,
     /// Share of the messages that come in clumps, and their size in seconds of the partner's limit.
     #[serde(default)]
     pub clumps: Clumps,
-    /// What goes wrong.
+    /// Faults of destinations.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<FaultSpec>,
-    /// What is held against each other.
+    /// The variants to compare.
     pub variants: Vec<Variant>,
 }
 
-/// The ranges of the partners' figures.
+/// The ranges of the destinations' figures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Partners {
@@ -52,7 +52,7 @@
     pub rate: Range,
     /// How unevenly traffic is spread: the exponent of the Zipf law.
     pub zipf: Range,
-    /// The mean time of a message's work.
+    /// The mean service time of a message.
     pub work_ms: Range,
     /// How much slower or faster than that partners are, by a factor up to this either way.
     pub unlike: f64,
@@ -66,13 +66,13 @@
     pub paces: Vec<PaceOf>,
 }
 
-/// A partner that works at a pace of its own.
+/// A destination with a service time of its own.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PaceOf {
     /// Its place by traffic, 1 for the busiest.
     pub rank: usize,
-    /// The mean time of a message's work.
+    /// The mean service time of a message.
     pub work: Span,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// Messages that come in clumps for one partner.
+/// Messages that arrive in clumps for one destination.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clumps {
@@ -108,7 +108,7 @@
     }
 }
 
-/// One trouble of a day.
+/// One fault of a day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
@@ -117,7 +117,7 @@
     /// How bad: a factor for `slow`, a share for `fail`.
     #[serde(default)]
     pub size: Option<Range>,
-    /// The partner's place by traffic, 1 for the busiest.
+    /// The destination's rank by traffic, 1 for the busiest.
     pub rank: usize,
     /// When it begins.
     pub from: Span,
@@ -127,7 +127,7 @@
 }
 
 impl FaultSpec {
-    /// The trouble, with its size drawn by a number from 0 to 1.
+    /// The fault, with its size drawn by a number from 0 to 1.
     pub fn drawn(&self, draw: f64) -> Fault {
         let size = self.size.map_or(1.0, |r| r.0 + (r.1 - r.0) * draw);
         self.kind.fault(size)
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -1,22 +1,22 @@
-//! What a day came to: worth delivered against worth asked, for the troubled partners and the others, slots and
-//! delivery times. It judges nothing.
+//! The figures of a day: value delivered against value offered, for destinations with faults and the others, call
+//! slots and delivery times. Nothing is judged here.
 
 use crate::world::{World, START};
 use cedarbridge::{BreakerState, Micros, Outcome};
 use hdrhistogram::Histogram;
 
 const SECOND: Micros = 1_000_000;
-/// Worth is shown by windows of so long, by the time of the hand-in.
+/// Value is shown in windows of this length, by the time of the request.
 pub const WINDOW: Micros = 5 * SECOND;
-/// A message is wanted within this; its worth falls by half with each further one ...
+/// The latency objective: a message's value halves with each further such time ...
 const AIM: Micros = 2_500_000;
 /// ... but not under this.
 const LATE: f64 = 0.3;
 
-/// Worth asked for and delivered.
+/// Value offered and delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DeliveredValue {
-    /// Asked for.
+    /// Offered.
     pub offered: f64,
     /// Delivered.
     pub delivered_value: f64,
@@ -33,16 +33,16 @@
     }
 }
 
-/// What came of the messages of a partner or a channel.
+/// The messages of a destination or a channel.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
-    /// Worth asked for and delivered.
+    /// Value offered and delivered.
     pub value: DeliveredValue,
-    /// Messages, each client's tries counted once.
+    /// Messages, a client's retries not counted.
     pub messages: u64,
     /// Messages delivered.
     pub delivered: u64,
-    /// Times of delivery from the hand-in, in milliseconds.
+    /// Delivery times from the request, in milliseconds.
     pub times: Option<Histogram<u32>>,
     /// Messages delivered in each second of the day.
     pub by_second: Vec<u32>,
@@ -74,7 +74,7 @@
     }
 }
 
-/// A message's first try.
+/// A client's request, over all its retries.
 #[derive(Clone, Copy)]
 struct RequestState {
     at: Micros,
@@ -86,14 +86,14 @@
     delivered: bool,
 }
 
-/// What is held at a time, over all forwarders.
+/// Open messages and calls in flight at a time, over all forwarders.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     /// When.
     pub at: Micros,
-    /// Messages held.
+    /// Open messages.
     pub open_messages: usize,
-    /// Calls out.
+    /// Calls in flight.
     pub in_flight: usize,
 }
 
@@ -119,41 +119,41 @@
 /// A forwarder's process that was replaced while it served.
 #[derive(Clone, Copy, Debug)]
 pub struct Upgrade {
-    /// From the start of the new one until it took clients.
+    /// From the start of the successor until it accepted clients.
     pub ready: Micros,
-    /// From the old one's signal until it had left.
+    /// From the predecessor's signal until it had exited.
     pub left: Micros,
-    /// Hand-ins that were not let in, closed on or left unread meanwhile.
+    /// Requests that were refused a connection, disconnected or left unanswered meanwhile.
     pub rejected_during_upgrade: usize,
 }
 
 /// The figures of one day.
 pub struct Figures {
     tries: Vec<RequestState>,
-    /// By partner.
+    /// By destination.
     pub by_destination: Vec<Tally>,
     /// By channel.
     pub by_channel: Vec<Tally>,
     /// Attempts by their outcome, as [`OUTCOMES`] has them.
     pub outcomes: [u64; 9],
-    /// What was held, by time.
+    /// Samples, by time.
     pub samples: Vec<Sample>,
-    /// For each partner, when the worst of its breakers changed, and to what.
+    /// For each destination, when the worst of its breakers changed, and to what.
     pub breakers: Vec<Vec<(Micros, BreakerState)>>,
     faulty: Vec<bool>,
     fault: (Micros, Micros),
     slots: usize,
-    /// Worth by window, the troubled partners and the others together.
+    /// Value by window, over all destinations.
     pub windows: Vec<DeliveredValue>,
-    /// Worth at the troubled partners.
+    /// Value at destinations with faults.
     pub faulty_value: DeliveredValue,
-    /// Worth at all others.
+    /// Value at all others.
     pub healthy_value: DeliveredValue,
-    /// Slot time that calls to troubled partners took while trouble held, from its begin on.
+    /// Slot time that calls to destinations with faults took while the faults lasted, in microseconds.
     slots_lost: Micros,
-    /// Times of delivery from the hand-in, in milliseconds, to troubled partners and to the others.
+    /// Delivery times from the request, in milliseconds, to destinations with faults and to the others.
     pub times: [Histogram<u32>; 2],
-    /// Messages given back to their clients.
+    /// Messages rejected.
     pub refused: u64,
     /// Messages that failed.
     pub failed: u64,
@@ -161,15 +161,15 @@
     pub delivered: u64,
     /// Attempts made.
     pub attempts: u64,
-    /// Processes that were replaced, in the order of time.
+    /// Processes that were upgraded, in the order of time.
     pub upgrades: Vec<Upgrade>,
-    /// Worth by the forwarder that a message came to first.
+    /// Value by the forwarder that received a message first.
     pub by_forwarder: Vec<DeliveredValue>,
     /// Connections made to endpoints; counted in virtual time.
     pub connections: u64,
-    /// For each partner, the calls that reached it in each second of the day.
+    /// For each destination, the calls that reached it in each second of the day.
     pub offered: Vec<Vec<u32>>,
-    /// For each partner, when messages were delivered, in the order of time.
+    /// For each destination, when messages were delivered, in the order of time.
     pub deliveries: Vec<Vec<Micros>>,
 }
 
@@ -234,12 +234,12 @@
         }
     }
 
-    /// An attempt went out.
+    /// An attempt was sent.
     pub fn attempt(&mut self) {
         self.attempts += 1;
     }
 
-    /// A call reached a partner.
+    /// A call reached a destination.
     pub fn call(&mut self, now: Micros, destination: usize) {
         let second = (now.saturating_sub(START) / SECOND) as usize;
         let line = &mut self.offered[destination];
@@ -249,24 +249,24 @@
         line[second] += 1;
     }
 
-    /// How long after a time the next message was delivered at a partner.
+    /// How long after a time the next message was delivered to a destination.
     pub fn next_delivery(&self, destination: usize, from: Micros) -> Option<Micros> {
         let all = &self.deliveries[destination];
         all.get(all.partition_point(|t| *t < from)).map(|t| t - from)
     }
 
-    /// For each trouble that a partner returns from: how long after its end the first message was delivered there.
+    /// For each outage of a destination: how long after its end the first message was delivered there.
     pub fn returns(&self, world: &World) -> Vec<(usize, Option<Micros>)> {
         let back = world.faults.iter().filter(|t| t.3.is_outage());
         back.map(|t| (t.0, self.next_delivery(t.0, t.2))).collect()
     }
 
-    /// An attempt came back.
+    /// An attempt ended.
     pub fn outcome(&mut self, of: Outcome) {
         self.outcomes[outcome(of)] += 1;
     }
 
-    /// The worst of a partner's breakers is in this state now.
+    /// The worst of a destination's breakers is in this state now.
     pub fn breaker(&mut self, now: Micros, destination: usize, status: BreakerState) {
         let line = &mut self.breakers[destination];
         let before = line.last().map_or(BreakerState::Closed, |l| l.1);
@@ -275,7 +275,7 @@
         }
     }
 
-    /// A first try, or what came of it, was delivered.
+    /// A request was delivered, at its first try or a retry.
     pub fn delivered(&mut self, now: Micros, first: usize) {
         let t = self.tries[first];
         if t.delivered {
@@ -297,7 +297,7 @@
         self.delivered += 1;
     }
 
-    /// A message was given up.
+    /// A message was rejected or failed.
     pub fn given_up(&mut self, refused: bool) {
         if refused {
             self.refused += 1;
@@ -306,7 +306,7 @@
         }
     }
 
-    /// A call came back that had held a slot for so long.
+    /// A call ended that had used a slot for so long.
     pub fn slot_released(&mut self, now: Micros, destination: usize, open_messages: Micros) {
         let (from, to) = self.fault;
         if self.faulty[destination] {
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Worth of the whole day.
+    /// Value of the complete day.
     pub fn value(&self) -> DeliveredValue {
         let (a, b) = (self.faulty_value, self.healthy_value);
         DeliveredValue {
@@ -324,7 +324,7 @@
         }
     }
 
-    /// The share of all slot time during the trouble that calls to troubled partners took.
+    /// The share of all slot time during the faults that calls to destinations with faults took.
     pub fn slots_lost(&self) -> f64 {
         let (from, to) = self.fault;
         let all = (to.saturating_sub(from)) as f64 * self.slots as f64;
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of several sizes that share one day in virtual time: what each serves, what is refused, how soon it is back at
-//! a partner that returns, and how evenly its forwarders fare. It decides nothing and knows no sockets.
+//! Fleets of several sizes that play one day in virtual time: what each serves, what is rejected, how soon it uses a
+//! destination that recovers, and how evenly its forwarders fare.
 
 use crate::figures::Figures;
 use crate::plot::{colour, escaped, PlotResult};
@@ -19,21 +19,21 @@
 use std::sync::Arc;
 
 const SECOND: Micros = 1_000_000;
-/// A partner is back at its rate once a second brings so much of what it took before.
+/// A destination is back at its rate once a second brings this share of its mean before.
 const BACK: f64 = 0.9;
 /// That second is looked for in steps of this.
 const STEP: Micros = SECOND / 10;
-/// So that the draws of the fleet are not those of the day.
+/// Keeps the fleet's random draws apart from the day's.
 const APART: u64 = 0xf1ee7;
 
-/// How forwarders come to their turns.
+/// How forwarders get their turns at a destination that recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnOrder {
-    /// By the numbers that the file gives them.
+    /// By their indexes in the fleet.
     Numbered,
-    /// By chance: none is told a number.
+    /// At random: none has an index.
     Random,
-    /// One forwarder has all that the others would have together: what a fleet loses by its not talking shows against it.
+    /// A single forwarder with the capacity of all, the reference for what a fleet without coordination loses.
     Single,
 }
 
@@ -56,10 +56,10 @@
     }
 }
 
-/// What one day came to.
+/// The result of one day.
 #[derive(Clone, Debug)]
 pub struct DayResult {
-    /// The share of the worth that was delivered.
+    /// The share of the value that was delivered.
     pub served: f64,
     /// The same less the prices.
     pub priced: f64,
@@ -67,15 +67,15 @@
     pub refused: f64,
     /// Connections made, for each message.
     pub connections: f64,
-    /// From a partner's return to its first delivery, the longest; nothing if there is no return.
+    /// The longest time from a destination's recovery to its first delivery; none without a recovery.
     pub first: Option<Micros>,
-    /// From there to its rate from before, the longest; what never comes counts up to the day's end.
+    /// The longest time from a recovery to the rate from before; at most up to the day's end.
     pub rate: Option<Micros>,
-    /// Jain's index of the share that each forwarder served of what came to it: 1 if all served alike.
+    /// Jain's fairness index of the share that each forwarder served of its messages: 1 if all served alike.
     pub fairness: f64,
-    /// Calls that reached partners with a limit, over what these limits let through, in the mean.
+    /// Calls that reached destinations with a limit, over that limit, in the mean.
     pub offered: f64,
-    /// The share of seconds in which a partner was sent more calls than its limit, over all that have one.
+    /// The share of seconds in which a destination was sent more calls than its limit, over all that have one.
     pub over: f64,
     /// The worst such second, as a multiple of the limit.
     pub worst: f64,
@@ -87,7 +87,7 @@
 pub struct Row {
     /// How many forwarders it has at the begin.
     pub count: usize,
-    /// How they come to their turns.
+    /// How they get their turns.
     pub turns: TurnOrder,
     /// The days, by seed.
     pub days: Vec<DayResult>,
@@ -104,7 +104,7 @@
     world
 }
 
-/// Gives the day its forwarders, with their numbers, clocks, ends and parts of the traffic.
+/// Gives the day its forwarders, with their indexes, clocks, stops and shares of the traffic.
 fn assign_forwarders(world: &mut World, scenario: &Scenario, of: &Fleet, turns: TurnOrder, seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ APART);
     let count = world.fleet.len();
@@ -133,7 +133,7 @@
             .map(|forwarder| PlannedStop { forwarder, at, signal: Signal::Kill, back })
             .collect();
     }
-    // Who has much traffic has it by chance, whatever its number.
+    // A forwarder's share of the traffic is independent of its index.
     let mut ranks: Vec<usize> = (0..most).collect();
     ranks.shuffle(&mut rng);
     let mut sum = 0.0;
@@ -203,7 +203,7 @@
     }
 }
 
-/// How long after a partner's return a second brings [`BACK`] of what it took in the mean before.
+/// How long after a destination's recovery a second brings [`BACK`] of its mean before.
 fn back_at_rate(f: &Figures, destination: usize, (begin, end): (Micros, Micros)) -> Option<Micros> {
     let all = &f.deliveries[destination];
     let between =
@@ -290,7 +290,7 @@
     json!({"title": scenario.title, "fleets": rows.iter().map(row).collect::<Vec<_>>()})
 }
 
-/// What was not as the scenario expects it.
+/// The scenario's expectations that were not met.
 pub fn unmet(scenario: &Scenario, rows: &[Row]) -> Vec<String> {
     let mut all = Vec::new();
     for row in rows.iter().filter(|r| r.turns == TurnOrder::Numbered) {
@@ -340,7 +340,7 @@
             rows.iter().filter(|r| r.turns == turns).map(value).filter(|p| p.1.is_finite()).collect();
         let Some(first) = points.first().copied() else { continue };
         let c = colour(n);
-        // One for all has a single figure, which holds across.
+        // The single forwarder has one figure, drawn across.
         let line =
             if turns == TurnOrder::Single { vec![(counts.0, first.1), (counts.1, first.1)] } else { points };
         let drawn = chart.draw_series(LineSeries::new(line, c.stroke_width(2)))?;
--- a/crates/rehearsal/src/forwarder_config.rs
+++ b/crates/rehearsal/src/forwarder_config.rs
@@ -1,4 +1,4 @@
-//! A day's settings in the platform's words, as a forwarder is told them.
+//! A day's settings as a forwarder's configuration file and endpoint list entries.
 
 use crate::world::World;
 use cedarbridge::{Lifecycle, Micros};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Descriptors that a forwarder may hold.
+/// Descriptors that a forwarder may open.
 const SOCKETS: usize = 1024;
 
 fn ms(of: Micros) -> f64 {
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,9 +1,9 @@
-//! An emulator in virtual time: it drives the decision module through its interface against partner models, under
-//! a load with a few partners that carry much of it and with clumps, and audits every rule while it runs. It has
+//! An emulator in virtual time: it drives the delivery policy through its interface against destination models, under
+//! a load that is uneven and clumped, and audits every rule while it runs. It has
 //! no sockets; what the network code adds is outside of it.
 //!
 //! A day is drawn from a seed ([`world`]), played ([`simulation`]) under each variant of an experiment ([`experiment`]),
-//! measured ([`figures`]) and told ([`report`]). The same seed gives the same bytes.
+//! measured ([`figures`]) and reported ([`report`]). The same seed gives the same bytes.
 
 pub mod audit;
 pub mod capture;
--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -12,9 +12,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A watch says that it lives this often.
+/// A watch sends an empty line this often.
 const WATCH_HEARTBEAT: Duration = Duration::from_secs(2);
-/// Notices come in bodies of at most this.
+/// The largest body of notices, in bytes.
 const MAX_NOTICE_BODY: usize = 4 << 20;
 
 /// Starts the agent of a forwarder.
@@ -35,11 +35,11 @@
     }
 }
 
-/// The list says something else of an endpoint from now on.
+/// Changes an endpoint's lifecycle in the list.
 pub fn change(stage: &LiveRun, endpoint: usize, lifecycle: Lifecycle) {
     stage.list.borrow_mut()[endpoint] = lifecycle;
     stage.version.set(stage.version.get() + 1);
-    // Whoever watches is woken by the end of its channel.
+    // Closing its channel wakes a watch.
     stage.list_watchers.borrow_mut().drain(..).for_each(|n| {
         n.close();
     });
@@ -83,7 +83,7 @@
     connection.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
 }
 
-/// The list, and each change of it. What is written counts as told.
+/// Sends the list and each change of it; what is written counts as received.
 async fn watch(
     stage: &Rc<LiveRun>,
     forwarder: usize,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Takes notices; false if a line cannot be read.
+/// Reads notices; false if a line is malformed.
 fn notices(stage: &Rc<LiveRun>, forwarder: usize, body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body);
     let lines: Option<Vec<(String, End, Option<Micros>)>> =
--- a/crates/rehearsal/src/live/clients.rs
+++ b/crates/rehearsal/src/live/clients.rs
@@ -1,5 +1,5 @@
-//! User agents: each message is handed in when the day says, whatever became of those before it (an open loop), and
-//! what its client hears decides whether it comes again.
+//! Clients: each request is sent at its planned time, whatever became of those before it (an open loop), and its
+//! outcome decides whether the client retries.
 
 use super::{LiveRun, SentRequest};
 use crate::audit::End;
@@ -13,12 +13,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client waits so long for its answer.
+/// A client waits this long for its response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Connections that stand idle and are kept, for each forwarder.
+/// Idle connections in the pool of each forwarder.
 const IDLE_CONNECTIONS: usize = 200;
 
-/// Hands in the day's messages, each at its time.
+/// Sends the day's requests, each at its time.
 pub async fn run(stage: &Rc<LiveRun>) {
     for first in 0..stage.world.requests.len() {
         let at = stage.world.requests[first].at;
@@ -31,21 +31,21 @@
     stage.until(stage.world.end).await;
 }
 
-/// How a client comes again.
+/// Why a client retries.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RetryReason {
-    /// After a refusal.
+    /// It was rejected.
     Refused,
-    /// Its forwarder died or did not answer.
+    /// Its forwarder ended or did not answer.
     NoResponse,
 }
 
-/// What a client heard.
+/// What came of a request.
 enum ClientOutcome {
     Response(u16, Option<Micros>),
-    /// The connection ended with no answer.
+    /// The connection ended without a response.
     ConnectionLost,
-    /// Nothing in its time.
+    /// No response within the timeout.
     NoAnswer,
 }
 
@@ -69,7 +69,7 @@
     loop {
         let now = stage.now();
         if now >= deadline || now > since + CLIENT_PATIENCE {
-            // Whoever finds no forwarder in its patience is as good as refused.
+            // A client that finds no forwarder in time counts as rejected.
             return stage.figures.borrow_mut().given_up(true);
         }
         match send_request(&stage, to, first, deadline - now, retry_reason).await {
@@ -88,7 +88,7 @@
     }
 }
 
-/// Writes down a hand-in just before its first byte is written, and gives it its number.
+/// Records a request just before its first byte is sent, and numbers it.
 fn record_request(stage: &LiveRun, forwarder: usize, first: usize, left: Micros, retried: bool) -> usize {
     let request = stage.world.requests[first];
     let message = stage.sent_requests.borrow().len();
@@ -104,7 +104,7 @@
     format!("m{message}")
 }
 
-/// Hands a message in; nothing if nobody is there.
+/// Sends a request; none if nothing accepts the connection.
 async fn send_request(
     stage: &Rc<LiveRun>,
     forwarder: usize,
@@ -148,7 +148,7 @@
                     let outcome = ClientOutcome::Response(head.status, after.map(|s| (s * 1e6) as Micros));
                     return (outcome, Some(connection).filter(|_| head.keep_alive));
                 }
-                // It was closed between requests: once more on a new one.
+                // The connection was closed between requests: once more on a new one.
                 Err(HttpError::Closed | HttpError::Socket(_)) if !fresh => {
                     fresh = true;
                     match connect(stage, forwarder).await {
@@ -188,7 +188,7 @@
         }
         ClientOutcome::Response(_, _) => stage.ended(message, End::Failed, false),
         ClientOutcome::ConnectionLost | ClientOutcome::NoAnswer => {
-            // What the forwarder makes of it counts for nothing now; its client comes again at once.
+            // The forwarder's own outcome is no longer judged; the client retries at once.
             stage.ended(message, End::Withdrawn, false);
             let sent = stage.sent_requests.borrow()[message];
             retry_later(stage, sent.first, RECONNECT_DELAY, RetryReason::NoResponse);
@@ -196,7 +196,7 @@
     }
 }
 
-/// A message was given back: its client may come again, once, no sooner than it was told.
+/// A message was rejected: its client may retry once, no sooner than its retry_after.
 pub fn refused(stage: &Rc<LiveRun>, message: usize, after: Option<Micros>) {
     let sent = stage.sent_requests.borrow()[message];
     let retry_reason = stage.world.requests[sent.first].retry_after;
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -86,7 +86,7 @@
         std::fs::create_dir_all(&state).map_err(system("cannot make a forwarder's folder"))?;
         let ip = [127, 88, 1 + (forwarder / 250) as u8, 1 + (forwarder % 250) as u8];
         let listen = pick(ip)?;
-        // Operators call only where a day has them replace something.
+        // Only a day with upgrades needs an operator address.
         let replaced = stage.world.stops.iter().any(|s| s.signal == scenario::Signal::Upgrade);
         let operator = replaced.then(|| pick(ip)).transpose()?;
         let daemon = Daemon {
@@ -105,12 +105,12 @@
         std::fs::write(self.folder.join("config.json"), text).map_err(system("cannot write a configuration"))
     }
 
-    /// Where it listens.
+    /// Its client address while its process runs.
     pub fn listen(&self) -> Option<SocketAddr> {
         self.child.as_ref().map(|_| self.addresses.listen)
     }
 
-    /// Where it listens when it is there.
+    /// Its client address.
     pub fn address(&self) -> SocketAddr {
         self.addresses.listen
     }
@@ -126,7 +126,7 @@
         self.process(role).as_ref().and_then(|c| Pid::from_raw(c.0.id() as i32))
     }
 
-    /// How it ended, once it has.
+    /// Its exit status, once it has exited.
     fn exit_status(&mut self, role: ProcessRole) -> Option<ExitStatus> {
         let process = self.process(role);
         let status = process.as_mut()?.0.try_wait().ok()??;
@@ -220,12 +220,12 @@
 
 fn signal_to(stage: &LiveRun, forwarder: usize, role: ProcessRole, signal: Signal) {
     if let Some(pid) = stage.daemons.borrow_mut()[forwarder].pid(role) {
-        // It may just have ended, which is seen elsewhere.
+        // It may just have exited, which is noticed where its exit status is read.
         let _ = kill_process(pid, signal);
     }
 }
 
-/// Waits for a forwarder's end; after its time it is killed, which is a mishap.
+/// Waits for a forwarder's exit; past the limit it is killed, which is reported.
 async fn until_gone(stage: &LiveRun, forwarder: usize, role: ProcessRole) {
     let until = Instant::now() + SHUTDOWN_LIMIT;
     loop {
@@ -248,9 +248,9 @@
     }
 }
 
-/// Ends a forwarder, in order or at once, and starts it again a while later.
+/// Ends a forwarder, gracefully or by SIGKILL, and restarts it later.
 pub async fn restart(stage: &Rc<LiveRun>, forwarder: usize, in_order: bool, back: Micros) {
-    // What falls due while it is away is excused until it is back, whenever that is.
+    // Answers that fall due while it is down are excused until it is running again.
     stage.audit.borrow_mut().excuse(forwarder, stage.now(), Micros::MAX);
     if in_order {
         signal(stage, forwarder, Signal::TERM);
@@ -273,7 +273,7 @@
     stage.audit.borrow_mut().excused_until(forwarder, stage.now() + AGAIN_DUE);
 }
 
-/// Stops a forwarder's process where it stands and lets it go on after a while. What it owes falls due a while after.
+/// Pauses a forwarder's process for a while (SIGSTOP, SIGCONT); its answers are excused meanwhile.
 pub async fn stall(stage: &Rc<LiveRun>, forwarder: usize, lasts: Micros) {
     stage.audit.borrow_mut().excuse(forwarder, stage.now(), Micros::MAX);
     signal(stage, forwarder, Signal::STOP);
@@ -282,8 +282,8 @@
     stage.audit.borrow_mut().excused_until(forwarder, stage.now() + AGAIN_DUE);
 }
 
-/// Replaces a forwarder's process while it serves, as the platform does: a second one on the same folder, with an
-/// operators' address of its own, and SIGTERM to the first once the second takes clients.
+/// Upgrades a forwarder's process while it serves, as the platform does: a successor on the same folder, with an
+/// operator address of its own, and SIGTERM to the predecessor once the successor accepts clients.
 pub async fn upgrade(stage: &Rc<LiveRun>, forwarder: usize) {
     let begun = stage.now();
     stage.rejected_in_upgrade.borrow_mut()[forwarder] = Some(0);
@@ -314,7 +314,7 @@
     stage.figures.borrow_mut().upgrades.push(Upgrade { ready, left, rejected_during_upgrade });
 }
 
-/// Ends a forwarder for good.
+/// Ends a forwarder at the end of the day.
 pub async fn end(stage: &LiveRun, forwarder: usize) {
     signal(stage, forwarder, Signal::TERM);
     until_gone(stage, forwarder, ProcessRole::Current).await;
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -1,5 +1,5 @@
-//! Partners' endpoints on sockets: each listens once for each forwarder, so that it is known who calls. What becomes
-//! of a call is what the partner's model says, as in virtual time; connections, breaks and silence are real.
+//! Destinations' endpoints on sockets: each listens once for each forwarder, so that the caller is known. A call's
+//! outcome is that of the destination's model, as in virtual time; connections, resets and silence are real.
 
 use super::{LiveError, LiveRun};
 use crate::audit::End;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 const BODY: usize = 1 << 20;
-/// Connections that wait to be taken; the system caps it.
+/// Connections that wait to be accepted; the system caps it.
 const BACKLOG: i32 = 1024;
 
 /// Starts all endpoints for all forwarders.
@@ -46,7 +46,7 @@
     Async::new(socket.into())
 }
 
-/// A listener that nobody's connection reaches: its queue is full, so that the system lets new ones wait in vain.
+/// A listener that accepts nothing: its backlog is full, so that new connections wait in vain.
 fn unresponsive_listener(address: SocketAddr) -> std::io::Result<(Socket, Vec<Socket>)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -56,14 +56,14 @@
     for _ in 0..2 {
         let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         filler.set_nonblocking(true)?;
-        // It is under way, or waits for room: either way the queue is full.
+        // Connected or pending: either way the backlog is full.
         let _ = filler.connect(&address.into());
         fillers.push(filler);
     }
     Ok((socket, fillers))
 }
 
-/// Takes connections as long as the partner does; refuses or is deaf while a trouble says so.
+/// Accepts connections, or refuses or ignores them while a fault says so.
 async fn serve(
     stage: Rc<LiveRun>,
     forwarder: usize,
@@ -79,7 +79,7 @@
             let destinations = stage.destinations.borrow();
             (destinations[destination].model.visible_fault(), destinations[destination].changed.1.clone())
         };
-        // An endpoint that has left the list is gone as a process is.
+        // A removed endpoint accepts nothing, as its process has ended.
         let gone = stage.list.borrow()[endpoint] == Lifecycle::Removed && stage.now() > crate::world::START;
         match fault {
             Some(Fault::RefuseConnections) => (listener, closed_to_all) = (None, None),
@@ -92,7 +92,7 @@
                 closed_to_all = None;
                 listener = listen(address, BACKLOG).ok();
                 if listener.is_none() {
-                    // What is left of the deaf one goes in a moment.
+                    // The unresponsive listener's sockets close in a moment.
                     Timer::after(Duration::from_millis(20)).await;
                     continue;
                 }
@@ -110,7 +110,7 @@
             None
         };
         match future::or(other, calls_ended).await {
-            // An endpoint holds so many from all forwarders together.
+            // The connection limit counts all forwarders together.
             Some(stream) if stage.held[endpoint].get() >= stage.world.connections[destination] => {
                 drop(stream)
             }
@@ -127,7 +127,7 @@
     }
 }
 
-/// A message in a call: its id, and the number of its hand-in.
+/// A message in a call: its id and its number.
 type Carried = (String, usize);
 
 async fn converse(stage: &Rc<LiveRun>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
@@ -135,7 +135,7 @@
     let opened = stage.now();
     let mut connection = HttpConnection::new(stream);
     loop {
-        // Idle connections break as the partner goes away.
+        // Idle connections are reset when the destination refuses connections.
         let changed = stage.destinations.borrow()[destination].changed.1.clone();
         let came = async { Some(connection.fill().await) };
         let other = async {
@@ -190,12 +190,12 @@
     }
 }
 
-/// Breaks a connection rather than ending it.
+/// Resets a connection rather than closing it.
 fn reset(connection: &HttpConnection) {
     let _ = SockRef::from(connection.socket()).set_linger(Some(Duration::ZERO));
 }
 
-/// Does a call's work and answers; what ends the connection is returned.
+/// Processes a call and responds; returns the outcome if it ends the connection.
 async fn work(
     stage: &Rc<LiveRun>,
     endpoint: usize,
@@ -225,7 +225,7 @@
             stage.figures.borrow_mut().outcome(outcome);
         }
     };
-    // Until the answer is due, the forwarder may give up and a trouble may take what is under way.
+    // Until the answer is due, the forwarder may time out and a fault may end the call.
     let mut due = fate.answer.map(|a| a.at);
     loop {
         let changed: Receiver<()> = stage.destinations.borrow()[destination].changed.1.clone();
@@ -241,7 +241,7 @@
             Some(false)
         };
         let left = async {
-            // A forwarder sends nothing more before its answer: it has ended the connection.
+            // A forwarder sends nothing before the response, so this is the connection's end.
             let _ = connection.fill().await;
             None
         };
@@ -271,7 +271,7 @@
         back(Outcome::Reset);
         return Some(Outcome::Reset);
     };
-    // It may have given up by now.
+    // The forwarder may have timed out by now.
     if connection.write(text.as_bytes()).await.is_err() {
         back(Outcome::TimedOut);
         return Some(Outcome::TimedOut);
--- a/crates/rehearsal/src/live/load.rs
+++ b/crates/rehearsal/src/live/load.rs
@@ -1,5 +1,5 @@
-//! A load that holds its schedule, whatever the answers take: each message has its time, one that finds no free
-//! connection is sent late and counted as late, and every time is taken from the plan, not from the send.
+//! A load that keeps its schedule however long responses take: each message has its time, one that finds no free
+//! connection is sent late and counted as late, and latencies are measured from the planned time.
 
 use crate::capture::CapturedDay;
 use async_channel::{Receiver, Sender};
@@ -40,16 +40,16 @@
     pub name: String,
 }
 
-/// What came of it.
+/// The result.
 #[derive(Debug)]
 pub struct LoadResult {
     /// Messages sent.
     pub sent: u64,
     /// Sent later than planned by more than [`LATE`].
     pub late: u64,
-    /// Taken on.
+    /// Accepted.
     pub taken: u64,
-    /// Turned away.
+    /// Rejected.
     pub refused: u64,
     /// Answered otherwise, or not at all.
     pub failed: u64,
@@ -183,7 +183,7 @@
     Some((head.status, head.keep_alive))
 }
 
-/// Takes everything at once, in a thread beside: what the load itself can do is measured against it.
+/// A server in a thread of its own that accepts everything at once, to measure what the load itself can do.
 pub fn sink() -> std::io::Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let address = listener.get_ref().local_addr()?;
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -1,9 +1,7 @@
-//! A scenario on sockets: partners, a platform agent for each forwarder, user agents, and real forwarders as
-//! processes, all on loopback and on ports that the system picks. What both sides see is held against the rules as
-//! it happens.
+//! A scenario on sockets: destinations, a platform agent for each forwarder, clients, and real forwarders as
+//! processes, all on loopback and on ports that the system picks. What both sides observe is audited as it happens.
 //!
-//! One thread and one clock, so that the order of what was seen is the order in which it was. Every process ends
-//! with this one, however it ends.
+//! One thread and one clock, so that observations are in order. Every process ends with this one, however it ends.
 
 mod agent;
 mod clients;
@@ -97,60 +95,60 @@
     Daemon(#[from] DaemonError),
 }
 
-/// What a view of a run under way is told.
+/// An update to the view of a run.
 #[derive(Clone, Debug)]
 pub enum ViewUpdate {
-    /// How it stands, twice a second.
+    /// Progress, twice a second.
     Progress(Progress),
 }
 
-/// How a run stands.
+/// A run's progress.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
     /// Microseconds since the day's begin, and its whole length.
     pub at: (Micros, Micros),
-    /// Hand-ins sent, and all that are planned.
+    /// Requests sent, and all that are planned.
     pub sent: (usize, usize),
-    /// Worth delivered and asked so far.
+    /// Value delivered and offered so far.
     pub value: (f64, f64),
     /// Rules broken so far.
     pub violations: usize,
-    /// What each forwarder tells of itself, `/_counters?by=partner`; nothing from one that is away.
+    /// Each forwarder's `/_counters?by=partner`; none from one that does not answer.
     pub forwarders: Vec<Option<Value>>,
 }
 
-/// What a view may ask for.
+/// A command of the view.
 #[derive(Clone, Copy, Debug)]
 pub enum ViewCommand {
-    /// Strike a partner with a trouble, or let all of its struck troubles end.
+    /// Inject a fault into a destination, or end all of its injected faults.
     InjectFault(usize, Option<Fault>),
-    /// Break the run off.
+    /// Abort the run.
     Quit,
 }
 
-/// A message as it was handed in: one a hand-in.
+/// A request that was sent; a retry is another one.
 #[derive(Clone, Copy)]
 struct SentRequest {
     first: usize,
     retried: bool,
 }
 
-/// A partner at work, with what its connections must know.
+/// A destination's model, with what its connections must know.
 struct LiveDestination {
     model: DestinationModel,
-    /// Connections from before this lead nowhere, while it is half-open.
+    /// Connections from before this are dead while they are half-open.
     half_open: Option<Micros>,
-    /// Counts up as a trouble takes what is under way; calls look at it.
+    /// Counts the faults that ended calls in flight; each call compares it.
     calls_ended: u32,
-    /// How what was under way is taken: broken, or else left silent.
+    /// Whether calls in flight are reset, or else left without an answer.
     ended_by_reset: bool,
-    /// Waiters for a change of trouble.
+    /// Closed at a change of faults, which wakes those that wait for it.
     changed: (Sender<()>, Receiver<()>),
-    /// Troubles struck by hand.
+    /// Faults injected by hand.
     injected: Vec<Fault>,
 }
 
-/// Everything of a run, shared by its tasks.
+/// The state of a live run, shared by its tasks.
 pub(crate) struct LiveRun {
     world: Rc<World>,
     plan: Option<Arc<Plan>>,
@@ -164,29 +162,29 @@
     ids: RefCell<HashMap<String, usize>>,
     /// By forwarder and endpoint of the list, where it listens for that forwarder.
     addresses: RefCell<Vec<Vec<SocketAddr>>>,
-    /// What the list says now, by endpoint, and its version.
+    /// The current endpoint list, and its version.
     list: RefCell<Vec<Lifecycle>>,
     version: Cell<u64>,
-    /// Wakes those who watch the list.
+    /// Closed at a change of the list, which wakes its watches.
     list_watchers: RefCell<Vec<Sender<()>>>,
     daemons: RefCell<Vec<Daemon>>,
     rng: RefCell<ChaCha8Rng>,
-    /// Clients that will come again or look for a forwarder.
+    /// Clients that will retry or look for a forwarder.
     clients_waiting: Cell<usize>,
     open: Cell<usize>,
     sent: Cell<usize>,
     late: RefCell<(Histogram<u32>, u64, u64)>,
-    /// How long forwarders took to tell how they stand, in microseconds.
+    /// How long forwarders took to answer `/_counters`, in microseconds.
     answer_times: RefCell<Histogram<u32>>,
     mishaps: RefCell<Vec<String>>,
     pools: RefCell<Vec<Vec<HttpConnection>>>,
-    /// For each forwarder whose process is being replaced, the hand-ins that ended at its door meanwhile.
+    /// For each forwarder that is being upgraded, the requests rejected or left unanswered meanwhile.
     rejected_in_upgrade: RefCell<Vec<Option<usize>>>,
-    /// Calls out at partners.
+    /// Calls in flight at destinations.
     calls_in_flight: Cell<usize>,
-    /// By endpoint, the connections that it holds.
+    /// Open connections, by endpoint.
     held: Vec<Cell<usize>>,
-    /// A task has panicked: what follows would tell nothing.
+    /// Signals that a task has panicked.
     panicked: (Sender<()>, Receiver<()>),
 }
 
@@ -209,7 +207,7 @@
         self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), ClassId(0)))
     }
 
-    /// A hand-in was not let in, closed on or left unread.
+    /// Counts a request that was refused a connection, disconnected or left unanswered.
     fn count_rejected_in_upgrade(&self, forwarder: usize) {
         self.rejected_in_upgrade.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
     }
@@ -229,7 +227,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// A message has got an end that was told to its client or the platform.
+    /// A message's end was reported to its client or the platform.
     fn ended(&self, message: usize, end: End, notice: bool) {
         let first = self.sent_requests.borrow()[message].first;
         let (now, timing) = (self.now(), self.timing(first));
@@ -251,7 +249,7 @@
         }
     }
 
-    /// The troubles of a partner have changed: by the day's plan, or by hand.
+    /// Applies the faults that a destination has now, planned and injected.
     fn apply_faults(&self, destination: usize, begun: Option<Fault>) {
         let now = self.now();
         let planned = self.world.faults.iter().filter(|t| t.0 == destination && t.1 <= now && now < t.2);
@@ -268,14 +266,14 @@
             p.calls_ended += 1;
             p.ended_by_reset = calls_ended == cedarbridge_endpoint_model::InFlightEffect::Broken;
         }
-        // All who wait are woken by the channel's end.
+        // Closing the channel wakes all that wait for a change.
         let (sender, receiver) = async_channel::bounded(1);
         let old = std::mem::replace(&mut p.changed, (sender, receiver));
         old.0.close();
     }
 }
 
-/// What the scenario needs of the machine, held against what there is.
+/// Checks that the machine allows as many descriptors as the scenario needs.
 fn check_descriptors(world: &World) -> Result<(), LiveError> {
     let forwarder_count = world.fleet.len();
     let listeners = forwarder_count * (world.list.len() + 1);
@@ -293,7 +291,7 @@
     }
 }
 
-/// Plays a day on sockets and gives it back. The view is told how it stands and may ask for something.
+/// Plays a day on sockets and returns it with its result. The view receives updates and may send commands.
 pub fn rehearse(
     world: World,
     plan: Option<Arc<Plan>>,
@@ -330,7 +328,7 @@
         future::or(panicked, future::or(interrupted(), future::or(day::day(&stage, view), too_long))).await
     };
     let done = async_io::block_on(executor.run(run));
-    // Whatever came of it, nothing that was started stays.
+    // All processes are ended, whatever the result.
     stage.daemons.borrow_mut().clear();
     done?;
     Ok(stage.take_result())
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -140,7 +140,7 @@
 
 const SIZE: (u32, u32) = (760, 300);
 
-/// Worth by the time of the hand-in, a line a variant.
+/// Value by the time of the request, a line for each variant.
 fn draw_windows(rows: &[&Row], svg: &mut String) -> PlotResult {
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -5,16 +5,16 @@
 use serde_saphyr::Spanned;
 use std::collections::BTreeSet;
 
-/// No rehearsal has more partners.
+/// The most destinations of a scenario.
 const MOST_PARTNERS: usize = 10_000;
-/// No rehearsal has more forwarders.
+/// The most forwarders of a scenario.
 const MOST_FORWARDERS: usize = 100;
-/// No fleet in virtual time has more.
+/// The most forwarders of a fleet in virtual time.
 const MOST_FLEET: usize = 2_000;
 const MOST_SEEDS: usize = 1_000;
-/// Clocks of one fleet are not further apart.
+/// The largest difference of clocks within a fleet.
 const MOST_CLOCK: Micros = 3_600_000_000;
-/// No phase asks for more than so many times full load.
+/// The highest load of a phase, over full load.
 const MOST_LOAD: f64 = 5.0;
 
 impl Scenario {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Clumps must leave room for each other: what they bring is within the phase's traffic.
+    /// Clumps must fit into the phase's traffic together.
     fn check_phases(&self, found: &mut Vec<ScenarioError>) {
         for p in &self.phases {
             let (load, share) = (p.load.value, p.clumps.as_ref().map_or(0.0, |c| c.value));
@@ -215,7 +215,7 @@
     }
 
     fn check_stops(&self, found: &mut Vec<ScenarioError>) {
-        // In order it takes up to 3.7 s to end; a second stop must find the forwarder running.
+        // A graceful shutdown takes up to 3.7 s; a second stop must find the forwarder running.
         let once = |s: &Stop| match s.signal {
             Signal::Hup => 0,
             Signal::Term => 3_700_000 + s.back.0,
--- a/crates/rehearsal/src/scenario/destinations.rs
+++ b/crates/rehearsal/src/scenario/destinations.rs
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-/// The kinds of partner.
+/// The kinds of destination.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DestinationKind {
-    /// Takes up to ten messages a call.
+    /// Accepts up to ten messages a call.
     CableOperator,
-    /// Takes one a call.
+    /// Accepts one message a call.
     SmallPartner,
 }
 
-/// A partner, or several alike.
+/// A destination, or several alike.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DestinationGroup {
@@ -27,35 +27,35 @@
     pub count: usize,
     /// Its kind.
     pub kind: DestinationKind,
-    /// Its part of the traffic, against the others'.
+    /// Its share of the traffic, against the others'.
     pub share: f64,
-    /// The mean time of a message's work.
+    /// The mean service time of a message.
     pub work: Span,
     /// Its spread: standard deviation over mean.
     #[serde(default = "spread")]
     pub spread: f64,
-    /// Its limit over what it gets at full load; 0 for a partner without a limit.
+    /// Its limit over its traffic at full load; 0 for no limit.
     #[serde(default = "headroom")]
     pub headroom: f64,
-    /// What it can work off over its limit.
+    /// Its capacity over its limit.
     #[serde(default = "spare")]
     pub spare: f64,
-    /// Addresses that take calls.
+    /// Endpoints.
     #[serde(default = "super::single")]
     pub endpoints: usize,
-    /// Calls that may queue at an endpoint; by default as many as it works off in 0.7 s.
+    /// Calls that may queue at an endpoint; by default 0.7 s of its capacity.
     pub queue: Option<usize>,
-    /// Connections that an endpoint holds.
+    /// The connection limit of an endpoint.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// What a refusal tells to wait.
+    /// The retry_after of a rejection.
     pub tells_wait: Option<Span>,
-    /// Refused calls use up the limit too; by default they do at small partners.
+    /// Rejected calls use up the limit too; by default they do at small partners.
     pub refused_count: Option<bool>,
     /// Share of calls that fail on a good day.
     #[serde(default)]
     pub errors: f64,
-    /// Its share of strength as it comes back, and when it has all of it.
+    /// Its share of capacity as it recovers, and when it is back at all of it.
     #[serde(default = "cold")]
     pub cold: (f64, Span),
 }
@@ -80,32 +80,32 @@
     (0.28, Span(8_500_000))
 }
 
-/// The kinds of trouble.
+/// The kinds of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Works so many times slower.
+    /// Its service time is longer by a factor.
     Slow,
-    /// Takes calls and answers none.
+    /// Accepts calls and answers none.
     Hang,
-    /// Refuses connections, and breaks those it has.
+    /// Refuses connections, and resets those that are open.
     Refuse,
     /// Fails a share of its calls at once.
     Fail,
-    /// Turns everything away as full.
+    /// Rejects every call as over capacity.
     Shut,
-    /// Says nothing at all, not even to a new connection.
+    /// Answers nothing, not even a new connection.
     Silent,
-    /// Does the work and breaks the connection in place of an answer.
+    /// Processes the call and resets the connection in place of an answer.
     Reset,
-    /// Leaves the connections it has silent; new ones are as ever.
+    /// Connections that are open get no answer; new ones work.
     HalfOpen,
-    /// Takes a share of its limit.
+    /// Its limit is reduced to a share.
     Lowered,
 }
 
 impl FaultKind {
-    /// What the partner model knows it as; the size is a factor or a share, where the kind has one.
+    /// The destination model's fault; the size is a factor or a share, where the kind has one.
     pub fn fault(self, size: f64) -> Fault {
         match self {
             FaultKind::Slow => Fault::Slow(size),
@@ -121,7 +121,7 @@
     }
 }
 
-/// One trouble.
+/// One fault.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FaultSpec {
@@ -140,13 +140,13 @@
 }
 
 impl FaultSpec {
-    /// What the partner model knows it as.
+    /// The destination model's fault.
     pub fn fault(&self) -> Fault {
         self.kind.value.fault(self.size.unwrap_or(1.0))
     }
 }
 
-/// An endpoint that drains, leaves, and another in its place.
+/// An endpoint that is drained and replaced by another.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Replacement {
@@ -155,6 +155,6 @@
     pub destination: SpannedName,
     /// When it begins to drain.
     pub at: Moment,
-    /// How long it drains before it is gone; the other is listed as it begins.
+    /// How long it drains before it is removed; the other is listed from the drain's begin on.
     pub drains: Span,
 }
--- a/crates/rehearsal/src/scenario/forwarders.rs
+++ b/crates/rehearsal/src/scenario/forwarders.rs
@@ -12,9 +12,9 @@
 pub struct Forwarders {
     /// How many.
     pub count: usize,
-    /// Calls out at once for each; by default twice what full load needs.
+    /// Calls in flight at once for each; by default twice what full load needs.
     pub slots: Option<usize>,
-    /// Messages held at once by each; by default nine seconds of full load.
+    /// Open messages at once for each; by default nine seconds of full load.
     pub held: Option<usize>,
     /// A site file to run with, from the scenario's folder.
     pub site: Option<PathBuf>,
@@ -26,23 +26,23 @@
     }
 }
 
-/// How a forwarder is ended.
+/// How a forwarder is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Signal {
-    /// In order: it ends what it has read.
+    /// Gracefully, by SIGTERM.
     Term,
-    /// At once.
+    /// By SIGKILL.
     Kill,
-    /// Not at all: it reads its configuration again.
+    /// Not at all: it reloads its configuration (SIGHUP).
     Hup,
-    /// Not at all: it stands still (SIGSTOP) for the time of `back`, and goes on (SIGCONT).
+    /// Not at all: it is paused (SIGSTOP) for the time of `back`, and resumes (SIGCONT).
     Stall,
-    /// Another process replaces it while it serves, and then it is ended in order.
+    /// A successor takes over while it serves, and then it shuts down gracefully.
     Upgrade,
 }
 
-/// A forwarder that is ended, or told to read its files again.
+/// A forwarder that is stopped or reloaded.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Stop {
@@ -52,7 +52,7 @@
     pub signal: Signal,
     /// When.
     pub at: Moment,
-    /// It is started again so long after it has ended.
+    /// It is restarted so long after its end.
     #[serde(default = "back")]
     pub back: Span,
     /// So often in all.
@@ -84,19 +84,19 @@
     /// Days for each, from the scenario's seed on.
     #[serde(default = "super::single")]
     pub seeds: usize,
-    /// How unevenly messages come to forwarders: the exponent of the Zipf law, 0 for evenly.
+    /// How unevenly messages are spread over forwarders: the exponent of Zipf's law, 0 for evenly.
     #[serde(default)]
     pub uneven: f64,
     /// The clocks of any two differ by this at most.
     #[serde(default = "none")]
     pub clocks: Span,
-    /// The count that forwarders are told, over the true one.
+    /// The forwarder count in their settings, over the true one.
     #[serde(default = "super::whole", rename = "told")]
     pub told_count_factor: f64,
-    /// The share of them that is told no number.
+    /// The share of them without an index.
     #[serde(default)]
     pub unnumbered: f64,
-    /// The share of them that is told the number of the one before.
+    /// The share of them with the index of the one before.
     #[serde(default)]
     pub doubled: f64,
     /// Forwarders that are killed together.
@@ -110,7 +110,7 @@
     pub prices: Prices,
 }
 
-/// Forwarders that are killed together and come back together.
+/// Forwarders that are killed together and restarted together.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Dead {
@@ -118,7 +118,7 @@
     pub share: f64,
     /// When.
     pub at: Moment,
-    /// They are started again after this.
+    /// They are restarted after this.
     #[serde(rename = "for")]
     pub lasts: Span,
 }
@@ -131,7 +131,7 @@
     pub at: Moment,
     /// How many serve from then on.
     pub count: Spanned<usize>,
-    /// Each forwarder is told so at some time within this.
+    /// Each forwarder learns it at some time within this.
     pub within: Span,
 }
 
@@ -139,7 +139,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Prices {
-    /// If as many calls were refused as there are messages.
+    /// If as many calls were rejected as there are messages.
     pub refused: f64,
     /// If as many connections were made as there are messages.
     pub connections: f64,
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -1,6 +1,6 @@
-//! A rehearsal as it is written in YAML: partners by name, traffic by phases, clumps, troubles, forwarders that are
-//! ended and come back, and what is expected. It reads and checks strictly, with the place of what is wrong, and
-//! plays nothing; [`crate::draw`] makes a day of it.
+//! A scenario as it is written in YAML: destinations by name, traffic by phases, clumps, faults, forwarders that are
+//! stopped and restarted, and what is expected. It is read and checked strictly, errors carry their place, and
+//! nothing is played here; [`crate::scenario_day`] makes a day of it.
 
 mod check;
 mod destinations;
@@ -22,7 +22,7 @@
 /// A text with its place.
 pub type SpannedName = Spanned<String>;
 
-/// The whole file.
+/// The complete file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Scenario {
@@ -31,29 +31,29 @@
     /// The day's seed unless another is given.
     #[serde(default = "one")]
     pub seed: u64,
-    /// Messages a second at full load, for all partners together.
+    /// Messages a second at full load, for all destinations together.
     pub rate: Spanned<f64>,
     /// The forwarders.
     #[serde(default)]
     pub forwarders: Forwarders,
-    /// What user agents do.
+    /// What clients do.
     #[serde(default)]
     pub clients: Clients,
     /// The channels that share the traffic; without any, three as at our platform.
     #[serde(default)]
     pub channels: Vec<Channel>,
-    /// The partners.
+    /// The destinations.
     #[serde(rename = "partners")]
     pub destinations: Vec<DestinationGroup>,
     /// The day, part by part.
     pub phases: Vec<Phase>,
-    /// Messages for one partner that come at once.
+    /// Messages for one destination that arrive at once.
     #[serde(default)]
     pub clumps: Vec<Clump>,
-    /// What goes wrong.
+    /// Faults of destinations.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<FaultSpec>,
-    /// Forwarders that are ended.
+    /// Forwarders that are stopped.
     #[serde(default)]
     pub stops: Vec<Stop>,
     /// Endpoints that are drained and replaced by others.
@@ -62,10 +62,10 @@
     /// The fleets that `cedarbridge-rehearsal fleet` plays the day with.
     #[serde(default)]
     pub fleet: Option<Spanned<Fleet>>,
-    /// What must come of it.
+    /// What is expected of it.
     #[serde(default)]
     pub expect: Expect,
-    /// A live run is broken off after this.
+    /// A live run is aborted after this.
     #[serde(default = "limit")]
     pub limit: Span,
 }
@@ -78,26 +78,29 @@
     Span(540_000_000)
 }
 
-/// What must come of it.
+/// What is expected of it.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// The share of the worth that is delivered, at least.
+    /// The least share of the value that is delivered.
     #[serde(rename = "worth")]
     pub delivered_share: Option<Spanned<f64>>,
-    /// Messages refused, at most.
+    /// Messages rejected, at most.
     pub refused: Option<u64>,
     /// Messages failed, at most.
     pub failed: Option<u64>,
     /// Rules broken, at most.
     #[serde(rename = "broken")]
     pub violations: usize,
-    /// After each trouble that a partner returns from, its first delivery comes within this.
+    /// After each outage, the destination's first delivery is within this.
     pub returns: Option<Span>,
 }
 
 impl Scenario {
-    /// Reads a file; what is wrong comes in one go.
+    /// Reads a file.
+    ///
+    /// # Errors
+    /// All that is wrong with it.
     pub fn read(path: &Path) -> Result<Self, Vec<ScenarioError>> {
         let text = std::fs::read_to_string(path).map_err(|e| {
             vec![ScenarioError { line: 0, column: 0, reason: format!("cannot be read: {e}") }]
@@ -123,12 +126,12 @@
         }
     }
 
-    /// How many partners there are, groups counted out.
+    /// How many destinations there are, over all groups.
     pub fn destination_count(&self) -> usize {
         self.destinations.iter().map(|p| p.count).sum()
     }
 
-    /// The partners' names, groups counted out, each with its place in the file's list.
+    /// The destinations' names, each with its group's place in the file's list.
     pub fn destination_names(&self) -> Vec<(String, usize)> {
         let mut names = Vec::with_capacity(self.destination_count());
         for (n, p) in self.destinations.iter().enumerate() {
@@ -140,7 +143,7 @@
         names
     }
 
-    /// When the day ends: its last message comes before.
+    /// The day's length: its last request is before.
     pub fn length(&self) -> Micros {
         self.phases.iter().map(|p| p.lasts.0).sum()
     }
@@ -163,7 +166,7 @@
             (Some(phase), _) => self.phase(&phase.value)?.0,
             (None, Some(clump)) => {
                 let c = self.clumps.iter().find(|c| c.name.value == clump.value)?;
-                // A clump does not go by another.
+                // A clump does not refer to another.
                 self.moment(&Moment { clump: None, ..c.at.clone() })?
             }
             (None, None) => 0,
--- a/crates/rehearsal/src/scenario/traffic.rs
+++ b/crates/rehearsal/src/scenario/traffic.rs
@@ -5,13 +5,13 @@
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-/// What user agents do.
+/// What clients do.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// The share of them that come again after a refusal.
+    /// The share of them that retry after a rejection.
     pub again: f64,
-    /// How long they wait at least before.
+    /// How long they wait before, at least.
     pub after: (Span, Span),
 }
 
@@ -34,7 +34,7 @@
     pub uses: f64,
 }
 
-/// A part of the day.
+/// A phase of the day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Phase {
@@ -45,7 +45,7 @@
     pub lasts: Span,
     /// Its traffic, as a share of full load.
     pub load: Spanned<f64>,
-    /// Share of it that comes in clumps, beside those that are named.
+    /// The share of it that arrives in clumps, beside the named ones.
     #[serde(default)]
     pub clumps: Option<Spanned<f64>>,
 }
@@ -62,13 +62,13 @@
     pub after: Option<Span>,
 }
 
-/// Messages for one partner that come at once.
+/// Messages for one destination that arrive at once.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Clump {
     /// Its name.
     pub name: SpannedName,
-    /// For which partner.
+    /// For which destination.
     #[serde(rename = "partner")]
     pub destination: SpannedName,
     /// When it begins.
--- a/crates/rehearsal/src/scenario_day.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -1,5 +1,5 @@
-//! Makes a day of a scenario: partner models from their figures, every message with its time, and the moments of
-//! what goes wrong. The same seed gives the same day, whether it is then played in virtual time or on sockets.
+//! Makes a day of a scenario: destination models from their figures, every message with its time, and the times of
+//! faults. The same seed gives the same day, whether it is then played in virtual time or on sockets.
 
 use crate::capture::CapturedDay;
 use crate::scenario::{DestinationGroup, DestinationKind, Scenario};
@@ -11,21 +11,21 @@
 use rand_distr::{Distribution, Exp1};
 
 const SECOND: f64 = 1e6;
-/// Worth of a message beyond its channel's share.
+/// Weight of a message beyond its channel's quota.
 const OVER_SHARE: f64 = 0.1;
 /// One-way time of the network, on loopback and in virtual time.
 const NETWORK: (Micros, Micros) = (50, 400);
-/// A partner's queue holds what it works off in so many seconds.
+/// A destination's queue length, in seconds of its capacity.
 const QUEUE: f64 = 0.7;
-/// Without a limit, a partner's strength over what it gets at full load.
+/// The capacity of a destination without a limit, over its traffic at full load.
 const UNLIMITED: f64 = 1.5;
-/// Calls that a partner takes at the least, a second.
+/// The lowest limit of a destination, in calls a second.
 const LEAST: f64 = 2.0;
-/// A clump that no name has: as many seconds of its partner's limit, and the time in which it comes.
+/// An unnamed clump: its size in seconds of the destination's limit, and the seconds in which it arrives.
 const CLUMP: ((f64, f64), f64) = ((1.2, 3.5), 0.5);
-/// Messages held at once, in seconds of full load.
+/// Open messages at once, in seconds of full load.
 const HELD: f64 = 9.0;
-/// Slots, over the calls out at full load.
+/// Call slots, over the calls in flight at full load.
 const SLOTS: f64 = 2.1;
 
 /// A day of a scenario; a captured day's messages take the place of the drawn ones.
--- a/crates/rehearsal/src/simulation/forwarders.rs
+++ b/crates/rehearsal/src/simulation/forwarders.rs
@@ -27,7 +27,7 @@
     pub(super) up: bool,
     pub(super) accepts: bool,
     pub(super) starts: u64,
-    /// Messages held.
+    /// Open messages.
     pub(super) open: usize,
 }
 
--- a/crates/rehearsal/src/table.rs
+++ b/crates/rehearsal/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of partners and channels that both views draw.
+//! The table of destinations and channels that both views draw.
 
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Modifier, Style};
@@ -8,14 +8,14 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How partners are sorted.
+/// How destinations are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SortOrder {
     /// By their numbers.
     Number,
-    /// Open breakers first, then those that hold most.
+    /// Open breakers first, then by open messages.
     Worst,
-    /// Those that hold most first.
+    /// Most open messages first.
     Held,
     /// The slowest first.
     Slowest,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A partner, over all forwarders.
+/// A destination, over all forwarders.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationRow {
     /// Its number.
@@ -51,24 +51,24 @@
     pub name: String,
     /// The worst of its breakers: 0 closed, 1 half, 2 open.
     pub breaker: u8,
-    /// Messages that wait for it.
+    /// Its open messages.
     pub held: u64,
-    /// Calls out.
+    /// Calls in flight.
     pub out: u64,
     /// The usual time of its answers, in milliseconds, the longest.
     pub answer_ms: Option<f64>,
-    /// What is left of a told wait, in milliseconds, the longest.
+    /// The longest rest of a retry_after, in milliseconds.
     pub wait_ms: f64,
-    /// It is back and used sparingly.
+    /// It has recovered and is in slow start.
     pub slow_start: bool,
-    /// What it told of its limit.
+    /// The limit that it reported.
     pub limit: Option<f64>,
 }
 
 const BREAKERS: [&str; 3] = ["closed", "half", "open"];
 
 impl DestinationRow {
-    /// The partners that these reports of forwarders name.
+    /// The destinations that these forwarders' counters name.
     pub fn of(reports: &[&Value], names: Option<&[String]>) -> Vec<DestinationRow> {
         let mut all: BTreeMap<u64, DestinationRow> = BTreeMap::new();
         for p in reports.iter().flat_map(|r| r["partners"].as_array().into_iter().flatten()) {
@@ -99,7 +99,7 @@
         all.into_values().collect()
     }
 
-    /// What each channel has handed in, and its part of all.
+    /// The messages received from each channel, and their share of all.
     pub fn channels(reports: &[&Value]) -> Vec<(String, u64, f64)> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         for c in reports.iter().flat_map(|r| r["channels"].as_array().into_iter().flatten()) {
@@ -133,17 +133,17 @@
     keys: String,
     /// One line above all.
     pub headline: String,
-    /// The partners.
+    /// The destinations.
     pub rows: Vec<DestinationRow>,
-    /// The channels, with what they handed in and its part of all.
+    /// The channels, with their messages and the share of all.
     pub channels: Vec<(String, u64, f64)>,
-    /// How partners are sorted.
+    /// How destinations are sorted.
     pub sorted: SortOrder,
     state: TableState,
 }
 
 impl Table {
-    /// An empty table under a title, with its keys told below.
+    /// An empty table with a title and a line of keys.
     pub fn new(title: &str, keys: &str) -> Self {
         let (rows, channels) = (Vec::new(), Vec::new());
         let state = TableState::default().with_selected(0);
@@ -158,17 +158,17 @@
         }
     }
 
-    /// To the next partner.
+    /// Selects the next destination.
     pub fn down(&mut self) {
         self.state.select_next();
     }
 
-    /// To the one before.
+    /// Selects the previous destination.
     pub fn up(&mut self) {
         self.state.select_previous();
     }
 
-    /// The number of the partner that is chosen.
+    /// The number of the selected destination.
     pub fn chosen(&self) -> Option<u64> {
         self.ordered().get(self.state.selected()?).map(|r| r.destination)
     }
--- a/crates/rehearsal/src/verdict/mod.rs
+++ b/crates/rehearsal/src/verdict/mod.rs
@@ -1,5 +1,5 @@
-//! What a rehearsal came to, in all its forms: a summary for the terminal, a page with plots, JSON for scripts and
-//! JUnit for other people's CI. Worth delivered against worth asked stands at the top of each.
+//! The result of a rehearsal, in all its forms: a summary for the terminal, a page with plots, JSON for scripts and
+//! JUnit for a CI. Value delivered against value offered stands at the top of each.
 
 mod export;
 mod page;
@@ -19,23 +19,22 @@
     pub loop_p99: Micros,
     /// The most.
     pub loop_most: Micros,
-    /// Hand-ins that were sent later than planned by more than [`LATE`], of all.
+    /// Requests that were sent later than planned by more than [`SEND_LATE`], of all.
     pub late_sends: u64,
-    /// All hand-ins.
+    /// All requests.
     pub sends: u64,
-    /// How long forwarders took to tell how they stand, at the 90th percentile.
+    /// How long forwarders took to answer `/_counters`, at the 90th percentile.
     pub counters_p90: Micros,
 }
 
-/// A hand-in is late beyond this.
+/// A request is late beyond this.
 pub const SEND_LATE: Micros = 50_000;
 /// A run whose event loop was late by more than this at the 99th percentile is not judged, ...
 const LOOP_LATE: Micros = 40_000;
-/// ... nor one with more than this share of late hand-ins.
+/// ... nor one with more than this share of late requests.
 const SENDS_LATE: f64 = 0.02;
 
-/// ... nor one whose forwarders got so little of the machine that they took longer than this, at the 90th percentile, to
-/// answer a question that needs no thought.
+/// ... nor one whose forwarders took longer than this, at the 90th percentile, to answer `/_counters`.
 const COUNTERS_LATE: Micros = 60_000;
 
 /// How a run was made.
@@ -49,25 +48,25 @@
 
 /// A run and what came of it.
 pub struct Run<'a> {
-    /// What was asked.
+    /// The scenario.
     pub scenario: &'a Scenario,
-    /// The day that was played.
+    /// Its day.
     pub world: &'a World,
     /// Its seed.
     pub seed: u64,
-    /// What came of it.
+    /// The result.
     pub figures: &'a Figures,
     /// Rules broken.
     pub violations: &'a [RuleViolation],
     /// How it was made.
     pub run_mode: RunMode,
-    /// What else went wrong: a forwarder that ended by itself, a run broken off.
+    /// What else went wrong: a forwarder that ended by itself, an aborted run.
     pub incidents: &'a [String],
     /// How long it took.
     pub took: Duration,
 }
 
-/// What is to be thought of a run.
+/// The verdict on a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// All that was expected came.
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -1,4 +1,4 @@
-//! Views of a rehearsal under way: on a terminal a table of partners and channels with keys, elsewhere a line every
+//! Views of a running rehearsal: on a terminal a table of destinations and channels with keys, elsewhere a line every
 //! few seconds with a bar.
 
 use crate::live::{Progress, ViewCommand, ViewUpdate};
@@ -23,7 +23,7 @@
 }
 
 impl View {
-    /// What a run tells it, and what it asks of the run.
+    /// The run's updates, and the commands to it.
     pub fn channels(&self) -> (Sender<ViewUpdate>, Receiver<ViewCommand>) {
         (self.told.clone().expect("not dropped yet"), self.asks.clone())
     }
@@ -40,7 +40,7 @@
     }
 }
 
-/// Starts a view of a run with these partners.
+/// Starts a view of a run with these destinations.
 pub fn start(title: &str, destinations: &[String], plain: bool) -> View {
     let (told, updates) = async_channel::bounded(4);
     let (commands, asks) = async_channel::unbounded();
@@ -62,7 +62,7 @@
     format!("[{}{}]", "#".repeat(full), ".".repeat(20 - full))
 }
 
-/// The line that tells how a run stands.
+/// A run's progress as a line.
 pub fn line(p: &Progress) -> String {
     let (at, whole) = (p.at.0 as f64 / 1e6, p.at.1 as f64 / 1e6);
     let held: u64 = p.forwarders.iter().flatten().filter_map(|f| f["open"].as_u64()).sum();
@@ -89,7 +89,7 @@
     }
 }
 
-/// The troubles that can be struck by hand, by key.
+/// The faults that can be injected by hand, by key.
 const STRIKES: [(char, &str, Fault); 5] = [
     ('h', "hang", Fault::Hang),
     ('r', "refuse", Fault::RefuseConnections),
@@ -155,7 +155,7 @@
     }
 }
 
-/// Watches a running forwarder until its watcher has enough; without a terminal, a line for each look.
+/// Watches a running forwarder until the user quits; without a terminal, a line for each poll.
 pub fn top(
     address: std::net::SocketAddr,
     every: Duration,
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1,5 +1,5 @@
-//! A day, drawn from a seed: partners, forwarders' settings, and every message that is handed in. The same day is
-//! played under each variant.
+//! A day, drawn from a seed: destinations, forwarders' settings, and every client request. The same day is played
+//! under each variant.
 
 use crate::experiment::Experiment;
 use crate::scenario::Signal;
@@ -19,7 +19,7 @@
 /// Shares of the channels, and how much of its share each may send.
 const TENANTS: [(&str, f64, (f64, f64)); 3] =
     [("lounatv", 0.7, (0.69, 1.3)), ("emajogi-tv", 0.17, (0.54, 1.3)), ("valga-kanal", 0.13, (0.54, 1.4))];
-/// Worth of a message beyond its channel's share.
+/// Weight of a message beyond its channel's quota.
 const OVER_SHARE: f64 = 0.1;
 /// The quotas, as a share of the full load.
 const QUOTA: f64 = 0.87;
@@ -43,15 +43,15 @@
 pub struct ClientRequest {
     /// When.
     pub at: Micros,
-    /// For which partner.
+    /// For which destination.
     pub destination: usize,
     /// From which channel.
     pub tenant: usize,
     /// To which forwarder.
     pub forwarder: usize,
-    /// What it is worth if it is in time.
+    /// Its weight if it is delivered in time.
     pub weight: f64,
-    /// A client that is refused comes again after so long, if at all.
+    /// A client that is rejected retries after this, if at all.
     pub retry_after: Option<Micros>,
 }
 
@@ -71,7 +71,7 @@
 /// A forwarder, as it is set up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ForwarderProfile {
-    /// The number that it is told, if it is told one.
+    /// Its index in the fleet, if it has one.
     pub number: Option<u64>,
     /// How far its clock is ahead of the slowest one.
     pub clock: Micros,
@@ -84,7 +84,7 @@
     pub at: Micros,
     /// How many forwarders serve.
     pub count: usize,
-    /// Each is told so at some time within this.
+    /// Each forwarder learns it at some time within this.
     pub within: Micros,
 }
 
@@ -92,41 +92,41 @@
 pub struct World {
     /// By number; the busiest first.
     pub destinations: Vec<DestinationProfile>,
-    /// The kind of each partner.
+    /// The kind of each destination.
     pub kinds: Vec<usize>,
     /// Its share of the traffic.
     pub traffic: Vec<f64>,
-    /// What a forwarder is told; all are told the same but for their numbers.
+    /// The forwarders' settings; they differ only in the forwarder's index.
     pub settings: Settings,
     /// The forwarders.
     pub fleet: Vec<ForwarderProfile>,
     /// How many of them serve, where that changes.
     pub sizes: Vec<PlannedSize>,
-    /// The count that they are told, over the true one.
+    /// The forwarder count in their settings, over the true one.
     pub told_count_factor: f64,
     /// What the settings call classes and kinds.
     pub names: Names,
-    /// The list of endpoints, and for each its partner and its place there.
+    /// The endpoint list: for each endpoint its entry, its destination and its index there.
     pub list: Vec<(EndpointEntry, usize, usize)>,
     /// All messages, in the order of time.
     pub requests: Vec<ClientRequest>,
-    /// What goes wrong: partner, begin, end, what.
+    /// Faults: destination, begin, end, fault.
     pub faults: Vec<(usize, Micros, Micros, Fault)>,
     /// How many of the list's endpoints are listed from the begin on.
     pub listed: usize,
-    /// What the list tells later: when, of which endpoint, what.
+    /// Later changes of the list: when, which endpoint, its lifecycle from then on.
     pub changes: Vec<(Micros, usize, Lifecycle)>,
     /// Forwarders that are ended: in the order of time.
     pub stops: Vec<PlannedStop>,
-    /// What partners are called.
+    /// The destinations' names.
     pub destination_names: Vec<String>,
-    /// Connections that an endpoint of each partner holds.
+    /// The connection limit of an endpoint of each destination.
     pub connections: Vec<usize>,
     /// Parts of the day: name, begin and end.
     pub phases: Vec<(String, Micros, Micros)>,
     /// One-way time of the network.
     pub network: (Micros, Micros),
-    /// When the last message comes.
+    /// The end of the day's requests.
     pub end: Micros,
 }
 
@@ -190,7 +190,7 @@
 }
 
 impl World {
-    /// The settings as one of so many forwarders is told them.
+    /// The settings of one of so many forwarders.
     pub fn settings_for(&self, forwarder: usize, count: usize) -> Settings {
         let forwarders = ((count as f64 * self.told_count_factor).round() as usize).max(1);
         Settings { forwarders, forwarder_index: self.fleet[forwarder].number, ..self.settings.clone() }
@@ -232,7 +232,7 @@
         let requests = draw_requests(&mut rng, experiment, &destinations, &traffic, &settings, full * load);
         let mut list = Vec::new();
         for (i, p) in destinations.iter().enumerate() {
-            // The list tells a rough figure for what the partner takes: up to half too high or too low.
+            // The list's weight is a rough figure of the destination's capacity: up to half too high or too low.
             let weight = p.limit.unwrap_or(p.capacity) * pick(&mut rng, (0.67, 1.5));
             for e in 0..p.endpoints {
                 let entry = EndpointEntry {
@@ -251,7 +251,7 @@
             (t.rank - 1, from, from + t.lasts.0, t.drawn(rng.random()))
         });
         let faults = faults.collect();
-        // One endpoint of a partner with several leaves for a while, as in a restart.
+        // One endpoint of a destination with several is drained for a while, as in a restart.
         let several = list.iter().position(|e| destinations[e.1].endpoints > 1);
         let part = |of: u64| START + experiment.length.0 / of;
         let changes = several.map(|e| [(part(4), e, Lifecycle::Draining), (part(2), e, Lifecycle::Listed)]);
@@ -318,7 +318,7 @@
     }
 }
 
-/// All messages: an even stream for each partner, and clumps.
+/// All requests: an even stream for each destination, and clumps.
 fn draw_requests(
     rng: &mut ChaCha8Rng,
     experiment: &Experiment,
