--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -177,9 +177,9 @@
     /// Figures of a day before it is played.
     pub fn new(world: &World) -> Self {
         let mut faulty = vec![false; world.destinations.len()];
-        world.faults.iter().for_each(|t| faulty[t.0] = true);
-        let from = world.faults.iter().map(|t| t.1).min().unwrap_or(world.end);
-        let to = world.faults.iter().map(|t| t.2).max().unwrap_or(world.end);
+        world.faults.iter().for_each(|f| faulty[f.destination] = true);
+        let from = world.faults.iter().map(|f| f.begin).min().unwrap_or(world.end);
+        let to = world.faults.iter().map(|f| f.end).max().unwrap_or(world.end);
         let windows = (world.end - START).div_ceil(WINDOW) as usize;
         let times = || Histogram::new_with_bounds(1, 60_000, 3).expect("bounds that are in order");
         let tries = world.requests.iter().map(|h| RequestState {
@@ -257,8 +257,8 @@
 
     /// For each outage of a destination: how long after its end the first message was delivered there.
     pub fn returns(&self, world: &World) -> Vec<(usize, Option<Micros>)> {
-        let back = world.faults.iter().filter(|t| t.3.is_outage());
-        back.map(|t| (t.0, self.next_delivery(t.0, t.2))).collect()
+        let back = world.faults.iter().filter(|f| f.fault.is_outage());
+        back.map(|f| (f.destination, self.next_delivery(f.destination, f.end))).collect()
     }
 
     /// An attempt ended.
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -7,7 +7,7 @@
 use crate::scenario::{Fleet, Scenario, Signal};
 use crate::scenario_day::day;
 use crate::simulation::simulate;
-use crate::world::{ForwarderProfile, PlannedSize, PlannedStop, World, START};
+use crate::world::{ForwarderProfile, PlannedFault, PlannedSize, PlannedStop, World, START};
 use cedarbridge::routes::Plan;
 use cedarbridge::Micros;
 use plotters::prelude::*;
@@ -179,22 +179,22 @@
         let Some(limit) = model.limit else { continue };
         for (second, calls) in f.offered[destination].iter().enumerate() {
             let at = START + second as Micros * SECOND;
-            let lowered = world.faults.iter().filter(|t| t.0 == destination && t.1 <= at && at < t.2);
-            let now = limit * lowered.filter_map(|t| t.3.limit_share()).product::<f64>();
+            let lowered = world.faults.iter().filter(|f| f.applies(destination, at));
+            let now = limit * lowered.filter_map(|f| f.fault.limit_share()).product::<f64>();
             let part = f64::from(*calls) / now;
             (seconds, over, worst) = (seconds + 1, over + u32::from(part > 1.0), worst.max(part));
             offered += part;
         }
     }
-    let returns = || world.faults.iter().filter(|t| t.3.is_outage());
-    let end = |t: &(usize, Micros, Micros, _)| world.end.saturating_sub(t.2);
+    let returns = || world.faults.iter().filter(|f| f.fault.is_outage());
+    let end = |t: &PlannedFault| world.end.saturating_sub(t.end);
     DayResult {
         served,
         priced: served - prices.refused * full / messages - prices.connections * connections,
         refused: full / (f.attempts as f64).max(1.0),
         connections,
-        first: returns().map(|t| f.next_delivery(t.0, t.2).unwrap_or(end(t))).max(),
-        rate: returns().map(|t| back_at_rate(f, t.0, (t.1, t.2)).unwrap_or(end(t))).max(),
+        first: returns().map(|t| f.next_delivery(t.destination, t.end).unwrap_or(end(t))).max(),
+        rate: returns().map(|t| back_at_rate(f, t).unwrap_or(end(t))).max(),
         fairness: if squares > 0.0 { sum * sum / (n * squares) } else { 1.0 },
         offered: offered / f64::from(seconds.max(1)),
         over: f64::from(over) / f64::from(seconds.max(1)),
@@ -204,8 +204,9 @@
 }
 
 /// How long after a destination's recovery a second brings [`BACK`] of its mean before.
-fn back_at_rate(f: &Figures, destination: usize, (begin, end): (Micros, Micros)) -> Option<Micros> {
-    let all = &f.deliveries[destination];
+fn back_at_rate(f: &Figures, fault: &PlannedFault) -> Option<Micros> {
+    let (begin, end) = (fault.begin, fault.end);
+    let all = &f.deliveries[fault.destination];
     let between =
         |from: Micros, to: Micros| all.partition_point(|t| *t < to) - all.partition_point(|t| *t < from);
     let before = between(START, begin) as f64 * SECOND as f64 / (begin - START).max(1) as f64;
--- a/crates/rehearsal/src/forwarder_config.rs
+++ b/crates/rehearsal/src/forwarder_config.rs
@@ -57,7 +57,7 @@
 
 /// An entry of the list, in the agent's form.
 pub fn entry(world: &World, endpoint: usize, lifecycle: Lifecycle, address: SocketAddr) -> Value {
-    let e = &world.list[endpoint].0;
+    let e = &world.list[endpoint].entry;
     let state = match lifecycle {
         Lifecycle::Listed => "active",
         Lifecycle::Draining => "leaving",
--- a/crates/rehearsal/src/live/day.rs
+++ b/crates/rehearsal/src/live/day.rs
@@ -3,6 +3,7 @@
 use super::sampling::{sample, watch_own_lateness};
 use super::{agent, clients, daemon, endpoint, LiveError, LiveRun, ViewCommand, ViewUpdate};
 use crate::scenario::Signal;
+use crate::world::ListChange;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use cedarbridge::Micros;
@@ -75,20 +76,20 @@
 
 /// Faults begin and end at their times.
 fn spawn_faults(stage: &Rc<LiveRun>) {
-    for (destination, from, to, fault) in stage.world.faults.iter().copied() {
+    for planned in stage.world.faults.iter().copied() {
         let stage = stage.clone();
         stage.clone().spawn(async move {
-            stage.until(from).await;
-            stage.apply_faults(destination, Some(fault));
-            stage.until(to).await;
-            stage.apply_faults(destination, None);
+            stage.until(planned.begin).await;
+            stage.apply_faults(planned.destination, Some(planned.fault));
+            stage.until(planned.end).await;
+            stage.apply_faults(planned.destination, None);
         });
     }
 }
 
 /// The endpoint list changes at its times.
 fn spawn_list_changes(stage: &Rc<LiveRun>) {
-    for (at, endpoint, lifecycle) in stage.world.changes.iter().copied() {
+    for ListChange { at, endpoint, lifecycle } in stage.world.changes.iter().copied() {
         let stage = stage.clone();
         stage.clone().spawn(async move {
             stage.until(at).await;
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -71,7 +71,7 @@
     listener: Async<TcpListener>,
     address: SocketAddr,
 ) {
-    let destination = stage.world.list[endpoint].1;
+    let destination = stage.world.list[endpoint].destination;
     let mut listener = Some(listener);
     let mut closed_to_all = None;
     loop {
@@ -131,7 +131,7 @@
 type Carried = (String, usize);
 
 async fn converse(stage: &Rc<LiveRun>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
-    let destination = stage.world.list[endpoint].1;
+    let destination = stage.world.list[endpoint].destination;
     let opened = stage.now();
     let mut connection = HttpConnection::new(stream);
     loop {
@@ -214,7 +214,7 @@
         let fate = if stranded && p.model.visible_fault() == Some(Fault::HalfOpenConnections) {
             CallFate { answer: None, report: None, unconnected: false }
         } else {
-            p.model.call(now, stage.world.list[endpoint].2, carried.len())
+            p.model.call(now, stage.world.list[endpoint].index, carried.len())
         };
         (fate, p.calls_ended)
     };
--- a/crates/rehearsal/src/live/fault.rs
+++ b/crates/rehearsal/src/live/fault.rs
@@ -164,7 +164,7 @@
 }
 
 async fn push(stage: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
-    let destination = stage.world.list[endpoint].1;
+    let destination = stage.world.list[endpoint].destination;
     let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
     let mut was_away = false;
     loop {
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -252,8 +252,8 @@
     /// Applies the faults that a destination has now, planned and injected.
     fn apply_faults(&self, destination: usize, begun: Option<Fault>) {
         let now = self.now();
-        let planned = self.world.faults.iter().filter(|t| t.0 == destination && t.1 <= now && now < t.2);
-        let mut all: Vec<Fault> = planned.map(|t| t.3).collect();
+        let planned = self.world.faults.iter().filter(|f| f.applies(destination, now));
+        let mut all: Vec<Fault> = planned.map(|f| f.fault).collect();
         let mut destinations = self.destinations.borrow_mut();
         let p = &mut destinations[destination];
         all.extend(&p.injected);
--- a/crates/rehearsal/src/scenario_day.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -3,7 +3,10 @@
 
 use crate::capture::CapturedDay;
 use crate::scenario::{DestinationGroup, DestinationKind, Scenario};
-use crate::world::{numbered_fleet, platform, ClientRequest, PlannedMessage, PlannedStop, World, START};
+use crate::world::{
+    numbered_fleet, platform, ClientRequest, DayPhase, ListChange, ListedEndpoint, PlannedFault,
+    PlannedMessage, PlannedStop, QuotaBuckets, World, START,
+};
 use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
 use cedarbridge_endpoint_model::DestinationProfile;
 use rand::{RngExt, SeedableRng};
@@ -11,8 +14,6 @@
 use rand_distr::{Distribution, Exp1};
 
 const SECOND: f64 = 1e6;
-/// Weight of a message beyond its channel's quota.
-const OVER_SHARE: f64 = 0.1;
 /// One-way time of the network, on loopback and in virtual time.
 const NETWORK: (Micros, Micros) = (50, 400);
 /// A destination's queue length, in seconds of its capacity.
@@ -67,7 +68,7 @@
             lifecycle: Lifecycle::Listed,
             weight,
         };
-        list.push((entry, destination, place));
+        list.push(ListedEndpoint { entry, destination, index: place });
         list.len() - 1
     };
     let mut first = Vec::with_capacity(destinations.len());
@@ -90,15 +91,20 @@
         first[destination] = new;
         let gone = at + r.drains.0;
         changes.extend([
-            (at, old, Lifecycle::Draining),
-            (at, new, Lifecycle::Listed),
-            (gone, old, Lifecycle::Removed),
+            ListChange { at, endpoint: old, lifecycle: Lifecycle::Draining },
+            ListChange { at, endpoint: new, lifecycle: Lifecycle::Listed },
+            ListChange { at: gone, endpoint: old, lifecycle: Lifecycle::Removed },
         ]);
     }
-    changes.sort_by_key(|c| c.0);
+    changes.sort_by_key(|c| c.at);
     let faults = scenario.faults.iter().map(|t| {
         let from = moment(&t.at);
-        (number(&t.destination.value), from, from + t.lasts.0, t.fault())
+        PlannedFault {
+            destination: number(&t.destination.value),
+            begin: from,
+            end: from + t.lasts.0,
+            fault: t.fault(),
+        }
     });
     let stops = scenario.stops.iter().flat_map(|s| {
         let (forwarder, first, signal, back) = (s.forwarder.value - 1, moment(&s.at), s.signal, s.back.0);
@@ -112,7 +118,7 @@
     };
     let phases = scenario.phases.iter().map(|p| {
         let (from, to) = scenario.phase(&p.name.value).expect("itself");
-        (p.name.value.clone(), START + from, START + to)
+        DayPhase { name: p.name.value.clone(), begin: START + from, end: START + to }
     });
     World {
         kinds: (0..names.len()).map(|i| usize::from(of(i).kind == DestinationKind::SmallPartner)).collect(),
@@ -231,25 +237,14 @@
     times: Vec<PlannedMessage>,
     rng: &mut ChaCha8Rng,
 ) -> Vec<ClientRequest> {
-    let mut buckets: Vec<(f64, Micros)> = tenants.iter().map(|t| (t.quota_per_s, START)).collect();
+    let mut quotas = QuotaBuckets::new(tenants);
     let after = (scenario.clients.after.0 .0, scenario.clients.after.1 .0);
     let request = |PlannedMessage { at, destination, tenant }: PlannedMessage| {
-        let quota = tenants[tenant].quota_per_s;
-        let b = &mut buckets[tenant];
-        *b = ((b.0 + quota * (at - b.1) as f64 / SECOND).min(quota.max(1.0)), at);
-        let within = b.0 >= 1.0;
-        b.0 -= f64::from(u8::from(within));
+        let weight = quotas.weight(tenant, at);
         let retry_after =
             rng.random_bool(scenario.clients.again).then(|| rng.random_range(after.0..=after.1));
         let forwarder = rng.random_range(0..scenario.forwarders.count);
-        ClientRequest {
-            at,
-            destination,
-            tenant,
-            forwarder,
-            weight: if within { 1.0 } else { OVER_SHARE },
-            retry_after,
-        }
+        ClientRequest { at, destination, tenant, forwarder, weight, retry_after }
     };
     times.into_iter().map(request).collect()
 }
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -70,7 +70,7 @@
         (c.forwarder, c.endpoint, c.sent, c.arrived) = (forwarder, endpoint, self.now, false);
         c.attempts.clear();
         let version = c.version;
-        self.in_flight[self.world.list[endpoint].1].push(number);
+        self.in_flight[self.world.list[endpoint].destination].push(number);
         self.calls[number].connect_failed = !self.connect(forwarder, endpoint);
         let arrives_at = self.now + self.network();
         self.schedule(arrives_at, SimulationEvent::CallArrives(number, version));
@@ -80,7 +80,7 @@
     /// Takes an idle connection for a call, or opens one; false if the endpoint has reached its connection limit.
     pub(super) fn connect(&mut self, forwarder: usize, endpoint: usize) -> bool {
         let (now, width) = (self.now, self.world.list.len());
-        let most = self.world.connections[self.world.list[endpoint].1];
+        let most = self.world.connections[self.world.list[endpoint].destination];
         let at = forwarder * width + endpoint;
         self.links[at].open_connections(now);
         let reused = self.links[at].idle.pop_back().is_some();
@@ -105,7 +105,7 @@
         let c = &mut self.calls[number];
         c.version = c.version.wrapping_add(1);
         let (forwarder, endpoint, connect_failed) = (c.forwarder, c.endpoint, c.connect_failed);
-        let in_flight = &mut self.in_flight[self.world.list[endpoint].1];
+        let in_flight = &mut self.in_flight[self.world.list[endpoint].destination];
         if let Some(at) = in_flight.iter().position(|o| *o == number) {
             in_flight.swap_remove(at);
         }
@@ -137,7 +137,7 @@
         m.attempts += 1;
         m.call = Some(number as u32);
         let timing = self.timing(message);
-        let destination = self.world.list[endpoint].1;
+        let destination = self.world.list[endpoint].destination;
         self.audit.sent(self.now, self.now, (destination, endpoint), message, &timing);
         self.figures.attempt();
     }
@@ -155,7 +155,8 @@
         }
         let (forwarder, endpoint, sent, attempts) =
             (call.forwarder, call.endpoint, call.sent, call.attempts.len());
-        let (_, destination, place) = self.world.list[endpoint];
+        let listed = &self.world.list[endpoint];
+        let (destination, place) = (listed.destination, listed.index);
         let link = &mut self.links[forwarder * self.world.list.len() + endpoint];
         if link.stranded > 0 {
             link.stranded -= 1;
@@ -230,7 +231,7 @@
     ) {
         let call = &mut self.calls[number];
         let (forwarder, endpoint, sent) = (call.forwarder, call.endpoint, call.sent);
-        let destination = self.world.list[endpoint].1;
+        let destination = self.world.list[endpoint].destination;
         let due: Vec<(usize, u32)> = call
             .attempts
             .iter_mut()
@@ -290,12 +291,12 @@
     pub(super) fn apply_faults(&mut self) {
         let now = self.now;
         let world = self.world;
-        let touched = world.faults.iter().filter(|t| t.1 == now || t.2 == now).map(|t| t.0);
+        let touched = world.faults.iter().filter(|f| f.begin == now || f.end == now).map(|f| f.destination);
         for destination in touched.collect::<std::collections::BTreeSet<_>>() {
-            let of = || world.faults.iter().filter(move |t| t.0 == destination);
-            let held = of().filter(|t| t.1 <= now && now < t.2).map(|t| t.3).collect();
-            self.destinations[destination].set_faults(now, held);
-            for begun in of().filter(|t| t.1 == now).map(|t| t.3) {
+            let active = world.faults.iter().filter(|f| f.applies(destination, now)).map(|f| f.fault);
+            self.destinations[destination].set_faults(now, active.collect());
+            let begins = world.faults.iter().filter(|f| f.destination == destination && f.begin == now);
+            for begun in begins.map(|f| f.fault) {
                 if begun == Fault::HalfOpenConnections {
                     self.strand_connections(destination);
                 }
@@ -310,7 +311,7 @@
     pub(super) fn strand_connections(&mut self, destination: usize) {
         let width = self.world.list.len();
         for (n, link) in self.links.iter_mut().enumerate() {
-            if self.world.list[n % width].1 == destination {
+            if self.world.list[n % width].destination == destination {
                 link.stranded = link.peak;
             }
         }
--- a/crates/rehearsal/src/simulation/forwarders.rs
+++ b/crates/rehearsal/src/simulation/forwarders.rs
@@ -78,7 +78,7 @@
     pub(super) fn push_complete_list(&mut self, forwarder: usize) {
         let list = &self.forwarders[forwarder].list;
         let entries = self.world.list.iter().zip(list).filter(|(_, l)| **l != Lifecycle::Removed);
-        let all = entries.map(|(e, l)| EndpointEntry { lifecycle: *l, ..e.0.clone() }).collect();
+        let all = entries.map(|(e, l)| EndpointEntry { lifecycle: *l, ..e.entry.clone() }).collect();
         self.push_event(forwarder, Event::EndpointList(EndpointListUpdate::Complete(all)));
     }
 
--- a/crates/rehearsal/src/simulation/mod.rs
+++ b/crates/rehearsal/src/simulation/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::audit::{Audit, RuleViolation, VIRTUAL};
 use crate::figures::{Figures, Sample};
-use crate::world::{World, START};
+use crate::world::{ListChange, World, START};
 use calls::{Call, EndpointLink};
 use cedarbridge::routes::Plan;
 use cedarbridge::{BreakerState, ClassId, EndpointEntry, EndpointListUpdate, Event, Lifecycle, Micros};
@@ -157,12 +157,12 @@
         for (n, size) in self.world.sizes.iter().enumerate().filter(|s| s.1.at > START) {
             self.schedule(size.at, SimulationEvent::FleetSize(n));
         }
-        for (_, from, to, _) in &self.world.faults {
-            self.schedule(*from, SimulationEvent::FaultChange);
-            self.schedule(*to, SimulationEvent::FaultChange);
+        for fault in &self.world.faults {
+            self.schedule(fault.begin, SimulationEvent::FaultChange);
+            self.schedule(fault.end, SimulationEvent::FaultChange);
         }
         for forwarder in 0..self.forwarders.len() {
-            for (at, endpoint, lifecycle) in self.world.changes.iter().copied() {
+            for ListChange { at, endpoint, lifecycle } in self.world.changes.iter().copied() {
                 let later = self.rng.random_range(0..LIST_DELAY);
                 self.schedule(
                     at + LIST_DELAY + later,
@@ -209,7 +209,7 @@
                     self.forwarders[forwarder].list[endpoint] = lifecycle;
                     if self.forwarders[forwarder].up {
                         self.audit.lists(time, forwarder, endpoint, lifecycle);
-                        let entry = EndpointEntry { lifecycle, ..self.world.list[endpoint].0.clone() };
+                        let entry = EndpointEntry { lifecycle, ..self.world.list[endpoint].entry.clone() };
                         self.push_event(
                             forwarder,
                             Event::EndpointList(EndpointListUpdate::Patch(vec![entry])),
--- a/crates/rehearsal/src/verdict/page.rs
+++ b/crates/rehearsal/src/verdict/page.rs
@@ -75,12 +75,16 @@
             .x_label_area_size(34)
             .y_label_area_size(44)
             .build_cartesian_2d(0.0..end, 0.0..1.06)?;
-        for (n, (destination, from, to, fault)) in self.world.faults.iter().enumerate().take(40) {
-            let (from, to) = (seconds(*from), seconds(*to));
+        for (n, planned) in self.world.faults.iter().enumerate().take(40) {
+            let (from, to) = (seconds(planned.begin), seconds(planned.end));
             let c = colour(n + 1);
             let band = Rectangle::new([(from, 0.0), (to, 1.06)], c.mix(0.10).filled());
             chart.draw_series([band])?;
-            let label = format!("{} {}", self.world.destination_names[*destination], fault_label(*fault));
+            let label = format!(
+                "{} {}",
+                self.world.destination_names[planned.destination],
+                fault_label(planned.fault)
+            );
             let place = (from, 1.04 - 0.06 * (n % 8) as f64);
             chart.draw_series([Text::new(label, place, ("sans-serif", 10).into_font().color(&c))])?;
         }
@@ -165,9 +169,9 @@
                 chart.draw_series([Rectangle::new([(from, y + 0.15), (to, y + 0.7)], c.filled())])?;
             }
         }
-        for (destination, from, to, _) in self.world.faults.iter().filter(|t| t.0 < shown) {
-            let y = place(*destination) + 0.85;
-            let line = [(seconds(*from), y), (seconds(*to), y)];
+        for fault in self.world.faults.iter().filter(|f| f.destination < shown) {
+            let y = place(fault.destination) + 0.85;
+            let line = [(seconds(fault.begin), y), (seconds(fault.end), y)];
             chart.draw_series([PathElement::new(line, RGBColor(0x55, 0x55, 0x55).stroke_width(2))])?;
         }
         root.present()?;
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -88,6 +88,86 @@
     pub within: Micros,
 }
 
+/// An endpoint of the list.
+pub struct ListedEndpoint {
+    /// Its entry.
+    pub entry: EndpointEntry,
+    /// Its destination's number.
+    pub destination: usize,
+    /// Its index among the destination's endpoints.
+    pub index: usize,
+}
+
+/// A later change of the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub struct ListChange {
+    /// When.
+    pub at: Micros,
+    /// The endpoint's place in the list.
+    pub endpoint: usize,
+    /// Its lifecycle from then on.
+    pub lifecycle: Lifecycle,
+}
+
+/// A destination's fault for a time.
+#[derive(Clone, Copy, Debug)]
+pub struct PlannedFault {
+    /// The destination's number.
+    pub destination: usize,
+    /// When it begins.
+    pub begin: Micros,
+    /// When it ends.
+    pub end: Micros,
+    /// The fault.
+    pub fault: Fault,
+}
+
+impl PlannedFault {
+    /// A destination has it at a time.
+    pub fn applies(&self, destination: usize, now: Micros) -> bool {
+        self.destination == destination && self.begin <= now && now < self.end
+    }
+}
+
+/// A phase of the day.
+#[derive(Clone, Debug)]
+pub struct DayPhase {
+    /// Its name.
+    pub name: String,
+    /// When it begins.
+    pub begin: Micros,
+    /// When it ends.
+    pub end: Micros,
+}
+
+/// The quotas of channels as token buckets, which decide what a message weighs.
+pub(crate) struct QuotaBuckets<'a> {
+    tenants: &'a [Tenant],
+    /// By channel, the tokens left and when they were counted.
+    buckets: Vec<(f64, Micros)>,
+}
+
+impl<'a> QuotaBuckets<'a> {
+    pub(crate) fn new(tenants: &'a [Tenant]) -> Self {
+        QuotaBuckets { tenants, buckets: tenants.iter().map(|t| (t.quota_per_s, START)).collect() }
+    }
+
+    /// The weight of a channel's next message: less if it is beyond the quota.
+    pub(crate) fn weight(&mut self, tenant: usize, at: Micros) -> f64 {
+        let quota = self.tenants[tenant].quota_per_s;
+        let bucket = &mut self.buckets[tenant];
+        let refilled = bucket.0 + quota * (at - bucket.1) as f64 / SECOND as f64;
+        *bucket = (refilled.min(quota.max(1.0)), at);
+        let within = bucket.0 >= 1.0;
+        bucket.0 -= f64::from(u8::from(within));
+        if within {
+            1.0
+        } else {
+            OVER_SHARE
+        }
+    }
+}
+
 /// A day, before it is played.
 pub struct World {
     /// By number; the busiest first.
@@ -107,15 +187,15 @@
     /// What the settings call classes and kinds.
     pub names: Names,
     /// The endpoint list: for each endpoint its entry, its destination and its index there.
-    pub list: Vec<(EndpointEntry, usize, usize)>,
+    pub list: Vec<ListedEndpoint>,
     /// All messages, in the order of time.
     pub requests: Vec<ClientRequest>,
     /// Faults: destination, begin, end, fault.
-    pub faults: Vec<(usize, Micros, Micros, Fault)>,
+    pub faults: Vec<PlannedFault>,
     /// How many of the list's endpoints are listed from the begin on.
     pub listed: usize,
     /// Later changes of the list: when, which endpoint, its lifecycle from then on.
-    pub changes: Vec<(Micros, usize, Lifecycle)>,
+    pub changes: Vec<ListChange>,
     /// Forwarders that are ended: in the order of time.
     pub stops: Vec<PlannedStop>,
     /// The destinations' names.
@@ -123,7 +203,7 @@
     /// The connection limit of an endpoint of each destination.
     pub connections: Vec<usize>,
     /// Parts of the day: name, begin and end.
-    pub phases: Vec<(String, Micros, Micros)>,
+    pub phases: Vec<DayPhase>,
     /// One-way time of the network.
     pub network: (Micros, Micros),
     /// The end of the day's requests.
@@ -243,18 +323,27 @@
                     lifecycle: Lifecycle::Listed,
                     weight,
                 };
-                list.push((entry, i, e));
+                list.push(ListedEndpoint { entry, destination: i, index: e });
             }
         }
         let faults = experiment.faults.iter().map(|t| {
             let from = START + t.from.0;
-            (t.rank - 1, from, from + t.lasts.0, t.drawn(rng.random()))
+            PlannedFault {
+                destination: t.rank - 1,
+                begin: from,
+                end: from + t.lasts.0,
+                fault: t.drawn(rng.random()),
+            }
         });
         let faults = faults.collect();
         // One endpoint of a destination with several is drained for a while, as in a restart.
-        let several = list.iter().position(|e| destinations[e.1].endpoints > 1);
+        let several = list.iter().position(|e| destinations[e.destination].endpoints > 1);
         let part = |of: u64| START + experiment.length.0 / of;
-        let changes = several.map(|e| [(part(4), e, Lifecycle::Draining), (part(2), e, Lifecycle::Listed)]);
+        let changes =
+            several.map(|endpoint| {
+                [(part(4), Lifecycle::Draining), (part(2), Lifecycle::Listed)]
+                    .map(|(at, lifecycle)| ListChange { at, endpoint, lifecycle })
+            });
         let changes = changes.into_iter().flatten().collect();
         let network = ((of.network_ms.0 * 1e3) as Micros, (of.network_ms.1 * 1e3) as Micros);
         let names = platform().1;
@@ -361,7 +450,7 @@
         left -= size;
     }
     times.sort();
-    let mut buckets: Vec<(f64, Micros)> = settings.tenants.iter().map(|t| (t.quota_per_s, START)).collect();
+    let mut quotas = QuotaBuckets::new(&settings.tenants);
     let request = |(at, destination): (Micros, usize)| {
         let mut draw = rng.random::<f64>() * all;
         let tenant = usage.iter().position(|u| {
@@ -369,21 +458,10 @@
             draw < 0.0
         });
         let tenant = tenant.unwrap_or(0);
-        let quota = settings.tenants[tenant].quota_per_s;
-        let b = &mut buckets[tenant];
-        *b = ((b.0 + quota * (at - b.1) as f64 / SECOND as f64).min(quota.max(1.0)), at);
-        let within = b.0 >= 1.0;
-        b.0 -= f64::from(u8::from(within));
+        let weight = quotas.weight(tenant, at);
         let retry_after = rng.random_bool(0.75).then(|| (pick(rng, (0.53, 1.5)) * SECOND as f64) as Micros);
         let forwarder = rng.random_range(0..settings.forwarders);
-        ClientRequest {
-            at,
-            destination,
-            tenant,
-            forwarder,
-            weight: if within { 1.0 } else { OVER_SHARE },
-            retry_after,
-        }
+        ClientRequest { at, destination, tenant, forwarder, weight, retry_after }
     };
     times.into_iter().map(request).collect()
 }
