--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod audit;
 pub mod capture;
 pub mod experiment;
+mod experiment_day;
 pub mod figures;
 pub mod fleet;
 pub mod forwarder_config;
--- a/crates/rehearsal/src/scenario_day.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -2,12 +2,14 @@
 //! faults. The same seed gives the same day, whether it is then played in virtual time or on sockets.
 
 use crate::capture::CapturedDay;
-use crate::scenario::{DestinationGroup, DestinationKind, Scenario};
+use crate::scenario::{DestinationGroup, DestinationKind, FaultSpec, Moment, Phase, Scenario};
 use crate::world::{
     numbered_fleet, platform, ClientRequest, DayPhase, ListChange, ListedEndpoint, PlannedFault,
     PlannedMessage, PlannedStop, QuotaBuckets, World, START,
 };
-use cedarbridge::{DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Tenant, ZoneId};
+use cedarbridge::{
+    DestinationId, EndpointEntry, EndpointId, KindId, Lifecycle, Micros, Settings, Tenant, ZoneId,
+};
 use cedarbridge_endpoint_model::DestinationProfile;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -29,118 +31,185 @@
 /// Call slots, over the calls in flight at full load.
 const SLOTS: f64 = 2.1;
 
+/// A channel's name, its agreed share of full load, and what it sends of that share.
+struct ChannelShare {
+    name: String,
+    share: f64,
+    uses: f64,
+}
+
 /// A day of a scenario; a captured day's messages take the place of the drawn ones.
 pub fn day(scenario: &Scenario, seed: u64, captured: Option<&CapturedDay>) -> World {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let names = scenario.destination_names();
-    let of = |i: usize| &scenario.destinations[names[i].1];
-    let shares: f64 = (0..names.len()).map(|i| of(i).share).sum();
-    let traffic: Vec<f64> = (0..names.len()).map(|i| of(i).share / shares).collect();
+    let named = scenario.destination_names();
+    let groups: Vec<&DestinationGroup> = named.iter().map(|n| &scenario.destinations[n.1]).collect();
+    let shares: f64 = groups.iter().map(|g| g.share).sum();
+    let traffic: Vec<f64> = groups.iter().map(|g| g.share / shares).collect();
     let full = scenario.rate.value;
     let destinations: Vec<DestinationProfile> =
-        (0..names.len()).map(|i| model(of(i), full * traffic[i])).collect();
-    let mut settings = platform().0;
-    let (_, mut words) = platform();
-    let forwarders = scenario.forwarders.count;
+        groups.iter().zip(&traffic).map(|(group, share)| model(group, full * share)).collect();
+    let kinds: Vec<usize> =
+        groups.iter().map(|g| usize::from(g.kind == DestinationKind::SmallPartner)).collect();
+    let channels = channels(scenario);
+    let (mut settings, mut names) = platform();
+    size_settings(&mut settings, scenario, &destinations, &traffic);
+    settings.tenants = channels.iter().map(|c| Tenant { quota_per_s: full * c.share }).collect();
+    names.tenants = channels.iter().map(|c| c.name.clone()).collect();
+    let number = |name: &str| named.iter().position(|n| n.0 == name).expect("checked as it was read");
+    let mut endpoints = EndpointList::new(&mut rng, &destinations, &kinds);
+    let changes = endpoints.replacements(&mut rng, scenario, &number);
+    let times = match captured {
+        Some(day) => day.messages(&named, &names.tenants, scenario.length()),
+        None => times(scenario, &destinations, &traffic, &channels, &number, &mut rng),
+    };
+    World {
+        connections: groups.iter().map(|g| g.connections).collect(),
+        requests: requests(scenario, &settings.tenants, times, &mut rng),
+        faults: faults(scenario, &number),
+        phases: phases(scenario),
+        stops: stops(scenario),
+        end: START + scenario.length(),
+        network: NETWORK,
+        fleet: numbered_fleet(scenario.forwarders.count),
+        sizes: Vec::new(),
+        told_count_factor: 1.0,
+        listed: endpoints.listed,
+        list: endpoints.list,
+        destination_names: named.into_iter().map(|n| n.0).collect(),
+        names,
+        kinds,
+        destinations,
+        traffic,
+        settings,
+        changes,
+    }
+}
+
+/// A moment of the scenario, on the day's clock.
+fn moment(scenario: &Scenario, of: &Moment) -> Micros {
+    START + scenario.moment(of).expect("checked as it was read")
+}
+
+/// The scenario's channels, or those of the platform.
+fn channels(scenario: &Scenario) -> Vec<ChannelShare> {
+    if scenario.channels.is_empty() {
+        return [("lounatv", 0.7), ("emajogi-tv", 0.17), ("valga-kanal", 0.13)]
+            .map(|(name, share)| ChannelShare { name: name.into(), share, uses: 1.0 })
+            .into();
+    }
+    let channels = scenario.channels.iter();
+    channels.map(|c| ChannelShare { name: c.name.value.clone(), share: c.share, uses: c.uses }).collect()
+}
+
+/// Call slots and open messages for the traffic at full load, where the scenario does not say.
+fn size_settings(
+    settings: &mut Settings,
+    scenario: &Scenario,
+    destinations: &[DestinationProfile],
+    traffic: &[f64],
+) {
+    let (full, forwarders) = (scenario.rate.value, scenario.forwarders.count);
     settings.forwarders = forwarders;
     let busy: f64 =
-        destinations.iter().zip(&traffic).map(|(p, t)| full * t * p.service_time as f64 / SECOND).sum();
+        destinations.iter().zip(traffic).map(|(p, t)| full * t * p.service_time as f64 / SECOND).sum();
     let slots = (busy / forwarders as f64 * SLOTS).ceil() as usize;
     settings.max_concurrent_calls = scenario.forwarders.slots.unwrap_or(slots.max(3));
-    let held = (full / forwarders as f64 * HELD) as usize;
-    settings.max_open_messages = scenario.forwarders.held.unwrap_or(held.max(8));
-    let channels: Vec<(String, f64, f64)> = if scenario.channels.is_empty() {
-        [("lounatv", 0.7), ("emajogi-tv", 0.17), ("valga-kanal", 0.13)].map(|c| (c.0.into(), c.1, 1.0)).into()
-    } else {
-        scenario.channels.iter().map(|c| (c.name.value.clone(), c.share, c.uses)).collect()
-    };
-    settings.tenants = channels.iter().map(|c| Tenant { quota_per_s: full * c.1 }).collect();
-    words.tenants = channels.iter().map(|c| c.0.clone()).collect();
-    let mut list = Vec::new();
-    let mut add = |destination: usize, place: usize, rng: &mut ChaCha8Rng| {
-        let p = &destinations[destination];
-        let weight = p.limit.unwrap_or(p.capacity) * rng.random_range(0.67..1.5);
+    let open_messages = (full / forwarders as f64 * HELD) as usize;
+    settings.max_open_messages = scenario.forwarders.held.unwrap_or(open_messages.max(8));
+}
+
+/// The endpoint list while it is built.
+struct EndpointList<'a> {
+    destinations: &'a [DestinationProfile],
+    kinds: &'a [usize],
+    list: Vec<ListedEndpoint>,
+    /// Endpoints that are listed from the begin on.
+    listed: usize,
+    /// The place of each destination's first endpoint.
+    first: Vec<usize>,
+}
+
+impl<'a> EndpointList<'a> {
+    fn new(rng: &mut ChaCha8Rng, destinations: &'a [DestinationProfile], kinds: &'a [usize]) -> Self {
+        let mut all = EndpointList { destinations, kinds, list: Vec::new(), listed: 0, first: Vec::new() };
+        for (destination, profile) in destinations.iter().enumerate() {
+            all.first.push(all.list.len());
+            (0..profile.endpoints).for_each(|index| {
+                all.add(rng, destination, index);
+            });
+        }
+        all.listed = all.list.len();
+        all
+    }
+
+    /// Adds an endpoint with a rough weight, and returns its place.
+    fn add(&mut self, rng: &mut ChaCha8Rng, destination: usize, index: usize) -> usize {
+        let profile = &self.destinations[destination];
+        let weight = profile.limit.unwrap_or(profile.capacity) * rng.random_range(0.67..1.5);
         let entry = EndpointEntry {
-            endpoint: EndpointId(list.len() as u32 + 1),
+            endpoint: EndpointId(self.list.len() as u32 + 1),
             destination: DestinationId(destination as u64),
             zone: ZoneId(0),
-            kind: KindId(usize::from(of(destination).kind == DestinationKind::SmallPartner)),
+            kind: KindId(self.kinds[destination]),
             lifecycle: Lifecycle::Listed,
             weight,
         };
-        list.push(ListedEndpoint { entry, destination, index: place });
-        list.len() - 1
-    };
-    let mut first = Vec::with_capacity(destinations.len());
-    for (i, p) in destinations.iter().enumerate() {
-        (0..p.endpoints).for_each(|e| {
-            let at = add(i, e, &mut rng);
-            if e == 0 {
-                first.push(at);
-            }
-        });
+        self.list.push(ListedEndpoint { entry, destination, index });
+        self.list.len() - 1
     }
-    let listed = first.last().zip(destinations.last()).map_or(0, |(f, p)| f + p.endpoints);
-    let number = |name: &str| names.iter().position(|n| n.0 == name).expect("checked as it was read");
-    let moment = |m| START + scenario.moment(m).expect("checked as it was read");
-    let mut changes = Vec::new();
-    for r in &scenario.replacements {
-        let (destination, at) = (number(&r.destination.value), moment(&r.at));
-        let old = first[destination];
-        let new = add(destination, 0, &mut rng);
-        first[destination] = new;
-        let gone = at + r.drains.0;
-        changes.extend([
-            ListChange { at, endpoint: old, lifecycle: Lifecycle::Draining },
-            ListChange { at, endpoint: new, lifecycle: Lifecycle::Listed },
-            ListChange { at: gone, endpoint: old, lifecycle: Lifecycle::Removed },
-        ]);
-    }
-    changes.sort_by_key(|c| c.at);
-    let faults = scenario.faults.iter().map(|t| {
-        let from = moment(&t.at);
-        PlannedFault {
-            destination: number(&t.destination.value),
-            begin: from,
-            end: from + t.lasts.0,
-            fault: t.fault(),
+
+    /// Adds the endpoints that replace others, and returns the list's changes in the order of time.
+    fn replacements(
+        &mut self,
+        rng: &mut ChaCha8Rng,
+        scenario: &Scenario,
+        number: &impl Fn(&str) -> usize,
+    ) -> Vec<ListChange> {
+        let mut changes = Vec::new();
+        for replacement in &scenario.replacements {
+            let destination = number(&replacement.destination.value);
+            let at = moment(scenario, &replacement.at);
+            let old = self.first[destination];
+            let new = self.add(rng, destination, 0);
+            self.first[destination] = new;
+            changes.extend([
+                ListChange { at, endpoint: old, lifecycle: Lifecycle::Draining },
+                ListChange { at, endpoint: new, lifecycle: Lifecycle::Listed },
+                ListChange { at: at + replacement.drains.0, endpoint: old, lifecycle: Lifecycle::Removed },
+            ]);
         }
-    });
+        changes.sort_by_key(|c| c.at);
+        changes
+    }
+}
+
+fn faults(scenario: &Scenario, number: &impl Fn(&str) -> usize) -> Vec<PlannedFault> {
+    let planned = |spec: &FaultSpec| {
+        let begin = moment(scenario, &spec.at);
+        let destination = number(&spec.destination.value);
+        PlannedFault { destination, begin, end: begin + spec.lasts.0, fault: spec.fault() }
+    };
+    scenario.faults.iter().map(planned).collect()
+}
+
+/// The planned stops, in the order of time.
+fn stops(scenario: &Scenario) -> Vec<PlannedStop> {
     let stops = scenario.stops.iter().flat_map(|s| {
-        let (forwarder, first, signal, back) = (s.forwarder.value - 1, moment(&s.at), s.signal, s.back.0);
+        let (forwarder, first, signal, back) =
+            (s.forwarder.value - 1, moment(scenario, &s.at), s.signal, s.back.0);
         (0..s.times as u64).map(move |n| PlannedStop { forwarder, at: first + n * s.every.0, signal, back })
     });
     let mut stops: Vec<PlannedStop> = stops.collect();
     stops.sort_by_key(|s| s.at);
-    let times = match captured {
-        Some(day) => day.messages(&names, &words.tenants, scenario.length()),
-        None => times(scenario, &destinations, &traffic, &channels, &number, &mut rng),
+    stops
+}
+
+fn phases(scenario: &Scenario) -> Vec<DayPhase> {
+    let phase = |p: &Phase| {
+        let (begin, end) = scenario.phase(&p.name.value).expect("itself");
+        DayPhase { name: p.name.value.clone(), begin: START + begin, end: START + end }
     };
-    let phases = scenario.phases.iter().map(|p| {
-        let (from, to) = scenario.phase(&p.name.value).expect("itself");
-        DayPhase { name: p.name.value.clone(), begin: START + from, end: START + to }
-    });
-    World {
-        kinds: (0..names.len()).map(|i| usize::from(of(i).kind == DestinationKind::SmallPartner)).collect(),
-        connections: (0..names.len()).map(|i| of(i).connections).collect(),
-        requests: requests(scenario, &settings.tenants, times, &mut rng),
-        faults: faults.collect(),
-        phases: phases.collect(),
-        end: START + scenario.length(),
-        network: NETWORK,
-        fleet: numbered_fleet(forwarders),
-        sizes: Vec::new(),
-        told_count_factor: 1.0,
-        destination_names: names.into_iter().map(|n| n.0).collect(),
-        names: words,
-        destinations,
-        traffic,
-        settings,
-        list,
-        listed,
-        changes,
-        stops,
-    }
+    scenario.phases.iter().map(phase).collect()
 }
 
 fn model(of: &DestinationGroup, rate: f64) -> DestinationProfile {
@@ -171,7 +240,7 @@
     scenario: &Scenario,
     destinations: &[DestinationProfile],
     traffic: &[f64],
-    channels: &[(String, f64, f64)],
+    channels: &[ChannelShare],
     number: &impl Fn(&str) -> usize,
     rng: &mut ChaCha8Rng,
 ) -> Vec<PlannedMessage> {
@@ -184,14 +253,14 @@
         .collect::<Vec<f64>>()
     };
     let by_traffic = sums(&mut traffic.iter().copied());
-    let by_channel = sums(&mut channels.iter().map(|c| c.1 * c.2));
+    let by_channel = sums(&mut channels.iter().map(|c| c.share * c.uses));
     let of = |sums: &[f64], rng: &mut ChaCha8Rng| {
         let draw = rng.random::<f64>() * sums.last().copied().unwrap_or(1.0);
         sums.partition_point(|s| *s <= draw).min(sums.len() - 1)
     };
     let mut all: Vec<(Micros, usize)> = Vec::new();
     for c in &scenario.clumps {
-        let at = START + scenario.moment(&c.at).expect("checked as it was read");
+        let at = moment(scenario, &c.at);
         let destination = number(&c.destination.value);
         let gap = c.within.0 as f64 / c.messages.value.max(1) as f64;
         all.extend((0..c.messages.value).map(|n| (at + (n as f64 * gap) as Micros, destination)));
