--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -2,6 +2,7 @@
 //! without the forwarder's own records. A violation is reported by rule, time, forwarder and message. Simulations and
 //! live rehearsals are audited by the same code, with the tolerances of the platform's page.
 
+use crate::world::World;
 use cedarbridge::routes::{Timing, MOST_ATTEMPTS};
 use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
@@ -14,7 +15,7 @@
 
 /// Tolerances, as the clocks of two sides never agree to the microsecond.
 #[derive(Clone, Copy, Debug)]
-pub struct Slack {
+pub struct Tolerances {
     /// A retry_after or a drain binds so long after it was received: attempts in flight are allowed.
     pub wait: Micros,
     /// How late a final answer may be.
@@ -28,10 +29,11 @@
 }
 
 /// In virtual time both sides observe everything in order.
-pub const VIRTUAL: Slack = Slack { wait: 1_000, answer: 50_000, drain: 0, overlap: 0, sockets: false };
+pub const VIRTUAL: Tolerances =
+    Tolerances { wait: 1_000, answer: 50_000, drain: 0, overlap: 0, sockets: false };
 /// On sockets, as the platform's rules have it.
-pub const SOCKETS: Slack =
-    Slack { wait: 100_000, answer: 300_000, drain: 50_000, overlap: 50_000, sockets: true };
+pub const SOCKETS: Tolerances =
+    Tolerances { wait: 100_000, answer: 300_000, drain: 50_000, overlap: 50_000, sockets: true };
 
 /// The rules by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -107,15 +109,15 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum MessageEnd {
     /// Delivered.
     Delivered,
     /// Rejected: the client may retry.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
     /// The client disconnected before the answer: its outcome is not judged.
-    Withdrawn,
+    Disconnected,
 }
 
 /// What is known of a message that a forwarder received.
@@ -127,19 +129,41 @@
     taken: Micros,
     deadline: Micros,
     /// Attempts in flight.
-    out: u32,
+    in_flight: u32,
     /// When a second attempt was sent while one was in flight.
-    suspect: Option<Micros>,
-    first_ran: Option<Micros>,
-    end: Option<End>,
+    overlap_since: Option<Micros>,
+    may_have_run_at: Option<Micros>,
+    end: Option<MessageEnd>,
     /// When a notice reported that end.
     notified: Option<Micros>,
 }
 
+/// How many there are of what an audit tracks.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AuditSizes {
+    /// Forwarders.
+    pub forwarders: usize,
+    /// Destinations.
+    pub destinations: usize,
+    /// Endpoints of the list.
+    pub endpoints: usize,
+}
+
+impl AuditSizes {
+    /// The sizes of a day.
+    pub fn of(world: &World) -> Self {
+        AuditSizes {
+            forwarders: world.fleet.len(),
+            destinations: world.destinations.len(),
+            endpoints: world.list.len(),
+        }
+    }
+}
+
 /// The rules of one day.
 pub struct Audit {
     class: Class,
-    slack: Slack,
+    slack: Tolerances,
     messages: Vec<MessageRecord>,
     /// For each forwarder and destination, when a retry_after was received and until when it binds.
     waits: Vec<Vec<(Micros, Micros)>>,
@@ -153,8 +177,8 @@
 
 impl Audit {
     /// An audit of so many forwarders, destinations and endpoints.
-    pub fn new(settings: &Settings, sizes: (usize, usize, usize), slack: Slack) -> Self {
-        let (forwarders, destinations, endpoints) = sizes;
+    pub fn new(settings: &Settings, sizes: AuditSizes, slack: Tolerances) -> Self {
+        let AuditSizes { forwarders, destinations, endpoints } = sizes;
         Audit {
             class: settings.classes[0].clone(),
             slack,
@@ -213,17 +237,17 @@
         let forwarder = m.forwarder as usize;
         let mut found: Vec<(Rule, &str)> = Vec::new();
         match m.end {
-            Some(End::Delivered) if self.slack.sockets => {}
-            Some(End::Withdrawn) | None => {}
+            Some(MessageEnd::Delivered) if self.slack.sockets => {}
+            Some(MessageEnd::Disconnected) | None => {}
             Some(_) => found.push((Rule::OneAnswer, "an attempt after its end")),
         }
-        if m.out > 0 && self.slack.overlap == 0 {
+        if m.in_flight > 0 && self.slack.overlap == 0 {
             found.push((Rule::OneOut, "a second attempt while one is out"));
         }
         if m.attempts >= timing.most(MOST_ATTEMPTS) {
             found.push((Rule::Attempts, "more attempts than allowed"));
         }
-        match (self.class.idempotency, m.first_ran) {
+        match (self.class.idempotency, m.may_have_run_at) {
             (Idempotency::NonIdempotent, Some(_)) => {
                 found.push((Rule::Repeats, "a repeat of what may not run twice"))
             }
@@ -242,10 +266,10 @@
         }
         found.into_iter().for_each(|(rule, what)| self.record_violation(rule, now, message, what));
         let m = &mut self.messages[message];
-        if m.out > 0 && self.slack.overlap > 0 {
-            m.suspect.get_or_insert(now);
+        if m.in_flight > 0 && self.slack.overlap > 0 {
+            m.overlap_since.get_or_insert(now);
         }
-        (m.out, m.attempts) = (m.out + 1, m.attempts + 1);
+        (m.in_flight, m.attempts) = (m.in_flight + 1, m.attempts + 1);
     }
 
     /// An attempt ended, with an answer or without.
@@ -258,8 +282,8 @@
         outcome: Outcome,
     ) {
         let m = &mut self.messages[message];
-        m.out = m.out.saturating_sub(1);
-        let suspect = m.suspect.take();
+        m.in_flight = m.in_flight.saturating_sub(1);
+        let overlap_since = m.overlap_since.take();
         let unsure = matches!(
             outcome,
             Outcome::TimedOut
@@ -269,10 +293,10 @@
                 | Outcome::Error
         );
         if unsure {
-            m.first_ran.get_or_insert(sent);
+            m.may_have_run_at.get_or_insert(sent);
         }
         let forwarder = m.forwarder as usize;
-        if let Some(since) = suspect.filter(|s| now > s + self.slack.overlap) {
+        if let Some(since) = overlap_since.filter(|s| now > s + self.slack.overlap) {
             self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
         }
         if let Outcome::Rejected(Some(wait)) = outcome {
@@ -285,10 +309,10 @@
 
     /// A forwarder's process ended: its attempts in flight may have run, and it has forgotten every retry_after.
     pub fn died(&mut self, now: Micros, forwarder: usize) {
-        for m in self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.out > 0) {
-            m.out = 0;
-            m.suspect = None;
-            m.first_ran.get_or_insert(now);
+        for m in self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.in_flight > 0) {
+            m.in_flight = 0;
+            m.overlap_since = None;
+            m.may_have_run_at.get_or_insert(now);
         }
         self.waits[forwarder].fill((0, 0));
         self.drains[forwarder].fill(None);
@@ -318,11 +342,11 @@
     }
 
     /// A message has got its final answer.
-    pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
+    pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
         let m = self.messages[message];
-        if m.end.is_some_and(|e| e != End::Withdrawn) {
+        if m.end.is_some_and(|e| e != MessageEnd::Disconnected) {
             // On sockets a destination may observe a delivery after its forwarder's timeout.
-            if !(self.slack.sockets && end == End::Delivered) {
+            if !(self.slack.sockets && end == MessageEnd::Delivered) {
                 self.record_violation(Rule::OneAnswer, now, message, "a second final answer");
             }
             return;
@@ -330,13 +354,16 @@
         if m.end.is_some() {
             return;
         }
-        if end == End::Refused && m.first_ran.is_some() && self.class.idempotency != Idempotency::Idempotent {
+        if end == MessageEnd::Rejected
+            && m.may_have_run_at.is_some()
+            && self.class.idempotency != Idempotency::Idempotent
+        {
             self.record_violation(Rule::Repeats, now, message, "given back though it may have run");
         }
         // A reload never shortens the time of an attempt in flight; days here have none.
         // A retry that arrives after its deadline is answered at once.
         let due = self.due(m.forwarder as usize, timing.end(m.received, m.deadline).max(m.taken));
-        if end != End::Withdrawn && now > due.saturating_add(self.slack.answer) {
+        if end != MessageEnd::Disconnected && now > due.saturating_add(self.slack.answer) {
             self.record_violation(Rule::InTime, now, message, "its final answer came too late");
         }
         self.messages[message].end = Some(end);
@@ -344,12 +371,12 @@
 
     /// A notice reports that a message was rejected or failed. The same notice again after a restart is one whose
     /// acknowledgement was lost; a notice of a delivered message does no harm.
-    pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
+    pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
         let m = self.messages[message];
         let restarted =
             |since: Micros| self.excused[m.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now);
         match (m.end, m.notified) {
-            (Some(End::Delivered | End::Withdrawn), _) => {}
+            (Some(MessageEnd::Delivered | MessageEnd::Disconnected), _) => {}
             (Some(before), Some(since)) if before == end && restarted(since) => {}
             _ => self.ended(now, message, timing, end),
         }
@@ -377,7 +404,7 @@
             if m.end.is_none() {
                 self.record_violation(Rule::OneAnswer, now, message, "never got a final answer");
             }
-            if let Some(since) = m.suspect {
+            if let Some(since) = m.overlap_since {
                 self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
             }
         }
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -150,28 +150,28 @@
 pub enum InputError {
     /// A file cannot be read.
     #[error("cannot read `{0}`: {1}")]
-    Unread(PathBuf, std::io::Error),
+    Unreadable(PathBuf, std::io::Error),
     /// The experiment's file is not in its form.
     #[error("{0}:{1}")]
-    Form(PathBuf, String),
+    Malformed(PathBuf, String),
     /// Its figures make no sense.
     #[error("{0}: {1}")]
-    Figures(PathBuf, String),
+    InvalidFigures(PathBuf, String),
     /// A site file is refused, for these reasons.
     #[error("{0}")]
-    Site(String),
+    Rejected(String),
 }
 
 impl Experiment {
     /// Reads an experiment and checks its figures.
     pub fn read(path: &Path) -> Result<Self, InputError> {
-        let text = std::fs::read_to_string(path).map_err(|e| InputError::Unread(path.into(), e))?;
+        let text = std::fs::read_to_string(path).map_err(|e| InputError::Unreadable(path.into(), e))?;
         let options = serde_saphyr::options! { with_snippet: false };
         let experiment: Experiment = serde_saphyr::from_str_with_options(&text, options).map_err(|e| {
             let at = e.location().map(|l| format!("{}:{}: ", l.line(), l.column())).unwrap_or_default();
-            InputError::Form(path.into(), format!("{at}{e}"))
+            InputError::Malformed(path.into(), format!("{at}{e}"))
         })?;
-        let unfit = |what: &str| Err(InputError::Figures(path.into(), what.into()));
+        let unfit = |what: &str| Err(InputError::InvalidFigures(path.into(), what.into()));
         let destinations = experiment.destinations.count;
         if experiment.forwarders == 0 || experiment.seeds == 0 || destinations == 0 {
             return unfit("forwarders, seeds and partners must be 1 at least");
@@ -208,11 +208,11 @@
     ) -> Result<Option<Arc<Plan>>, InputError> {
         let Some(site) = &of.site else { return Ok(None) };
         let path = folder.join(site);
-        let text = std::fs::read_to_string(&path).map_err(|e| InputError::Unread(path.clone(), e))?;
+        let text = std::fs::read_to_string(&path).map_err(|e| InputError::Unreadable(path.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &as_of.0, names: &as_of.1 });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
-            InputError::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -1,7 +1,7 @@
 //! The platform's agent on each forwarder's machine: the pushed list, and notices.
 
 use super::{clients, LiveError, LiveRun};
-use crate::audit::End;
+use crate::audit::MessageEnd;
 use crate::forwarder_config::entry;
 use async_io::{Async, Timer};
 use cedarbridge::net::http::HttpConnection;
@@ -18,48 +18,48 @@
 const MAX_NOTICE_BODY: usize = 4 << 20;
 
 /// Starts the agent of a forwarder.
-pub fn start(stage: &Rc<LiveRun>, forwarder: usize) -> Result<SocketAddr, LiveError> {
+pub fn start(run: &Rc<LiveRun>, forwarder: usize) -> Result<SocketAddr, LiveError> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0));
     let listener = listener.map_err(|e| LiveError::System("no address for an agent".into(), e))?;
     let address = listener.get_ref().local_addr().expect("bound");
-    let (faulty, stage_fault) = (stage.clone(), stage.options.fault);
-    let stage = stage.clone();
-    stage.clone().spawn(async move {
+    let (faulty, proxy_fault) = (run.clone(), run.options.fault);
+    let run = run.clone();
+    run.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            stage.clone().spawn(serve(stage.clone(), forwarder, HttpConnection::new(stream)));
+            run.clone().spawn(serve(run.clone(), forwarder, HttpConnection::new(stream)));
         }
     });
-    match stage_fault {
+    match proxy_fault {
         Some(fault) if !fault.at_calls() => super::fault::before_agent(&faulty, address, fault),
         _ => Ok(address),
     }
 }
 
 /// Changes an endpoint's lifecycle in the list.
-pub fn change(stage: &LiveRun, endpoint: usize, lifecycle: Lifecycle) {
-    stage.list.borrow_mut()[endpoint] = lifecycle;
-    stage.version.set(stage.version.get() + 1);
+pub fn change(run: &LiveRun, endpoint: usize, lifecycle: Lifecycle) {
+    run.list.borrow_mut()[endpoint] = lifecycle;
+    run.version.set(run.version.get() + 1);
     // Closing its channel wakes a watch.
-    stage.list_watchers.borrow_mut().drain(..).for_each(|n| {
+    run.list_watchers.borrow_mut().drain(..).for_each(|n| {
         n.close();
     });
 }
 
-async fn serve(stage: Rc<LiveRun>, forwarder: usize, mut connection: HttpConnection) {
+async fn serve(run: Rc<LiveRun>, forwarder: usize, mut connection: HttpConnection) {
     while let Ok(head) = connection.read_request().await {
         let Ok(body) = connection.request_body(&head, MAX_NOTICE_BODY).await else { return };
         let answered = match (head.method.as_str(), head.target.split('?').next().unwrap_or_default()) {
             ("POST", "/reports") => {
                 let status =
-                    if notices(&stage, forwarder, &body) { "204 No Content" } else { "400 Bad Request" };
+                    if notices(&run, forwarder, &body) { "204 No Content" } else { "400 Bad Request" };
                 connection.write(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await
             }
             ("GET", "/catalog/members") if head.target.contains("watch=1") => {
-                let _ = watch(&stage, forwarder, &mut connection).await;
+                let _ = watch(&run, forwarder, &mut connection).await;
                 return;
             }
             ("GET", "/catalog/members") => {
-                let list = complete_list(&stage, forwarder).to_string();
+                let list = complete_list(&run, forwarder).to_string();
                 let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
                 connection.write((head + &list).as_bytes()).await
             }
@@ -71,12 +71,12 @@
     }
 }
 
-fn complete_list(stage: &LiveRun, forwarder: usize) -> Value {
-    let addresses = stage.addresses.borrow();
-    let list = stage.list.borrow();
+fn complete_list(run: &LiveRun, forwarder: usize) -> Value {
+    let addresses = run.addresses.borrow();
+    let list = run.list.borrow();
     let held = list.iter().enumerate().filter(|(_, l)| **l != Lifecycle::Removed);
-    let all: Vec<Value> = held.map(|(e, l)| entry(&stage.world, e, *l, addresses[forwarder][e])).collect();
-    json!({"generation": stage.version.get(), "reset": true, "instances": all})
+    let all: Vec<Value> = held.map(|(e, l)| entry(&run.world, e, *l, addresses[forwarder][e])).collect();
+    json!({"generation": run.version.get(), "reset": true, "instances": all})
 }
 
 async fn chunk(connection: &mut HttpConnection, text: &str) -> std::io::Result<()> {
@@ -84,32 +84,28 @@
 }
 
 /// Sends the list and each change of it; what is written counts as received.
-async fn watch(
-    stage: &Rc<LiveRun>,
-    forwarder: usize,
-    connection: &mut HttpConnection,
-) -> std::io::Result<()> {
+async fn watch(run: &Rc<LiveRun>, forwarder: usize, connection: &mut HttpConnection) -> std::io::Result<()> {
     connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-    let mut known: Vec<Lifecycle> = vec![Lifecycle::Removed; stage.world.list.len()];
+    let mut known: Vec<Lifecycle> = vec![Lifecycle::Removed; run.world.list.len()];
     let mut first = true;
     loop {
         let (sender, changed) = async_channel::bounded::<()>(1);
-        stage.list_watchers.borrow_mut().push(sender);
-        let now: Vec<Lifecycle> = stage.list.borrow().clone();
+        run.list_watchers.borrow_mut().push(sender);
+        let now: Vec<Lifecycle> = run.list.borrow().clone();
         let line = if first {
-            complete_list(stage, forwarder)
+            complete_list(run, forwarder)
         } else {
-            let addresses = stage.addresses.borrow();
+            let addresses = run.addresses.borrow();
             let changes = (0..now.len()).filter(|e| now[*e] != known[*e]);
             let changes: Vec<Value> =
-                changes.map(|e| entry(&stage.world, e, now[e], addresses[forwarder][e])).collect();
-            json!({"generation": stage.version.get(), "reset": false, "instances": changes})
+                changes.map(|e| entry(&run.world, e, now[e], addresses[forwarder][e])).collect();
+            json!({"generation": run.version.get(), "reset": false, "instances": changes})
         };
         chunk(connection, &format!("{line}\n")).await?;
-        let at = stage.now();
+        let at = run.now();
         for (endpoint, lifecycle) in now.iter().enumerate() {
             if first || known[endpoint] != *lifecycle {
-                stage.audit.borrow_mut().lists(at, forwarder, endpoint, *lifecycle);
+                run.audit.borrow_mut().lists(at, forwarder, endpoint, *lifecycle);
             }
         }
         (known, first) = (now, false);
@@ -131,36 +127,36 @@
 }
 
 /// Reads notices; false if a line is malformed.
-fn notices(stage: &Rc<LiveRun>, forwarder: usize, body: &[u8]) -> bool {
+fn notices(run: &Rc<LiveRun>, forwarder: usize, body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body);
-    let lines: Option<Vec<(String, End, Option<Micros>)>> =
+    let lines: Option<Vec<(String, MessageEnd, Option<Micros>)>> =
         text.lines().filter(|l| !l.trim().is_empty()).map(notice).collect();
     let Some(lines) = lines else { return false };
     for (id, end, after) in lines {
-        let message = stage.ids.borrow().get(&id).copied();
+        let message = run.ids.borrow().get(&id).copied();
         let Some(message) = message else {
-            let now = stage.now();
-            stage.audit.borrow_mut().stray(
+            let now = run.now();
+            run.audit.borrow_mut().stray(
                 now,
                 forwarder,
                 format!("a notice of `{id}`, which nobody handed in"),
             );
             continue;
         };
-        let was_open = stage.audit.borrow().open_at(message);
-        stage.ended(message, end, true);
-        if end == End::Refused && was_open {
-            clients::refused(stage, message, after);
+        let was_open = run.audit.borrow().open_at(message);
+        run.ended(message, end, true);
+        if end == MessageEnd::Rejected && was_open {
+            clients::refused(run, message, after);
         }
     }
     true
 }
 
-fn notice(line: &str) -> Option<(String, End, Option<Micros>)> {
+fn notice(line: &str) -> Option<(String, MessageEnd, Option<Micros>)> {
     let v: Value = serde_json::from_str(line).ok()?;
     let end = match v["state"].as_str()? {
-        "failed" => End::Failed,
-        "returned" => End::Refused,
+        "failed" => MessageEnd::Failed,
+        "returned" => MessageEnd::Rejected,
         _ => return None,
     };
     Some((v["id"].as_str()?.to_owned(), end, v["after_ms"].as_f64().map(|ms| (ms * 1e3) as Micros)))
--- a/crates/rehearsal/src/live/clients.rs
+++ b/crates/rehearsal/src/live/clients.rs
@@ -2,7 +2,7 @@
 //! outcome decides whether the client retries.
 
 use super::{LiveRun, SentRequest};
-use crate::audit::End;
+use crate::audit::MessageEnd;
 use crate::simulation::{CLIENT_PATIENCE, RECONNECT_DELAY};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, HttpError, ResponseHead};
@@ -19,16 +19,16 @@
 const IDLE_CONNECTIONS: usize = 200;
 
 /// Sends the day's requests, each at its time.
-pub async fn run(stage: &Rc<LiveRun>) {
-    for first in 0..stage.world.requests.len() {
-        let at = stage.world.requests[first].at;
-        if at > stage.now() {
-            stage.until(at).await;
+pub async fn run(run: &Rc<LiveRun>) {
+    for first in 0..run.world.requests.len() {
+        let at = run.world.requests[first].at;
+        if at > run.now() {
+            run.until(at).await;
         }
-        stage.sent.set(first + 1);
-        stage.spawn(deliver_request(stage.clone(), first, None, at));
+        run.sent.set(first + 1);
+        run.spawn(deliver_request(run.clone(), first, None, at));
     }
-    stage.until(stage.world.end).await;
+    run.until(run.world.end).await;
 }
 
 /// Why a client retries.
@@ -49,53 +49,48 @@
     NoAnswer,
 }
 
-async fn deliver_request(
-    stage: Rc<LiveRun>,
-    first: usize,
-    retry_reason: Option<RetryReason>,
-    planned: Micros,
-) {
-    let request = stage.world.requests[first];
-    let forwarder_count = stage.world.fleet.len();
+async fn deliver_request(run: Rc<LiveRun>, first: usize, retry_reason: Option<RetryReason>, planned: Micros) {
+    let request = run.world.requests[first];
+    let forwarder_count = run.world.fleet.len();
     let mut to = match retry_reason {
-        Some(_) => stage.rng.borrow_mut().random_range(0..forwarder_count),
+        Some(_) => run.rng.borrow_mut().random_range(0..forwarder_count),
         None => request.forwarder,
     };
     if retry_reason.is_none() {
-        stage.count_send(planned);
+        run.count_send(planned);
     }
-    let deadline = request.at + stage.world.settings.classes[0].deadline;
-    let since = stage.now();
+    let deadline = request.at + run.world.settings.classes[0].deadline;
+    let since = run.now();
     loop {
-        let now = stage.now();
+        let now = run.now();
         if now >= deadline || now > since + CLIENT_PATIENCE {
             // A client that finds no forwarder in time counts as rejected.
-            return stage.figures.borrow_mut().given_up(true);
+            return run.figures.borrow_mut().given_up(true);
         }
-        match send_request(&stage, to, first, deadline - now, retry_reason).await {
+        match send_request(&run, to, first, deadline - now, retry_reason).await {
             None => {
-                stage.count_rejected_in_upgrade(to);
+                run.count_rejected_in_upgrade(to);
                 to = (to + 1) % forwarder_count;
                 Timer::after(Duration::from_micros(RECONNECT_DELAY)).await;
             }
             Some((message, outcome)) => {
                 if matches!(outcome, ClientOutcome::ConnectionLost | ClientOutcome::NoAnswer) {
-                    stage.count_rejected_in_upgrade(to);
+                    run.count_rejected_in_upgrade(to);
                 }
-                return handle_outcome(&stage, message, outcome);
+                return handle_outcome(&run, message, outcome);
             }
         }
     }
 }
 
 /// Records a request just before its first byte is sent, and numbers it.
-fn record_request(stage: &LiveRun, forwarder: usize, first: usize, left: Micros, retried: bool) -> usize {
-    let request = stage.world.requests[first];
-    let message = stage.sent_requests.borrow().len();
-    stage.sent_requests.borrow_mut().push(SentRequest { first, retried });
-    stage.ids.borrow_mut().insert(message_id(message), message);
-    stage.audit.borrow_mut().taken(stage.now(), forwarder, request.at, left);
-    stage.open.set(stage.open.get() + 1);
+fn record_request(run: &LiveRun, forwarder: usize, first: usize, left: Micros, retried: bool) -> usize {
+    let request = run.world.requests[first];
+    let message = run.sent_requests.borrow().len();
+    run.sent_requests.borrow_mut().push(SentRequest { first, retried });
+    run.ids.borrow_mut().insert(message_id(message), message);
+    run.audit.borrow_mut().taken(run.now(), forwarder, request.at, left);
+    run.open.set(run.open.get() + 1);
     message
 }
 
@@ -104,38 +99,49 @@
     format!("m{message}")
 }
 
-/// Sends a request; none if nothing accepts the connection.
-async fn send_request(
-    stage: &Rc<LiveRun>,
-    forwarder: usize,
+/// The request of a message, complete with head and body.
+fn request_text(
+    run: &LiveRun,
+    message: usize,
     first: usize,
     left: Micros,
     retry_reason: Option<RetryReason>,
-) -> Option<(usize, ClientOutcome)> {
-    let request = stage.world.requests[first];
-    let pooled = stage.pools.borrow_mut()[forwarder].pop();
-    let mut fresh = pooled.is_none();
-    let mut connection = match pooled {
-        Some(connection) => connection,
-        None => connect(stage, forwarder).await?,
-    };
-    let message = record_request(stage, forwarder, first, left, retry_reason.is_some());
+) -> String {
+    let request = run.world.requests[first];
     let retry = match retry_reason {
         None => "",
         Some(RetryReason::Refused) => "X-Retry: 1\r\n",
         Some(RetryReason::NoResponse) => "X-Retry: again\r\n",
     };
     let body = format!("notice {first}");
-    let request = format!(
+    format!(
         "POST /api HTTP/1.1\r\nHost: kit\r\nX-Request-Id: {}\r\nX-Class: {}\r\nX-Tenant: {}\r\n\
          X-Deadline: {left}u\r\nIdempotency-Key: k{first}\r\nX-Addressing: dest={}\r\n{retry}\
          Content-Length: {}\r\n\r\n{body}",
         message_id(message),
-        stage.world.names.classes[0],
-        stage.world.names.tenants[request.tenant],
+        run.world.names.classes[0],
+        run.world.names.tenants[request.tenant],
         request.destination,
         body.len()
-    );
+    )
+}
+
+/// Sends a request; none if nothing accepts the connection.
+async fn send_request(
+    run: &Rc<LiveRun>,
+    forwarder: usize,
+    first: usize,
+    left: Micros,
+    retry_reason: Option<RetryReason>,
+) -> Option<(usize, ClientOutcome)> {
+    let pooled = run.pools.borrow_mut()[forwarder].pop();
+    let mut fresh = pooled.is_none();
+    let mut connection = match pooled {
+        Some(connection) => connection,
+        None => connect(run, forwarder).await?,
+    };
+    let message = record_request(run, forwarder, first, left, retry_reason.is_some());
+    let request = request_text(run, message, first, left, retry_reason);
     let timed_out = async {
         Timer::after(RESPONSE_TIMEOUT).await;
         (ClientOutcome::NoAnswer, None)
@@ -151,7 +157,7 @@
                 // The connection was closed between requests: once more on a new one.
                 Err(HttpError::Closed | HttpError::Socket(_)) if !fresh => {
                     fresh = true;
-                    match connect(stage, forwarder).await {
+                    match connect(run, forwarder).await {
                         Some(new) => connection = new,
                         None => return (ClientOutcome::ConnectionLost, None),
                     }
@@ -161,14 +167,14 @@
         }
     };
     let (outcome, connection) = future::or(exchanged, timed_out).await;
-    let mut pools = stage.pools.borrow_mut();
+    let mut pools = run.pools.borrow_mut();
     let has_space = pools[forwarder].len() < IDLE_CONNECTIONS;
     pools[forwarder].extend(connection.filter(|_| has_space));
     Some((message, outcome))
 }
 
-async fn connect(stage: &LiveRun, forwarder: usize) -> Option<HttpConnection> {
-    let address = stage.daemons.borrow()[forwarder].address();
+async fn connect(run: &LiveRun, forwarder: usize) -> Option<HttpConnection> {
+    let address = run.daemons.borrow()[forwarder].address();
     Async::<TcpStream>::connect(address).await.ok().map(HttpConnection::new)
 }
 
@@ -179,39 +185,39 @@
     Ok(head)
 }
 
-fn handle_outcome(stage: &Rc<LiveRun>, message: usize, outcome: ClientOutcome) {
+fn handle_outcome(run: &Rc<LiveRun>, message: usize, outcome: ClientOutcome) {
     match outcome {
         ClientOutcome::Response(200 | 202, _) => {}
         ClientOutcome::Response(429 | 503, after) => {
-            stage.ended(message, End::Refused, false);
-            refused(stage, message, after);
+            run.ended(message, MessageEnd::Rejected, false);
+            refused(run, message, after);
         }
-        ClientOutcome::Response(_, _) => stage.ended(message, End::Failed, false),
+        ClientOutcome::Response(_, _) => run.ended(message, MessageEnd::Failed, false),
         ClientOutcome::ConnectionLost | ClientOutcome::NoAnswer => {
             // The forwarder's own outcome is no longer judged; the client retries at once.
-            stage.ended(message, End::Withdrawn, false);
-            let sent = stage.sent_requests.borrow()[message];
-            retry_later(stage, sent.first, RECONNECT_DELAY, RetryReason::NoResponse);
+            run.ended(message, MessageEnd::Disconnected, false);
+            let sent = run.sent_requests.borrow()[message];
+            retry_later(run, sent.first, RECONNECT_DELAY, RetryReason::NoResponse);
         }
     }
 }
 
 /// A message was rejected: its client may retry once, no sooner than its retry_after.
-pub fn refused(stage: &Rc<LiveRun>, message: usize, after: Option<Micros>) {
-    let sent = stage.sent_requests.borrow()[message];
-    let retry_reason = stage.world.requests[sent.first].retry_after;
+pub fn refused(run: &Rc<LiveRun>, message: usize, after: Option<Micros>) {
+    let sent = run.sent_requests.borrow()[message];
+    let retry_reason = run.world.requests[sent.first].retry_after;
     if let Some(wait) = retry_reason.filter(|_| !sent.retried) {
-        retry_later(stage, sent.first, wait.max(after.unwrap_or(0)), RetryReason::Refused);
+        retry_later(run, sent.first, wait.max(after.unwrap_or(0)), RetryReason::Refused);
     }
 }
 
-fn retry_later(stage: &Rc<LiveRun>, first: usize, wait: Micros, how: RetryReason) {
-    stage.clients_waiting.set(stage.clients_waiting.get() + 1);
-    let stage = stage.clone();
-    stage.clone().spawn(async move {
+fn retry_later(run: &Rc<LiveRun>, first: usize, wait: Micros, how: RetryReason) {
+    run.clients_waiting.set(run.clients_waiting.get() + 1);
+    let run = run.clone();
+    run.clone().spawn(async move {
         Timer::after(Duration::from_micros(wait)).await;
-        let planned = stage.now();
-        deliver_request(stage.clone(), first, Some(how), planned).await;
-        stage.clients_waiting.set(stage.clients_waiting.get() - 1);
+        let planned = run.now();
+        deliver_request(run.clone(), first, Some(how), planned).await;
+        run.clients_waiting.set(run.clients_waiting.get() - 1);
     });
 }
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -80,14 +80,14 @@
 
 impl Daemon {
     /// Writes its files. It gets an address of its own, so that nobody else takes the port while it is away.
-    pub fn prepare(stage: &LiveRun, forwarder: usize, agent: SocketAddr) -> Result<Daemon, LiveError> {
-        let folder = stage.options.folder.join(format!("forwarder-{}", forwarder + 1));
+    pub fn prepare(run: &LiveRun, forwarder: usize, agent: SocketAddr) -> Result<Daemon, LiveError> {
+        let folder = run.options.folder.join(format!("forwarder-{}", forwarder + 1));
         let state = folder.join("state");
         std::fs::create_dir_all(&state).map_err(system("cannot make a forwarder's folder"))?;
         let ip = [127, 88, 1 + (forwarder / 250) as u8, 1 + (forwarder % 250) as u8];
         let listen = pick(ip)?;
         // Only a day with upgrades needs an operator address.
-        let replaced = stage.world.stops.iter().any(|s| s.signal == scenario::Signal::Upgrade);
+        let replaced = run.world.stops.iter().any(|s| s.signal == scenario::Signal::Upgrade);
         let operator = replaced.then(|| pick(ip)).transpose()?;
         let daemon = Daemon {
             folder,
@@ -96,12 +96,12 @@
             child: None,
             predecessor: None,
         };
-        daemon.configure(stage, forwarder)?;
+        daemon.configure(run, forwarder)?;
         Ok(daemon)
     }
 
-    fn configure(&self, stage: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
-        let text = config(&stage.world, forwarder, self.addresses, &self.folder.join("state")).to_string();
+    fn configure(&self, run: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
+        let text = config(&run.world, forwarder, self.addresses, &self.folder.join("state")).to_string();
         std::fs::write(self.folder.join("config.json"), text).map_err(system("cannot write a configuration"))
     }
 
@@ -141,19 +141,19 @@
 }
 
 /// Starts a forwarder.
-pub fn start(stage: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
-    let d = &mut stage.daemons.borrow_mut()[forwarder];
+pub fn start(run: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
+    let d = &mut run.daemons.borrow_mut()[forwarder];
     let log = std::fs::OpenOptions::new().create(true).append(true).open(d.folder.join("log"));
     let log = log.map_err(system("cannot open a log"))?;
-    let mut command = Command::new(&stage.options.keeper);
-    command.arg("under").arg(std::process::id().to_string()).args(&stage.options.daemon);
+    let mut command = Command::new(&run.options.keeper);
+    command.arg("under").arg(std::process::id().to_string()).args(&run.options.daemon);
     command.arg("run").arg(d.folder.join("config.json")).args([
         "--log-format",
         "json",
         "--log-level",
-        &stage.options.log_level,
+        &run.options.log_level,
     ]);
-    if let Some(site) = &stage.options.site {
+    if let Some(site) = &run.options.site {
         command.arg("--site").arg(site);
     }
     for name in [
@@ -187,13 +187,13 @@
 }
 
 /// Waits until a forwarder has answered that it is ready.
-pub async fn until_ready(stage: &LiveRun, forwarder: usize, within: Duration) -> Result<(), DaemonError> {
-    let address = stage.daemons.borrow()[forwarder].addresses.listen;
-    until_healthy(stage, forwarder, (address, "/_health"), within).await
+pub async fn until_ready(run: &LiveRun, forwarder: usize, within: Duration) -> Result<(), DaemonError> {
+    let address = run.daemons.borrow()[forwarder].addresses.listen;
+    until_healthy(run, forwarder, (address, "/_health"), within).await
 }
 
 async fn until_healthy(
-    stage: &LiveRun,
+    run: &LiveRun,
     forwarder: usize,
     asked: (SocketAddr, &str),
     within: Duration,
@@ -203,9 +203,9 @@
         if healthy(asked.0, asked.1).await {
             return Ok(());
         }
-        let exit_status = stage.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current);
+        let exit_status = run.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current);
         if let Some(status) = exit_status {
-            let log = stage.daemons.borrow()[forwarder].folder.join("log");
+            let log = run.daemons.borrow()[forwarder].folder.join("log");
             return Err(DaemonError::EndedAtStart { number: forwarder + 1, status, log });
         }
         Timer::after(POLL_INTERVAL).await;
@@ -214,31 +214,31 @@
 }
 
 /// Sends a signal to a forwarder.
-pub fn signal(stage: &LiveRun, forwarder: usize, signal: Signal) {
-    signal_to(stage, forwarder, ProcessRole::Current, signal);
+pub fn signal(run: &LiveRun, forwarder: usize, signal: Signal) {
+    signal_to(run, forwarder, ProcessRole::Current, signal);
 }
 
-fn signal_to(stage: &LiveRun, forwarder: usize, role: ProcessRole, signal: Signal) {
-    if let Some(pid) = stage.daemons.borrow_mut()[forwarder].pid(role) {
+fn signal_to(run: &LiveRun, forwarder: usize, role: ProcessRole, signal: Signal) {
+    if let Some(pid) = run.daemons.borrow_mut()[forwarder].pid(role) {
         // It may just have exited, which is noticed where its exit status is read.
         let _ = kill_process(pid, signal);
     }
 }
 
 /// Waits for a forwarder's exit; past the limit it is killed, which is reported.
-async fn until_gone(stage: &LiveRun, forwarder: usize, role: ProcessRole) {
+async fn until_gone(run: &LiveRun, forwarder: usize, role: ProcessRole) {
     let until = Instant::now() + SHUTDOWN_LIMIT;
     loop {
-        let exit_status = stage.daemons.borrow_mut()[forwarder].exit_status(role);
+        let exit_status = run.daemons.borrow_mut()[forwarder].exit_status(role);
         match exit_status {
             Some(status) if !status.success() => {
-                return stage.mishap(format!("forwarder {} ended with {status}", forwarder + 1));
+                return run.mishap(format!("forwarder {} ended with {status}", forwarder + 1));
             }
             Some(_) => return,
             None if Instant::now() > until => {
-                stage.mishap(format!("forwarder {} was there 3.7 s after SIGTERM", forwarder + 1));
-                signal_to(stage, forwarder, role, Signal::KILL);
-                while stage.daemons.borrow_mut()[forwarder].exit_status(role).is_none() {
+                run.mishap(format!("forwarder {} was there 3.7 s after SIGTERM", forwarder + 1));
+                signal_to(run, forwarder, role, Signal::KILL);
+                while run.daemons.borrow_mut()[forwarder].exit_status(role).is_none() {
                     Timer::after(POLL_INTERVAL).await;
                 }
                 return;
@@ -249,73 +249,72 @@
 }
 
 /// Ends a forwarder, gracefully or by SIGKILL, and restarts it later.
-pub async fn restart(stage: &Rc<LiveRun>, forwarder: usize, in_order: bool, back: Micros) {
+pub async fn restart(run: &Rc<LiveRun>, forwarder: usize, in_order: bool, back: Micros) {
     // Answers that fall due while it is down are excused until it is running again.
-    stage.audit.borrow_mut().excuse(forwarder, stage.now(), Micros::MAX);
+    run.audit.borrow_mut().excuse(forwarder, run.now(), Micros::MAX);
     if in_order {
-        signal(stage, forwarder, Signal::TERM);
-        until_gone(stage, forwarder, ProcessRole::Current).await;
+        signal(run, forwarder, Signal::TERM);
+        until_gone(run, forwarder, ProcessRole::Current).await;
     } else {
-        signal(stage, forwarder, Signal::KILL);
-        while stage.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current).is_none() {
+        signal(run, forwarder, Signal::KILL);
+        while run.daemons.borrow_mut()[forwarder].exit_status(ProcessRole::Current).is_none() {
             Timer::after(POLL_INTERVAL).await;
         }
     }
-    stage.pools.borrow_mut()[forwarder].clear();
-    stage.audit.borrow_mut().died(stage.now(), forwarder);
+    run.pools.borrow_mut()[forwarder].clear();
+    run.audit.borrow_mut().died(run.now(), forwarder);
     Timer::after(Duration::from_micros(back)).await;
-    if let Err(e) = start(stage, forwarder) {
-        return stage.mishap(e.to_string());
+    if let Err(e) = start(run, forwarder) {
+        return run.mishap(e.to_string());
     }
-    if let Err(why) = until_ready(stage, forwarder, super::day::READY).await {
-        return stage.mishap(why.to_string());
+    if let Err(why) = until_ready(run, forwarder, super::day::READY).await {
+        return run.mishap(why.to_string());
     }
-    stage.audit.borrow_mut().excused_until(forwarder, stage.now() + AGAIN_DUE);
+    run.audit.borrow_mut().excused_until(forwarder, run.now() + AGAIN_DUE);
 }
 
 /// Pauses a forwarder's process for a while (SIGSTOP, SIGCONT); its answers are excused meanwhile.
-pub async fn stall(stage: &Rc<LiveRun>, forwarder: usize, lasts: Micros) {
-    stage.audit.borrow_mut().excuse(forwarder, stage.now(), Micros::MAX);
-    signal(stage, forwarder, Signal::STOP);
+pub async fn stall(run: &Rc<LiveRun>, forwarder: usize, lasts: Micros) {
+    run.audit.borrow_mut().excuse(forwarder, run.now(), Micros::MAX);
+    signal(run, forwarder, Signal::STOP);
     Timer::after(Duration::from_micros(lasts)).await;
-    signal(stage, forwarder, Signal::CONT);
-    stage.audit.borrow_mut().excused_until(forwarder, stage.now() + AGAIN_DUE);
+    signal(run, forwarder, Signal::CONT);
+    run.audit.borrow_mut().excused_until(forwarder, run.now() + AGAIN_DUE);
 }
 
 /// Upgrades a forwarder's process while it serves, as the platform does: a successor on the same folder, with an
 /// operator address of its own, and SIGTERM to the predecessor once the successor accepts clients.
-pub async fn upgrade(stage: &Rc<LiveRun>, forwarder: usize) {
-    let begun = stage.now();
-    stage.rejected_in_upgrade.borrow_mut()[forwarder] = Some(0);
+pub async fn upgrade(run: &Rc<LiveRun>, forwarder: usize) {
+    let begun = run.now();
+    run.rejected_in_upgrade.borrow_mut()[forwarder] = Some(0);
     let placed = {
-        let d = &mut stage.daemons.borrow_mut()[forwarder];
+        let d = &mut run.daemons.borrow_mut()[forwarder];
         d.predecessor = d.child.take();
         pick(d.ip).and_then(|operator| {
             d.addresses.operator = Some(operator);
-            d.configure(stage, forwarder).map(|()| operator)
+            d.configure(run, forwarder).map(|()| operator)
         })
     };
-    let operator = match placed.and_then(|operator| start(stage, forwarder).map(|()| operator)) {
+    let operator = match placed.and_then(|operator| start(run, forwarder).map(|()| operator)) {
         Ok(operator) => operator,
-        Err(e) => return stage.mishap(e.to_string()),
+        Err(e) => return run.mishap(e.to_string()),
     };
-    let taken = until_healthy(stage, forwarder, (operator, "/admin/health"), MUST_TAKE).await;
-    let ready = stage.now() - begun;
+    let taken = until_healthy(run, forwarder, (operator, "/admin/health"), MUST_TAKE).await;
+    let ready = run.now() - begun;
     if let Err(why) = taken {
-        stage.mishap(why.to_string());
+        run.mishap(why.to_string());
     }
-    signal_to(stage, forwarder, ProcessRole::Predecessor, Signal::TERM);
-    until_gone(stage, forwarder, ProcessRole::Predecessor).await;
-    let left = stage.now() - begun - ready;
+    signal_to(run, forwarder, ProcessRole::Predecessor, Signal::TERM);
+    until_gone(run, forwarder, ProcessRole::Predecessor).await;
+    let left = run.now() - begun - ready;
     Timer::after(UPGRADE_SETTLE_TIME).await;
-    let rejected_during_upgrade =
-        stage.rejected_in_upgrade.borrow_mut()[forwarder].take().unwrap_or_default();
-    stage.audit.borrow_mut().replaced(stage.now(), forwarder, rejected_during_upgrade);
-    stage.figures.borrow_mut().upgrades.push(Upgrade { ready, left, rejected_during_upgrade });
+    let rejected_during_upgrade = run.rejected_in_upgrade.borrow_mut()[forwarder].take().unwrap_or_default();
+    run.audit.borrow_mut().replaced(run.now(), forwarder, rejected_during_upgrade);
+    run.figures.borrow_mut().upgrades.push(Upgrade { ready, left, rejected_during_upgrade });
 }
 
 /// Ends a forwarder at the end of the day.
-pub async fn end(stage: &LiveRun, forwarder: usize) {
-    signal(stage, forwarder, Signal::TERM);
-    until_gone(stage, forwarder, ProcessRole::Current).await;
+pub async fn end(run: &LiveRun, forwarder: usize) {
+    signal(run, forwarder, Signal::TERM);
+    until_gone(run, forwarder, ProcessRole::Current).await;
 }
--- a/crates/rehearsal/src/live/fault.rs
+++ b/crates/rehearsal/src/live/fault.rs
@@ -49,24 +49,24 @@
 
 /// A proxy before an endpoint; its address is what the list tells.
 pub(crate) fn before(
-    stage: &Rc<LiveRun>,
+    run: &Rc<LiveRun>,
     endpoint: usize,
     real: SocketAddr,
     fault: ProxyFault,
 ) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
-    let stage = stage.clone();
-    stage.clone().spawn(async move {
+    let run = run.clone();
+    run.clone().spawn(async move {
         let (count, last) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
-            ProxyFault::AfterDrain => stage.spawn(after_drain(stage.clone(), endpoint, real, last.clone())),
-            ProxyFault::Push => stage.spawn(push(stage.clone(), endpoint, real, last.clone())),
+            ProxyFault::AfterDrain => run.spawn(after_drain(run.clone(), endpoint, real, last.clone())),
+            ProxyFault::Push => run.spawn(push(run.clone(), endpoint, real, last.clone())),
             _ => {}
         }
         while let Ok((stream, _)) = listener.accept().await {
-            let (count, last, stage) = (count.clone(), last.clone(), stage.clone());
-            stage.clone().spawn(async move {
-                let _ = pass(&stage, HttpConnection::new(stream), real, fault, &count, &last).await;
+            let (count, last, run) = (count.clone(), last.clone(), run.clone());
+            run.clone().spawn(async move {
+                let _ = pass(&run, HttpConnection::new(stream), real, fault, &count, &last).await;
             });
         }
     });
@@ -106,7 +106,7 @@
 }
 
 async fn pass(
-    stage: &Rc<LiveRun>,
+    run: &Rc<LiveRun>,
     mut from: HttpConnection,
     real: SocketAddr,
     fault: ProxyFault,
@@ -122,7 +122,7 @@
         let tenth = count.get() % 10 == 1;
         if fault == ProxyFault::Twice && tenth {
             let bytes = bytes.clone();
-            stage.spawn(async move {
+            run.spawn(async move {
                 send(real, &bytes).await;
             });
         }
@@ -136,13 +136,13 @@
         from.write(&answer).await.ok()?;
         match (fault, wait) {
             (ProxyFault::InWait, Some(wait)) if wait > 250.0 => {
-                stage.spawn(async move {
+                run.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
                     send(real, &bytes).await;
                 });
             }
             (ProxyFault::Thirteen, _) if tenth && status == 200 => {
-                stage.spawn(async move {
+                run.spawn(async move {
                     for _ in 0..13 {
                         send(real, &bytes).await;
                     }
@@ -153,8 +153,8 @@
     }
 }
 
-async fn after_drain(stage: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
-    while stage.list.borrow()[endpoint] != Lifecycle::Draining {
+async fn after_drain(run: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
+    while run.list.borrow()[endpoint] != Lifecycle::Draining {
         Timer::after(Duration::from_millis(10)).await;
     }
     Timer::after(Duration::from_millis(400)).await;
@@ -163,17 +163,17 @@
     }
 }
 
-async fn push(stage: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
-    let destination = stage.world.list[endpoint].destination;
+async fn push(run: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
+    let destination = run.world.list[endpoint].destination;
     let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
     let mut was_away = false;
     loop {
-        let fault = stage.destinations.borrow()[destination].model.visible_fault();
+        let fault = run.destinations.borrow()[destination].model.visible_fault();
         if was_away && !away(fault) {
             let Some(bytes) = last.take() else { return };
             for _ in 0..400 {
                 let bytes = bytes.clone();
-                stage.spawn(async move {
+                run.spawn(async move {
                     send(real, &bytes).await;
                 });
                 Timer::after(Duration::from_millis(2)).await;
@@ -187,15 +187,15 @@
 
 /// A proxy before an agent.
 pub(crate) fn before_agent(
-    stage: &Rc<LiveRun>,
+    run: &Rc<LiveRun>,
     real: SocketAddr,
     fault: ProxyFault,
 ) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
-    let stage = stage.clone();
-    stage.clone().spawn(async move {
+    let run = run.clone();
+    run.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            stage.spawn(async move {
+            run.spawn(async move {
                 let _ = tell(stream, real, fault).await;
             });
         }
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -4,6 +4,7 @@
 //! One thread and one clock, so that observations are in order. Every process ends with this one, however it ends.
 
 mod agent;
+mod call;
 mod clients;
 mod daemon;
 mod day;
@@ -12,7 +13,7 @@
 pub mod load;
 mod sampling;
 
-use crate::audit::{Audit, End, RuleViolation, SOCKETS};
+use crate::audit::{Audit, AuditSizes, MessageEnd, RuleViolation, SOCKETS};
 use crate::figures::Figures;
 use crate::verdict::Lateness;
 use crate::world::{World, START};
@@ -228,7 +229,7 @@
     }
 
     /// A message's end was reported to its client or the platform.
-    fn ended(&self, message: usize, end: End, notice: bool) {
+    fn ended(&self, message: usize, end: MessageEnd, notice: bool) {
         let first = self.sent_requests.borrow()[message].first;
         let (now, timing) = (self.now(), self.timing(first));
         let mut audit = self.audit.borrow_mut();
@@ -241,10 +242,10 @@
         if before {
             self.open.set(self.open.get() - 1);
             match end {
-                End::Delivered => self.figures.borrow_mut().delivered(now, first),
-                End::Refused => self.figures.borrow_mut().given_up(true),
-                End::Failed => self.figures.borrow_mut().given_up(false),
-                End::Withdrawn => {}
+                MessageEnd::Delivered => self.figures.borrow_mut().delivered(now, first),
+                MessageEnd::Rejected => self.figures.borrow_mut().given_up(true),
+                MessageEnd::Failed => self.figures.borrow_mut().given_up(false),
+                MessageEnd::Disconnected => {}
             }
         }
     }
@@ -314,24 +315,24 @@
     check_descriptors(&world)?;
     let executor = Rc::new(LocalExecutor::new());
     let limit = options.limit;
-    let stage = Rc::new(LiveRun::new(world, plan, seed, options, executor.clone()));
-    let run = async {
+    let run = Rc::new(LiveRun::new(world, plan, seed, options, executor.clone()));
+    let until_over = async {
         let too_long = async {
             Timer::after(limit).await;
-            stage.mishap(format!("not over after {} s: broken off", limit.as_secs()));
+            run.mishap(format!("not over after {} s: broken off", limit.as_secs()));
             Ok(())
         };
         let panicked = async {
-            let _ = stage.panicked.1.recv().await;
+            let _ = run.panicked.1.recv().await;
             Err(LiveError::Panic)
         };
-        future::or(panicked, future::or(interrupted(), future::or(day::day(&stage, view), too_long))).await
+        future::or(panicked, future::or(interrupted(), future::or(day::day(&run, view), too_long))).await
     };
-    let done = async_io::block_on(executor.run(run));
+    let done = async_io::block_on(executor.run(until_over));
     // All processes are ended, whatever the result.
-    stage.daemons.borrow_mut().clear();
+    run.daemons.borrow_mut().clear();
     done?;
-    Ok(stage.take_result())
+    Ok(run.take_result())
 }
 
 impl LiveRun {
@@ -356,11 +357,7 @@
             .collect();
         let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
         LiveRun {
-            audit: RefCell::new(Audit::new(
-                &world.settings,
-                (forwarder_count, world.destinations.len(), world.list.len()),
-                SOCKETS,
-            )),
+            audit: RefCell::new(Audit::new(&world.settings, AuditSizes::of(&world), SOCKETS)),
             figures: RefCell::new(Figures::new(&world)),
             destinations: RefCell::new(destinations.collect()),
             sent_requests: RefCell::default(),
@@ -400,7 +397,7 @@
             .enumerate()
             .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
             .collect();
-        let mut audit = self.audit.replace(Audit::new(&self.world.settings, (0, 0, 0), SOCKETS));
+        let mut audit = self.audit.replace(Audit::new(&self.world.settings, AuditSizes::default(), SOCKETS));
         audit.close(now, overloaded.into_iter());
         let (times, late_sends, sends) = self.late.borrow().clone();
         let late = Lateness {
--- a/crates/rehearsal/src/live/sampling.rs
+++ b/crates/rehearsal/src/live/sampling.rs
@@ -19,12 +19,12 @@
 /// How often the kit looks at its own lateness.
 const TICK: Duration = Duration::from_millis(5);
 
-pub(super) async fn watch_own_lateness(stage: Rc<LiveRun>) {
+pub(super) async fn watch_own_lateness(run: Rc<LiveRun>) {
     loop {
         let due = Instant::now() + TICK;
         Timer::at(due).await;
         let late = due.elapsed().as_micros() as u64;
-        stage.late.borrow_mut().0.saturating_record(late.max(1));
+        run.late.borrow_mut().0.saturating_record(late.max(1));
     }
 }
 
@@ -37,11 +37,11 @@
 }
 
 /// Asks the forwarders how they stand, and tells the view.
-pub(super) async fn sample(stage: Rc<LiveRun>, updates: Option<Sender<ViewUpdate>>) {
+pub(super) async fn sample(run: Rc<LiveRun>, updates: Option<Sender<ViewUpdate>>) {
     loop {
         let mut reports = Vec::new();
-        for forwarder in 0..stage.world.fleet.len() {
-            let address = stage.daemons.borrow().get(forwarder).and_then(|d| d.listen());
+        for forwarder in 0..run.world.fleet.len() {
+            let address = run.daemons.borrow().get(forwarder).and_then(|d| d.listen());
             let commanded = Instant::now();
             let report = match address {
                 Some(address) => counters(address).await,
@@ -49,12 +49,12 @@
             };
             if report.is_some() {
                 let took = commanded.elapsed().as_micros() as u64;
-                stage.answer_times.borrow_mut().saturating_record(took.max(1));
+                run.answer_times.borrow_mut().saturating_record(took.max(1));
             }
             reports.push(report);
         }
-        let now = stage.now();
-        let mut worst = vec![BreakerState::Closed; stage.world.destinations.len()];
+        let now = run.now();
+        let mut worst = vec![BreakerState::Closed; run.world.destinations.len()];
         let mut held = 0;
         for report in reports.iter().flatten() {
             held += report["open"].as_u64().unwrap_or(0) as usize;
@@ -70,22 +70,22 @@
             }
         }
         {
-            let mut figures = stage.figures.borrow_mut();
+            let mut figures = run.figures.borrow_mut();
             figures.samples.push(Sample {
                 at: now,
                 open_messages: held,
-                in_flight: stage.calls_in_flight.get(),
+                in_flight: run.calls_in_flight.get(),
             });
             worst.into_iter().enumerate().for_each(|(p, s)| figures.breaker(now, p, s));
         }
         if let Some(updates) = &updates {
-            let world = &stage.world;
+            let world = &run.world;
             let commanded: f64 = world.requests.iter().take_while(|h| h.at <= now).map(|h| h.weight).sum();
             let progress = Progress {
                 at: (now - START, world.end - START),
-                sent: (stage.sent.get(), world.requests.len()),
-                value: (stage.figures.borrow().value().delivered_value, commanded),
-                violations: stage.audit.borrow().violations.len(),
+                sent: (run.sent.get(), world.requests.len()),
+                value: (run.figures.borrow().value().delivered_value, commanded),
+                violations: run.audit.borrow().violations.len(),
                 forwarders: reports,
             };
             // A view that is slow misses some.
--- a/crates/rehearsal/src/load.rs
+++ b/crates/rehearsal/src/load.rs
@@ -40,14 +40,14 @@
     /// Sends it and tells what came of it; true if all was sent in time.
     pub fn run(self) -> Result<bool, InputError> {
         let wrong = |what: &str| {
-            InputError::Unread(PathBuf::from("the call"), std::io::Error::other(what.to_owned()))
+            InputError::Unreadable(PathBuf::from("the call"), std::io::Error::other(what.to_owned()))
         };
         if !(self.rate > 0.0 && self.rate.is_finite()) || self.connections == 0 || self.destinations == 0 {
             return Err(wrong("`--rate`, `--connections` and `--destinations` are above 0"));
         }
-        let system = |e| InputError::Unread(PathBuf::from("the load"), e);
+        let system = |e| InputError::Unreadable(PathBuf::from("the load"), e);
         let day = match &self.capture {
-            Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unread(path.clone(), e))?),
+            Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unreadable(path.clone(), e))?),
             None => None,
         };
         let to = match self.to {
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -120,7 +120,7 @@
         #[command(flatten)]
         options: rehearsal::RunOptions,
         #[command(flatten)]
-        live: rehearsal::Live,
+        live: rehearsal::LiveOptions,
     },
     /// Send a load that holds its schedule to a forwarder, and tell how late it was itself
     Load(load::LoadArgs),
@@ -151,7 +151,7 @@
         /// The scenario (YAML)
         scenario: PathBuf,
         #[command(flatten)]
-        options: rehearsal::Fleets,
+        options: rehearsal::FleetOptions,
     },
     /// Play a scenario in virtual time, without sockets
     Simulate {
@@ -163,12 +163,12 @@
 }
 
 /// An experiment with the plan of each of its variants.
-struct Ready {
+struct LoadedExperiment {
     experiment: Experiment,
     plans: Vec<Option<Arc<Plan>>>,
 }
 
-impl Ready {
+impl LoadedExperiment {
     fn read(path: &Path, change: impl FnOnce(&mut Experiment)) -> Result<Self, InputError> {
         let mut experiment = Experiment::read(path)?;
         change(&mut experiment);
@@ -176,7 +176,7 @@
         let as_of = platform();
         let plans = experiment.variants.iter().map(|v| experiment.plan(v, folder, &as_of));
         let plans = plans.collect::<Result<Vec<_>, _>>()?;
-        Ok(Ready { experiment, plans })
+        Ok(LoadedExperiment { experiment, plans })
     }
 
     /// Plays all days; true if no rule was broken.
@@ -208,7 +208,7 @@
         eprintln!("played {messages} messages in {took:.2} s, {:.0} a second", messages as f64 / took);
         if let Some(out) = &options.out {
             let text = page(experiment, &rows).expect("plots of finite figures");
-            std::fs::write(out, text).map_err(|e| InputError::Unread(out.into(), e))?;
+            std::fs::write(out, text).map_err(|e| InputError::Unreadable(out.into(), e))?;
         }
         Ok(rows.iter().all(|r| r.violations.is_empty()))
     }
@@ -216,16 +216,18 @@
 
 /// A site file as a variant, found from the folder that the command was called in.
 fn variant(site: &Path) -> Result<Variant, InputError> {
-    let place = site.canonicalize().map_err(|e| InputError::Unread(site.into(), e))?;
+    let place = site.canonicalize().map_err(|e| InputError::Unreadable(site.into(), e))?;
     Ok(Variant { name: site.display().to_string(), site: Some(place) })
 }
 
 fn run(command: Command) -> Result<ExitCode, InputError> {
     match command {
-        Command::Run { experiment, options } => Ready::read(&experiment, |_| {})?.play(&options).map(verdict),
+        Command::Run { experiment, options } => {
+            LoadedExperiment::read(&experiment, |_| {})?.play(&options).map(verdict)
+        }
         Command::Compare { before, after, experiment: Some(experiment), options, .. } => {
             let variants = vec![variant(&before)?, variant(&after)?];
-            Ready::read(&experiment, |e| e.variants = variants)?.play(&options).map(verdict)
+            LoadedExperiment::read(&experiment, |e| e.variants = variants)?.play(&options).map(verdict)
         }
         Command::Compare { before, after, scenario, options, .. } => {
             let scenario = scenario.expect("one of the two, as the call was read");
@@ -234,7 +236,7 @@
         Command::Sweep { file, vary, from, to, steps, options } => {
             if !(from > 0.0 && to > from && to.is_finite() && steps >= 2) {
                 let why = "`--from` must be above zero and under `--to`, with two steps at least";
-                return Err(InputError::Figures(file, why.into()));
+                return Err(InputError::InvalidFigures(file, why.into()));
             }
             let at = |step: u32| from + (to - from) * f64::from(step) / f64::from(steps - 1);
             if is_scenario(&file)? {
@@ -242,7 +244,7 @@
                 return rehearsal::sweep(&file, vary, &values, &options.days()).map(verdict);
             }
             let loads = (0..steps).map(|s| (at(s), at(s))).collect();
-            Ready::read(&file, |e| e.loads = loads)?.play(&options).map(verdict)
+            LoadedExperiment::read(&file, |e| e.loads = loads)?.play(&options).map(verdict)
         }
         Command::Check { files } => {
             let mut fine = true;
@@ -284,7 +286,7 @@
 fn under(parent: i32, program: &[OsString]) -> Result<ExitCode, InputError> {
     use rustix::process::{getppid, set_parent_process_death_signal, Signal};
     use std::os::unix::process::CommandExt;
-    let unfit = |e: std::io::Error| InputError::Unread(PathBuf::from(&program[0]), e);
+    let unfit = |e: std::io::Error| InputError::Unreadable(PathBuf::from(&program[0]), e);
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| unfit(e.into()))?;
     // It may have ended before this was asked for.
     if getppid().map(|p| p.as_raw_nonzero().get()) != Some(parent) {
@@ -296,7 +298,7 @@
 fn capture(log: &Path, out: &Path) -> Result<bool, InputError> {
     let unread = |path: &Path| {
         let path = path.to_owned();
-        move |e| InputError::Unread(path, e)
+        move |e| InputError::Unreadable(path, e)
     };
     let from = std::io::BufReader::new(std::fs::File::open(log).map_err(unread(log))?);
     let (day, odd) = CapturedDay::from_log(from).map_err(unread(log))?;
@@ -312,13 +314,13 @@
 
 /// A file with `phases` is a scenario, any other an experiment.
 fn is_scenario(file: &Path) -> Result<bool, InputError> {
-    let text = std::fs::read_to_string(file).map_err(|e| InputError::Unread(file.into(), e))?;
+    let text = std::fs::read_to_string(file).map_err(|e| InputError::Unreadable(file.into(), e))?;
     Ok(text.lines().any(|l| l.starts_with("phases:")))
 }
 
 fn check(file: &Path) -> Result<bool, InputError> {
     if is_scenario(file)? {
-        let ready = rehearsal::Ready::read(file)?;
+        let ready = rehearsal::LoadedScenario::read(file)?;
         println!(
             "{}: {} partners, {} forwarders, {} s, nothing against it",
             file.display(),
@@ -328,7 +330,7 @@
         );
         return Ok(true);
     }
-    let ready = Ready::read(file, |_| {})?;
+    let ready = LoadedExperiment::read(file, |_| {})?;
     let (variants, loads) = (ready.plans.len(), ready.experiment.loads.len());
     println!("{}: {variants} variants, {loads} loads, nothing against it", file.display());
     Ok(true)
@@ -339,7 +341,7 @@
         Ok(code) => code,
         Err(e) => {
             eprintln!("cedarbridge-rehearsal: {e}");
-            ExitCode::from(if matches!(e, InputError::Unread(..)) { 2 } else { 1 })
+            ExitCode::from(if matches!(e, InputError::Unreadable(..)) { 2 } else { 1 })
         }
     }
 }
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -45,21 +45,21 @@
 }
 
 /// A scenario, read and checked.
-pub struct Ready {
+pub struct LoadedScenario {
     /// As it is written.
     pub scenario: Scenario,
     folder: PathBuf,
 }
 
-impl Ready {
+impl LoadedScenario {
     /// Reads a scenario; what is wrong comes with its place.
     pub fn read(path: &Path) -> Result<Self, InputError> {
         let scenario = Scenario::read(path).map_err(|all| {
             let lines: Vec<String> = all.iter().map(|r| format!("{}:{r}", path.display())).collect();
-            InputError::Site(lines.join("\n"))
+            InputError::Rejected(lines.join("\n"))
         })?;
         let folder = path.parent().unwrap_or(Path::new(".")).to_owned();
-        let ready = Ready { scenario, folder };
+        let ready = LoadedScenario { scenario, folder };
         ready.plan(&day(&ready.scenario, 1, Some(&CapturedDay::default())))?;
         Ok(ready)
     }
@@ -72,11 +72,11 @@
     /// Its plan, checked by the forwarder's own check.
     fn plan(&self, world: &World) -> Result<Option<Arc<Plan>>, InputError> {
         let Some(site) = self.site() else { return Ok(None) };
-        let text = std::fs::read_to_string(&site).map_err(|e| InputError::Unread(site.clone(), e))?;
+        let text = std::fs::read_to_string(&site).map_err(|e| InputError::Unreadable(site.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &world.settings, names: &world.names });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = site.display().to_string();
-            InputError::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
@@ -92,11 +92,12 @@
         let own = std::env::current_exe().map_err(system)?;
         let daemon = match program {
             Some(program) => {
-                vec![program.canonicalize().map_err(|e| InputError::Unread(program.into(), e))?]
+                vec![program.canonicalize().map_err(|e| InputError::Unreadable(program.into(), e))?]
             }
             None => vec![own.clone(), "forwarder".into()],
         };
-        let site = self.site().map(|s| s.canonicalize().map_err(|e| InputError::Unread(s, e))).transpose()?;
+        let site =
+            self.site().map(|s| s.canonicalize().map_err(|e| InputError::Unreadable(s, e))).transpose()?;
         let limit = Duration::from_micros(self.scenario.limit.0);
         Ok(Options {
             daemon,
@@ -112,7 +113,7 @@
     /// The day that is to be played.
     pub fn day(&self, options: &RunOptions) -> Result<(World, u64, Option<Arc<Plan>>), InputError> {
         let captured = match &options.capture {
-            Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unread(path.clone(), e))?),
+            Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unreadable(path.clone(), e))?),
             None => None,
         };
         let seed = options.seed.unwrap_or(self.scenario.seed);
@@ -124,7 +125,7 @@
 
 /// What a rehearsal takes beside that.
 #[derive(Args)]
-pub struct Live {
+pub struct LiveOptions {
     /// The forwarder's program; without it, the one that this kit was built with
     #[arg(long, value_name = "PROGRAM")]
     pub daemon: Option<PathBuf>,
@@ -146,7 +147,7 @@
 struct Folder(PathBuf, bool);
 
 fn system(e: std::io::Error) -> InputError {
-    InputError::Unread(PathBuf::from("this machine"), e)
+    InputError::Unreadable(PathBuf::from("this machine"), e)
 }
 
 impl Folder {
@@ -172,8 +173,8 @@
 
 /// Plays a scenario on sockets, with real forwarders. Without a name for the page it goes beside the working folder's
 /// other files, named by the scenario.
-pub fn rehearse(path: &Path, options: &RunOptions, live: &Live) -> Result<Verdict, InputError> {
-    let ready = Ready::read(path)?;
+pub fn rehearse(path: &Path, options: &RunOptions, live: &LiveOptions) -> Result<Verdict, InputError> {
+    let ready = LoadedScenario::read(path)?;
     let (world, seed, plan) = ready.day(options)?;
     let folder = match &live.keep {
         Some(folder) => Folder::kept(folder)?,
@@ -185,7 +186,7 @@
     let channels = Some(view.channels());
     let (world, played) = live::rehearse(world, plan, seed, live_options, channels);
     drop(view);
-    let played = played.map_err(|e| InputError::Figures(path.into(), e.to_string()))?;
+    let played = played.map_err(|e| InputError::InvalidFigures(path.into(), e.to_string()))?;
     let run = Run {
         scenario: &ready.scenario,
         world: &world,
@@ -209,7 +210,7 @@
 pub fn write_outputs(run: &Run<'_>, options: &RunOptions) -> Result<bool, InputError> {
     print!("{}", run.summary());
     let write = |path: &Option<PathBuf>, text: &dyn Fn() -> String| match path {
-        Some(path) => std::fs::write(path, text()).map_err(|e| InputError::Unread(path.clone(), e)),
+        Some(path) => std::fs::write(path, text()).map_err(|e| InputError::Unreadable(path.clone(), e)),
         None => Ok(()),
     };
     write(&options.html, &|| run.page().expect("plots of finite figures"))?;
@@ -220,7 +221,7 @@
 
 /// Plays a scenario in virtual time.
 pub fn simulate(path: &Path, options: &RunOptions) -> Result<bool, InputError> {
-    let ready = Ready::read(path)?;
+    let ready = LoadedScenario::read(path)?;
     let (world, seed, plan) = ready.day(options)?;
     let begun = Instant::now();
     let (begin, whole) = (START, world.end - START);
@@ -252,7 +253,7 @@
 
 /// How fleets of several sizes are played.
 #[derive(Args)]
-pub struct Fleets {
+pub struct FleetOptions {
     /// The sizes, in place of the scenario's
     #[arg(long, value_name = "COUNT", value_delimiter = ',')]
     counts: Vec<usize>,
@@ -272,18 +273,21 @@
 
 /// Plays a scenario in virtual time with each of its fleets, and one forwarder in place of all; true if all was as
 /// expected.
-pub fn fleet(path: &Path, options: &Fleets) -> Result<bool, InputError> {
-    let ready = Ready::read(path)?;
+pub fn fleet(path: &Path, options: &FleetOptions) -> Result<bool, InputError> {
+    let ready = LoadedScenario::read(path)?;
     let scenario = &ready.scenario;
     let Some(section) = &scenario.fleet else {
-        return Err(InputError::Site(format!("{}:1:1: it has no section `fleet`", path.display())));
+        return Err(InputError::Rejected(format!("{}:1:1: it has no section `fleet`", path.display())));
     };
     let counts = match &options.counts[..] {
         [] => section.value.counts.iter().map(|c| c.value).collect(),
         given => given.to_vec(),
     };
     if counts.contains(&0) || options.seeds == Some(0) {
-        return Err(InputError::Figures(path.into(), "`--counts` and `--seeds` are 1 at least".into()));
+        return Err(InputError::InvalidFigures(
+            path.into(),
+            "`--counts` and `--seeds` are 1 at least".into(),
+        ));
     }
     let days = options.seeds.unwrap_or(section.value.seeds) as u64;
     let mut fleets = vec![(1, TurnOrder::Single)];
@@ -308,7 +312,7 @@
     }
     let unread = |path: &Path| {
         let path = path.to_owned();
-        move |e| InputError::Unread(path, e)
+        move |e| InputError::Unreadable(path, e)
     };
     let json = format!("{:#}\n", fleet::as_json(scenario, &rows));
     match &options.json {
@@ -329,9 +333,9 @@
 }
 
 /// What a scenario is played with, for a comparison.
-enum Side {
+enum ComparedSide {
     /// In virtual time, with a site file or without one, and maybe another scenario's figures.
-    Virtual(Box<Ready>),
+    Virtual(Box<LoadedScenario>),
     /// Live, with that program.
     Program(PathBuf),
 }
@@ -355,18 +359,20 @@
     pub first: u64,
 }
 
-fn side(path: &Path, scenario: &Path) -> Result<Side, InputError> {
-    let text = std::fs::read(path).map_err(|e| InputError::Unread(path.into(), e))?;
+fn side(path: &Path, scenario: &Path) -> Result<ComparedSide, InputError> {
+    let text = std::fs::read(path).map_err(|e| InputError::Unreadable(path.into(), e))?;
     if text.starts_with(b"\x7fELF") {
-        return Ok(Side::Program(path.canonicalize().map_err(|e| InputError::Unread(path.into(), e))?));
+        return Ok(ComparedSide::Program(
+            path.canonicalize().map_err(|e| InputError::Unreadable(path.into(), e))?,
+        ));
     }
     if String::from_utf8_lossy(&text).lines().any(|l| l.starts_with("phases:")) {
-        return Ok(Side::Virtual(Box::new(Ready::read(path)?)));
+        return Ok(ComparedSide::Virtual(Box::new(LoadedScenario::read(path)?)));
     }
-    let mut ready = Ready::read(scenario)?;
+    let mut ready = LoadedScenario::read(scenario)?;
     ready.scenario.forwarders.site =
-        Some(path.canonicalize().map_err(|e| InputError::Unread(path.into(), e))?);
-    Ok(Side::Virtual(Box::new(ready)))
+        Some(path.canonicalize().map_err(|e| InputError::Unreadable(path.into(), e))?);
+    Ok(ComparedSide::Virtual(Box::new(ready)))
 }
 
 /// Plays the same days two ways: with two site files, two scenarios that differ in a setting, or two builds of the
@@ -378,11 +384,11 @@
         for seed in seeds.first..seeds.first + seeds.count.max(1) {
             let options = RunOptions { seed: Some(seed), ..RunOptions::default() };
             let (figures, rules) = match &side {
-                Side::Virtual(ready) => {
+                ComparedSide::Virtual(ready) => {
                     let (world, seed, plan) = ready.day(&options)?;
                     simulation::simulate(&world, plan, seed)
                 }
-                Side::Program(program) => live_day(scenario, &options, program)?,
+                ComparedSide::Program(program) => live_day(scenario, &options, program)?,
             };
             violations += rules.len();
             for b in rules.iter().take(3) {
@@ -409,14 +415,14 @@
     options: &RunOptions,
     program: &Path,
 ) -> Result<(Figures, Vec<RuleViolation>), InputError> {
-    let ready = Ready::read(scenario)?;
+    let ready = LoadedScenario::read(scenario)?;
     let (world, seed, plan) = ready.day(options)?;
     let folder = Folder::of_run()?;
     let view = view::start(&ready.scenario.title, &world.destination_names, true);
     let options = ready.options(&folder, Some(program), None, "warning")?;
     let played = live::rehearse(world, plan, seed, options, Some(view.channels())).1;
     drop(view);
-    let played = played.map_err(|e| InputError::Figures(scenario.into(), e.to_string()))?;
+    let played = played.map_err(|e| InputError::InvalidFigures(scenario.into(), e.to_string()))?;
     Ok((played.figures, played.violations))
 }
 
@@ -448,7 +454,7 @@
         "p99 ms"
     );
     for value in values {
-        let mut ready = Ready::read(path)?;
+        let mut ready = LoadedScenario::read(path)?;
         let s = &mut ready.scenario;
         let whole = value.round().max(1.0) as usize;
         match vary {
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::SimulationEvent;
 use super::Simulation;
-use crate::audit::End;
+use crate::audit::MessageEnd;
 use cedarbridge::{EndpointId, Event, LoadReport, MessageId, Micros, Outcome};
 use cedarbridge_endpoint_model::{Answer, Fault, InFlightEffect};
 use rand::RngExt;
@@ -254,7 +254,7 @@
             let ended = outcome == Outcome::Ok;
             if ended && !self.messages[message].closed {
                 let timing = self.timing(message);
-                self.audit.ended(self.now, message, &timing, End::Delivered);
+                self.audit.ended(self.now, message, &timing, MessageEnd::Delivered);
                 self.close_message(message);
                 self.figures.delivered(self.now, self.messages[message].first as usize);
             }
--- a/crates/rehearsal/src/simulation/mod.rs
+++ b/crates/rehearsal/src/simulation/mod.rs
@@ -9,7 +9,7 @@
 mod policy_step;
 mod requests;
 
-use crate::audit::{Audit, RuleViolation, VIRTUAL};
+use crate::audit::{Audit, AuditSizes, RuleViolation, VIRTUAL};
 use crate::figures::{Figures, Sample};
 use crate::world::{ListChange, World, START};
 use calls::{Call, EndpointLink};
@@ -116,11 +116,7 @@
             .collect();
         let destinations = world.destinations.iter().zip(0u64..);
         Simulation {
-            audit: Audit::new(
-                &settings,
-                (forwarder_count, world.destinations.len(), world.list.len()),
-                VIRTUAL,
-            ),
+            audit: Audit::new(&settings, AuditSizes::of(world), VIRTUAL),
             figures: Figures::new(world),
             destinations: destinations
                 .map(|(m, n)| DestinationModel::new(m.clone(), seed ^ n << 16))
--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -2,7 +2,7 @@
 
 use super::event_queue::SimulationEvent;
 use super::{Simulation, CLASS, CLIENT_PATIENCE, RECONNECT_DELAY};
-use crate::audit::End;
+use crate::audit::MessageEnd;
 use cedarbridge::routes::Timing;
 use cedarbridge::{DestinationId, Event, KindId, MessageId, Micros, NewMessage, TenantId};
 use rand::RngExt;
@@ -136,7 +136,7 @@
     /// Ends a message that the policy rejected, with its retry_after, or failed.
     pub(super) fn reject_or_fail(&mut self, message: usize, refused: Option<Option<Micros>>) {
         let timing = self.timing(message);
-        let end = if refused.is_some() { End::Refused } else { End::Failed };
+        let end = if refused.is_some() { MessageEnd::Rejected } else { MessageEnd::Failed };
         self.audit.ended(self.now, message, &timing, end);
         self.close_message(message);
         let m = &self.messages[message];
--- a/crates/rehearsal/tests/audit.rs
+++ b/crates/rehearsal/tests/audit.rs
@@ -2,13 +2,15 @@
 
 use cedarbridge::routes::Timing;
 use cedarbridge::{Idempotency, Lifecycle, Micros, Outcome};
-use cedarbridge_rehearsal::audit::{Audit, End, Rule, SOCKETS, VIRTUAL};
+use cedarbridge_rehearsal::audit::{Audit, AuditSizes, MessageEnd, Rule, SOCKETS, VIRTUAL};
 use cedarbridge_rehearsal::world::platform;
 
+const ONE_OF_EACH: AuditSizes = AuditSizes { forwarders: 1, destinations: 1, endpoints: 1 };
+
 fn audit(effect: Idempotency) -> Audit {
     let mut settings = platform().0;
     settings.classes[0].idempotency = effect;
-    let mut audit = Audit::new(&settings, (1, 1, 1), VIRTUAL);
+    let mut audit = Audit::new(&settings, ONE_OF_EACH, VIRTUAL);
     audit.taken(0, 0, 0, 28_000_000);
     audit
 }
@@ -47,18 +49,25 @@
             a.lists(5, 0, 0, Lifecycle::Draining);
             send(a, 250_006);
         }),
-        ("a second final answer", |a| (1..3).for_each(|t| a.ended(t, 0, &Timing::default(), End::Refused))),
+        ("a second final answer", |a| {
+            (1..3).for_each(|t| a.ended(t, 0, &Timing::default(), MessageEnd::Rejected))
+        }),
         ("an attempt after its end", |a| {
-            a.ended(1, 0, &Timing::default(), End::Refused);
+            a.ended(1, 0, &Timing::default(), MessageEnd::Rejected);
             send(a, 2);
         }),
         ("though it may have run", |a| {
             send(a, 1);
             back(a, 10, Outcome::Reset);
-            a.ended(20, 0, &Timing::default(), End::Refused);
+            a.ended(20, 0, &Timing::default(), MessageEnd::Rejected);
         }),
         ("too late", |a| {
-            a.ended(9_100_000, 0, &Timing { give_up: Some(9_000_000), ..Timing::default() }, End::Refused)
+            a.ended(
+                9_100_000,
+                0,
+                &Timing { give_up: Some(9_000_000), ..Timing::default() },
+                MessageEnd::Rejected,
+            )
         }),
         ("never got a final answer", |a| a.close(1, std::iter::empty())),
     ];
@@ -76,7 +85,7 @@
     back(&mut a, 10, Outcome::Error);
     send(&mut a, 20);
     assert!(a.violations[0].to_string().contains("may not run twice"));
-    a.ended(30, 0, &Timing::default(), End::Failed);
+    a.ended(30, 0, &Timing::default(), MessageEnd::Failed);
     a.close(40, [(0, 35)].into_iter());
     assert!(a.violations[1].to_string().contains("pushed over"));
 }
@@ -85,14 +94,14 @@
 #[test]
 fn on_sockets_what_only_seems_wrong_is_let_through() {
     let settings = platform().0;
-    let mut a = Audit::new(&settings, (1, 1, 1), SOCKETS);
+    let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKETS);
     a.taken(0, 0, 0, 28_000_000);
     let t = Timing::default();
     a.sent(1, 1, (0, 0), 0, &t);
     a.sent(100, 100, (0, 0), 0, &t);
     a.attempt_ended(200, 0, 0, 1, Outcome::TimedOut);
-    a.ended(300, 0, &t, End::Delivered);
-    a.notified(400, 0, &t, End::Failed);
+    a.ended(300, 0, &t, MessageEnd::Delivered);
+    a.notified(400, 0, &t, MessageEnd::Failed);
     assert_eq!(a.violations, [], "a cut that was seen a moment late, and a notice after a delivery");
     a.attempt_ended(100_000, 0, 0, 100, Outcome::Ok);
     a.taken(0, 0, 0, 28_000_000);
@@ -107,15 +116,15 @@
 #[test]
 fn a_notice_told_again_after_a_restart_is_the_same_one() {
     let settings = platform().0;
-    let mut a = Audit::new(&settings, (1, 1, 1), SOCKETS);
+    let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKETS);
     let t = Timing::default();
     (0..2).for_each(|_| a.taken(0, 0, 0, 28_000_000));
-    a.notified(10, 0, &t, End::Refused);
+    a.notified(10, 0, &t, MessageEnd::Rejected);
     a.died(20, 0);
     a.excuse(0, 20, 900);
-    a.notified(800, 0, &t, End::Refused);
+    a.notified(800, 0, &t, MessageEnd::Rejected);
     assert_eq!(a.violations, []);
-    a.notified(1000, 1, &t, End::Refused);
-    a.notified(1100, 1, &t, End::Refused);
+    a.notified(1000, 1, &t, MessageEnd::Rejected);
+    a.notified(1100, 1, &t, MessageEnd::Rejected);
     assert_eq!(a.violations[0].rule, Rule::OneAnswer);
 }
--- a/crates/rehearsal/tests/experiments.rs
+++ b/crates/rehearsal/tests/experiments.rs
@@ -65,7 +65,7 @@
         assert!(told.contains(wanted), "{told}");
     }
     std::fs::remove_file(&path).expect("removed");
-    assert!(matches!(Experiment::read(&path), Err(InputError::Unread(..))));
+    assert!(matches!(Experiment::read(&path), Err(InputError::Unreadable(..))));
 }
 
 #[test]
