--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -10,6 +10,9 @@
 /// New work may still go to a draining endpoint for so long after the forwarder received the update.
 const DRAIN_GRACE: Micros = 250_000;
 
+/// An attempt so close to the end of a wait is not judged.
+const CLOCK_STEP: Micros = 1_000;
+
 /// Requests that may be rejected or left unanswered in one upgrade.
 const ALLOWED_REJECTED_IN_UPGRADE: usize = 2;
 
@@ -160,13 +163,20 @@
     }
 }
 
+/// A destination's retry_after, as a forwarder received it.
+#[derive(Clone, Copy, Default)]
+struct Wait {
+    received: Micros,
+    until: Micros,
+}
+
 /// The rules of one day.
 pub struct Audit {
     class: Class,
-    slack: Tolerances,
+    tolerances: Tolerances,
     messages: Vec<MessageRecord>,
     /// For each forwarder and destination, when a retry_after was received and until when it binds.
-    waits: Vec<Vec<(Micros, Micros)>>,
+    waits: Vec<Vec<Wait>>,
     /// For each forwarder and endpoint, since when the forwarder knows that it is draining or removed.
     drains: Vec<Vec<Option<Micros>>>,
     /// For each forwarder, the spans in which no answer is overdue, such as restarts.
@@ -177,13 +187,13 @@
 
 impl Audit {
     /// An audit of so many forwarders, destinations and endpoints.
-    pub fn new(settings: &Settings, sizes: AuditSizes, slack: Tolerances) -> Self {
+    pub fn new(settings: &Settings, sizes: AuditSizes, tolerances: Tolerances) -> Self {
         let AuditSizes { forwarders, destinations, endpoints } = sizes;
         Audit {
             class: settings.classes[0].clone(),
-            slack,
+            tolerances,
             messages: Vec::new(),
-            waits: vec![vec![(0, 0); destinations]; forwarders],
+            waits: vec![vec![Wait::default(); destinations]; forwarders],
             drains: vec![vec![None; endpoints]; forwarders],
             excused: vec![Vec::new(); forwarders],
             violations: Vec::new(),
@@ -202,7 +212,7 @@
     }
 
     /// Something was sent that belongs to no message, or to another destination.
-    pub fn stray(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
+    pub fn stray_message(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
         let (rule, forwarder) = (Rule::Strays, Some(forwarder));
         self.violations.push(RuleViolation { rule, at, forwarder, message: None, what: what.into() });
     }
@@ -237,11 +247,11 @@
         let forwarder = m.forwarder as usize;
         let mut found: Vec<(Rule, &str)> = Vec::new();
         match m.end {
-            Some(MessageEnd::Delivered) if self.slack.sockets => {}
+            Some(MessageEnd::Delivered) if self.tolerances.sockets => {}
             Some(MessageEnd::Disconnected) | None => {}
             Some(_) => found.push((Rule::OneAnswer, "an attempt after its end")),
         }
-        if m.in_flight > 0 && self.slack.overlap == 0 {
+        if m.in_flight > 0 && self.tolerances.overlap == 0 {
             found.push((Rule::OneOut, "a second attempt while one is out"));
         }
         if m.attempts >= timing.most(MOST_ATTEMPTS) {
@@ -256,17 +266,17 @@
             }
             _ => {}
         }
-        let (told, until) = self.waits[forwarder][destination];
-        if first > told + self.slack.wait && first + 1_000 < until {
+        let wait = self.waits[forwarder][destination];
+        if first > wait.received + self.tolerances.wait && first + CLOCK_STEP < wait.until {
             found.push((Rule::Waits, "sent within a told wait"));
         }
-        let grace = DRAIN_GRACE + self.slack.drain;
+        let grace = DRAIN_GRACE + self.tolerances.drain;
         if self.drains[forwarder][endpoint].is_some_and(|since| first > since + grace) {
             found.push((Rule::Drains, "sent to an endpoint that drains"));
         }
         found.into_iter().for_each(|(rule, what)| self.record_violation(rule, now, message, what));
         let m = &mut self.messages[message];
-        if m.in_flight > 0 && self.slack.overlap > 0 {
+        if m.in_flight > 0 && self.tolerances.overlap > 0 {
             m.overlap_since.get_or_insert(now);
         }
         (m.in_flight, m.attempts) = (m.in_flight + 1, m.attempts + 1);
@@ -296,13 +306,14 @@
             m.may_have_run_at.get_or_insert(sent);
         }
         let forwarder = m.forwarder as usize;
-        if let Some(since) = overlap_since.filter(|s| now > s + self.slack.overlap) {
+        if let Some(since) = overlap_since.filter(|s| now > s + self.tolerances.overlap) {
             self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
         }
         if let Outcome::Rejected(Some(wait)) = outcome {
-            let told = &mut self.waits[forwarder][destination];
-            if now + wait > told.1 {
-                *told = (if told.1 > now { told.0 } else { now }, now + wait);
+            let known = &mut self.waits[forwarder][destination];
+            if now + wait > known.until {
+                let received = if known.until > now { known.received } else { now };
+                *known = Wait { received, until: now + wait };
             }
         }
     }
@@ -314,7 +325,7 @@
             m.overlap_since = None;
             m.may_have_run_at.get_or_insert(now);
         }
-        self.waits[forwarder].fill((0, 0));
+        self.waits[forwarder].fill(Wait::default());
         self.drains[forwarder].fill(None);
     }
 
@@ -337,7 +348,7 @@
 
     /// When an answer is due, extended where a restart covers it.
     fn due(&self, forwarder: usize, end: Micros) -> Micros {
-        let within = |e: &&(Micros, Micros)| e.0 <= end + self.slack.answer && end < e.1;
+        let within = |e: &&(Micros, Micros)| e.0 <= end + self.tolerances.answer && end < e.1;
         self.excused[forwarder].iter().filter(within).map(|e| e.1).max().unwrap_or(end).max(end)
     }
 
@@ -346,7 +357,7 @@
         let m = self.messages[message];
         if m.end.is_some_and(|e| e != MessageEnd::Disconnected) {
             // On sockets a destination may observe a delivery after its forwarder's timeout.
-            if !(self.slack.sockets && end == MessageEnd::Delivered) {
+            if !(self.tolerances.sockets && end == MessageEnd::Delivered) {
                 self.record_violation(Rule::OneAnswer, now, message, "a second final answer");
             }
             return;
@@ -363,7 +374,7 @@
         // A reload never shortens the time of an attempt in flight; days here have none.
         // A retry that arrives after its deadline is answered at once.
         let due = self.due(m.forwarder as usize, timing.end(m.received, m.deadline).max(m.taken));
-        if end != MessageEnd::Disconnected && now > due.saturating_add(self.slack.answer) {
+        if end != MessageEnd::Disconnected && now > due.saturating_add(self.tolerances.answer) {
             self.record_violation(Rule::InTime, now, message, "its final answer came too late");
         }
         self.messages[message].end = Some(end);
@@ -398,7 +409,7 @@
     }
 
     /// The day is over: all messages must have ended, and no destination may have been overloaded on its recovery.
-    pub fn close(&mut self, now: Micros, fallen: impl Iterator<Item = (usize, Micros)>) {
+    pub fn close(&mut self, now: Micros, overloaded: impl Iterator<Item = (usize, Micros)>) {
         for message in 0..self.messages.len() {
             let m = self.messages[message];
             if m.end.is_none() {
@@ -408,7 +419,7 @@
                 self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
             }
         }
-        for (destination, at) in fallen {
+        for (destination, at) in overloaded {
             let what = format!("partner {} was pushed over on its return", destination + 1);
             let rule = Rule::PushedOver;
             self.violations.push(RuleViolation { rule, at, forwarder: None, message: None, what });
--- a/crates/rehearsal/src/experiment_day.rs
+++ b/crates/rehearsal/src/experiment_day.rs
@@ -55,7 +55,7 @@
         World {
             fleet: numbered_fleet(experiment.forwarders),
             sizes: Vec::new(),
-            told_count_factor: 1.0,
+            forwarder_count_factor: 1.0,
             listed: list.len(),
             stops: Vec::new(),
             destination_names: (1..=destinations.len()).map(|n| format!("partner-{n}")).collect(),
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -114,7 +114,7 @@
         of.sizes.iter().map(|s| PlannedSize { at: moment(&s.at), count: s.count.value, within: s.within.0 });
     world.sizes.extend(later);
     let most = world.sizes.iter().map(|s| s.count).max().unwrap_or(count);
-    world.told_count_factor = of.told_count_factor;
+    world.forwarder_count_factor = of.forwarder_count_factor;
     world.fleet = (0..most as u64)
         .map(|n| {
             let clock = rng.random_range(0..=of.clocks.0);
--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -30,7 +30,7 @@
         }
     });
     match proxy_fault {
-        Some(fault) if !fault.at_calls() => super::fault::before_agent(&faulty, address, fault),
+        Some(fault) if !fault.at_calls() => super::proxy::start_agent_proxy(&faulty, address, fault),
         _ => Ok(address),
     }
 }
@@ -136,7 +136,7 @@
         let message = run.ids.borrow().get(&id).copied();
         let Some(message) = message else {
             let now = run.now();
-            run.audit.borrow_mut().stray(
+            run.audit.borrow_mut().stray_message(
                 now,
                 forwarder,
                 format!("a notice of `{id}`, which nobody handed in"),
--- a/crates/rehearsal/src/live/call.rs
+++ b/crates/rehearsal/src/live/call.rs
@@ -84,7 +84,7 @@
         let carried = match read(run, &head, &body, batch) {
             Ok(carried) => carried,
             Err(why) => {
-                run.audit.borrow_mut().stray(now, forwarder, why.to_string());
+                run.audit.borrow_mut().stray_message(now, forwarder, why.to_string());
                 let _ = connection.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             }
@@ -117,7 +117,11 @@
     for CarriedMessage { id, message } in carried {
         let first_try = run.sent_requests.borrow()[*message].first;
         if run.world.requests[first_try].destination != destination {
-            run.audit.borrow_mut().stray(now, forwarder, format!("`{id}` came to another's endpoint"));
+            run.audit.borrow_mut().stray_message(
+                now,
+                forwarder,
+                format!("`{id}` came to another's endpoint"),
+            );
         }
         let timing = run.timing(first_try);
         run.audit.borrow_mut().sent(now, first, (destination, endpoint), *message, &timing);
--- a/crates/rehearsal/src/live/clients.rs
+++ b/crates/rehearsal/src/live/clients.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RetryReason {
     /// It was rejected.
-    Refused,
+    Rejected,
     /// Its forwarder ended or did not answer.
     NoResponse,
 }
@@ -110,7 +110,7 @@
     let request = run.world.requests[first];
     let retry = match retry_reason {
         None => "",
-        Some(RetryReason::Refused) => "X-Retry: 1\r\n",
+        Some(RetryReason::Rejected) => "X-Retry: 1\r\n",
         Some(RetryReason::NoResponse) => "X-Retry: again\r\n",
     };
     let body = format!("notice {first}");
@@ -207,7 +207,7 @@
     let sent = run.sent_requests.borrow()[message];
     let retry_reason = run.world.requests[sent.first].retry_after;
     if let Some(wait) = retry_reason.filter(|_| !sent.retried) {
-        retry_later(run, sent.first, wait.max(after.unwrap_or(0)), RetryReason::Refused);
+        retry_later(run, sent.first, wait.max(after.unwrap_or(0)), RetryReason::Rejected);
     }
 }
 
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -232,11 +232,11 @@
         let exit_status = run.daemons.borrow_mut()[forwarder].exit_status(role);
         match exit_status {
             Some(status) if !status.success() => {
-                return run.mishap(format!("forwarder {} ended with {status}", forwarder + 1));
+                return run.report_incident(format!("forwarder {} ended with {status}", forwarder + 1));
             }
             Some(_) => return,
             None if Instant::now() > until => {
-                run.mishap(format!("forwarder {} was there 3.7 s after SIGTERM", forwarder + 1));
+                run.report_incident(format!("forwarder {} was there 3.7 s after SIGTERM", forwarder + 1));
                 signal_to(run, forwarder, role, Signal::KILL);
                 while run.daemons.borrow_mut()[forwarder].exit_status(role).is_none() {
                     Timer::after(POLL_INTERVAL).await;
@@ -265,10 +265,10 @@
     run.audit.borrow_mut().died(run.now(), forwarder);
     Timer::after(Duration::from_micros(back)).await;
     if let Err(e) = start(run, forwarder) {
-        return run.mishap(e.to_string());
+        return run.report_incident(e.to_string());
     }
     if let Err(why) = until_ready(run, forwarder, super::day::READY).await {
-        return run.mishap(why.to_string());
+        return run.report_incident(why.to_string());
     }
     run.audit.borrow_mut().excused_until(forwarder, run.now() + AGAIN_DUE);
 }
@@ -297,12 +297,12 @@
     };
     let operator = match placed.and_then(|operator| start(run, forwarder).map(|()| operator)) {
         Ok(operator) => operator,
-        Err(e) => return run.mishap(e.to_string()),
+        Err(e) => return run.report_incident(e.to_string()),
     };
     let taken = until_healthy(run, forwarder, (operator, "/admin/health"), MUST_TAKE).await;
     let ready = run.now() - begun;
     if let Err(why) = taken {
-        run.mishap(why.to_string());
+        run.report_incident(why.to_string());
     }
     signal_to(run, forwarder, ProcessRole::Predecessor, Signal::TERM);
     until_gone(run, forwarder, ProcessRole::Predecessor).await;
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -25,7 +25,9 @@
                 .map_err(|e| LiveError::System("no address for an endpoint".into(), e))?;
             let address = listener.get_ref().local_addr().expect("bound");
             let told = match run.options.fault {
-                Some(fault) if fault.at_calls() => super::fault::before(run, endpoint, address, fault)?,
+                Some(fault) if fault.at_calls() => {
+                    super::proxy::start_call_proxy(run, endpoint, address, fault)?
+                }
                 _ => address,
             };
             run.addresses.borrow_mut()[forwarder].push(told);
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -9,8 +9,8 @@
 mod daemon;
 mod day;
 mod endpoint;
-pub mod fault;
 pub mod load;
+pub mod proxy;
 mod sampling;
 
 use crate::audit::{Audit, AuditSizes, MessageEnd, RuleViolation, SOCKETS};
@@ -29,9 +29,9 @@
 pub use sampling::counters;
 
 use daemon::Daemon;
-use fault::ProxyFault;
 use futures_lite::{future, FutureExt, StreamExt};
 use hdrhistogram::Histogram;
+use proxy::ProxyFault;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
@@ -73,7 +73,7 @@
     /// How late the kit itself was.
     pub late: Lateness,
     /// What else went wrong.
-    pub mishaps: Vec<String>,
+    pub incidents: Vec<String>,
 }
 
 /// Why a run could not be made.
@@ -177,7 +177,7 @@
     late: RefCell<(Histogram<u32>, u64, u64)>,
     /// How long forwarders took to answer `/_counters`, in microseconds.
     answer_times: RefCell<Histogram<u32>>,
-    mishaps: RefCell<Vec<String>>,
+    incidents: RefCell<Vec<String>>,
     pools: RefCell<Vec<Vec<HttpConnection>>>,
     /// For each forwarder that is being upgraded, the requests rejected or left unanswered meanwhile.
     rejected_in_upgrade: RefCell<Vec<Option<usize>>>,
@@ -213,8 +213,8 @@
         self.rejected_in_upgrade.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
     }
 
-    fn mishap(&self, what: String) {
-        self.mishaps.borrow_mut().push(what);
+    fn report_incident(&self, what: String) {
+        self.incidents.borrow_mut().push(what);
     }
 
     fn spawn(self: &Rc<Self>, task: impl std::future::Future<Output = ()> + 'static) {
@@ -319,7 +319,7 @@
     let until_over = async {
         let too_long = async {
             Timer::after(limit).await;
-            run.mishap(format!("not over after {} s: broken off", limit.as_secs()));
+            run.report_incident(format!("not over after {} s: broken off", limit.as_secs()));
             Ok(())
         };
         let panicked = async {
@@ -373,7 +373,7 @@
             sent: Cell::new(0),
             answer_times: RefCell::new(times.clone()),
             late: RefCell::new((times, 0, 0)),
-            mishaps: RefCell::default(),
+            incidents: RefCell::default(),
             pools: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
             rejected_in_upgrade: RefCell::new(vec![None; forwarder_count]),
             calls_in_flight: Cell::new(0),
@@ -408,7 +408,7 @@
             counters_p90: self.answer_times.borrow().value_at_quantile(0.9),
         };
         let figures = self.figures.replace(Figures::new(&self.world));
-        LiveResult { figures, violations: audit.violations, late, mishaps: self.mishaps.take() }
+        LiveResult { figures, violations: audit.violations, late, incidents: self.incidents.take() }
     }
 }
 
--- a/crates/rehearsal/src/live/fault.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -1,5 +1,5 @@
-//! Faults put between a forwarder and its surroundings, to see that the audit catches each: a proxy that a forwarder
-//! does not know of repeats its calls, sends during a wait, or keeps its notices. For tests of the kit alone.
+//! Faults between a forwarder and its surroundings, to test that the audit catches each: a transparent proxy repeats
+//! calls, sends them within a retry_after, or drops notices.
 
 use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
@@ -34,7 +34,7 @@
 }
 
 impl ProxyFault {
-    /// It sits before a partner's endpoints, not before the agent.
+    /// The proxy is in front of a destination's endpoints, not of the agent.
     pub fn at_calls(self) -> bool {
         !matches!(self, ProxyFault::KeepNotices | ProxyFault::BothEnds)
     }
@@ -47,8 +47,8 @@
     Ok((listener, address))
 }
 
-/// A proxy before an endpoint; its address is what the list tells.
-pub(crate) fn before(
+/// Starts a proxy in front of an endpoint; the list has its address.
+pub(crate) fn start_call_proxy(
     run: &Rc<LiveRun>,
     endpoint: usize,
     real: SocketAddr,
@@ -59,27 +59,27 @@
     run.clone().spawn(async move {
         let (count, last) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
-            ProxyFault::AfterDrain => run.spawn(after_drain(run.clone(), endpoint, real, last.clone())),
-            ProxyFault::Push => run.spawn(push(run.clone(), endpoint, real, last.clone())),
+            ProxyFault::AfterDrain => run.spawn(send_after_drain(run.clone(), endpoint, real, last.clone())),
+            ProxyFault::Push => run.spawn(flood_on_recovery(run.clone(), endpoint, real, last.clone())),
             _ => {}
         }
         while let Ok((stream, _)) = listener.accept().await {
             let (count, last, run) = (count.clone(), last.clone(), run.clone());
             run.clone().spawn(async move {
-                let _ = pass(&run, HttpConnection::new(stream), real, fault, &count, &last).await;
+                let _ = relay_calls(&run, HttpConnection::new(stream), real, fault, &count, &last).await;
             });
         }
     });
     Ok(address)
 }
 
-/// A call as it is sent on.
-fn call(head: &RequestHead, body: &[u8], fault: ProxyFault) -> Vec<u8> {
+/// The call that the proxy forwards.
+fn forwarded_call(head: &RequestHead, body: &[u8], fault: ProxyFault) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
         if let Some(value) = head.headers.get(name) {
-            let odd = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
-            text += &format!("{name}: {value}{odd}\r\n");
+            let suffix = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
+            text += &format!("{name}: {value}{suffix}\r\n");
         }
     }
     let mut bytes = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
@@ -87,8 +87,15 @@
     bytes
 }
 
-/// Sends a call and gives back the answer as it came.
-async fn send(real: SocketAddr, bytes: &[u8]) -> Option<(Vec<u8>, Option<f64>, u16)> {
+/// An answer that is passed on, with what the proxy reads of it.
+struct Relayed {
+    answer: Vec<u8>,
+    wait_ms: Option<f64>,
+    status: u16,
+}
+
+/// Sends a call and returns its answer unchanged.
+async fn send(real: SocketAddr, bytes: &[u8]) -> Option<Relayed> {
     let mut connection = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
     connection.write(bytes).await.ok()?;
     let head = connection.read_response().await.ok()?;
@@ -99,13 +106,13 @@
             text += &format!("{name}: {value}\r\n");
         }
     }
-    let wait = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
+    let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
     let mut answer = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
     answer.extend_from_slice(&body);
-    Some((answer, wait, head.status))
+    Some(Relayed { answer, wait_ms, status: head.status })
 }
 
-async fn pass(
+async fn relay_calls(
     run: &Rc<LiveRun>,
     mut from: HttpConnection,
     real: SocketAddr,
@@ -116,7 +123,7 @@
     loop {
         let head = from.read_request().await.ok()?;
         let body = from.request_body(&head, 1 << 20).await.ok()?;
-        let bytes = call(&head, &body, fault);
+        let bytes = forwarded_call(&head, &body, fault);
         count.set(count.get() + 1);
         last.set(Some(bytes.clone()));
         let tenth = count.get() % 10 == 1;
@@ -126,15 +133,15 @@
                 send(real, &bytes).await;
             });
         }
-        // The forwarder may give up meanwhile: so does the proxy.
+        // The forwarder may time out meanwhile: so does the proxy.
         let sent = async { send(real, &bytes).await };
         let left = async {
             let _ = from.fill().await;
             None
         };
-        let (answer, wait, status) = future::or(sent, left).await?;
+        let Relayed { answer, wait_ms, status } = future::or(sent, left).await?;
         from.write(&answer).await.ok()?;
-        match (fault, wait) {
+        match (fault, wait_ms) {
             (ProxyFault::InWait, Some(wait)) if wait > 250.0 => {
                 run.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
@@ -153,7 +160,12 @@
     }
 }
 
-async fn after_drain(run: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
+async fn send_after_drain(
+    run: Rc<LiveRun>,
+    endpoint: usize,
+    real: SocketAddr,
+    last: Rc<Cell<Option<Vec<u8>>>>,
+) {
     while run.list.borrow()[endpoint] != Lifecycle::Draining {
         Timer::after(Duration::from_millis(10)).await;
     }
@@ -163,7 +175,12 @@
     }
 }
 
-async fn push(run: Rc<LiveRun>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
+async fn flood_on_recovery(
+    run: Rc<LiveRun>,
+    endpoint: usize,
+    real: SocketAddr,
+    last: Rc<Cell<Option<Vec<u8>>>>,
+) {
     let destination = run.world.list[endpoint].destination;
     let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
     let mut was_away = false;
@@ -185,8 +202,8 @@
     }
 }
 
-/// A proxy before an agent.
-pub(crate) fn before_agent(
+/// Starts a proxy in front of an agent.
+pub(crate) fn start_agent_proxy(
     run: &Rc<LiveRun>,
     real: SocketAddr,
     fault: ProxyFault,
@@ -196,19 +213,19 @@
     run.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             run.spawn(async move {
-                let _ = tell(stream, real, fault).await;
+                let _ = relay_notices(stream, real, fault).await;
             });
         }
     });
     Ok(address)
 }
 
-async fn tell(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
+async fn relay_notices(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
     let mut from = HttpConnection::new(stream);
     loop {
         let head = from.read_request().await.ok()?;
         if head.method == "GET" {
-            // The list goes through as it comes.
+            // The list is passed on unchanged.
             let onward = Async::<TcpStream>::connect(real).await.ok()?;
             let text = format!("GET {} HTTP/1.1\r\nHost: agent\r\n\r\n", head.target);
             io::AsyncWriteExt::write_all(&mut (&onward), text.as_bytes()).await.ok()?;
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -7,7 +7,7 @@
 use cedarbridge_rehearsal::experiment::InputError;
 use cedarbridge_rehearsal::figures::Figures;
 use cedarbridge_rehearsal::fleet::{self, Row, TurnOrder};
-use cedarbridge_rehearsal::live::fault::ProxyFault;
+use cedarbridge_rehearsal::live::proxy::ProxyFault;
 use cedarbridge_rehearsal::live::{self, Options};
 use cedarbridge_rehearsal::report::mean;
 use cedarbridge_rehearsal::scenario::Scenario;
@@ -111,7 +111,7 @@
     }
 
     /// The day that is to be played.
-    pub fn day(&self, options: &RunOptions) -> Result<(World, u64, Option<Arc<Plan>>), InputError> {
+    pub fn day(&self, options: &RunOptions) -> Result<LoadedDay, InputError> {
         let captured = match &options.capture {
             Some(path) => Some(CapturedDay::read(path).map_err(|e| InputError::Unreadable(path.clone(), e))?),
             None => None,
@@ -119,11 +119,21 @@
         let seed = options.seed.unwrap_or(self.scenario.seed);
         let world = day(&self.scenario, seed, captured.as_ref());
         let plan = self.plan(&world)?;
-        Ok((world, seed, plan))
+        Ok(LoadedDay { world, seed, plan })
     }
 }
 
-/// What a rehearsal takes beside that.
+/// A day that is ready to be played.
+pub struct LoadedDay {
+    /// The day.
+    pub world: World,
+    /// Its seed.
+    pub seed: u64,
+    /// The site file's plan, if there is one.
+    pub plan: Option<Arc<Plan>>,
+}
+
+/// What a live rehearsal takes beside that.
 #[derive(Args)]
 pub struct LiveOptions {
     /// The forwarder's program; without it, the one that this kit was built with
@@ -175,7 +185,7 @@
 /// other files, named by the scenario.
 pub fn rehearse(path: &Path, options: &RunOptions, live: &LiveOptions) -> Result<Verdict, InputError> {
     let ready = LoadedScenario::read(path)?;
-    let (world, seed, plan) = ready.day(options)?;
+    let LoadedDay { world, seed, plan } = ready.day(options)?;
     let folder = match &live.keep {
         Some(folder) => Folder::kept(folder)?,
         None => Folder::of_run()?,
@@ -194,7 +204,7 @@
         figures: &played.figures,
         violations: &played.violations,
         run_mode: verdict::RunMode::Live(played.late),
-        incidents: &played.mishaps,
+        incidents: &played.incidents,
         took: begun.elapsed(),
     };
     let page = path.file_stem().map(|s| PathBuf::from(s).with_extension("html"));
@@ -222,7 +232,7 @@
 /// Plays a scenario in virtual time.
 pub fn simulate(path: &Path, options: &RunOptions) -> Result<bool, InputError> {
     let ready = LoadedScenario::read(path)?;
-    let (world, seed, plan) = ready.day(options)?;
+    let LoadedDay { world, seed, plan } = ready.day(options)?;
     let begun = Instant::now();
     let (begin, whole) = (START, world.end - START);
     let mut last = begun;
@@ -385,7 +395,7 @@
             let options = RunOptions { seed: Some(seed), ..RunOptions::default() };
             let (figures, rules) = match &side {
                 ComparedSide::Virtual(ready) => {
-                    let (world, seed, plan) = ready.day(&options)?;
+                    let LoadedDay { world, seed, plan } = ready.day(&options)?;
                     simulation::simulate(&world, plan, seed)
                 }
                 ComparedSide::Program(program) => live_day(scenario, &options, program)?,
@@ -416,7 +426,7 @@
     program: &Path,
 ) -> Result<(Figures, Vec<RuleViolation>), InputError> {
     let ready = LoadedScenario::read(scenario)?;
-    let (world, seed, plan) = ready.day(options)?;
+    let LoadedDay { world, seed, plan } = ready.day(options)?;
     let folder = Folder::of_run()?;
     let view = view::start(&ready.scenario.title, &world.destination_names, true);
     let options = ready.options(&folder, Some(program), None, "warning")?;
@@ -466,7 +476,8 @@
         }
         let mut rows = Vec::new();
         for seed in seeds.first..seeds.first + seeds.count.max(1) {
-            let (world, seed, plan) = ready.day(&RunOptions { seed: Some(seed), ..RunOptions::default() })?;
+            let LoadedDay { world, seed, plan } =
+                ready.day(&RunOptions { seed: Some(seed), ..RunOptions::default() })?;
             let (figures, rules) = simulation::simulate(&world, plan, seed);
             violations += rules.len();
             rows.push(COLUMNS.map(|c| c.1(&figures)));
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -96,6 +96,17 @@
         "attempts",
         "broken"
     );
+    write_means(&mut out, rows);
+    write_changes(&mut out, rows);
+    for row in rows {
+        for violation in row.violations.iter().take(5) {
+            let _ = writeln!(out, "BROKEN {} {}: {violation}", load(row.load), row.variant);
+        }
+    }
+    out
+}
+
+fn write_means(out: &mut String, rows: &[Row]) {
     for row in rows {
         let of = |f: fn(&Figures) -> f64| mean(&row.of(f)).0;
         let times = |t| format!("{}/{} ms", row.time(t, 0.5), row.time(t, 0.99));
@@ -116,6 +127,9 @@
             row.violations.len()
         );
     }
+}
+
+fn write_changes(out: &mut String, rows: &[Row]) {
     let _ = writeln!(out, "\nchange against the first variant on the same days, mean and 95% interval");
     for row in rows {
         let first = rows.iter().find(|r| r.load == row.load).expect("itself at least");
@@ -130,12 +144,6 @@
         }
         out.push('\n');
     }
-    for row in rows {
-        for violations in row.violations.iter().take(5) {
-            let _ = writeln!(out, "BROKEN {} {}: {violations}", load(row.load), row.variant);
-        }
-    }
-    out
 }
 
 const SIZE: (u32, u32) = (760, 300);
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -62,7 +62,7 @@
             found.push(whole_file(&format!("there are more than {MOST_PARTNERS} partners")));
         }
         let c = &self.clients;
-        if !(0.0..=1.0).contains(&c.again) || c.after.0 .0 > c.after.1 .0 {
+        if !(0.0..=1.0).contains(&c.retry_share) || c.after.0 .0 > c.after.1 .0 {
             found.push(whole_file(
                 "`clients`: `again` is a share, `after` goes from a time to one no shorter",
             ));
@@ -178,7 +178,7 @@
             (share(f.unnumbered) && share(f.doubled), "`unnumbered` and `doubled` are shares from 0 to 1"),
             ((0.0..=5.0).contains(&f.uneven), "`uneven` is an exponent from 0 to 5"),
             (
-                f.told_count_factor > 0.0 && f.told_count_factor <= 1000.0,
+                f.forwarder_count_factor > 0.0 && f.forwarder_count_factor <= 1000.0,
                 "`told` is above 0 and at most 1000",
             ),
             (f.clocks.0 <= MOST_CLOCK, "`clocks` differ by an hour at most"),
--- a/crates/rehearsal/src/scenario/destinations.rs
+++ b/crates/rehearsal/src/scenario/destinations.rs
@@ -49,7 +49,8 @@
     #[serde(default = "connections")]
     pub connections: usize,
     /// The retry_after of a rejection.
-    pub tells_wait: Option<Span>,
+    #[serde(rename = "tells-wait")]
+    pub retry_after: Option<Span>,
     /// Rejected calls use up the limit too; by default they do at small partners.
     pub refused_count: Option<bool>,
     /// Share of calls that fail on a good day.
--- a/crates/rehearsal/src/scenario/forwarders.rs
+++ b/crates/rehearsal/src/scenario/forwarders.rs
@@ -91,8 +91,8 @@
     #[serde(default = "none")]
     pub clocks: Span,
     /// The forwarder count in their settings, over the true one.
-    #[serde(default = "super::whole", rename = "told")]
-    pub told_count_factor: f64,
+    #[serde(default = "super::full_share", rename = "told")]
+    pub forwarder_count_factor: f64,
     /// The share of them without an index.
     #[serde(default)]
     pub unnumbered: f64,
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -179,6 +179,6 @@
     1
 }
 
-fn whole() -> f64 {
+fn full_share() -> f64 {
     1.0
 }
--- a/crates/rehearsal/src/scenario/traffic.rs
+++ b/crates/rehearsal/src/scenario/traffic.rs
@@ -10,14 +10,15 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
     /// The share of them that retry after a rejection.
-    pub again: f64,
+    #[serde(rename = "again")]
+    pub retry_share: f64,
     /// How long they wait before, at least.
     pub after: (Span, Span),
 }
 
 impl Default for Clients {
     fn default() -> Self {
-        Clients { again: 0.75, after: (Span(530_000), Span(1_500_000)) }
+        Clients { retry_share: 0.75, after: (Span(530_000), Span(1_500_000)) }
     }
 }
 
@@ -30,7 +31,7 @@
     /// Its agreed share of full load.
     pub share: f64,
     /// What it sends of its share.
-    #[serde(default = "super::whole")]
+    #[serde(default = "super::full_share")]
     pub uses: f64,
 }
 
--- a/crates/rehearsal/src/scenario_day.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -72,7 +72,7 @@
         network: NETWORK,
         fleet: numbered_fleet(scenario.forwarders.count),
         sizes: Vec::new(),
-        told_count_factor: 1.0,
+        forwarder_count_factor: 1.0,
         listed: endpoints.listed,
         list: endpoints.list,
         destination_names: named.into_iter().map(|n| n.0).collect(),
@@ -224,7 +224,7 @@
         capacity,
         limit: limited.then_some(limit),
         rejections_count: of.refused_count.unwrap_or(small),
-        retry_after: of.tells_wait.map(|s| s.0),
+        retry_after: of.retry_after.map(|s| s.0),
         queue_length: of.queue.unwrap_or((capacity * QUEUE / of.endpoints as f64).ceil() as usize).max(1),
         messages_per_call: if small { 1 } else { 10 },
         further_message_cost: if small { 0.0 } else { 0.12 },
@@ -236,6 +236,29 @@
     }
 }
 
+/// Shares added up, to draw one of them in proportion.
+struct Cumulative(Vec<f64>);
+
+impl Cumulative {
+    fn new(shares: impl Iterator<Item = f64>) -> Self {
+        let mut sum = 0.0;
+        Cumulative(
+            shares
+                .map(|share| {
+                    sum += share;
+                    sum
+                })
+                .collect(),
+        )
+    }
+
+    fn draw(&self, rng: &mut ChaCha8Rng) -> usize {
+        let draw = rng.random::<f64>() * self.0.last().copied().unwrap_or(1.0);
+        self.0.partition_point(|s| *s <= draw).min(self.0.len() - 1)
+    }
+}
+
+/// The scenario's messages, in the order of time.
 fn times(
     scenario: &Scenario,
     destinations: &[DestinationProfile],
@@ -244,20 +267,8 @@
     number: &impl Fn(&str) -> usize,
     rng: &mut ChaCha8Rng,
 ) -> Vec<PlannedMessage> {
-    let sums = |all: &mut dyn Iterator<Item = f64>| {
-        let mut sum = 0.0;
-        all.map(|x| {
-            sum += x;
-            sum
-        })
-        .collect::<Vec<f64>>()
-    };
-    let by_traffic = sums(&mut traffic.iter().copied());
-    let by_channel = sums(&mut channels.iter().map(|c| c.share * c.uses));
-    let of = |sums: &[f64], rng: &mut ChaCha8Rng| {
-        let draw = rng.random::<f64>() * sums.last().copied().unwrap_or(1.0);
-        sums.partition_point(|s| *s <= draw).min(sums.len() - 1)
-    };
+    let by_traffic = Cumulative::new(traffic.iter().copied());
+    let by_channel = Cumulative::new(channels.iter().map(|c| c.share * c.uses));
     let mut all: Vec<(Micros, usize)> = Vec::new();
     for c in &scenario.clumps {
         let at = moment(scenario, &c.at);
@@ -273,7 +284,7 @@
         let mut clumped = left * phase.clumps.as_ref().map_or(0.0, |c| c.value);
         left -= clumped;
         while clumped >= 1.0 {
-            let destination = of(&by_traffic, rng);
+            let destination = by_traffic.draw(rng);
             let takes = destinations[destination].limit.unwrap_or(destinations[destination].capacity);
             let size = (takes * rng.random_range(CLUMP.0 .0..CLUMP.0 .1)).min(clumped).ceil();
             let begin = from as f64 + rng.random::<f64>() * (span - CLUMP.1).max(0.0) * SECOND;
@@ -290,13 +301,13 @@
                 if t >= span {
                     break;
                 }
-                all.push((START + from + (t * SECOND) as Micros, of(&by_traffic, rng)));
+                all.push((START + from + (t * SECOND) as Micros, by_traffic.draw(rng)));
             }
         }
     }
     all.sort_unstable();
     all.into_iter()
-        .map(|(at, destination)| PlannedMessage { at, destination, tenant: of(&by_channel, rng) })
+        .map(|(at, destination)| PlannedMessage { at, destination, tenant: by_channel.draw(rng) })
         .collect()
 }
 
@@ -311,7 +322,7 @@
     let request = |PlannedMessage { at, destination, tenant }: PlannedMessage| {
         let weight = quotas.weight(tenant, at);
         let retry_after =
-            rng.random_bool(scenario.clients.again).then(|| rng.random_range(after.0..=after.1));
+            rng.random_bool(scenario.clients.retry_share).then(|| rng.random_range(after.0..=after.1));
         let forwarder = rng.random_range(0..scenario.forwarders.count);
         ClientRequest { at, destination, tenant, forwarder, weight, retry_after }
     };
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -11,28 +11,28 @@
 use std::time::{Duration, Instant};
 
 /// How often a line is written.
-const LINES: Duration = Duration::from_secs(2);
+const LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// How often keys are looked for.
-const KEYS: Duration = Duration::from_millis(50);
+const KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A view in a thread of its own; it ends when this is dropped.
 pub struct View {
-    told: Option<Sender<ViewUpdate>>,
-    asks: Receiver<ViewCommand>,
+    updates: Option<Sender<ViewUpdate>>,
+    commands: Receiver<ViewCommand>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl View {
     /// The run's updates, and the commands to it.
     pub fn channels(&self) -> (Sender<ViewUpdate>, Receiver<ViewCommand>) {
-        (self.told.clone().expect("not dropped yet"), self.asks.clone())
+        (self.updates.clone().expect("not dropped yet"), self.commands.clone())
     }
 }
 
 impl Drop for View {
     fn drop(&mut self) {
-        if let Some(told) = self.told.take() {
-            told.close();
+        if let Some(updates) = self.updates.take() {
+            updates.close();
         }
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -42,18 +42,18 @@
 
 /// Starts a view of a run with these destinations.
 pub fn start(title: &str, destinations: &[String], plain: bool) -> View {
-    let (told, updates) = async_channel::bounded(4);
-    let (commands, asks) = async_channel::unbounded();
+    let (update_sender, updates) = async_channel::bounded(4);
+    let (command_sender, commands) = async_channel::unbounded();
     let (title, names) = (title.to_owned(), destinations.to_vec());
     let rich = !plain && std::io::stdout().is_terminal() && std::io::stdin().is_terminal();
     let thread = std::thread::spawn(move || {
         if rich {
-            screen(&title, names, &updates, &commands);
+            screen(&title, names, &updates, &command_sender);
         } else {
             lines(&updates);
         }
     });
-    View { told: Some(told), asks, thread: Some(thread) }
+    View { updates: Some(update_sender), commands, thread: Some(thread) }
 }
 
 /// A bar that is full to a share.
@@ -64,13 +64,13 @@
 
 /// A run's progress as a line.
 pub fn line(p: &Progress) -> String {
-    let (at, whole) = (p.at.0 as f64 / 1e6, p.at.1 as f64 / 1e6);
+    let (at, length) = (p.at.0 as f64 / 1e6, p.at.1 as f64 / 1e6);
     let held: u64 = p.forwarders.iter().flatten().filter_map(|f| f["open"].as_u64()).sum();
     let open = p.forwarders.iter().flatten().flat_map(|f| f["partners"].as_array().into_iter().flatten());
     let open = open.filter(|p| p["breaker"] == "open").count();
     let up = p.forwarders.iter().flatten().count();
     format!(
-        "{} {at:>5.1} of {whole:.0} s  {:>6} sent  worth {:.3}  {held:>4} held  {open} breakers open  {up} of {} up  {} broken",
+        "{} {at:>5.1} of {length:.0} s  {:>6} sent  worth {:.3}  {held:>4} held  {open} breakers open  {up} of {} up  {} broken",
         bar(p.at.0 as f64 / p.at.1.max(1) as f64),
         p.sent.0,
         if p.value.1 > 0.0 { p.value.0 / p.value.1 } else { 1.0 },
@@ -82,7 +82,7 @@
 fn lines(updates: &Receiver<ViewUpdate>) {
     let mut last: Option<Instant> = None;
     while let Ok(ViewUpdate::Progress(p)) = updates.recv_blocking() {
-        if last.is_none_or(|l| l.elapsed() >= LINES) {
+        if last.is_none_or(|l| l.elapsed() >= LINE_INTERVAL) {
             eprintln!("{}", line(&p));
             last = Some(Instant::now());
         }
@@ -90,7 +90,7 @@
 }
 
 /// The faults that can be injected by hand, by key.
-const STRIKES: [(char, &str, Fault); 5] = [
+const INJECTABLE_FAULTS: [(char, &str, Fault); 5] = [
     ('h', "hang", Fault::Hang),
     ('r', "refuse", Fault::RefuseConnections),
     ('w', "slow ×6", Fault::Slow(6.0)),
@@ -119,7 +119,7 @@
         if terminal.draw(|f| table.draw(f)).is_err() {
             break;
         }
-        if !event::poll(KEYS).unwrap_or(false) {
+        if !event::poll(KEY_POLL_INTERVAL).unwrap_or(false) {
             continue;
         }
         let Ok(Event::Key(key)) = event::read() else { continue };
@@ -137,7 +137,7 @@
             KeyCode::Char('s') => table.sorted = table.sorted.next(),
             KeyCode::Char('o') => inject_fault(&table, commands, None),
             KeyCode::Char(c) => {
-                if let Some((_, _, fault)) = STRIKES.iter().find(|s| s.0 == c) {
+                if let Some((_, _, fault)) = INJECTABLE_FAULTS.iter().find(|s| s.0 == c) {
                     inject_fault(&table, commands, Some(*fault));
                 }
             }
@@ -160,43 +160,43 @@
     address: std::net::SocketAddr,
     every: Duration,
     plain: bool,
-    looks: Option<u32>,
+    polls: Option<u32>,
 ) -> std::io::Result<()> {
-    let look = || async_io::block_on(crate::live::counters(address));
-    let gone = || std::io::Error::other(format!("no forwarder answers at {address}"));
-    let mut report = look().ok_or_else(gone)?;
+    let poll = || async_io::block_on(crate::live::counters(address));
+    let no_answer = || std::io::Error::other(format!("no forwarder answers at {address}"));
+    let mut report = poll().ok_or_else(no_answer)?;
     if plain || !std::io::stdout().is_terminal() {
         let mut n = 0;
         loop {
             println!("{}", Table::plain(&DestinationRow::of(&[&report], None), &report));
             n += 1;
-            if looks.is_some_and(|most| n >= most) {
+            if polls.is_some_and(|most| n >= most) {
                 return Ok(());
             }
             std::thread::sleep(every);
-            report = look().ok_or_else(gone)?;
+            report = poll().ok_or_else(no_answer)?;
         }
     }
     let mut terminal = ratatui::init();
     let mut table = Table::new(&format!("forwarder at {address}"), "↑↓ scroll, s sort, p pause, q quit");
-    let (mut last, mut paused, mut there) = (Instant::now(), false, true);
+    let (mut last, mut paused, mut answering) = (Instant::now(), false, true);
     table.sorted = SortOrder::Worst;
     loop {
         if last.elapsed() >= every && !paused {
             last = Instant::now();
-            match look() {
-                Some(r) => (report, there) = (r, true),
-                None => there = false,
+            match poll() {
+                Some(r) => (report, answering) = (r, true),
+                None => answering = false,
             }
         }
-        table.headline = if there { Table::totals(&report) } else { format!("no answer from {address}") };
+        table.headline = if answering { Table::totals(&report) } else { format!("no answer from {address}") };
         table.rows = DestinationRow::of(&[&report], None);
         table.channels = DestinationRow::channels(&[&report]);
         if let Err(e) = terminal.draw(|f| table.draw(f)) {
             ratatui::restore();
             return Err(e);
         }
-        if !event::poll(KEYS)? {
+        if !event::poll(KEY_POLL_INTERVAL)? {
             continue;
         }
         let Event::Key(key) = event::read()? else { continue };
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -175,7 +175,7 @@
     /// How many of them serve, where that changes.
     pub sizes: Vec<PlannedSize>,
     /// The forwarder count in their settings, over the true one.
-    pub told_count_factor: f64,
+    pub forwarder_count_factor: f64,
     /// What the settings call classes and kinds.
     pub names: Names,
     /// The endpoint list: for each endpoint its entry, its destination and its index there.
@@ -260,7 +260,7 @@
 impl World {
     /// The settings of one of so many forwarders.
     pub fn settings_for(&self, forwarder: usize, count: usize) -> Settings {
-        let forwarders = ((count as f64 * self.told_count_factor).round() as usize).max(1);
+        let forwarders = ((count as f64 * self.forwarder_count_factor).round() as usize).max(1);
         Settings { forwarders, forwarder_index: self.fleet[forwarder].number, ..self.settings.clone() }
     }
 }
