--- a/crates/rehearsal/src/capture.rs
+++ b/crates/rehearsal/src/capture.rs
@@ -1,6 +1,6 @@
 //! A day's traffic without its bodies: read from the forwarder's log, stored compressed, and replayed by the kit.
 //!
-//! The file is zstd of one JSON object a line: `{"ms":12.5,"partner":"elva","channel":"lounatv"}`, the time counted
+//! The file is zstd of one JSON object a line: `{"ms":12.5,"destination":7,"channel":"lounatv"}`, the time counted
 //! from the first message.
 
 use crate::world::{PlannedMessage, START};
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -32,7 +32,7 @@
     /// The ranges that destinations are drawn from.
     #[serde(default, rename = "partners")]
     pub destinations: Partners,
-    /// Share of the messages that come in clumps, and their size in seconds of the partner's limit.
+    /// Share of the messages that come in clumps, and their size in seconds of the destination's limit.
     #[serde(default)]
     pub clumps: Clumps,
     /// Faults of destinations.
@@ -54,7 +54,7 @@
     pub zipf: Range,
     /// The mean service time of a message.
     pub work_ms: Range,
-    /// How much slower or faster than that partners are, by a factor up to this either way.
+    /// Destinations are slower or faster than that by a factor of up to this.
     pub unlike: f64,
     /// Limit over the calls at full load.
     pub headroom: Range,
@@ -62,7 +62,7 @@
     pub spare: Range,
     /// One-way time of the network.
     pub network_ms: Range,
-    /// Partners, by their place in the traffic, whose work takes as long as this.
+    /// Destinations, by their rank, with a service time of their own.
     pub paces: Vec<PaceOf>,
 }
 
@@ -98,7 +98,7 @@
 pub struct Clumps {
     /// Their share of all.
     pub share: Range,
-    /// As many as the partner takes in so many seconds.
+    /// Their size, in seconds of the destination's limit.
     pub seconds: Range,
 }
 
--- a/crates/rehearsal/src/live/clients.rs
+++ b/crates/rehearsal/src/live/clients.rs
@@ -40,7 +40,7 @@
     NoResponse,
 }
 
-/// What came of a request.
+/// The outcome of a request, as its client observed it.
 enum ClientOutcome {
     Response(u16, Option<Micros>),
     /// The connection ended without a response.
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -22,7 +22,7 @@
 
 /// A new process must take clients so long after its start.
 const MUST_TAKE: Duration = Duration::from_secs(6);
-/// What an old process still does at the door is counted up to so long after its end.
+/// Requests that a predecessor rejected are counted up to so long after its end.
 const UPGRADE_SETTLE_TIME: Duration = Duration::from_millis(300);
 
 /// A process: ended when this is dropped.
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -64,7 +64,7 @@
     pub limit: Duration,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct LiveResult {
     /// The figures.
     pub figures: Figures,
@@ -106,7 +106,7 @@
 /// A run's progress.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Microseconds since the day's begin, and its whole length.
+    /// Microseconds since the day's begin, and its complete length.
     pub at: (Micros, Micros),
     /// Requests sent, and all that are planned.
     pub sent: (usize, usize),
--- a/crates/rehearsal/src/live/sampling.rs
+++ b/crates/rehearsal/src/live/sampling.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Asks the forwarders how they stand, and tells the view.
+/// Samples the forwarders' counters, and updates the view.
 pub(super) async fn sample(run: Rc<LiveRun>, updates: Option<Sender<ViewUpdate>>) {
     loop {
         let mut reports = Vec::new();
@@ -95,7 +95,7 @@
     }
 }
 
-/// What a forwarder tells of itself and of each partner; nothing if it does not answer at once.
+/// A forwarder's counters, by destination; none if it does not answer within a second.
 pub async fn counters(address: SocketAddr) -> Option<Value> {
     let commanded = async {
         let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -21,8 +21,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A long day in virtual time tells this often how far it is.
-const TELLS: Duration = Duration::from_secs(2);
+/// How often a long day in virtual time prints its progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What is common to the ways of playing.
 #[derive(Args, Clone, Default)]
@@ -237,7 +237,7 @@
     let (begin, whole) = (START, world.end - START);
     let mut last = begun;
     let (figures, violations) = simulate_with_progress(&world, plan, seed, &mut |now| {
-        if last.elapsed() >= TELLS {
+        if last.elapsed() >= PROGRESS_INTERVAL {
             last = Instant::now();
             let share = (now - begin) as f64 / whole as f64;
             eprintln!(
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! What a scenario must hold; everything that is wrong is found in one go, with its place.
+//! The checks of a scenario: all errors are collected at once, with their places.
 
 use super::{DestinationGroup, FaultKind, Fleet, Moment, Scenario, ScenarioError, Signal, SpannedName, Stop};
 use cedarbridge::Micros;
--- a/crates/rehearsal/src/scenario/error.rs
+++ b/crates/rehearsal/src/scenario/error.rs
@@ -6,7 +6,7 @@
 /// What is wrong with a scenario, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The line, from 1; 0 for the whole file.
+    /// The line, from 1; 0 for the complete file.
     pub line: u64,
     /// The column, from 1.
     pub column: u64,
--- a/crates/rehearsal/src/simulation/policy_step.rs
+++ b/crates/rehearsal/src/simulation/policy_step.rs
@@ -1,4 +1,4 @@
-//! Steps of forwarders' delivery policies, and the actions that come of them.
+//! Steps of forwarders' delivery policies, and the actions that they return.
 
 use super::event_queue::SimulationEvent;
 use super::Simulation;
--- a/crates/rehearsal/src/verdict/mod.rs
+++ b/crates/rehearsal/src/verdict/mod.rs
@@ -46,7 +46,7 @@
     Live(Lateness),
 }
 
-/// A run and what came of it.
+/// A run and its result.
 pub struct Run<'a> {
     /// The scenario.
     pub scenario: &'a Scenario,
@@ -69,11 +69,11 @@
 /// The verdict on a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// All that was expected came.
+    /// All expectations were met.
     Passed,
     /// These expectations were not met.
     Failed(Vec<String>),
-    /// The machine was too slow for the run to tell anything.
+    /// The machine was too loaded for a verdict.
     NotJudged(String),
 }
 
--- a/crates/rehearsal/src/verdict/page.rs
+++ b/crates/rehearsal/src/verdict/page.rs
@@ -133,7 +133,7 @@
         Ok(())
     }
 
-    /// A line a partner: closed, half and open, with its troubles above.
+    /// A line for each destination: its breaker closed, half-open and open, with its faults above.
     fn draw_breakers(&self, svg: &mut String) -> PlotResult {
         let shown = self.world.destination_names.len().min(64);
         let height = 60 + 18 * shown as u32;
--- a/crates/rehearsal/tests/audit.rs
+++ b/crates/rehearsal/tests/audit.rs
@@ -90,7 +90,8 @@
     assert!(a.violations[1].to_string().contains("pushed over"));
 }
 
-/// On sockets a partner sees a delivery before the forwarder does, and an end before the next begin only nearly.
+/// On sockets a destination observes a delivery before the forwarder does, and an attempt's end may be observed just
+/// after the next one's begin.
 #[test]
 fn on_sockets_what_only_seems_wrong_is_let_through() {
     let settings = platform().0;
--- a/crates/rehearsal/tests/experiments.rs
+++ b/crates/rehearsal/tests/experiments.rs
@@ -70,7 +70,7 @@
 
 #[test]
 fn the_commands_compare_sweep_and_check() {
-    let lab = |arguments: &[&str]| {
+    let kit = |arguments: &[&str]| {
         let program =
             std::process::Command::new(env!("CARGO_BIN_EXE_cedarbridge-rehearsal")).args(arguments).output();
         let output = program.expect("it runs");
@@ -79,7 +79,7 @@
     let shipped = folder().join("slow-partner.yaml");
     let shipped = shipped.to_str().expect("text");
     assert_eq!(
-        lab(&["check", shipped]),
+        kit(&["check", shipped]),
         (Some(0), format!("{shipped}: 4 variants, 2 loads, nothing against it\n"))
     );
     let path = std::env::temp_dir().join(format!("cedarbridge-rehearsal-short-{}.yaml", std::process::id()));
@@ -89,13 +89,13 @@
     let short = path.to_str().expect("text");
     let site = |name: &str| folder().join(name).to_str().expect("text").to_owned();
     let (code, table) =
-        lab(&["compare", &site("one-short.yaml"), &site("one-long.yaml"), "--experiment", short]);
+        kit(&["compare", &site("one-short.yaml"), &site("one-long.yaml"), "--experiment", short]);
     assert_eq!(code, Some(0));
     assert!(table.contains("change against the first variant") && table.contains("one-long.yaml"), "{table}");
-    let (code, table) = lab(&["sweep", short, "--load", "0.5", "--to", "0.9", "--steps", "3"]);
+    let (code, table) = kit(&["sweep", short, "--load", "0.5", "--to", "0.9", "--steps", "3"]);
     assert_eq!(code, Some(0));
     assert!(["50%", "70%", "90%"].iter().all(|l| table.contains(l)), "{table}");
-    assert_eq!(lab(&["sweep", short, "--load", "0.9", "--to", "0.5"]).0, Some(1));
-    assert_eq!(lab(&["check", "none.yaml"]).0, Some(2));
+    assert_eq!(kit(&["sweep", short, "--load", "0.9", "--to", "0.5"]).0, Some(1));
+    assert_eq!(kit(&["check", "none.yaml"]).0, Some(2));
     std::fs::remove_file(path).expect("removed");
 }
--- a/crates/rehearsal/tests/fleet.rs
+++ b/crates/rehearsal/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Whole fleets in virtual time: the hard cases, each at 3, 48, 100 and 300 forwarders with its counts.
+//! Complete fleets in virtual time: the hard cases, each at 3, 48, 100 and 300 forwarders with its counts.
 
 use cedarbridge_rehearsal::fleet::{
     as_json, draw, page, simulate_fleet_day, table, unmet, DayResult, Row, TurnOrder,
@@ -7,7 +7,7 @@
 
 const SIZES: [usize; 4] = [3, 48, 100, 300];
 
-/// Six partners that take 1.25 to 1.4 times what comes to them at full load, in all 200 messages a second.
+/// Destinations with a limit of 1.25 to 1.4 times their traffic at full load, in all 200 messages a second.
 const PARTNERS: &str = "title: a fleet\nrate: 200\npartners:\n\
   - {name: a, kind: small-partner, share: 30, work: 80ms, headroom: 1.3, endpoints: 3}\n\
   - {name: b, kind: small-partner, share: 20, work: 80ms, headroom: 1.3, endpoints: 2}\n\
@@ -19,7 +19,7 @@
     Scenario::parse(&format!("{PARTNERS}{rest}")).expect("a scenario")
 }
 
-/// The day of each size, with no rule broken and no partner pushed over.
+/// The day of each size, with no rule broken and no destination overloaded on its recovery.
 fn days(of: &Scenario) -> Vec<(usize, DayResult)> {
     let day = |count| {
         let day = simulate_fleet_day(of, None, count, TurnOrder::Numbered, 11);
@@ -149,7 +149,7 @@
     }
 }
 
-/// A partner for which one forwarder in ten has anything at all: those who have seen it fail are few.
+/// A destination for which one forwarder in ten has any messages: few forwarders have observed it fail.
 #[test]
 fn a_partner_that_few_have_messages_for_is_found_again() {
     let of = Scenario::parse(
@@ -164,7 +164,7 @@
     }
 }
 
-/// The same file and seed give the same bytes, and what is wrong with a file is told with its place.
+/// The same file and seed give the same bytes, and errors in a file are reported with their place.
 #[test]
 fn the_table_the_page_and_the_json_tell_the_same_and_files_are_checked() {
     let of = scenario(&format!(
--- a/crates/rehearsal/tests/rehearsal.rs
+++ b/crates/rehearsal/tests/rehearsal.rs
@@ -13,7 +13,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_cedarbridge-rehearsal");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_cedarbridge-rehearsal");
 
 fn shipped(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
@@ -47,7 +47,7 @@
 }
 
 fn start(folder: &Folder, scenario: &Path, more: &[&str]) -> Child {
-    let mut command = Command::new(LAB);
+    let mut command = Command::new(PROGRAM);
     command.current_dir(&folder.0).arg("rehearse").arg(scenario).arg("--keep").arg(folder.file("kept"));
     command
         .arg("--json")
@@ -83,7 +83,7 @@
     (figures.value().share(), violations.len())
 }
 
-/// Guards against an emulator that is trusted for no reason: the same day on sockets comes to the same worth. A machine
+/// Guards against an emulator that is trusted without reason: the same day on sockets delivers the same value. A machine
 /// that was too loaded judges nothing, and then neither does this.
 #[test]
 fn a_brief_rehearsal_is_as_expected_and_agrees_with_virtual_time() {
@@ -97,7 +97,7 @@
     let junit = std::fs::read_to_string(folder.file("told.xml")).expect("JUnit");
     assert!(junit.contains("rule one-answer") && junit.contains("expected worth"));
     if told["verdict"] == "passed" {
-        // The forwarders tell of it themselves: the one that hung was given up and came back.
+        // The forwarders' counters show it: the one that hung was ejected and recovered.
         let operator = told["breakers"]["operator"].as_array().expect("a line");
         assert!(
             operator.iter().any(|b| b[1] == "open") && operator.last().is_some_and(|b| b[1] == "closed"),
@@ -111,7 +111,7 @@
     }
 }
 
-/// Guards against messages that a killed forwarder held being lost or sent twice: its journal gives them back.
+/// Guards against open messages of a killed forwarder being lost or sent twice: its journal restores them.
 #[test]
 fn a_forwarder_killed_with_200_in_its_hands_gives_each_its_end() {
     let folder = Folder::new("killed");
@@ -125,18 +125,18 @@
     let out = start(&folder, &scenario, &["--log-level", "debug"]).wait_with_output().expect("an end");
     let told = told(&folder, &out);
     assert_kept(&told);
-    // While nobody is there for longer than a client's patience, on a slow machine, what comes is given back.
+    // While no forwarder accepts for longer than a client's patience, on a slow machine, requests are rejected.
     let of = |key: &str| told[key].as_u64().expect("a number");
     assert_eq!((of("failed"), of("delivered") + of("refused")), (0, of("messages")), "{told:#}");
     // Its log, from before the kill and after, makes a day that can be played again.
     let capture = folder.file("day.zst");
     let log = folder.file("kept/forwarder-1/log");
     let made =
-        Command::new(LAB).arg("capture").arg(log).arg("--out").arg(&capture).output().expect("the kit");
+        Command::new(PROGRAM).arg("capture").arg(log).arg("--out").arg(&capture).output().expect("the kit");
     assert!(made.status.success(), "{made:?}");
     let day = CapturedDay::read(&capture).expect("a day");
     assert!(day.messages.len() as u64 + of("refused") >= of("messages"), "{}", day.messages.len());
-    let again = Command::new(LAB).arg("simulate").arg(&scenario).arg("--capture").arg(&capture).output();
+    let again = Command::new(PROGRAM).arg("simulate").arg(&scenario).arg("--capture").arg(&capture).output();
     let again = String::from_utf8(again.expect("the kit").stdout).expect("text");
     let played = again.lines().find_map(|l| l.split_once(" messages:")?.0.parse::<usize>().ok());
     assert!(played.is_some_and(|n| n > 0 && n <= day.messages.len()), "{again}");
@@ -176,7 +176,7 @@
 limit: 16s
 ";
 
-/// Guards against an audit that cannot fail: each fault is told by its rule, with time and, where it has one, message
+/// Guards against an audit that cannot fail: each fault is reported by its rule, with time and, where it has one, message
 /// and forwarder; and the same day without a fault breaks nothing.
 #[test]
 fn each_fault_put_in_is_caught_by_its_rule() {
@@ -300,7 +300,7 @@
     assert!(seen >= 8, "only {seen} scenarios");
 }
 
-/// Each way to get a scenario wrong, with the place and the reason that the user is told.
+/// Each way to get a scenario wrong, with the place and the reason that the user reads.
 #[test]
 fn a_scenario_that_makes_no_sense_is_refused_with_its_place() {
     let good = "title: x\nrate: 10\npartners:\n  - {name: a, kind: small-partner, share: 1, work: 50ms}\nphases:\n  \
--- a/crates/rehearsal/tests/table.rs
+++ b/crates/rehearsal/tests/table.rs
@@ -5,7 +5,7 @@
 use ratatui::Terminal;
 use serde_json::json;
 
-/// Guards against a view that loses a partner, or sorts the one in trouble out of sight.
+/// Guards against a view that loses a destination, or sorts the failing one out of sight.
 #[test]
 fn partners_of_all_forwarders_are_drawn_with_the_worst_first() {
     let one = json!({"partners": [{"destination": 0, "breaker": "closed", "held": 1, "out": 2, "answer_ms": 120.0,
