--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -55,6 +55,7 @@
                 connection.write(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes()).await
             }
             ("GET", "/catalog/members") if head.target.contains("watch=1") => {
+                // The watch ends with its connection; the forwarder opens another.
                 let _ = watch(&run, forwarder, &mut connection).await;
                 return;
             }
@@ -111,6 +112,7 @@
         (known, first) = (now, false);
         loop {
             let changes = async {
+                // The channel's end is the change.
                 let _ = changed.recv().await;
                 true
             };
--- a/crates/rehearsal/src/live/call.rs
+++ b/crates/rehearsal/src/live/call.rs
@@ -60,6 +60,7 @@
         let changed = run.destinations.borrow()[destination].changed.1.clone();
         let received = async { Some(connection.fill().await) };
         let other = async {
+            // The channel's end is the change.
             let _ = changed.recv().await;
             None
         };
@@ -85,6 +86,7 @@
             Ok(carried) => carried,
             Err(why) => {
                 run.audit.borrow_mut().stray_message(now, forwarder, why.to_string());
+                // A forwarder that does not read the rejection is audited all the same.
                 let _ = connection.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             }
@@ -201,6 +203,7 @@
                 Some(true)
             };
             let other = async {
+                // The channel's end is the change.
                 let _ = changed.recv().await;
                 Some(false)
             };
--- a/crates/rehearsal/src/live/daemon.rs
+++ b/crates/rehearsal/src/live/daemon.rs
@@ -30,6 +30,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
+        // It may have exited already; then there is nothing to wait for either.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
--- a/crates/rehearsal/src/live/day.rs
+++ b/crates/rehearsal/src/live/day.rs
@@ -41,6 +41,7 @@
     let day_done = async {
         clients::run(run).await;
         for _ in 0..stops {
+            // The channel lives as long as the day: its sender is above.
             let _ = all_stopped.recv().await;
         }
         while (run.open.get() > 0 || run.clients_waiting.get() > 0)
@@ -111,6 +112,7 @@
                 Signal::Upgrade => daemon::upgrade(&run, stop.forwarder).await,
                 Signal::Stall => daemon::stall(&run, stop.forwarder, stop.back).await,
             }
+            // The day may have been aborted, and with it the receiver.
             let _ = stopped.send(()).await;
         });
     }
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -118,6 +118,7 @@
             }
         };
         let other = async {
+            // The channel's end is the change.
             let _ = changed.recv().await;
             None
         };
--- a/crates/rehearsal/src/live/load.rs
+++ b/crates/rehearsal/src/live/load.rs
@@ -122,6 +122,7 @@
     while next < total {
         let now = run_state.begun.elapsed();
         while next < total && due(&run_state.load, next) <= now {
+            // The channel is unbounded and its receivers outlive the plan.
             let _ = to.try_send((next, due(&run_state.load, next)));
             next += 1;
         }
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -222,6 +222,7 @@
         let task = std::panic::AssertUnwindSafe(task).catch_unwind();
         let task = async move {
             if task.await.is_err() {
+                // A full channel has the news of an earlier panic.
                 let _ = panicked.try_send(());
             }
         };
@@ -323,6 +324,7 @@
             Ok(())
         };
         let panicked = async {
+            // Its sender lives as long as the run, so this is a panic.
             let _ = run.panicked.1.recv().await;
             Err(LiveError::Panic)
         };
--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -66,6 +66,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let (count, last, run) = (count.clone(), last.clone(), run.clone());
             run.clone().spawn(async move {
+                // A connection that ends is no failure of the proxy.
                 let _ = relay_calls(&run, HttpConnection::new(stream), real, fault, &count, &last).await;
             });
         }
@@ -136,6 +137,7 @@
         // The forwarder may time out meanwhile: so does the proxy.
         let sent = async { send(real, &bytes).await };
         let left = async {
+            // Whatever is read or fails: the forwarder has left.
             let _ = from.fill().await;
             None
         };
@@ -213,6 +215,7 @@
     run.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             run.spawn(async move {
+                // A connection that ends is no failure of the proxy.
                 let _ = relay_notices(stream, real, fault).await;
             });
         }
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -176,6 +176,7 @@
 impl Drop for Folder {
     fn drop(&mut self) {
         if !self.1 {
+            // A temporary folder that stays does no harm.
             let _ = std::fs::remove_dir_all(&self.0);
         }
     }
--- a/crates/rehearsal/src/verdict/export.rs
+++ b/crates/rehearsal/src/verdict/export.rs
@@ -1,7 +1,7 @@
 //! A run for other programs: JSON for scripts, JUnit for a CI.
 
 use super::page::seconds;
-use super::{Run, RunMode, Verdict};
+use super::{Check, Run, RunMode, Verdict};
 use crate::audit::{Rule, RuleViolation};
 use crate::figures::{Tally, OUTCOMES};
 use crate::world::START;
@@ -75,8 +75,8 @@
             };
             suite.add_test_case(TestCase::new(name, status));
         };
-        for (name, fine, what) in self.checks().into_iter().filter(|c| c.0 != "rules") {
-            case(format!("expected {name}"), fine, what);
+        for Check { name, met, what } in self.checks().into_iter().filter(|c| c.name != "rules") {
+            case(format!("expected {name}"), met, what);
         }
         let rules = [
             Rule::OneAnswer,
--- a/crates/rehearsal/src/verdict/mod.rs
+++ b/crates/rehearsal/src/verdict/mod.rs
@@ -77,21 +77,29 @@
     NotJudged(String),
 }
 
+/// An expectation of the scenario, and what was observed.
+struct Check {
+    name: &'static str,
+    met: bool,
+    what: String,
+}
+
 impl Run<'_> {
-    /// The expectations, each with what was seen and whether that will do.
-    fn checks(&self) -> Vec<(&'static str, bool, String)> {
+    /// The expectations, each with what was observed.
+    fn checks(&self) -> Vec<Check> {
         let (e, f) = (&self.scenario.expect, self.figures);
         let mut all = Vec::new();
+        let mut check = |name, met, what| all.push(Check { name, met, what });
         let rules = self.violations.len();
-        all.push(("rules", rules <= e.violations, format!("{rules} rules broken, {} allowed", e.violations)));
+        check("rules", rules <= e.violations, format!("{rules} rules broken, {} allowed", e.violations));
         if let Some(least) = &e.delivered_share {
             let worth = f.value().share();
             let what = format!("worth {worth:.3}, {} expected at least", least.value);
-            all.push(("worth", worth >= least.value, what));
+            check("worth", worth >= least.value, what);
         }
         for (name, most, seen) in [("refused", e.refused, f.refused), ("failed", e.failed, f.failed)] {
             if let Some(most) = most {
-                all.push((name, seen <= most, format!("{seen} {name}, {most} expected at most")));
+                check(name, seen <= most, format!("{seen} {name}, {most} expected at most"));
             }
         }
         if let Some(most) = e.returns {
@@ -99,14 +107,14 @@
             let longest = returns.iter().map(|r| r.1.unwrap_or(Micros::MAX)).max().unwrap_or(0);
             let ms = |t: Micros| if t == Micros::MAX { "never".into() } else { format!("{} ms", t / 1000) };
             let what = format!("first delivery after a return: {}, {} at most", ms(longest), ms(most.0));
-            all.push(("returns", longest <= most.0, what));
+            check("returns", longest <= most.0, what);
         }
         let incidents = self.incidents.join("; ");
-        all.push((
+        check(
             "run",
             self.incidents.is_empty(),
             if incidents.is_empty() { "nothing odd".into() } else { incidents },
-        ));
+        );
         all
     }
 
@@ -124,7 +132,7 @@
                 ));
             }
         }
-        let failed: Vec<String> = self.checks().into_iter().filter(|c| !c.1).map(|c| c.2).collect();
+        let failed: Vec<String> = self.checks().into_iter().filter(|c| !c.met).map(|c| c.what).collect();
         if failed.is_empty() {
             Verdict::Passed
         } else {
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -35,6 +35,7 @@
             updates.close();
         }
         if let Some(thread) = self.thread.take() {
+            // A panic of the view is no reason to fail the run.
             let _ = thread.join();
         }
     }
@@ -128,9 +129,11 @@
         }
         match key.code {
             KeyCode::Char('q') | KeyCode::Esc => {
+                // The run may have ended by now.
                 let _ = commands.try_send(ViewCommand::Quit);
             }
             KeyCode::Char('c') if key.modifiers.contains(event::KeyModifiers::CONTROL) => {
+                // The run may have ended by now.
                 let _ = commands.try_send(ViewCommand::Quit);
             }
             KeyCode::Char('p') => paused = !paused,
@@ -151,6 +154,7 @@
 
 fn inject_fault(table: &Table, commands: &Sender<ViewCommand>, fault: Option<Fault>) {
     if let Some(destination) = table.chosen() {
+        // The run may have ended by now.
         let _ = commands.try_send(ViewCommand::InjectFault(destination as usize, fault));
     }
 }
