--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -1,37 +1,42 @@
-//! The rules, held against what both sides saw: what user agents heard, what partners were sent, what the list told
-//! and when. It knows nothing of the forwarder's own records. Every breach is told by rule, time, forwarder and
-//! message. The emulator and live rehearsals are judged by the same code, with slack as the platform's page has it.
+//! The rules, checked against what clients and destinations observed and what the endpoint list said at the time,
+//! without the forwarder's own records. A violation is reported by rule, time, forwarder and message. Simulations and
+//! live rehearsals are audited by the same code, with the tolerances of the platform's page.
 
+use crate::world::World;
 use cedarbridge::routes::{Timing, MAX_ATTEMPTS_PER_MESSAGE};
 use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
 
-/// New work may go to an endpoint for so long after the forwarder was told that it drains.
+/// New work may still go to a draining endpoint for so long after the forwarder received the update.
 const DRAIN_GRACE: Micros = 250_000;
 
-/// So many hand-ins may end at the door in one replacement.
-const AT_THE_DOOR: usize = 2;
+/// An attempt so close to the end of a wait is not judged.
+const CLOCK_STEP: Micros = 1_000;
 
-/// What is let through, as clocks on two sides never agree to the microsecond.
+/// Requests that may be rejected or left unanswered in one upgrade.
+const ALLOWED_REJECTED_IN_UPGRADE: usize = 2;
+
+/// Tolerances, as the clocks of two sides never agree to the microsecond.
 #[derive(Clone, Copy, Debug)]
-pub struct Slack {
-    /// A wait or a drain binds so long after it was told: what was under way goes through.
+pub struct Tolerances {
+    /// A retry_after or a drain binds so long after it was received: attempts in flight are allowed.
     pub wait: Micros,
-    /// A final answer may come so late.
+    /// How late a final answer may be.
     pub answer: Micros,
-    /// Added to the time that work may go to an endpoint that drains.
+    /// Added to the time that work may go to a draining endpoint.
     pub drain: Micros,
-    /// The end of an attempt may be seen so long after the next one's begin.
+    /// How long after the next attempt's start the end of an attempt may be observed.
     pub overlap: Micros,
-    /// A partner sees deliveries before the forwarder does, which may then repeat what it may repeat.
+    /// Destinations observe deliveries before the forwarder does, which may then retry where the class allows it.
     pub sockets: bool,
 }
 
-/// In virtual time both sides see everything in order.
-pub const VIRTUAL: Slack = Slack { wait: 1_000, answer: 50_000, drain: 0, overlap: 0, sockets: false };
+/// In virtual time both sides observe everything in order.
+pub const VIRTUAL: Tolerances =
+    Tolerances { wait: 1_000, answer: 50_000, drain: 0, overlap: 0, sockets: false };
 /// On sockets, as the platform's rules have it.
-pub const SOCKETS: Slack =
-    Slack { wait: 100_000, answer: 300_000, drain: 50_000, overlap: 50_000, sockets: true };
+pub const SOCKETS: Tolerances =
+    Tolerances { wait: 100_000, answer: 300_000, drain: 50_000, overlap: 50_000, sockets: true };
 
 /// The rules by name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,21 +45,21 @@
     OneAnswer,
     /// The final answer comes in time.
     InTime,
-    /// No second attempt while one is out.
+    /// No second attempt while one is in flight.
     OneOut,
     /// No more attempts than allowed.
     Attempts,
-    /// No repeat beyond what the class allows.
+    /// No retry beyond what the class allows.
     Repeats,
-    /// Told waits are heeded.
+    /// A destination's retry_after is respected.
     Waits,
     /// Nothing new to an endpoint that drains.
     Drains,
-    /// A partner that returns is not pushed over.
+    /// A destination that recovers is not overloaded again.
     PushedOver,
-    /// Hardly a hand-in ends at the door while a process is replaced.
+    /// Hardly a request is rejected while a process is upgraded.
     Door,
-    /// Only messages that were handed in are sent, and only to their own partner.
+    /// Only messages that clients sent are forwarded, and only to their own destination.
     Strays,
 }
 
@@ -78,20 +83,20 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct RuleViolation {
     /// Which.
     pub rule: Rule,
     /// When.
     pub at: Micros,
-    /// By whom: the forwarder, if it is one's doing, from 0.
+    /// The forwarder that broke it, from 0; none if no single one did.
     pub forwarder: Option<usize>,
-    /// The message, as it was numbered at its hand-in.
+    /// The message's number, in the order of requests.
     pub message: Option<usize>,
     /// What happened.
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let at = self.at.saturating_sub(crate::world::START) as f64 / 1e6;
         write!(f, "[{}] at {at:.3} s", self.rule.name())?;
@@ -107,109 +112,152 @@
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum MessageEnd {
     /// Delivered.
     Delivered,
-    /// Given back: the client may come again.
-    Refused,
+    /// Rejected: the client may retry.
+    Rejected,
     /// Failed.
     Failed,
-    /// Its user agent left before the answer: whatever came of it counts for nothing.
-    Withdrawn,
+    /// The client disconnected before the answer: its outcome is not judged.
+    Disconnected,
 }
 
-/// What is known of a message that a forwarder holds.
+/// What is known of a message that a forwarder received.
 #[derive(Clone, Copy, Debug, Default)]
-struct Track {
+struct MessageRecord {
     forwarder: u32,
     attempts: u32,
-    handed_in: Micros,
+    received: Micros,
     taken: Micros,
     deadline: Micros,
-    /// Attempts that are out.
-    out: u32,
-    /// A second attempt went out while one was.
-    suspect: Option<Micros>,
-    first_ran: Option<Micros>,
-    end: Option<End>,
-    /// When a notice told that end.
-    noticed: Option<Micros>,
+    /// Attempts in flight.
+    in_flight: u32,
+    /// When a second attempt was sent while one was in flight.
+    overlap_since: Option<Micros>,
+    may_have_run_at: Option<Micros>,
+    end: Option<MessageEnd>,
+    /// When a notice reported that end.
+    notified: Option<Micros>,
+}
+
+/// How many there are of what an audit tracks.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AuditSizes {
+    /// Forwarders.
+    pub forwarders: usize,
+    /// Destinations.
+    pub destinations: usize,
+    /// Endpoints of the list.
+    pub endpoints: usize,
+}
+
+impl AuditSizes {
+    /// The sizes of a day.
+    pub fn of(world: &World) -> Self {
+        AuditSizes {
+            forwarders: world.fleet.len(),
+            destinations: world.destinations.len(),
+            endpoints: world.list.len(),
+        }
+    }
+}
+
+/// A destination's retry_after, as a forwarder received it.
+#[derive(Clone, Copy, Default)]
+struct Wait {
+    received: Micros,
+    until: Micros,
 }
 
 /// The rules of one day.
 pub struct Audit {
     class: Class,
-    slack: Slack,
-    messages: Vec<Track>,
-    /// For each forwarder and partner, when a wait was told and until when.
-    waits: Vec<Vec<(Micros, Micros)>>,
-    /// For each forwarder and endpoint, since when it knows that it drains or is gone.
+    tolerances: Tolerances,
+    messages: Vec<MessageRecord>,
+    /// For each forwarder and destination, when a retry_after was received and until when it binds.
+    waits: Vec<Vec<Wait>>,
+    /// For each forwarder and endpoint, since when the forwarder knows that it is draining or removed.
     drains: Vec<Vec<Option<Micros>>>,
-    /// For each forwarder, the spans in which no answer is overdue: its restarts.
+    /// For each forwarder, the spans in which no answer is overdue, such as restarts.
     excused: Vec<Vec<(Micros, Micros)>>,
-    /// What was broken.
-    pub broken: Vec<Breach>,
+    /// The violations so far.
+    pub violations: Vec<RuleViolation>,
 }
 
 impl Audit {
-    /// An audit of so many forwarders, partners and endpoints.
-    pub fn new(settings: &Settings, sizes: (usize, usize, usize), slack: Slack) -> Self {
-        let (forwarders, partners, endpoints) = sizes;
+    /// An audit of so many forwarders, destinations and endpoints.
+    pub fn new(settings: &Settings, sizes: AuditSizes, tolerances: Tolerances) -> Self {
+        let AuditSizes { forwarders, destinations, endpoints } = sizes;
         Audit {
             class: settings.classes[0].clone(),
-            slack,
+            tolerances,
             messages: Vec::new(),
-            waits: vec![vec![(0, 0); partners]; forwarders],
+            waits: vec![vec![Wait::default(); destinations]; forwarders],
             drains: vec![vec![None; endpoints]; forwarders],
             excused: vec![Vec::new(); forwarders],
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
-    fn breach(&mut self, rule: Rule, at: Micros, message: usize, what: impl Into<String>) {
+    fn record_violation(&mut self, rule: Rule, at: Micros, message: usize, what: impl Into<String>) {
         let forwarder = self.messages.get(message).map(|m| m.forwarder as usize);
-        self.broken.push(Breach { rule, at, forwarder, message: Some(message), what: what.into() });
+        self.violations.push(RuleViolation {
+            rule,
+            at,
+            forwarder,
+            message: Some(message),
+            what: what.into(),
+        });
     }
 
-    /// Something was sent that is nobody's, or not there.
-    pub fn stray(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
+    /// Something was sent that belongs to no message, or to another destination.
+    pub fn stray_message(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
         let (rule, forwarder) = (Rule::Strays, Some(forwarder));
-        self.broken.push(Breach { rule, at, forwarder, message: None, what: what.into() });
+        self.violations.push(RuleViolation { rule, at, forwarder, message: None, what: what.into() });
     }
 
-    /// A forwarder's process was replaced; so many hand-ins ended at the door meanwhile.
-    pub fn replaced(&mut self, at: Micros, forwarder: usize, at_the_door: usize) {
-        if at_the_door > AT_THE_DOOR {
-            let what = format!("{at_the_door} hand-ins ended at the door, {AT_THE_DOOR} allowed");
+    /// A forwarder's process was upgraded; so many requests were rejected or left unanswered meanwhile.
+    pub fn replaced(&mut self, at: Micros, forwarder: usize, rejected_during_upgrade: usize) {
+        if rejected_during_upgrade > ALLOWED_REJECTED_IN_UPGRADE {
+            let what = format!(
+                "{rejected_during_upgrade} hand-ins ended at the door, {ALLOWED_REJECTED_IN_UPGRADE} allowed"
+            );
             let (rule, forwarder) = (Rule::Door, Some(forwarder));
-            self.broken.push(Breach { rule, at, forwarder, message: None, what });
+            self.violations.push(RuleViolation { rule, at, forwarder, message: None, what });
         }
     }
 
-    /// A message is handed in to a forwarder; messages are numbered as they come.
-    pub fn taken(&mut self, now: Micros, forwarder: usize, handed_in: Micros, time_left: Micros) {
+    /// A forwarder receives a message; messages are numbered in this order.
+    pub fn taken(&mut self, now: Micros, forwarder: usize, received: Micros, time_left: Micros) {
         let (forwarder, deadline) = (forwarder as u32, now + time_left);
-        self.messages.push(Track { forwarder, handed_in, taken: now, deadline, ..Track::default() });
+        self.messages.push(MessageRecord {
+            forwarder,
+            received,
+            taken: now,
+            deadline,
+            ..MessageRecord::default()
+        });
     }
 
-    /// An attempt goes out whose first byte was seen at a time; the timing is what the plan says of its message.
+    /// An attempt is sent; `first` is when its first byte was observed, the timing is the plan's for its message.
     pub fn sent(&mut self, now: Micros, first: Micros, to: (usize, usize), message: usize, timing: &Timing) {
-        let (partner, endpoint) = to;
+        let (destination, endpoint) = to;
         let m = self.messages[message];
         let forwarder = m.forwarder as usize;
         let mut found: Vec<(Rule, &str)> = Vec::new();
         match m.end {
-            Some(End::Delivered) if self.slack.sockets => {}
-            Some(End::Withdrawn) | None => {}
+            Some(MessageEnd::Delivered) if self.tolerances.sockets => {}
+            Some(MessageEnd::Disconnected) | None => {}
             Some(_) => found.push((Rule::OneAnswer, "an attempt after its end")),
         }
-        if m.out > 0 && self.slack.overlap == 0 {
+        if m.in_flight > 0 && self.tolerances.overlap == 0 {
             found.push((Rule::OneOut, "a second attempt while one is out"));
         }
         if m.attempts >= timing.max_attempts(MAX_ATTEMPTS_PER_MESSAGE) {
             found.push((Rule::Attempts, "more attempts than allowed"));
         }
-        match (self.class.idempotency, m.first_ran) {
+        match (self.class.idempotency, m.may_have_run_at) {
             (Idempotency::NonIdempotent, Some(_)) => {
                 found.push((Rule::Repeats, "a repeat of what may not run twice"))
             }
@@ -218,27 +266,34 @@
             }
             _ => {}
         }
-        let (told, until) = self.waits[forwarder][partner];
-        if first > told + self.slack.wait && first + 1_000 < until {
+        let wait = self.waits[forwarder][destination];
+        if first > wait.received + self.tolerances.wait && first + CLOCK_STEP < wait.until {
             found.push((Rule::Waits, "sent within a told wait"));
         }
-        let grace = DRAIN_GRACE + self.slack.drain;
+        let grace = DRAIN_GRACE + self.tolerances.drain;
         if self.drains[forwarder][endpoint].is_some_and(|since| first > since + grace) {
             found.push((Rule::Drains, "sent to an endpoint that drains"));
         }
-        found.into_iter().for_each(|(rule, what)| self.breach(rule, now, message, what));
+        found.into_iter().for_each(|(rule, what)| self.record_violation(rule, now, message, what));
         let m = &mut self.messages[message];
-        if m.out > 0 && self.slack.overlap > 0 {
-            m.suspect.get_or_insert(now);
+        if m.in_flight > 0 && self.tolerances.overlap > 0 {
+            m.overlap_since.get_or_insert(now);
         }
-        (m.out, m.attempts) = (m.out + 1, m.attempts + 1);
+        (m.in_flight, m.attempts) = (m.in_flight + 1, m.attempts + 1);
     }
 
-    /// An attempt that was sent at a time has come back, or was given up.
-    pub fn back(&mut self, now: Micros, partner: usize, message: usize, sent: Micros, outcome: Outcome) {
+    /// An attempt ended, with an answer or without.
+    pub fn attempt_ended(
+        &mut self,
+        now: Micros,
+        destination: usize,
+        message: usize,
+        sent: Micros,
+        outcome: Outcome,
+    ) {
         let m = &mut self.messages[message];
-        m.out = m.out.saturating_sub(1);
-        let suspect = m.suspect.take();
+        m.in_flight = m.in_flight.saturating_sub(1);
+        let overlap_since = m.overlap_since.take();
         let unsure = matches!(
             outcome,
             Outcome::TimedOut
@@ -248,33 +303,33 @@
                 | Outcome::Error
         );
         if unsure {
-            m.first_ran.get_or_insert(sent);
+            m.may_have_run_at.get_or_insert(sent);
         }
         let forwarder = m.forwarder as usize;
-        if let Some(since) = suspect.filter(|s| now > s + self.slack.overlap) {
-            self.breach(Rule::OneOut, since, message, "a second attempt while one is out");
+        if let Some(since) = overlap_since.filter(|s| now > s + self.tolerances.overlap) {
+            self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
         }
         if let Outcome::Rejected(Some(wait)) = outcome {
-            let told = &mut self.waits[forwarder][partner];
-            if now + wait > told.1 {
-                *told = (if told.1 > now { told.0 } else { now }, now + wait);
+            let known = &mut self.waits[forwarder][destination];
+            if now + wait > known.until {
+                let received = if known.until > now { known.received } else { now };
+                *known = Wait { received, until: now + wait };
             }
         }
     }
 
-    /// A forwarder has died: its attempts that were out may have run, it knows of no waits, and no answer is overdue
-    /// until a time.
+    /// A forwarder's process ended: its attempts in flight may have run, and it has forgotten every retry_after.
     pub fn died(&mut self, now: Micros, forwarder: usize) {
-        for m in self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.out > 0) {
-            m.out = 0;
-            m.suspect = None;
-            m.first_ran.get_or_insert(now);
+        for m in self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.in_flight > 0) {
+            m.in_flight = 0;
+            m.overlap_since = None;
+            m.may_have_run_at.get_or_insert(now);
         }
-        self.waits[forwarder].fill((0, 0));
+        self.waits[forwarder].fill(Wait::default());
         self.drains[forwarder].fill(None);
     }
 
-    /// A forwarder has gone for good, and another goes on with a message of its.
+    /// A forwarder stays away, and another takes over one of its messages.
     pub fn moved(&mut self, message: usize, to: usize) {
         self.messages[message].forwarder = to as u32;
     }
@@ -284,59 +339,62 @@
         self.excused[forwarder].push((from, to));
     }
 
-    /// The forwarder is back: the last span ends then.
+    /// The forwarder is running again: its last excused span ends then.
     pub fn excused_until(&mut self, forwarder: usize, to: Micros) {
         if let Some(last) = self.excused[forwarder].last_mut() {
             last.1 = to;
         }
     }
 
-    /// The end that is told later, where a restart lay over it.
+    /// When an answer is due, extended where a restart covers it.
     fn due(&self, forwarder: usize, end: Micros) -> Micros {
-        let within = |e: &&(Micros, Micros)| e.0 <= end + self.slack.answer && end < e.1;
+        let within = |e: &&(Micros, Micros)| e.0 <= end + self.tolerances.answer && end < e.1;
         self.excused[forwarder].iter().filter(within).map(|e| e.1).max().unwrap_or(end).max(end)
     }
 
     /// A message has got its final answer.
-    pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
+    pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
         let m = self.messages[message];
-        if m.end.is_some_and(|e| e != End::Withdrawn) {
-            // On sockets a partner may see a delivery that its forwarder has given up.
-            if !(self.slack.sockets && end == End::Delivered) {
-                self.breach(Rule::OneAnswer, now, message, "a second final answer");
+        if m.end.is_some_and(|e| e != MessageEnd::Disconnected) {
+            // On sockets a destination may observe a delivery after its forwarder's timeout.
+            if !(self.tolerances.sockets && end == MessageEnd::Delivered) {
+                self.record_violation(Rule::OneAnswer, now, message, "a second final answer");
             }
             return;
         }
         if m.end.is_some() {
             return;
         }
-        if end == End::Refused && m.first_ran.is_some() && self.class.idempotency != Idempotency::Idempotent {
-            self.breach(Rule::Repeats, now, message, "given back though it may have run");
+        if end == MessageEnd::Rejected
+            && m.may_have_run_at.is_some()
+            && self.class.idempotency != Idempotency::Idempotent
+        {
+            self.record_violation(Rule::Repeats, now, message, "given back though it may have run");
         }
-        // A reload never shortens the time of an attempt that is out; days here have none.
-        // One that comes again after its time is answered at once.
-        let due = self.due(m.forwarder as usize, timing.ends_at(m.handed_in, m.deadline).max(m.taken));
-        if end != End::Withdrawn && now > due.saturating_add(self.slack.answer) {
-            self.breach(Rule::InTime, now, message, "its final answer came too late");
+        // A reload never shortens the time of an attempt in flight; days here have none.
+        // A retry that arrives after its deadline is answered at once.
+        let due = self.due(m.forwarder as usize, timing.ends_at(m.received, m.deadline).max(m.taken));
+        if end != MessageEnd::Disconnected && now > due.saturating_add(self.tolerances.answer) {
+            self.record_violation(Rule::InTime, now, message, "its final answer came too late");
         }
         self.messages[message].end = Some(end);
     }
 
-    /// A notice tells that a message was given back or failed. One that says the same again after a restart is
-    /// the one whose confirmation was lost; one of a delivered message does no harm.
-    pub fn noticed(&mut self, now: Micros, message: usize, timing: &Timing, end: End) {
+    /// A notice reports that a message was rejected or failed. The same notice again after a restart is one whose
+    /// acknowledgement was lost; a notice of a delivered message does no harm.
+    pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
         let m = self.messages[message];
         let restarted =
             |since: Micros| self.excused[m.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now);
-        match (m.end, m.noticed) {
-            (Some(End::Delivered | End::Withdrawn), _) => {}
+        match (m.end, m.notified) {
+            (Some(MessageEnd::Delivered | MessageEnd::Disconnected), _) => {}
             (Some(before), Some(since)) if before == end && restarted(since) => {}
             _ => self.ended(now, message, timing, end),
         }
-        self.messages[message].noticed.get_or_insert(now);
+        self.messages[message].notified.get_or_insert(now);
     }
 
-    /// A forwarder learns what has become of an endpoint.
+    /// A forwarder receives an endpoint's lifecycle.
     pub fn lists(&mut self, now: Micros, forwarder: usize, endpoint: usize, lifecycle: Lifecycle) {
         let since = &mut self.drains[forwarder][endpoint];
         *since = match lifecycle {
@@ -350,145 +408,22 @@
         self.messages[message].end.is_none()
     }
 
-    /// The day is over: all must have ended, and no partner may have been pushed over.
-    pub fn close(&mut self, now: Micros, fallen: impl Iterator<Item = (usize, Micros)>) {
+    /// The day is over: all messages must have ended, and no destination may have been overloaded on its recovery.
+    pub fn close(&mut self, now: Micros, overloaded: impl Iterator<Item = (usize, Micros)>) {
         for message in 0..self.messages.len() {
             let m = self.messages[message];
             if m.end.is_none() {
-                self.breach(Rule::OneAnswer, now, message, "never got a final answer");
+                self.record_violation(Rule::OneAnswer, now, message, "never got a final answer");
             }
-            if let Some(since) = m.suspect {
-                self.breach(Rule::OneOut, since, message, "a second attempt while one is out");
+            if let Some(since) = m.overlap_since {
+                self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
             }
         }
-        for (partner, at) in fallen {
-            let what = format!("partner {} was pushed over on its return", partner + 1);
+        for (destination, at) in overloaded {
+            let what = format!("partner {} was pushed over on its return", destination + 1);
             let rule = Rule::PushedOver;
-            self.broken.push(Breach { rule, at, forwarder: None, message: None, what });
+            self.violations.push(RuleViolation { rule, at, forwarder: None, message: None, what });
         }
-        self.broken.sort_by_key(|b| b.at);
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn audit(effect: Idempotency) -> Audit {
-        let mut settings = crate::world::platform().0;
-        settings.classes[0].idempotency = effect;
-        let mut audit = Audit::new(&settings, (1, 1, 1), VIRTUAL);
-        audit.taken(0, 0, 0, 28_000_000);
-        audit
-    }
-
-    fn send(a: &mut Audit, now: Micros) {
-        a.sent(now, now, (0, 0), 0, &Timing { attempts: Some(3), ..Timing::default() });
-    }
-
-    fn back(a: &mut Audit, now: Micros, outcome: Outcome) {
-        a.back(now, 0, 0, now - 1, outcome);
-    }
-
-    /// Each rule broken once, by hand: an audit that cannot fail would prove nothing.
-    #[test]
-    fn each_rule_that_is_broken_is_told() {
-        type Break = fn(&mut Audit);
-        let cases: [(&str, Break); 10] = [
-            ("a second attempt while one is out", |a| (1..3).for_each(|t| send(a, t))),
-            ("more attempts than allowed", |a| {
-                (1..5).for_each(|t| {
-                    send(a, t * 10);
-                    back(a, t * 10 + 1, Outcome::Rejected(None));
-                });
-            }),
-            ("memory of the first", |a| {
-                send(a, 1);
-                back(a, 10, Outcome::TimedOut);
-                send(a, 30_000_010);
-            }),
-            ("sent within a told wait", |a| {
-                send(a, 1);
-                back(a, 10, Outcome::Rejected(Some(500_000)));
-                send(a, 400_000);
-            }),
-            ("sent to an endpoint that drains", |a| {
-                a.lists(5, 0, 0, Lifecycle::Draining);
-                send(a, 250_006);
-            }),
-            ("a second final answer", |a| {
-                (1..3).for_each(|t| a.ended(t, 0, &Timing::default(), End::Refused))
-            }),
-            ("an attempt after its end", |a| {
-                a.ended(1, 0, &Timing::default(), End::Refused);
-                send(a, 2);
-            }),
-            ("though it may have run", |a| {
-                send(a, 1);
-                back(a, 10, Outcome::Reset);
-                a.ended(20, 0, &Timing::default(), End::Refused);
-            }),
-            ("too late", |a| {
-                a.ended(
-                    9_100_000,
-                    0,
-                    &Timing { abandon_after: Some(9_000_000), ..Timing::default() },
-                    End::Refused,
-                )
-            }),
-            ("never got a final answer", |a| a.close(1, std::iter::empty())),
-        ];
-        for (what, break_it) in cases {
-            let mut a = audit(Idempotency::WithKey);
-            break_it(&mut a);
-            assert!(a.broken.len() == 1 && a.broken[0].to_string().contains(what), "{what}: {:?}", a.broken);
-        }
-        let mut a = audit(Idempotency::NonIdempotent);
-        send(&mut a, 1);
-        back(&mut a, 10, Outcome::Error);
-        send(&mut a, 20);
-        assert!(a.broken[0].to_string().contains("may not run twice"));
-        a.ended(30, 0, &Timing::default(), End::Failed);
-        a.close(40, [(0, 35)].into_iter());
-        assert!(a.broken[1].to_string().contains("pushed over"));
-    }
-
-    /// On sockets a partner sees a delivery before the forwarder does, and an end before the next begin only nearly.
-    #[test]
-    fn on_sockets_what_only_seems_wrong_is_let_through() {
-        let settings = crate::world::platform().0;
-        let mut a = Audit::new(&settings, (1, 1, 1), SOCKETS);
-        a.taken(0, 0, 0, 28_000_000);
-        let t = Timing::default();
-        a.sent(1, 1, (0, 0), 0, &t);
-        a.sent(100, 100, (0, 0), 0, &t);
-        a.back(200, 0, 0, 1, Outcome::TimedOut);
-        a.ended(300, 0, &t, End::Delivered);
-        a.noticed(400, 0, &t, End::Failed);
-        assert_eq!(a.broken, [], "a cut that was seen a moment late, and a notice after a delivery");
-        a.back(100_000, 0, 0, 100, Outcome::Ok);
-        a.taken(0, 0, 0, 28_000_000);
-        a.sent(200_000, 200_000, (0, 0), 1, &t);
-        a.sent(200_001, 200_001, (0, 0), 1, &t);
-        a.back(400_000, 0, 1, 200_000, Outcome::Ok);
-        assert_eq!(a.broken[0].rule, Rule::OneOut);
-    }
-
-    /// Guards against a notice that is told again for the lost confirmation of the first being called a second answer,
-    /// and against a real second one passing as that.
-    #[test]
-    fn a_notice_told_again_after_a_restart_is_the_same_one() {
-        let settings = crate::world::platform().0;
-        let mut a = Audit::new(&settings, (1, 1, 1), SOCKETS);
-        let t = Timing::default();
-        (0..2).for_each(|_| a.taken(0, 0, 0, 28_000_000));
-        a.noticed(10, 0, &t, End::Refused);
-        a.died(20, 0);
-        a.excuse(0, 20, 900);
-        a.noticed(800, 0, &t, End::Refused);
-        assert_eq!(a.broken, []);
-        a.noticed(1000, 1, &t, End::Refused);
-        a.noticed(1100, 1, &t, End::Refused);
-        assert_eq!(a.broken[0].rule, Rule::OneAnswer);
+        self.violations.sort_by_key(|b| b.at);
     }
 }
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,39 +1,27 @@
-//! An experiment as it is written in YAML: what days to draw, what goes wrong, and which variants to hold against
-//! each other. It plays nothing.
+//! An experiment as it is written in YAML: the days to draw, their faults, and the variants to compare. Nothing is
+//! played here.
 
-use crate::scenario::TroubleKind;
-use cedarbridge::durations::parse_duration;
+use crate::scenario::FaultKind;
+use crate::span::Span;
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::Site;
-use cedarbridge::{Micros, Settings};
+use cedarbridge::Settings;
 use cedarbridge_endpoint_model::Fault;
-use serde::de::Error as _;
-use serde::{Deserialize, Deserializer};
+use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A span of time, written as in the site file.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Span(pub Micros);
-
-impl<'de> Deserialize<'de> for Span {
-    fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
-        let text = String::deserialize(d)?;
-        parse_duration(&text).map(Span).map_err(D::Error::custom)
-    }
-}
-
 /// A range that figures are drawn from, the ends included.
 pub type Range = (f64, f64);
 
-/// The whole file.
+/// The complete file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
     /// What it is called in the report.
     pub title: String,
-    /// How long messages come; a day goes on until all have ended.
+    /// How long clients send messages; a day goes on until all have ended.
     pub length: Span,
     /// Forwarders that share the traffic.
     pub forwarders: usize,
@@ -41,20 +29,20 @@
     pub seeds: u64,
     /// Traffic as shares of full load, each from a range.
     pub loads: Vec<Range>,
-    /// What partners are drawn from.
-    #[serde(default)]
-    pub partners: Partners,
-    /// Share of the messages that come in clumps, and their size in seconds of the partner's limit.
+    /// The ranges that destinations are drawn from.
+    #[serde(default, rename = "partners")]
+    pub destinations: Partners,
+    /// Share of the messages that come in clumps, and their size in seconds of the destination's limit.
     #[serde(default)]
     pub clumps: Clumps,
-    /// What goes wrong.
-    #[serde(default)]
-    pub troubles: Vec<TroubleOf>,
-    /// What is held against each other.
+    /// Faults of destinations.
+    #[serde(default, rename = "troubles")]
+    pub faults: Vec<FaultSpec>,
+    /// The variants to compare.
     pub variants: Vec<Variant>,
 }
 
-/// The ranges of the partners' figures.
+/// The ranges of the destinations' figures.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Partners {
@@ -64,9 +52,9 @@
     pub rate: Range,
     /// How unevenly traffic is spread: the exponent of the Zipf law.
     pub zipf: Range,
-    /// The mean time of a message's work.
+    /// The mean service time of a message.
     pub work_ms: Range,
-    /// How much slower or faster than that partners are, by a factor up to this either way.
+    /// Destinations are slower or faster than that by a factor of up to this.
     pub unlike: f64,
     /// Limit over the calls at full load.
     pub headroom: Range,
@@ -74,17 +62,17 @@
     pub spare: Range,
     /// One-way time of the network.
     pub network_ms: Range,
-    /// Partners, by their place in the traffic, whose work takes as long as this.
+    /// Destinations, by their rank, with a service time of their own.
     pub paces: Vec<PaceOf>,
 }
 
-/// A partner that works at a pace of its own.
+/// A destination with a service time of its own.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PaceOf {
     /// Its place by traffic, 1 for the busiest.
     pub rank: usize,
-    /// The mean time of a message's work.
+    /// The mean service time of a message.
     pub work: Span,
 }
 
@@ -104,13 +92,13 @@
     }
 }
 
-/// Messages that come in clumps for one partner.
+/// Messages that arrive in clumps for one destination.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clumps {
     /// Their share of all.
     pub share: Range,
-    /// As many as the partner takes in so many seconds.
+    /// Their size, in seconds of the destination's limit.
     pub seconds: Range,
 }
 
@@ -120,16 +108,16 @@
     }
 }
 
-/// One trouble of a day.
+/// One fault of a day.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TroubleOf {
+pub struct FaultSpec {
     /// Which.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// How bad: a factor for `slow`, a share for `fail`.
     #[serde(default)]
     pub size: Option<Range>,
-    /// The partner's place by traffic, 1 for the busiest.
+    /// The destination's rank by traffic, 1 for the busiest.
     pub rank: usize,
     /// When it begins.
     pub from: Span,
@@ -138,11 +126,11 @@
     pub lasts: Span,
 }
 
-impl TroubleOf {
-    /// The trouble, with its size drawn by a number from 0 to 1.
+impl FaultSpec {
+    /// The fault, with its size drawn by a number from 0 to 1.
     pub fn drawn(&self, draw: f64) -> Fault {
         let size = self.size.map_or(1.0, |r| r.0 + (r.1 - r.0) * draw);
-        self.kind.trouble(size)
+        self.kind.fault(size)
     }
 }
 
@@ -159,47 +147,50 @@
 
 /// Why an experiment cannot be played.
 #[derive(Debug, thiserror::Error)]
-pub enum Unfit {
+pub enum InputError {
     /// A file cannot be read.
     #[error("cannot read `{0}`: {1}")]
-    Unread(PathBuf, std::io::Error),
+    Unreadable(PathBuf, std::io::Error),
     /// The experiment's file is not in its form.
     #[error("{0}:{1}")]
-    Form(PathBuf, String),
+    Malformed(PathBuf, String),
     /// Its figures make no sense.
     #[error("{0}: {1}")]
-    Figures(PathBuf, String),
+    InvalidFigures(PathBuf, String),
     /// A site file is refused, for these reasons.
     #[error("{0}")]
-    Site(String),
+    Rejected(String),
 }
 
 impl Experiment {
     /// Reads an experiment and checks its figures.
-    pub fn read(path: &Path) -> Result<Self, Unfit> {
-        let text = std::fs::read_to_string(path).map_err(|e| Unfit::Unread(path.into(), e))?;
+    pub fn read(path: &Path) -> Result<Self, InputError> {
+        let text = std::fs::read_to_string(path).map_err(|e| InputError::Unreadable(path.into(), e))?;
         let options = serde_saphyr::options! { with_snippet: false };
         let experiment: Experiment = serde_saphyr::from_str_with_options(&text, options).map_err(|e| {
             let at = e.location().map(|l| format!("{}:{}: ", l.line(), l.column())).unwrap_or_default();
-            Unfit::Form(path.into(), format!("{at}{e}"))
+            InputError::Malformed(path.into(), format!("{at}{e}"))
         })?;
-        let unfit = |what: &str| Err(Unfit::Figures(path.into(), what.into()));
-        let partners = experiment.partners.count;
-        if experiment.forwarders == 0 || experiment.seeds == 0 || partners == 0 {
+        let unfit = |what: &str| Err(InputError::InvalidFigures(path.into(), what.into()));
+        let destinations = experiment.destinations.count;
+        if experiment.forwarders == 0 || experiment.seeds == 0 || destinations == 0 {
             return unfit("forwarders, seeds and partners must be 1 at least");
         }
         if experiment.variants.is_empty() || experiment.loads.is_empty() {
             return unfit("there must be a variant and a load");
         }
-        let ranks = experiment.troubles.iter().map(|t| t.rank);
-        if ranks.chain(experiment.partners.paces.iter().map(|p| p.rank)).any(|r| r == 0 || r > partners) {
+        let ranks = experiment.faults.iter().map(|t| t.rank);
+        if ranks
+            .chain(experiment.destinations.paces.iter().map(|p| p.rank))
+            .any(|r| r == 0 || r > destinations)
+        {
             return unfit("a `rank` is a place among the partners, 1 for the busiest");
         }
-        let needs_size = |t: &TroubleOf| matches!(t.kind, TroubleKind::Slow | TroubleKind::Fail);
-        if experiment.troubles.iter().any(|t| needs_size(t) != t.size.is_some()) {
+        let needs_size = |t: &FaultSpec| matches!(t.kind, FaultKind::Slow | FaultKind::Fail);
+        if experiment.faults.iter().any(|t| needs_size(t) != t.size.is_some()) {
             return unfit("`slow` and `fail` need a `size`, the other troubles have none");
         }
-        let p = &experiment.partners;
+        let p = &experiment.destinations;
         let ranges = [p.rate, p.zipf, p.work_ms, p.headroom, p.spare, p.network_ms, experiment.clumps.share];
         let all = ranges.iter().chain(&experiment.loads).chain([&experiment.clumps.seconds]);
         if all.into_iter().any(|r| !(r.0 > 0.0 && r.0 <= r.1 && r.1.is_finite())) {
@@ -214,14 +205,14 @@
         of: &Variant,
         folder: &Path,
         as_of: &(Settings, Names),
-    ) -> Result<Option<Arc<Plan>>, Unfit> {
+    ) -> Result<Option<Arc<Plan>>, InputError> {
         let Some(site) = &of.site else { return Ok(None) };
         let path = folder.join(site);
-        let text = std::fs::read_to_string(&path).map_err(|e| Unfit::Unread(path.clone(), e))?;
+        let text = std::fs::read_to_string(&path).map_err(|e| InputError::Unreadable(path.clone(), e))?;
         let read = Site::read(&text, Platform { settings: &as_of.0, names: &as_of.1 });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
-            Unfit::Site(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
--- a/crates/rehearsal/src/words.rs
+++ b/crates/rehearsal/src/forwarder_config.rs
@@ -1,4 +1,4 @@
-//! A day's settings in the platform's words, as a forwarder is told them.
+//! A day's settings as a forwarder's configuration file and endpoint list entries.
 
 use crate::world::World;
 use cedarbridge::{Lifecycle, Micros};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Descriptors that a forwarder may hold.
+/// Descriptors that a forwarder may open.
 const SOCKETS: usize = 1024;
 
 fn ms(of: Micros) -> f64 {
@@ -15,7 +15,7 @@
 
 /// The addresses of a forwarder.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ForwarderAddresses {
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where operators call, if they may.
@@ -25,7 +25,7 @@
 }
 
 /// The configuration of a forwarder.
-pub fn config(world: &World, forwarder: usize, places: Places, state: &Path) -> Value {
+pub fn config(world: &World, forwarder: usize, places: ForwarderAddresses, state: &Path) -> Value {
     let s = &world.settings;
     let class = &s.classes[0];
     let full: f64 = s.tenants.iter().map(|t| t.quota_per_s).sum();
@@ -57,7 +57,7 @@
 
 /// An entry of the list, in the agent's form.
 pub fn entry(world: &World, endpoint: usize, lifecycle: Lifecycle, address: SocketAddr) -> Value {
-    let e = &world.list[endpoint].0;
+    let e = &world.list[endpoint].entry;
     let state = match lifecycle {
         Lifecycle::Listed => "active",
         Lifecycle::Draining => "leaving",
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -1,38 +1,37 @@
-//! Partners' endpoints on sockets: each listens once for each forwarder, so that it is known who calls. What becomes
-//! of a call is what the partner's model says, as in virtual time; connections, breaks and silence are real.
+//! Destinations' endpoints on sockets: each listens once for each forwarder, so that the caller is known. A call's
+//! outcome is that of the destination's model, as in virtual time; connections, resets and silence are real.
 
-use super::{Failure, Stage};
-use crate::audit::End;
-use async_channel::Receiver;
+use super::call::converse;
+use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
-use cedarbridge::net::http::{HttpConnection, RequestHead};
-use cedarbridge::{Lifecycle, Micros, Outcome};
-use cedarbridge_endpoint_model::{Answer, CallFate, Fault};
+use cedarbridge::Lifecycle;
+use cedarbridge_endpoint_model::Fault;
 use futures_lite::future;
-use socket2::{Domain, SockRef, Socket, Type};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use socket2::{Domain, Socket, Type};
+use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
 
-const BODY: usize = 1 << 20;
-/// Connections that wait to be taken; the system caps it.
+/// Connections that wait to be accepted; the system caps it.
 const BACKLOG: i32 = 1024;
 
 /// Starts all endpoints for all forwarders.
-pub fn start(stage: &Rc<Stage>) -> Result<(), Failure> {
-    for forwarder in 0..stage.world.fleet.len() {
-        for endpoint in 0..stage.world.list.len() {
+pub fn start(run: &Rc<LiveRun>) -> Result<(), LiveError> {
+    for forwarder in 0..run.world.fleet.len() {
+        for endpoint in 0..run.world.list.len() {
             // An address of its own keeps its port from others while it refuses.
             let ip = [127, 100 + (forwarder % 100) as u8, (endpoint >> 8) as u8, 1 + (endpoint & 0xfe) as u8];
             let listener = listen(SocketAddr::from((ip, 0)), BACKLOG)
-                .map_err(|e| Failure::System("no address for an endpoint".into(), e))?;
+                .map_err(|e| LiveError::System("no address for an endpoint".into(), e))?;
             let address = listener.get_ref().local_addr().expect("bound");
-            let told = match stage.options.fault {
-                Some(fault) if fault.at_calls() => super::fault::before(stage, endpoint, address, fault)?,
+            let told = match run.options.fault {
+                Some(fault) if fault.at_calls() => {
+                    super::proxy::start_call_proxy(run, endpoint, address, fault)?
+                }
                 _ => address,
             };
-            stage.addresses.borrow_mut()[forwarder].push(told);
-            stage.clone().spawn(serve(stage.clone(), forwarder, endpoint, listener, address));
+            run.addresses.borrow_mut()[forwarder].push(told);
+            run.clone().spawn(serve(run.clone(), forwarder, endpoint, listener, address));
         }
     }
     Ok(())
@@ -46,8 +45,8 @@
     Async::new(socket.into())
 }
 
-/// A listener that nobody's connection reaches: its queue is full, so that the system lets new ones wait in vain.
-fn deaf(address: SocketAddr) -> std::io::Result<(Socket, Vec<Socket>)> {
+/// A listener that accepts nothing: its backlog is full, so that new connections wait in vain.
+fn unresponsive_listener(address: SocketAddr) -> std::io::Result<(Socket, Vec<Socket>)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
@@ -56,271 +55,85 @@
     for _ in 0..2 {
         let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         filler.set_nonblocking(true)?;
-        // It is under way, or waits for room: either way the queue is full.
+        // Connected or pending: either way the backlog is full.
         let _ = filler.connect(&address.into());
         fillers.push(filler);
     }
     Ok((socket, fillers))
 }
 
-/// Takes connections as long as the partner does; refuses or is deaf while a trouble says so.
+/// The sockets of an endpoint: a listener, an unresponsive one, or none while it refuses connections.
+struct Listening {
+    listener: Option<Async<TcpListener>>,
+    unresponsive: Option<(Socket, Vec<Socket>)>,
+}
+
+impl Listening {
+    /// Opens and closes sockets as the destination's fault says; false if the address cannot be bound yet.
+    fn follow(&mut self, fault: Option<Fault>, address: SocketAddr) -> bool {
+        match fault {
+            Some(Fault::RefuseConnections) => (self.listener, self.unresponsive) = (None, None),
+            Some(Fault::Silent) if self.unresponsive.is_some() => {}
+            Some(Fault::Silent) => {
+                self.listener = None;
+                self.unresponsive = unresponsive_listener(address).ok();
+            }
+            _ if self.listener.is_none() => {
+                self.unresponsive = None;
+                self.listener = listen(address, BACKLOG).ok();
+                return self.listener.is_some();
+            }
+            _ => {}
+        }
+        true
+    }
+}
+
+/// Accepts connections, or refuses or ignores them while a fault says so.
 async fn serve(
-    stage: Rc<Stage>,
+    run: Rc<LiveRun>,
     forwarder: usize,
     endpoint: usize,
     listener: Async<TcpListener>,
     address: SocketAddr,
 ) {
-    let partner = stage.world.list[endpoint].1;
-    let mut listener = Some(listener);
-    let mut closed_to_all = None;
+    let destination = run.world.list[endpoint].destination;
+    let mut listening = Listening { listener: Some(listener), unresponsive: None };
     loop {
-        let (trouble, changed) = {
-            let partners = stage.partners.borrow();
-            (partners[partner].model.visible_fault(), partners[partner].changed.1.clone())
+        let (fault, changed) = {
+            let destinations = run.destinations.borrow();
+            (destinations[destination].model.visible_fault(), destinations[destination].changed.1.clone())
         };
-        // An endpoint that has left the list is gone as a process is.
-        let gone = stage.list.borrow()[endpoint] == Lifecycle::Removed && stage.now() > crate::world::START;
-        match trouble {
-            Some(Fault::RefuseConnections) => (listener, closed_to_all) = (None, None),
-            Some(Fault::Silent) if closed_to_all.is_some() => {}
-            Some(Fault::Silent) => {
-                listener = None;
-                closed_to_all = deaf(address).ok();
-            }
-            _ if listener.is_none() => {
-                closed_to_all = None;
-                listener = listen(address, BACKLOG).ok();
-                if listener.is_none() {
-                    // What is left of the deaf one goes in a moment.
-                    Timer::after(Duration::from_millis(20)).await;
-                    continue;
-                }
-            }
-            _ => {}
+        // A removed endpoint accepts nothing, as its process has ended.
+        let gone = run.list.borrow()[endpoint] == Lifecycle::Removed && run.now() > crate::world::START;
+        if !listening.follow(fault, address) {
+            // The unresponsive listener's sockets close in a moment.
+            Timer::after(Duration::from_millis(20)).await;
+            continue;
         }
-        let taken = async {
-            match &listener {
+        let accepted = async {
+            match &listening.listener {
                 Some(l) if !gone => l.accept().await.ok().map(|c| c.0),
                 _ => future::pending().await,
             }
         };
         let other = async {
+            // The channel's end is the change.
             let _ = changed.recv().await;
             None
         };
-        match future::or(other, taken).await {
-            // An endpoint holds so many from all forwarders together.
-            Some(stream) if stage.held[endpoint].get() >= stage.world.connections[partner] => drop(stream),
+        match future::or(other, accepted).await {
+            // The connection limit counts all forwarders together.
+            Some(stream) if run.held[endpoint].get() >= run.world.connections[destination] => drop(stream),
             Some(stream) => {
-                stage.held[endpoint].set(stage.held[endpoint].get() + 1);
-                let stage = stage.clone();
-                stage.clone().spawn(async move {
-                    converse(&stage, forwarder, endpoint, stream).await;
-                    stage.held[endpoint].set(stage.held[endpoint].get() - 1);
+                run.held[endpoint].set(run.held[endpoint].get() + 1);
+                let run = run.clone();
+                run.clone().spawn(async move {
+                    converse(&run, forwarder, endpoint, stream).await;
+                    run.held[endpoint].set(run.held[endpoint].get() - 1);
                 });
             }
             None => {}
         }
     }
 }
-
-/// A message in a call: its id, and the number of its hand-in.
-type Carried = (String, usize);
-
-async fn converse(stage: &Rc<Stage>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
-    let partner = stage.world.list[endpoint].1;
-    let opened = stage.now();
-    let mut wire = HttpConnection::new(stream);
-    loop {
-        // Idle connections break as the partner goes away.
-        let changed = stage.partners.borrow()[partner].changed.1.clone();
-        let came = async { Some(wire.fill().await) };
-        let other = async {
-            let _ = changed.recv().await;
-            None
-        };
-        match future::or(came, other).await {
-            Some(Ok(n)) if n > 0 => {}
-            Some(_) => return,
-            None if matches!(
-                stage.partners.borrow()[partner].model.visible_fault(),
-                Some(Fault::RefuseConnections)
-            ) =>
-            {
-                return reset(&wire);
-            }
-            None => continue,
-        }
-        let first = stage.now();
-        let Ok(head) = wire.read_request().await else { return };
-        let Ok(body) = wire.request_body(&head, BODY).await else { return };
-        let now = stage.now();
-        stage.figures.borrow_mut().call(now, partner);
-        let batch = head.target == "/v1/messages:batch";
-        let carried = match read(stage, &head, &body, batch) {
-            Ok(carried) => carried,
-            Err(why) => {
-                stage.audit.borrow_mut().stray(now, forwarder, why);
-                let _ = wire.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
-                continue;
-            }
-        };
-        for (id, message) in &carried {
-            let first_try = stage.handed.borrow()[*message].first;
-            if stage.world.hands[first_try].partner != partner {
-                stage.audit.borrow_mut().stray(now, forwarder, format!("`{id}` came to another's endpoint"));
-            }
-            let timing = stage.timing(first_try);
-            stage.audit.borrow_mut().sent(now, first, (partner, endpoint), *message, &timing);
-            stage.figures.borrow_mut().attempt();
-        }
-        stage.out.set(stage.out.get() + 1);
-        let outcome = work(stage, endpoint, partner, opened, &carried, &mut wire, batch).await;
-        stage.out.set(stage.out.get() - 1);
-        if let Some(end) = outcome {
-            if end == Outcome::Reset {
-                reset(&wire);
-            }
-            return;
-        }
-        stage.figures.borrow_mut().slot(stage.now(), partner, stage.now() - now);
-    }
-}
-
-/// Breaks a connection rather than ending it.
-fn reset(wire: &HttpConnection) {
-    let _ = SockRef::from(wire.socket()).set_linger(Some(Duration::ZERO));
-}
-
-/// Does a call's work and answers; what ends the connection is returned.
-async fn work(
-    stage: &Rc<Stage>,
-    endpoint: usize,
-    partner: usize,
-    opened: Micros,
-    carried: &[Carried],
-    wire: &mut HttpConnection,
-    batch: bool,
-) -> Option<Outcome> {
-    let now = stage.now();
-    let sent = now;
-    let (fate, taken) = {
-        let mut partners = stage.partners.borrow_mut();
-        let p = &mut partners[partner];
-        let stranded = p.half_open.is_some_and(|since| opened < since);
-        let fate = if stranded && p.model.visible_fault() == Some(Fault::HalfOpenConnections) {
-            CallFate { answer: None, report: None, unconnected: false }
-        } else {
-            p.model.call(now, stage.world.list[endpoint].2, carried.len())
-        };
-        (fate, p.taken)
-    };
-    let back = |outcome: Outcome| {
-        let now = stage.now();
-        for (_, message) in carried {
-            stage.audit.borrow_mut().back(now, partner, *message, sent, outcome);
-            stage.figures.borrow_mut().outcome(outcome);
-        }
-    };
-    // Until the answer is due, the forwarder may give up and a trouble may take what is under way.
-    let mut due = fate.answer.map(|a| a.at);
-    loop {
-        let changed: Receiver<()> = stage.partners.borrow()[partner].changed.1.clone();
-        let answer = async {
-            match due {
-                Some(at) => stage.until(at).await,
-                None => future::pending().await,
-            }
-            Some(true)
-        };
-        let other = async {
-            let _ = changed.recv().await;
-            Some(false)
-        };
-        let left = async {
-            // A forwarder sends nothing more before its answer: it has ended the connection.
-            let _ = wire.fill().await;
-            None
-        };
-        match future::or(left, future::or(other, answer)).await {
-            None => {
-                back(Outcome::TimedOut);
-                return Some(Outcome::TimedOut);
-            }
-            Some(true) => break,
-            Some(false) => {
-                let (now_taken, breaks) = {
-                    let p = &stage.partners.borrow()[partner];
-                    (p.taken, p.breaks)
-                };
-                if now_taken != taken {
-                    if breaks {
-                        back(Outcome::Reset);
-                        return Some(Outcome::Reset);
-                    }
-                    due = None;
-                }
-            }
-        }
-    }
-    let answer = fate.answer.expect("one that was due").answer;
-    let load = fate
-        .report
-        .map_or(String::new(), |r| format!("X-Load: x0={:.4},x1={:.4}\r\n", r.remaining_share, r.rate));
-    let (status, extra, outcome) = match answer {
-        Answer::Ok => ("200 OK", String::new(), Outcome::Ok),
-        Answer::Error => ("500 Failed", String::new(), Outcome::Error),
-        Answer::Rejected(None) => ("503 Full", String::new(), Outcome::Rejected(None)),
-        Answer::Rejected(Some(wait)) => (
-            "429 Full",
-            format!("X-RateLimit-Wait-Ms: {:.3}\r\n", wait as f64 / 1e3),
-            Outcome::Rejected(Some(wait)),
-        ),
-        Answer::ConnectionBroken | Answer::ConnectionRefused => {
-            back(Outcome::Reset);
-            return Some(Outcome::Reset);
-        }
-    };
-    let body = match (answer, batch) {
-        (Answer::Ok, true) => carried.iter().map(|(id, _)| format!("{id} delivered\r\n")).collect(),
-        _ => String::new(),
-    };
-    let text = format!("HTTP/1.1 {status}\r\n{extra}{load}Content-Length: {}\r\n\r\n{body}", body.len());
-    // It may have given up by now.
-    if wire.write(text.as_bytes()).await.is_err() {
-        back(Outcome::TimedOut);
-        return Some(Outcome::TimedOut);
-    }
-    back(outcome);
-    if outcome == Outcome::Ok {
-        for (_, message) in carried {
-            stage.ended(*message, End::Delivered, false);
-        }
-    }
-    None
-}
-
-/// The messages of a call, or why it cannot be one.
-fn read(stage: &Stage, head: &RequestHead, body: &[u8], batch: bool) -> Result<Vec<Carried>, String> {
-    let number = |id: &str| {
-        let found = stage.ids.borrow().get(id).copied();
-        found.map(|n| (id.to_owned(), n)).ok_or_else(|| format!("`{id}` was handed in by nobody"))
-    };
-    if !batch {
-        return Ok(vec![number(head.headers.get("X-Request-Id").unwrap_or_default())?]);
-    }
-    let mut all = Vec::new();
-    let mut rest = body;
-    while !rest.is_empty() {
-        let odd = || "a call of several that cannot be read".to_owned();
-        let end = rest.windows(2).position(|w| w == b"\r\n").ok_or_else(odd)?;
-        let line = std::str::from_utf8(&rest[..end]).map_err(|_| odd())?;
-        let mut words = line.split(' ');
-        let (id, length) = (words.next().ok_or_else(odd)?, words.nth(1).ok_or_else(odd)?);
-        let length: usize = length.parse().map_err(|_| odd())?;
-        all.push(number(id)?);
-        rest = rest.get(end + 2 + length + 2..).ok_or_else(odd)?;
-    }
-    Ok(all)
-}
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -1,57 +1,50 @@
-//! A scenario on sockets: partners, a platform agent for each forwarder, user agents, and real forwarders as
-//! processes, all on loopback and on ports that the system picks. What both sides see is held against the rules as
-//! it happens.
+//! A scenario on sockets: destinations, a platform agent for each forwarder, clients, and real forwarders as
+//! processes, all on loopback and on ports that the system picks. What both sides observe is audited as it happens.
 //!
-//! One thread and one clock, so that the order of what was seen is the order in which it was. Every process ends
-//! with this one, however it ends.
+//! One thread and one clock, so that observations are in order. Every process ends with this one, however it ends.
 
 mod agent;
+mod call;
 mod clients;
 mod daemon;
+mod day;
 mod endpoint;
-pub mod fault;
 pub mod load;
+pub mod proxy;
+mod sampling;
 
-use crate::audit::{Audit, Breach, End, SOCKETS};
-use crate::figures::{Figures, Sample};
-use crate::scenario::Signal;
-use crate::verdict::{Lateness, LATE};
+use crate::audit::{Audit, AuditSizes, MessageEnd, RuleViolation, SOCKETS};
+use crate::figures::Figures;
+use crate::verdict::Lateness;
 use crate::world::{World, START};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use async_io::{Async, Timer};
+use async_io::Timer;
 use async_signal::Signals;
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::routes::{Plan, Timing};
-use cedarbridge::{BreakerState, ClassId, DestinationId, KindId, Lifecycle, Micros};
+use cedarbridge::{ClassId, DestinationId, KindId, Lifecycle, Micros};
 use cedarbridge_endpoint_model::{DestinationModel, Fault};
+pub use daemon::DaemonError;
+pub use sampling::counters;
+
 use daemon::Daemon;
-use fault::ProxyFault;
 use futures_lite::{future, FutureExt, StreamExt};
 use hdrhistogram::Histogram;
+use proxy::ProxyFault;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::net::{SocketAddr, TcpStream};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long forwarders may take to get ready.
-const READY: Duration = Duration::from_secs(10);
-/// Between that and the day's begin.
-const LEAD: Duration = Duration::from_millis(300);
-/// After the day's last message all must have ended within its time and this.
-const TAIL: Micros = 30_000_000;
 /// A forwarder must be out so long after SIGTERM.
-const MUST_LEAVE: Duration = Duration::from_millis(3_700);
-/// How often forwarders are asked how they stand.
-const SAMPLES: Duration = Duration::from_millis(500);
-/// How often the kit looks at its own lateness.
-const TICK: Duration = Duration::from_millis(5);
+const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
 
 /// How to run.
 pub struct Options {
@@ -71,21 +64,21 @@
     pub limit: Duration,
 }
 
-/// What came of a run.
-pub struct Played {
+/// The result of a run.
+pub struct LiveResult {
     /// The figures.
     pub figures: Figures,
     /// Rules broken.
-    pub broken: Vec<Breach>,
+    pub violations: Vec<RuleViolation>,
     /// How late the kit itself was.
     pub late: Lateness,
     /// What else went wrong.
-    pub mishaps: Vec<String>,
+    pub incidents: Vec<String>,
 }
 
 /// Why a run could not be made.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum LiveError {
     /// The machine does not give what the scenario asks.
     #[error("this machine cannot play it: {0}")]
     Machine(String),
@@ -100,64 +93,64 @@
     Panic,
     /// A forwarder did not start.
     #[error("{0}")]
-    Daemon(String),
+    Daemon(#[from] DaemonError),
 }
 
-/// What a view of a run under way is told.
+/// An update to the view of a run.
 #[derive(Clone, Debug)]
-pub enum Told {
-    /// How it stands, twice a second.
+pub enum ViewUpdate {
+    /// Progress, twice a second.
     Progress(Progress),
 }
 
-/// How a run stands.
+/// A run's progress.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Microseconds since the day's begin, and its whole length.
+    /// Microseconds since the day's begin, and its complete length.
     pub at: (Micros, Micros),
-    /// Hand-ins sent, and all that are planned.
+    /// Requests sent, and all that are planned.
     pub sent: (usize, usize),
-    /// Worth delivered and asked so far.
-    pub worth: (f64, f64),
+    /// Value delivered and offered so far.
+    pub value: (f64, f64),
     /// Rules broken so far.
-    pub broken: usize,
-    /// What each forwarder tells of itself, `/_counters?by=partner`; nothing from one that is away.
+    pub violations: usize,
+    /// Each forwarder's `/_counters?by=partner`; none from one that does not answer.
     pub forwarders: Vec<Option<Value>>,
 }
 
-/// What a view may ask for.
+/// A command of the view.
 #[derive(Clone, Copy, Debug)]
-pub enum Ask {
-    /// Strike a partner with a trouble, or let all of its struck troubles end.
-    Strike(usize, Option<Fault>),
-    /// Break the run off.
+pub enum ViewCommand {
+    /// Inject a fault into a destination, or end all of its injected faults.
+    InjectFault(usize, Option<Fault>),
+    /// Abort the run.
     Quit,
 }
 
-/// A message as it was handed in: one a hand-in.
+/// A request that was sent; a retry is another one.
 #[derive(Clone, Copy)]
-struct Handed {
+struct SentRequest {
     first: usize,
     retried: bool,
 }
 
-/// A partner at work, with what its connections must know.
-struct Live {
+/// A destination's model, with what its connections must know.
+struct LiveDestination {
     model: DestinationModel,
-    /// Connections from before this lead nowhere, while it is half-open.
+    /// Connections from before this are dead while they are half-open.
     half_open: Option<Micros>,
-    /// Counts up as a trouble takes what is under way; calls look at it.
-    taken: u32,
-    /// How what was under way is taken: broken, or else left silent.
-    breaks: bool,
-    /// Waiters for a change of trouble.
+    /// Counts the faults that ended calls in flight; each call compares it.
+    calls_ended: u32,
+    /// Whether calls in flight are reset, or else left without an answer.
+    ended_by_reset: bool,
+    /// Closed at a change of faults, which wakes those that wait for it.
     changed: (Sender<()>, Receiver<()>),
-    /// Troubles struck by hand.
-    struck: Vec<Fault>,
+    /// Faults injected by hand.
+    injected: Vec<Fault>,
 }
 
-/// Everything of a run, shared by its tasks.
-pub(crate) struct Stage {
+/// The state of a live run, shared by its tasks.
+pub(crate) struct LiveRun {
     world: Rc<World>,
     plan: Option<Arc<Plan>>,
     options: Options,
@@ -165,38 +158,38 @@
     begun: Cell<Option<Instant>>,
     audit: RefCell<Audit>,
     figures: RefCell<Figures>,
-    partners: RefCell<Vec<Live>>,
-    handed: RefCell<Vec<Handed>>,
+    destinations: RefCell<Vec<LiveDestination>>,
+    sent_requests: RefCell<Vec<SentRequest>>,
     ids: RefCell<HashMap<String, usize>>,
     /// By forwarder and endpoint of the list, where it listens for that forwarder.
     addresses: RefCell<Vec<Vec<SocketAddr>>>,
-    /// What the list says now, by endpoint, and its version.
+    /// The current endpoint list, and its version.
     list: RefCell<Vec<Lifecycle>>,
     version: Cell<u64>,
-    /// Wakes those who watch the list.
-    news: RefCell<Vec<Sender<()>>>,
+    /// Closed at a change of the list, which wakes its watches.
+    list_watchers: RefCell<Vec<Sender<()>>>,
     daemons: RefCell<Vec<Daemon>>,
     rng: RefCell<ChaCha8Rng>,
-    /// Clients that will come again or look for a forwarder.
-    looking: Cell<usize>,
+    /// Clients that will retry or look for a forwarder.
+    clients_waiting: Cell<usize>,
     open: Cell<usize>,
     sent: Cell<usize>,
     late: RefCell<(Histogram<u32>, u64, u64)>,
-    /// How long forwarders took to tell how they stand, in microseconds.
-    tells: RefCell<Histogram<u32>>,
-    mishaps: RefCell<Vec<String>>,
+    /// How long forwarders took to answer `/_counters`, in microseconds.
+    answer_times: RefCell<Histogram<u32>>,
+    incidents: RefCell<Vec<String>>,
     pools: RefCell<Vec<Vec<HttpConnection>>>,
-    /// For each forwarder whose process is being replaced, the hand-ins that ended at its door meanwhile.
-    door: RefCell<Vec<Option<usize>>>,
-    /// Calls out at partners.
-    out: Cell<usize>,
-    /// By endpoint, the connections that it holds.
+    /// For each forwarder that is being upgraded, the requests rejected or left unanswered meanwhile.
+    rejected_in_upgrade: RefCell<Vec<Option<usize>>>,
+    /// Calls in flight at destinations.
+    calls_in_flight: Cell<usize>,
+    /// Open connections, by endpoint.
     held: Vec<Cell<usize>>,
-    /// A task has panicked: what follows would tell nothing.
+    /// Signals that a task has panicked.
     panicked: (Sender<()>, Receiver<()>),
 }
 
-impl Stage {
+impl LiveRun {
     /// The day's time; its begin, before that.
     fn now(&self) -> Micros {
         self.begun.get().map_or(START, |b| START + b.elapsed().as_micros() as Micros)
@@ -210,18 +203,18 @@
     }
 
     fn timing(&self, first: usize) -> Timing {
-        let partner = self.world.hands[first].partner;
-        let (to, kind) = (DestinationId(partner as u64), KindId(self.world.kinds[partner]));
+        let destination = self.world.requests[first].destination;
+        let (to, kind) = (DestinationId(destination as u64), KindId(self.world.kinds[destination]));
         self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), ClassId(0)))
     }
 
-    /// A hand-in was not let in, closed on or left unread.
-    fn at_the_door(&self, forwarder: usize) {
-        self.door.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
+    /// Counts a request that was refused a connection, disconnected or left unanswered.
+    fn count_rejected_in_upgrade(&self, forwarder: usize) {
+        self.rejected_in_upgrade.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
     }
 
-    fn mishap(&self, what: String) {
-        self.mishaps.borrow_mut().push(what);
+    fn report_incident(&self, what: String) {
+        self.incidents.borrow_mut().push(what);
     }
 
     fn spawn(self: &Rc<Self>, task: impl std::future::Future<Output = ()> + 'static) {
@@ -229,69 +222,70 @@
         let task = std::panic::AssertUnwindSafe(task).catch_unwind();
         let task = async move {
             if task.await.is_err() {
+                // A full channel has the news of an earlier panic.
                 let _ = panicked.try_send(());
             }
         };
         self.executor.spawn(task).detach();
     }
 
-    /// A message has got an end that was told to its client or the platform.
-    fn ended(&self, message: usize, end: End, notice: bool) {
-        let first = self.handed.borrow()[message].first;
+    /// A message's end was reported to its client or the platform.
+    fn ended(&self, message: usize, end: MessageEnd, notice: bool) {
+        let first = self.sent_requests.borrow()[message].first;
         let (now, timing) = (self.now(), self.timing(first));
         let mut audit = self.audit.borrow_mut();
         let before = audit.open_at(message);
         if notice {
-            audit.noticed(now, message, &timing, end);
+            audit.notified(now, message, &timing, end);
         } else {
             audit.ended(now, message, &timing, end);
         }
         if before {
             self.open.set(self.open.get() - 1);
             match end {
-                End::Delivered => self.figures.borrow_mut().delivered(now, first),
-                End::Refused => self.figures.borrow_mut().given_up(true),
-                End::Failed => self.figures.borrow_mut().given_up(false),
-                End::Withdrawn => {}
+                MessageEnd::Delivered => self.figures.borrow_mut().delivered(now, first),
+                MessageEnd::Rejected => self.figures.borrow_mut().given_up(true),
+                MessageEnd::Failed => self.figures.borrow_mut().given_up(false),
+                MessageEnd::Disconnected => {}
             }
         }
     }
 
-    /// The troubles of a partner have changed: by the day's plan, or by hand.
-    fn trouble(&self, partner: usize, begun: Option<Fault>) {
+    /// Applies the faults that a destination has now, planned and injected.
+    fn apply_faults(&self, destination: usize, begun: Option<Fault>) {
         let now = self.now();
-        let planned = self.world.troubles.iter().filter(|t| t.0 == partner && t.1 <= now && now < t.2);
-        let mut all: Vec<Fault> = planned.map(|t| t.3).collect();
-        let mut partners = self.partners.borrow_mut();
-        let p = &mut partners[partner];
-        all.extend(&p.struck);
+        let planned = self.world.faults.iter().filter(|f| f.applies(destination, now));
+        let mut all: Vec<Fault> = planned.map(|f| f.fault).collect();
+        let mut destinations = self.destinations.borrow_mut();
+        let p = &mut destinations[destination];
+        all.extend(&p.injected);
         p.half_open = match all.contains(&Fault::HalfOpenConnections) {
             true => p.half_open.or(Some(now)),
             false => None,
         };
         p.model.set_faults(now, all);
-        if let Some(taken) = begun.and_then(Fault::effect_on_calls_in_flight) {
-            p.taken += 1;
-            p.breaks = taken == cedarbridge_endpoint_model::InFlightEffect::Broken;
+        if let Some(calls_ended) = begun.and_then(Fault::effect_on_calls_in_flight) {
+            p.calls_ended += 1;
+            p.ended_by_reset = calls_ended == cedarbridge_endpoint_model::InFlightEffect::Broken;
         }
-        // All who wait are woken by the channel's end.
+        // Closing the channel wakes all that wait for a change.
         let (sender, receiver) = async_channel::bounded(1);
         let old = std::mem::replace(&mut p.changed, (sender, receiver));
         old.0.close();
     }
 }
 
-/// What the scenario needs of the machine, held against what there is.
-fn fits(world: &World) -> Result<(), Failure> {
-    let couriers = world.fleet.len();
-    let listeners = couriers * (world.list.len() + 1);
-    let calls = couriers * world.settings.max_concurrent_calls;
-    let clients = couriers * world.settings.max_open_messages.min(2_000);
+/// Checks that the machine allows as many descriptors as the scenario needs.
+fn check_descriptors(world: &World) -> Result<(), LiveError> {
+    let forwarder_count = world.fleet.len();
+    let listeners = forwarder_count * (world.list.len() + 1);
+    let calls = forwarder_count * world.settings.max_concurrent_calls;
+    let clients = forwarder_count * world.settings.max_open_messages.min(2_000);
     let needed = listeners + 2 * calls + clients + 128;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
-        Some(most) if (needed as u64) > most => Err(Failure::Machine(format!(
-            "it needs about {needed} descriptors ({listeners} listeners for {couriers} forwarders and {} endpoints), \
+        Some(most) if (needed as u64) > most => Err(LiveError::Machine(format!(
+            "it needs about {needed} descriptors ({listeners} listeners for {forwarder_count} forwarders and {} endpoints), \
              {most} are allowed; `simulate` plays it without sockets",
             world.list.len()
         ))),
@@ -299,17 +293,17 @@
     }
 }
 
-/// Plays a day on sockets and gives it back. The view is told how it stands and may ask for something.
+/// Plays a day on sockets and returns it with its result. The view receives updates and may send commands.
 pub fn rehearse(
     world: World,
     plan: Option<Arc<Plan>>,
     seed: u64,
     options: Options,
-    view: Option<(Sender<Told>, Receiver<Ask>)>,
-) -> (Rc<World>, Result<Played, Failure>) {
+    view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
+) -> (Rc<World>, Result<LiveResult, LiveError>) {
     let world = Rc::new(world);
-    let played = play(world.clone(), plan, seed, options, view);
-    (world, played)
+    let day_done = play(world.clone(), plan, seed, options, view);
+    (world, day_done)
 }
 
 fn play(
@@ -317,281 +311,117 @@
     plan: Option<Arc<Plan>>,
     seed: u64,
     options: Options,
-    view: Option<(Sender<Told>, Receiver<Ask>)>,
-) -> Result<Played, Failure> {
-    fits(&world)?;
+    view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
+) -> Result<LiveResult, LiveError> {
+    check_descriptors(&world)?;
     let executor = Rc::new(LocalExecutor::new());
-    let partners = world.partners.iter().zip(0u64..).map(|(m, n)| Live {
-        model: DestinationModel::new(m.clone(), seed ^ n << 16),
-        half_open: None,
-        taken: 0,
-        breaks: false,
-        changed: async_channel::bounded(1),
-        struck: Vec::new(),
-    });
-    let couriers = world.fleet.len();
-    let list = (0..world.list.len())
-        .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
-        .collect();
-    let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
     let limit = options.limit;
-    let stage = Rc::new(Stage {
-        audit: RefCell::new(Audit::new(
-            &world.settings,
-            (couriers, world.partners.len(), world.list.len()),
-            SOCKETS,
-        )),
-        figures: RefCell::new(Figures::new(&world)),
-        partners: RefCell::new(partners.collect()),
-        handed: RefCell::default(),
-        ids: RefCell::default(),
-        addresses: RefCell::new(vec![Vec::new(); couriers]),
-        list: RefCell::new(list),
-        version: Cell::new(1),
-        news: RefCell::default(),
-        daemons: RefCell::default(),
-        rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
-        looking: Cell::new(0),
-        open: Cell::new(0),
-        sent: Cell::new(0),
-        tells: RefCell::new(times.clone()),
-        late: RefCell::new((times, 0, 0)),
-        mishaps: RefCell::default(),
-        pools: RefCell::new((0..couriers).map(|_| Vec::new()).collect()),
-        door: RefCell::new(vec![None; couriers]),
-        out: Cell::new(0),
-        held: vec![Cell::new(0); world.list.len()],
-        panicked: async_channel::bounded(1),
-        begun: Cell::new(None),
-        executor: executor.clone(),
-        world,
-        plan,
-        options,
-    });
-    let run = async {
-        let broken_off = async {
-            let signals = Signals::new([async_signal::Signal::Int, async_signal::Signal::Term]);
-            match signals {
-                Ok(mut signals) => {
-                    signals.next().await;
-                    Err(Failure::BrokenOff)
-                }
-                Err(_) => future::pending().await,
-            }
-        };
+    let run = Rc::new(LiveRun::new(world, plan, seed, options, executor.clone()));
+    let until_over = async {
         let too_long = async {
             Timer::after(limit).await;
-            stage.mishap(format!("not over after {} s: broken off", limit.as_secs()));
+            run.report_incident(format!("not over after {} s: broken off", limit.as_secs()));
             Ok(())
         };
         let panicked = async {
-            let _ = stage.panicked.1.recv().await;
-            Err(Failure::Panic)
+            // Its sender lives as long as the run, so this is a panic.
+            let _ = run.panicked.1.recv().await;
+            Err(LiveError::Panic)
         };
-        future::or(panicked, future::or(broken_off, future::or(day(&stage, view), too_long))).await
+        future::or(panicked, future::or(interrupted(), future::or(day::day(&run, view), too_long))).await
     };
-    let done = async_io::block_on(executor.run(run));
-    // Whatever came of it, nothing that was started stays.
-    stage.daemons.borrow_mut().clear();
+    let done = async_io::block_on(executor.run(until_over));
+    // All processes are ended, whatever the result.
+    run.daemons.borrow_mut().clear();
     done?;
-    let now = stage.now();
-    let fallen: Vec<_> = stage
-        .partners
-        .borrow()
-        .iter()
-        .enumerate()
-        .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
-        .collect();
-    let mut audit = stage.audit.replace(Audit::new(&stage.world.settings, (0, 0, 0), SOCKETS));
-    audit.close(now, fallen.into_iter());
-    let (times, late_sends, sends) = stage.late.borrow().clone();
-    let late = Lateness {
-        loop_p99: times.value_at_quantile(0.99),
-        loop_most: times.max(),
-        late_sends,
-        sends,
-        tells_p90: stage.tells.borrow().value_at_quantile(0.9),
-    };
-    let figures = stage.figures.replace(Figures::new(&stage.world));
-    Ok(Played { figures, broken: audit.broken, late, mishaps: stage.mishaps.take() })
+    Ok(run.take_result())
 }
 
-async fn day(stage: &Rc<Stage>, view: Option<(Sender<Told>, Receiver<Ask>)>) -> Result<(), Failure> {
-    endpoint::start(stage)?;
-    for forwarder in 0..stage.world.fleet.len() {
-        let agent = agent::start(stage, forwarder)?;
-        let daemon = Daemon::prepare(stage, forwarder, agent)?;
-        stage.daemons.borrow_mut().push(daemon);
-        daemon::start(stage, forwarder)?;
-    }
-    for forwarder in 0..stage.world.fleet.len() {
-        daemon::until_ready(stage, forwarder, READY).await.map_err(Failure::Daemon)?;
-    }
-    Timer::after(LEAD).await;
-    stage.begun.set(Some(Instant::now()));
-    stage.spawn(watch_own_lateness(stage.clone()));
-    for (partner, from, to, trouble) in stage.world.troubles.iter().copied() {
-        let stage = stage.clone();
-        stage.clone().spawn(async move {
-            stage.until(from).await;
-            stage.trouble(partner, Some(trouble));
-            stage.until(to).await;
-            stage.trouble(partner, None);
-        });
-    }
-    for (at, endpoint, lifecycle) in stage.world.changes.iter().copied() {
-        let stage = stage.clone();
-        stage.clone().spawn(async move {
-            stage.until(at).await;
-            agent::change(&stage, endpoint, lifecycle);
+impl LiveRun {
+    fn new(
+        world: Rc<World>,
+        plan: Option<Arc<Plan>>,
+        seed: u64,
+        options: Options,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Self {
+        let destinations = world.destinations.iter().zip(0u64..).map(|(m, n)| LiveDestination {
+            model: DestinationModel::new(m.clone(), seed ^ n << 16),
+            half_open: None,
+            calls_ended: 0,
+            ended_by_reset: false,
+            changed: async_channel::bounded(1),
+            injected: Vec::new(),
         });
-    }
-    let stops = stage.world.stops.len();
-    let (stopped, all_stopped) = async_channel::bounded(stops.max(1));
-    for stop in stage.world.stops.iter().copied() {
-        let (stage, stopped) = (stage.clone(), stopped.clone());
-        stage.clone().spawn(async move {
-            stage.until(stop.at).await;
-            match stop.signal {
-                Signal::Hup => daemon::signal(&stage, stop.forwarder, rustix::process::Signal::HUP),
-                Signal::Kill => daemon::restart(&stage, stop.forwarder, false, stop.back).await,
-                Signal::Term => daemon::restart(&stage, stop.forwarder, true, stop.back).await,
-                Signal::Upgrade => daemon::upgrade(&stage, stop.forwarder).await,
-                Signal::Stall => daemon::stall(&stage, stop.forwarder, stop.back).await,
-            }
-            let _ = stopped.send(()).await;
-        });
-    }
-    let (told, asks) = match view {
-        Some((told, asks)) => (Some(told), Some(asks)),
-        None => (None, None),
-    };
-    stage.spawn(sample(stage.clone(), told));
-    let played = async {
-        clients::run(stage).await;
-        for _ in 0..stops {
-            let _ = all_stopped.recv().await;
-        }
-        while (stage.open.get() > 0 || stage.looking.get() > 0) && stage.now() < stage.world.end + TAIL {
-            Timer::after(Duration::from_millis(50)).await;
-        }
-        Ok(())
-    };
-    let asked = async {
-        loop {
-            let ask = match &asks {
-                Some(asks) => asks.recv().await.ok(),
-                None => None,
-            };
-            match ask {
-                Some(Ask::Strike(partner, Some(trouble))) => {
-                    stage.partners.borrow_mut()[partner].struck.push(trouble);
-                    stage.trouble(partner, Some(trouble));
-                }
-                Some(Ask::Strike(partner, None)) => {
-                    stage.partners.borrow_mut()[partner].struck.clear();
-                    stage.trouble(partner, None);
-                }
-                Some(Ask::Quit) => return Err(Failure::BrokenOff),
-                None => future::pending().await,
-            }
+        let forwarder_count = world.fleet.len();
+        let list = (0..world.list.len())
+            .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
+            .collect();
+        let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
+        LiveRun {
+            audit: RefCell::new(Audit::new(&world.settings, AuditSizes::of(&world), SOCKETS)),
+            figures: RefCell::new(Figures::new(&world)),
+            destinations: RefCell::new(destinations.collect()),
+            sent_requests: RefCell::default(),
+            ids: RefCell::default(),
+            addresses: RefCell::new(vec![Vec::new(); forwarder_count]),
+            list: RefCell::new(list),
+            version: Cell::new(1),
+            list_watchers: RefCell::default(),
+            daemons: RefCell::default(),
+            rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
+            clients_waiting: Cell::new(0),
+            open: Cell::new(0),
+            sent: Cell::new(0),
+            answer_times: RefCell::new(times.clone()),
+            late: RefCell::new((times, 0, 0)),
+            incidents: RefCell::default(),
+            pools: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
+            rejected_in_upgrade: RefCell::new(vec![None; forwarder_count]),
+            calls_in_flight: Cell::new(0),
+            held: vec![Cell::new(0); world.list.len()],
+            panicked: async_channel::bounded(1),
+            begun: Cell::new(None),
+            executor,
+            world,
+            plan,
+            options,
         }
-    };
-    future::or(played, asked).await?;
-    // In order, as an operator would end them.
-    let ends = (0..stage.world.fleet.len()).map(|f| daemon::end(stage, f));
-    for end in ends.collect::<Vec<_>>() {
-        end.await;
-    }
-    Ok(())
-}
-
-async fn watch_own_lateness(stage: Rc<Stage>) {
-    loop {
-        let due = Instant::now() + TICK;
-        Timer::at(due).await;
-        let late = due.elapsed().as_micros() as u64;
-        stage.late.borrow_mut().0.saturating_record(late.max(1));
     }
-}
 
-impl Stage {
-    fn count_send(&self, planned: Micros) {
-        let mut late = self.late.borrow_mut();
-        late.2 += 1;
-        late.1 += u64::from(self.now() > planned + LATE);
+    /// The figures and violations once the day is over.
+    fn take_result(&self) -> LiveResult {
+        let now = self.now();
+        let overloaded: Vec<_> = self
+            .destinations
+            .borrow()
+            .iter()
+            .enumerate()
+            .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
+            .collect();
+        let mut audit = self.audit.replace(Audit::new(&self.world.settings, AuditSizes::default(), SOCKETS));
+        audit.close(now, overloaded.into_iter());
+        let (times, late_sends, sends) = self.late.borrow().clone();
+        let late = Lateness {
+            loop_p99: times.value_at_quantile(0.99),
+            loop_most: times.max(),
+            late_sends,
+            sends,
+            counters_p90: self.answer_times.borrow().value_at_quantile(0.9),
+        };
+        let figures = self.figures.replace(Figures::new(&self.world));
+        LiveResult { figures, violations: audit.violations, late, incidents: self.incidents.take() }
     }
 }
 
-/// Asks the forwarders how they stand, and tells the view.
-async fn sample(stage: Rc<Stage>, told: Option<Sender<Told>>) {
-    loop {
-        let mut reports = Vec::new();
-        for forwarder in 0..stage.world.fleet.len() {
-            let address = stage.daemons.borrow().get(forwarder).and_then(|d| d.listen());
-            let asked = Instant::now();
-            let report = match address {
-                Some(address) => counters(address).await,
-                None => None,
-            };
-            if report.is_some() {
-                let took = asked.elapsed().as_micros() as u64;
-                stage.tells.borrow_mut().saturating_record(took.max(1));
-            }
-            reports.push(report);
+/// Ends when the kit is asked to stop by a signal.
+async fn interrupted() -> Result<(), LiveError> {
+    let signals = Signals::new([async_signal::Signal::Int, async_signal::Signal::Term]);
+    match signals {
+        Ok(mut signals) => {
+            signals.next().await;
+            Err(LiveError::BrokenOff)
         }
-        let now = stage.now();
-        let mut worst = vec![BreakerState::Closed; stage.world.partners.len()];
-        let mut held = 0;
-        for report in reports.iter().flatten() {
-            held += report["open"].as_u64().unwrap_or(0) as usize;
-            for p in report["partners"].as_array().into_iter().flatten() {
-                let status = match p["breaker"].as_str() {
-                    Some("open") => BreakerState::Open,
-                    Some("half") => BreakerState::HalfOpen,
-                    _ => BreakerState::Closed,
-                };
-                if let Some(w) = p["destination"].as_u64().and_then(|d| worst.get_mut(d as usize)) {
-                    *w = (*w).max(status);
-                }
-            }
-        }
-        {
-            let mut figures = stage.figures.borrow_mut();
-            figures.samples.push(Sample { at: now, held, out: stage.out.get() });
-            worst.into_iter().enumerate().for_each(|(p, s)| figures.breaker(now, p, s));
-        }
-        if let Some(told) = &told {
-            let world = &stage.world;
-            let asked: f64 = world.hands.iter().take_while(|h| h.at <= now).map(|h| h.worth).sum();
-            let progress = Progress {
-                at: (now - START, world.end - START),
-                sent: (stage.sent.get(), world.hands.len()),
-                worth: (stage.figures.borrow().worth().got, asked),
-                broken: stage.audit.borrow().broken.len(),
-                forwarders: reports,
-            };
-            // A view that is slow misses some.
-            let _ = told.try_send(Told::Progress(progress));
-        }
-        Timer::after(SAMPLES).await;
+        Err(_) => future::pending().await,
     }
 }
-
-/// What a forwarder tells of itself and of each partner; nothing if it does not answer at once.
-pub async fn counters(address: SocketAddr) -> Option<Value> {
-    let asked = async {
-        let mut wire = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
-        wire.write(b"GET /_counters?by=partner HTTP/1.1\r\nHost: kit\r\nConnection: close\r\n\r\n")
-            .await
-            .ok()?;
-        let head = wire.read_response().await.ok()?;
-        let body = wire.response_body(&head, 16 << 20).await.ok()?;
-        serde_json::from_slice(&body).ok()
-    };
-    let late = async {
-        Timer::after(Duration::from_secs(1)).await;
-        None
-    };
-    future::or(asked, late).await
-}
--- a/crates/rehearsal/src/live/fault.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -1,7 +1,7 @@
-//! Faults put between a forwarder and its surroundings, to see that the audit catches each: a proxy that a forwarder
-//! does not know of repeats its calls, sends during a wait, or keeps its notices. For tests of the kit alone.
+//! Faults between a forwarder and its surroundings, to test that the audit catches each: a transparent proxy repeats
+//! calls, sends them within a retry_after, or drops notices.
 
-use super::{Failure, Stage};
+use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::Lifecycle;
@@ -34,52 +34,53 @@
 }
 
 impl ProxyFault {
-    /// It sits before a partner's endpoints, not before the agent.
+    /// The proxy is in front of a destination's endpoints, not of the agent.
     pub fn at_calls(self) -> bool {
         !matches!(self, ProxyFault::KeepNotices | ProxyFault::BothEnds)
     }
 }
 
-fn listen() -> Result<(Async<TcpListener>, SocketAddr), Failure> {
+fn listen() -> Result<(Async<TcpListener>, SocketAddr), LiveError> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0));
-    let listener = listener.map_err(|e| Failure::System("no address for a fault".into(), e))?;
+    let listener = listener.map_err(|e| LiveError::System("no address for a fault".into(), e))?;
     let address = listener.get_ref().local_addr().expect("bound");
     Ok((listener, address))
 }
 
-/// A proxy before an endpoint; its address is what the list tells.
-pub(crate) fn before(
-    stage: &Rc<Stage>,
+/// Starts a proxy in front of an endpoint; the list has its address.
+pub(crate) fn start_call_proxy(
+    run: &Rc<LiveRun>,
     endpoint: usize,
     real: SocketAddr,
     fault: ProxyFault,
-) -> Result<SocketAddr, Failure> {
+) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
-    let stage = stage.clone();
-    stage.clone().spawn(async move {
+    let run = run.clone();
+    run.clone().spawn(async move {
         let (count, last) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
-            ProxyFault::AfterDrain => stage.spawn(after_drain(stage.clone(), endpoint, real, last.clone())),
-            ProxyFault::Push => stage.spawn(push(stage.clone(), endpoint, real, last.clone())),
+            ProxyFault::AfterDrain => run.spawn(send_after_drain(run.clone(), endpoint, real, last.clone())),
+            ProxyFault::Push => run.spawn(flood_on_recovery(run.clone(), endpoint, real, last.clone())),
             _ => {}
         }
         while let Ok((stream, _)) = listener.accept().await {
-            let (count, last, stage) = (count.clone(), last.clone(), stage.clone());
-            stage.clone().spawn(async move {
-                let _ = pass(&stage, HttpConnection::new(stream), real, fault, &count, &last).await;
+            let (count, last, run) = (count.clone(), last.clone(), run.clone());
+            run.clone().spawn(async move {
+                // A connection that ends is no failure of the proxy.
+                let _ = relay_calls(&run, HttpConnection::new(stream), real, fault, &count, &last).await;
             });
         }
     });
     Ok(address)
 }
 
-/// A call as it is sent on.
-fn call(head: &RequestHead, body: &[u8], fault: ProxyFault) -> Vec<u8> {
+/// The call that the proxy forwards.
+fn forwarded_call(head: &RequestHead, body: &[u8], fault: ProxyFault) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
         if let Some(value) = head.headers.get(name) {
-            let odd = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
-            text += &format!("{name}: {value}{odd}\r\n");
+            let suffix = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
+            text += &format!("{name}: {value}{suffix}\r\n");
         }
     }
     let mut bytes = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
@@ -87,26 +88,33 @@
     bytes
 }
 
-/// Sends a call and gives back the answer as it came.
-async fn send(real: SocketAddr, bytes: &[u8]) -> Option<(Vec<u8>, Option<f64>, u16)> {
-    let mut wire = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
-    wire.write(bytes).await.ok()?;
-    let head = wire.read_response().await.ok()?;
-    let body = wire.response_body(&head, 1 << 20).await.ok()?;
+/// An answer that is passed on, with what the proxy reads of it.
+struct Relayed {
+    answer: Vec<u8>,
+    wait_ms: Option<f64>,
+    status: u16,
+}
+
+/// Sends a call and returns its answer unchanged.
+async fn send(real: SocketAddr, bytes: &[u8]) -> Option<Relayed> {
+    let mut connection = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
+    connection.write(bytes).await.ok()?;
+    let head = connection.read_response().await.ok()?;
+    let body = connection.response_body(&head, 1 << 20).await.ok()?;
     let mut text = format!("HTTP/1.1 {} Passed On\r\n", head.status);
     for name in ["X-RateLimit-Wait-Ms", "X-Load"] {
         if let Some(value) = head.headers.get(name) {
             text += &format!("{name}: {value}\r\n");
         }
     }
-    let wait = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
+    let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
     let mut answer = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
     answer.extend_from_slice(&body);
-    Some((answer, wait, head.status))
+    Some(Relayed { answer, wait_ms, status: head.status })
 }
 
-async fn pass(
-    stage: &Rc<Stage>,
+async fn relay_calls(
+    run: &Rc<LiveRun>,
     mut from: HttpConnection,
     real: SocketAddr,
     fault: ProxyFault,
@@ -116,33 +124,34 @@
     loop {
         let head = from.read_request().await.ok()?;
         let body = from.request_body(&head, 1 << 20).await.ok()?;
-        let bytes = call(&head, &body, fault);
+        let bytes = forwarded_call(&head, &body, fault);
         count.set(count.get() + 1);
         last.set(Some(bytes.clone()));
         let tenth = count.get() % 10 == 1;
         if fault == ProxyFault::Twice && tenth {
             let bytes = bytes.clone();
-            stage.spawn(async move {
+            run.spawn(async move {
                 send(real, &bytes).await;
             });
         }
-        // The forwarder may give up meanwhile: so does the proxy.
+        // The forwarder may time out meanwhile: so does the proxy.
         let sent = async { send(real, &bytes).await };
         let left = async {
+            // Whatever is read or fails: the forwarder has left.
             let _ = from.fill().await;
             None
         };
-        let (answer, wait, status) = future::or(sent, left).await?;
+        let Relayed { answer, wait_ms, status } = future::or(sent, left).await?;
         from.write(&answer).await.ok()?;
-        match (fault, wait) {
+        match (fault, wait_ms) {
             (ProxyFault::InWait, Some(wait)) if wait > 250.0 => {
-                stage.spawn(async move {
+                run.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
                     send(real, &bytes).await;
                 });
             }
             (ProxyFault::Thirteen, _) if tenth && status == 200 => {
-                stage.spawn(async move {
+                run.spawn(async move {
                     for _ in 0..13 {
                         send(real, &bytes).await;
                     }
@@ -153,8 +162,13 @@
     }
 }
 
-async fn after_drain(stage: Rc<Stage>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
-    while stage.list.borrow()[endpoint] != Lifecycle::Draining {
+async fn send_after_drain(
+    run: Rc<LiveRun>,
+    endpoint: usize,
+    real: SocketAddr,
+    last: Rc<Cell<Option<Vec<u8>>>>,
+) {
+    while run.list.borrow()[endpoint] != Lifecycle::Draining {
         Timer::after(Duration::from_millis(10)).await;
     }
     Timer::after(Duration::from_millis(400)).await;
@@ -163,52 +177,58 @@
     }
 }
 
-async fn push(stage: Rc<Stage>, endpoint: usize, real: SocketAddr, last: Rc<Cell<Option<Vec<u8>>>>) {
-    let partner = stage.world.list[endpoint].1;
+async fn flood_on_recovery(
+    run: Rc<LiveRun>,
+    endpoint: usize,
+    real: SocketAddr,
+    last: Rc<Cell<Option<Vec<u8>>>>,
+) {
+    let destination = run.world.list[endpoint].destination;
     let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
     let mut was_away = false;
     loop {
-        let trouble = stage.partners.borrow()[partner].model.visible_fault();
-        if was_away && !away(trouble) {
+        let fault = run.destinations.borrow()[destination].model.visible_fault();
+        if was_away && !away(fault) {
             let Some(bytes) = last.take() else { return };
             for _ in 0..400 {
                 let bytes = bytes.clone();
-                stage.spawn(async move {
+                run.spawn(async move {
                     send(real, &bytes).await;
                 });
                 Timer::after(Duration::from_millis(2)).await;
             }
             return;
         }
-        was_away = away(trouble);
+        was_away = away(fault);
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// A proxy before an agent.
-pub(crate) fn before_agent(
-    stage: &Rc<Stage>,
+/// Starts a proxy in front of an agent.
+pub(crate) fn start_agent_proxy(
+    run: &Rc<LiveRun>,
     real: SocketAddr,
     fault: ProxyFault,
-) -> Result<SocketAddr, Failure> {
+) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
-    let stage = stage.clone();
-    stage.clone().spawn(async move {
+    let run = run.clone();
+    run.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            stage.spawn(async move {
-                let _ = tell(stream, real, fault).await;
+            run.spawn(async move {
+                // A connection that ends is no failure of the proxy.
+                let _ = relay_notices(stream, real, fault).await;
             });
         }
     });
     Ok(address)
 }
 
-async fn tell(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
+async fn relay_notices(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
     let mut from = HttpConnection::new(stream);
     loop {
         let head = from.read_request().await.ok()?;
         if head.method == "GET" {
-            // The list goes through as it comes.
+            // The list is passed on unchanged.
             let onward = Async::<TcpStream>::connect(real).await.ok()?;
             let text = format!("GET {} HTTP/1.1\r\nHost: agent\r\n\r\n", head.target);
             io::AsyncWriteExt::write_all(&mut (&onward), text.as_bytes()).await.ok()?;
--- a/crates/rehearsal/src/table.rs
+++ b/crates/rehearsal/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of partners and channels that both views draw.
+//! The table of destinations and channels that both views draw.
 
 use ratatui::layout::{Constraint, Layout};
 use ratatui::style::{Color, Modifier, Style};
@@ -8,72 +8,72 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// How partners are sorted.
+/// How destinations are sorted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sorted {
+pub enum SortOrder {
     /// By their numbers.
     Number,
-    /// Open breakers first, then those that hold most.
+    /// Open breakers first, then by open messages.
     Worst,
-    /// Those that hold most first.
+    /// Most open messages first.
     Held,
     /// The slowest first.
     Slowest,
 }
 
-impl Sorted {
+impl SortOrder {
     /// The next way.
     pub fn next(self) -> Self {
         match self {
-            Sorted::Number => Sorted::Worst,
-            Sorted::Worst => Sorted::Held,
-            Sorted::Held => Sorted::Slowest,
-            Sorted::Slowest => Sorted::Number,
+            SortOrder::Number => SortOrder::Worst,
+            SortOrder::Worst => SortOrder::Held,
+            SortOrder::Held => SortOrder::Slowest,
+            SortOrder::Slowest => SortOrder::Number,
         }
     }
 
     fn name(self) -> &'static str {
         match self {
-            Sorted::Number => "by number",
-            Sorted::Worst => "worst first",
-            Sorted::Held => "most held first",
-            Sorted::Slowest => "slowest first",
+            SortOrder::Number => "by number",
+            SortOrder::Worst => "worst first",
+            SortOrder::Held => "most held first",
+            SortOrder::Slowest => "slowest first",
         }
     }
 }
 
-/// A partner, over all forwarders.
+/// A destination, over all forwarders.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct DestinationRow {
     /// Its number.
     pub destination: u64,
     /// What it is called.
     pub name: String,
     /// The worst of its breakers: 0 closed, 1 half, 2 open.
     pub breaker: u8,
-    /// Messages that wait for it.
+    /// Its open messages.
     pub held: u64,
-    /// Calls out.
+    /// Calls in flight.
     pub out: u64,
     /// The usual time of its answers, in milliseconds, the longest.
     pub answer_ms: Option<f64>,
-    /// What is left of a told wait, in milliseconds, the longest.
+    /// The longest rest of a retry_after, in milliseconds.
     pub wait_ms: f64,
-    /// It is back and used sparingly.
-    pub cold: bool,
-    /// What it told of its limit.
+    /// It has recovered and is in slow start.
+    pub slow_start: bool,
+    /// The limit that it reported.
     pub limit: Option<f64>,
 }
 
 const BREAKERS: [&str; 3] = ["closed", "half", "open"];
 
-impl Row {
-    /// The partners that these reports of forwarders name.
-    pub fn of(reports: &[&Value], names: Option<&[String]>) -> Vec<Row> {
-        let mut all: BTreeMap<u64, Row> = BTreeMap::new();
+impl DestinationRow {
+    /// The destinations that these forwarders' counters name.
+    pub fn of(reports: &[&Value], names: Option<&[String]>) -> Vec<DestinationRow> {
+        let mut all: BTreeMap<u64, DestinationRow> = BTreeMap::new();
         for p in reports.iter().flat_map(|r| r["partners"].as_array().into_iter().flatten()) {
             let Some(destination) = p["destination"].as_u64() else { continue };
-            let row = all.entry(destination).or_insert_with(|| Row {
+            let row = all.entry(destination).or_insert_with(|| DestinationRow {
                 destination,
                 name: names
                     .and_then(|n| n.get(destination as usize).cloned())
@@ -83,7 +83,7 @@
                 out: 0,
                 answer_ms: None,
                 wait_ms: 0.0,
-                cold: false,
+                slow_start: false,
                 limit: None,
             });
             let breaker = BREAKERS.iter().position(|b| p["breaker"] == *b).unwrap_or(0);
@@ -93,13 +93,13 @@
             let answer = p["answer_ms"].as_f64();
             row.answer_ms = row.answer_ms.map_or(answer, |a| Some(a.max(answer.unwrap_or(a))));
             row.wait_ms = row.wait_ms.max(p["wait_ms"].as_f64().unwrap_or(0.0));
-            row.cold |= p["cold"].as_bool().unwrap_or(false);
+            row.slow_start |= p["cold"].as_bool().unwrap_or(false);
             row.limit = p["limit_per_s"].as_f64().or(row.limit);
         }
         all.into_values().collect()
     }
 
-    /// What each channel has handed in, and its part of all.
+    /// The messages received from each channel, and their share of all.
     pub fn channels(reports: &[&Value]) -> Vec<(String, u64, f64)> {
         let mut all: BTreeMap<String, u64> = BTreeMap::new();
         for c in reports.iter().flat_map(|r| r["channels"].as_array().into_iter().flatten()) {
@@ -111,11 +111,11 @@
         all.into_iter().map(|(name, n)| (name, n, n as f64 / sum.max(1) as f64)).collect()
     }
 
-    fn words(&self) -> [String; 7] {
+    fn cells(&self) -> [String; 7] {
         let or_none = |x: Option<f64>| x.map_or("-".into(), |x| format!("{x:.0}"));
         [
             self.name.clone(),
-            format!("{}{}", BREAKERS[self.breaker as usize], if self.cold { ", cold" } else { "" }),
+            format!("{}{}", BREAKERS[self.breaker as usize], if self.slow_start { ", cold" } else { "" }),
             self.held.to_string(),
             self.out.to_string(),
             or_none(self.answer_ms),
@@ -133,17 +133,17 @@
     keys: String,
     /// One line above all.
     pub headline: String,
-    /// The partners.
-    pub rows: Vec<Row>,
-    /// The channels, with what they handed in and its part of all.
+    /// The destinations.
+    pub rows: Vec<DestinationRow>,
+    /// The channels, with their messages and the share of all.
     pub channels: Vec<(String, u64, f64)>,
-    /// How partners are sorted.
-    pub sorted: Sorted,
+    /// How destinations are sorted.
+    pub sorted: SortOrder,
     state: TableState,
 }
 
 impl Table {
-    /// An empty table under a title, with its keys told below.
+    /// An empty table with a title and a line of keys.
     pub fn new(title: &str, keys: &str) -> Self {
         let (rows, channels) = (Vec::new(), Vec::new());
         let state = TableState::default().with_selected(0);
@@ -153,34 +153,34 @@
             headline: String::new(),
             rows,
             channels,
-            sorted: Sorted::Number,
+            sorted: SortOrder::Number,
             state,
         }
     }
 
-    /// To the next partner.
+    /// Selects the next destination.
     pub fn down(&mut self) {
         self.state.select_next();
     }
 
-    /// To the one before.
+    /// Selects the previous destination.
     pub fn up(&mut self) {
         self.state.select_previous();
     }
 
-    /// The number of the partner that is chosen.
+    /// The number of the selected destination.
     pub fn chosen(&self) -> Option<u64> {
         self.ordered().get(self.state.selected()?).map(|r| r.destination)
     }
 
-    fn ordered(&self) -> Vec<&Row> {
-        let mut all: Vec<&Row> = self.rows.iter().collect();
+    fn ordered(&self) -> Vec<&DestinationRow> {
+        let mut all: Vec<&DestinationRow> = self.rows.iter().collect();
         match self.sorted {
-            Sorted::Number => {}
-            Sorted::Worst => all.sort_by_key(|r| std::cmp::Reverse((r.breaker, r.held))),
-            Sorted::Held => all.sort_by_key(|r| std::cmp::Reverse(r.held)),
-            Sorted::Slowest => {
-                let of = |r: &Row| r.answer_ms.unwrap_or(0.0);
+            SortOrder::Number => {}
+            SortOrder::Worst => all.sort_by_key(|r| std::cmp::Reverse((r.breaker, r.held))),
+            SortOrder::Held => all.sort_by_key(|r| std::cmp::Reverse(r.held)),
+            SortOrder::Slowest => {
+                let of = |r: &DestinationRow| r.answer_ms.unwrap_or(0.0);
                 all.sort_by(|a, b| of(b).total_cmp(&of(a)));
             }
         }
@@ -201,7 +201,7 @@
             .into_iter()
             .map(|r| {
                 let colour = [Color::Reset, Color::Yellow, Color::Red][r.breaker as usize];
-                widgets::Row::new(r.words().map(Cell::from)).style(Style::new().fg(colour))
+                widgets::Row::new(r.cells().map(Cell::from)).style(Style::new().fg(colour))
             })
             .collect();
         let widths =
@@ -239,7 +239,7 @@
     }
 
     /// All of it as lines, for where there is no terminal.
-    pub fn plain(rows: &[Row], report: &Value) -> String {
+    pub fn plain(rows: &[DestinationRow], report: &Value) -> String {
         let mut out = Self::totals(report);
         let line = |w: &[String]| {
             format!(
@@ -248,44 +248,10 @@
             )
         };
         out += &line(&HEADS.map(String::from));
-        rows.iter().for_each(|r| out += &line(&r.words()));
-        for (name, n, share) in Row::channels(&[report]) {
+        rows.iter().for_each(|r| out += &line(&r.cells()));
+        for (name, n, share) in DestinationRow::channels(&[report]) {
             out += &format!("\nchannel {name:<12} {n:>8} handed in, {:.1}%", share * 100.0);
         }
         out
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use ratatui::backend::TestBackend;
-    use ratatui::Terminal;
-    use serde_json::json;
-
-    /// Guards against a view that loses a partner, or sorts the one in trouble out of sight.
-    #[test]
-    fn partners_of_all_forwarders_are_drawn_with_the_worst_first() {
-        let one = json!({"partners": [{"destination": 0, "breaker": "closed", "held": 1, "out": 2, "answer_ms": 120.0,
-            "wait_ms": 0.0, "cold": false}, {"destination": 1, "breaker": "half", "held": 3, "out": 0, "cold": true}],
-            "channels": [{"name": "a", "handed_in": 30}, {"name": "b", "handed_in": 10}]});
-        let two = json!({"partners": [{"destination": 1, "breaker": "open", "held": 4, "wait_ms": 250.0}],
-            "channels": [{"name": "a", "handed_in": 0}]});
-        let names = ["elva".to_owned(), "tartu".to_owned()];
-        let mut table = Table::new("a rehearsal", "keys");
-        table.rows = Row::of(&[&one, &two], Some(&names));
-        table.channels = Row::channels(&[&one, &two]);
-        assert_eq!((table.rows[1].held, table.rows[1].breaker, table.rows[1].cold), (7, 2, true));
-        assert_eq!(table.channels, [("a".to_owned(), 30, 0.75), ("b".to_owned(), 10, 0.25)]);
-        table.sorted = Sorted::Worst;
-        assert_eq!(table.chosen(), Some(1));
-        table.down();
-        assert_eq!(table.chosen(), Some(0));
-        let mut terminal = Terminal::new(TestBackend::new(100, 16)).expect("a terminal");
-        terminal.draw(|f| table.draw(f)).expect("drawn");
-        let drawn = terminal.backend().to_string();
-        let place = |what: &str| drawn.find(what).unwrap_or_else(|| panic!("no {what} in {drawn}"));
-        assert!(place("tartu") < place("elva") && place("open, cold") < place("closed"), "{drawn}");
-        assert!(drawn.contains("75.0%"), "{drawn}");
-    }
-}
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -1,8 +1,8 @@
-//! Views of a rehearsal under way: on a terminal a table of partners and channels with keys, elsewhere a line every
+//! Views of a running rehearsal: on a terminal a table of destinations and channels with keys, elsewhere a line every
 //! few seconds with a bar.
 
-use crate::live::{Ask, Progress, Told};
-use crate::table::{Row, Sorted, Table};
+use crate::live::{Progress, ViewCommand, ViewUpdate};
+use crate::table::{DestinationRow, SortOrder, Table};
 use async_channel::{Receiver, Sender};
 use cedarbridge_endpoint_model::Fault;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
@@ -11,49 +11,50 @@
 use std::time::{Duration, Instant};
 
 /// How often a line is written.
-const LINES: Duration = Duration::from_secs(2);
+const LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// How often keys are looked for.
-const KEYS: Duration = Duration::from_millis(50);
+const KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A view in a thread of its own; it ends when this is dropped.
 pub struct View {
-    told: Option<Sender<Told>>,
-    asks: Receiver<Ask>,
+    updates: Option<Sender<ViewUpdate>>,
+    commands: Receiver<ViewCommand>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl View {
-    /// What a run tells it, and what it asks of the run.
-    pub fn channels(&self) -> (Sender<Told>, Receiver<Ask>) {
-        (self.told.clone().expect("not dropped yet"), self.asks.clone())
+    /// The run's updates, and the commands to it.
+    pub fn channels(&self) -> (Sender<ViewUpdate>, Receiver<ViewCommand>) {
+        (self.updates.clone().expect("not dropped yet"), self.commands.clone())
     }
 }
 
 impl Drop for View {
     fn drop(&mut self) {
-        if let Some(told) = self.told.take() {
-            told.close();
+        if let Some(updates) = self.updates.take() {
+            updates.close();
         }
         if let Some(thread) = self.thread.take() {
+            // A panic of the view is no reason to fail the run.
             let _ = thread.join();
         }
     }
 }
 
-/// Starts a view of a run with these partners.
-pub fn start(title: &str, partners: &[String], plain: bool) -> View {
-    let (told, heard) = async_channel::bounded(4);
-    let (ask, asks) = async_channel::unbounded();
-    let (title, names) = (title.to_owned(), partners.to_vec());
+/// Starts a view of a run with these destinations.
+pub fn start(title: &str, destinations: &[String], plain: bool) -> View {
+    let (update_sender, updates) = async_channel::bounded(4);
+    let (command_sender, commands) = async_channel::unbounded();
+    let (title, names) = (title.to_owned(), destinations.to_vec());
     let rich = !plain && std::io::stdout().is_terminal() && std::io::stdin().is_terminal();
     let thread = std::thread::spawn(move || {
         if rich {
-            screen(&title, names, &heard, &ask);
+            screen(&title, names, &updates, &command_sender);
         } else {
-            lines(&heard);
+            lines(&updates);
         }
     });
-    View { told: Some(told), asks, thread: Some(thread) }
+    View { updates: Some(update_sender), commands, thread: Some(thread) }
 }
 
 /// A bar that is full to a share.
@@ -62,35 +63,35 @@
     format!("[{}{}]", "#".repeat(full), ".".repeat(20 - full))
 }
 
-/// The line that tells how a run stands.
+/// A run's progress as a line.
 pub fn line(p: &Progress) -> String {
-    let (at, whole) = (p.at.0 as f64 / 1e6, p.at.1 as f64 / 1e6);
+    let (at, length) = (p.at.0 as f64 / 1e6, p.at.1 as f64 / 1e6);
     let held: u64 = p.forwarders.iter().flatten().filter_map(|f| f["open"].as_u64()).sum();
     let open = p.forwarders.iter().flatten().flat_map(|f| f["partners"].as_array().into_iter().flatten());
     let open = open.filter(|p| p["breaker"] == "open").count();
     let up = p.forwarders.iter().flatten().count();
     format!(
-        "{} {at:>5.1} of {whole:.0} s  {:>6} sent  worth {:.3}  {held:>4} held  {open} breakers open  {up} of {} up  {} broken",
+        "{} {at:>5.1} of {length:.0} s  {:>6} sent  worth {:.3}  {held:>4} held  {open} breakers open  {up} of {} up  {} broken",
         bar(p.at.0 as f64 / p.at.1.max(1) as f64),
         p.sent.0,
-        if p.worth.1 > 0.0 { p.worth.0 / p.worth.1 } else { 1.0 },
+        if p.value.1 > 0.0 { p.value.0 / p.value.1 } else { 1.0 },
         p.forwarders.len(),
-        p.broken
+        p.violations
     )
 }
 
-fn lines(heard: &Receiver<Told>) {
+fn lines(updates: &Receiver<ViewUpdate>) {
     let mut last: Option<Instant> = None;
-    while let Ok(Told::Progress(p)) = heard.recv_blocking() {
-        if last.is_none_or(|l| l.elapsed() >= LINES) {
+    while let Ok(ViewUpdate::Progress(p)) = updates.recv_blocking() {
+        if last.is_none_or(|l| l.elapsed() >= LINE_INTERVAL) {
             eprintln!("{}", line(&p));
             last = Some(Instant::now());
         }
     }
 }
 
-/// The troubles that can be struck by hand, by key.
-const STRIKES: [(char, &str, Fault); 5] = [
+/// The faults that can be injected by hand, by key.
+const INJECTABLE_FAULTS: [(char, &str, Fault); 5] = [
     ('h', "hang", Fault::Hang),
     ('r', "refuse", Fault::RefuseConnections),
     ('w', "slow ×6", Fault::Slow(6.0)),
@@ -98,7 +99,7 @@
     ('x', "shut", Fault::RejectAll),
 ];
 
-fn screen(title: &str, names: Vec<String>, heard: &Receiver<Told>, ask: &Sender<Ask>) {
+fn screen(title: &str, names: Vec<String>, updates: &Receiver<ViewUpdate>, commands: &Sender<ViewCommand>) {
     let mut terminal = ratatui::init();
     let mut table = Table::new(
         title,
@@ -106,20 +107,20 @@
     );
     let (mut paused, mut latest) = (false, Progress::default());
     loop {
-        match heard.try_recv() {
-            Ok(Told::Progress(p)) if !paused => latest = p,
+        match updates.try_recv() {
+            Ok(ViewUpdate::Progress(p)) if !paused => latest = p,
             Ok(_) => {}
             Err(async_channel::TryRecvError::Closed) => break,
             Err(async_channel::TryRecvError::Empty) => {}
         }
         table.headline = line(&latest);
         let reports: Vec<_> = latest.forwarders.iter().flatten().collect();
-        table.rows = Row::of(&reports, Some(&names));
-        table.channels = Row::channels(&reports);
+        table.rows = DestinationRow::of(&reports, Some(&names));
+        table.channels = DestinationRow::channels(&reports);
         if terminal.draw(|f| table.draw(f)).is_err() {
             break;
         }
-        if !event::poll(KEYS).unwrap_or(false) {
+        if !event::poll(KEY_POLL_INTERVAL).unwrap_or(false) {
             continue;
         }
         let Ok(Event::Key(key)) = event::read() else { continue };
@@ -128,17 +129,19 @@
         }
         match key.code {
             KeyCode::Char('q') | KeyCode::Esc => {
-                let _ = ask.try_send(Ask::Quit);
+                // The run may have ended by now.
+                let _ = commands.try_send(ViewCommand::Quit);
             }
             KeyCode::Char('c') if key.modifiers.contains(event::KeyModifiers::CONTROL) => {
-                let _ = ask.try_send(Ask::Quit);
+                // The run may have ended by now.
+                let _ = commands.try_send(ViewCommand::Quit);
             }
             KeyCode::Char('p') => paused = !paused,
             KeyCode::Char('s') => table.sorted = table.sorted.next(),
-            KeyCode::Char('o') => strike(&table, ask, None),
+            KeyCode::Char('o') => inject_fault(&table, commands, None),
             KeyCode::Char(c) => {
-                if let Some((_, _, trouble)) = STRIKES.iter().find(|s| s.0 == c) {
-                    strike(&table, ask, Some(*trouble));
+                if let Some((_, _, fault)) = INJECTABLE_FAULTS.iter().find(|s| s.0 == c) {
+                    inject_fault(&table, commands, Some(*fault));
                 }
             }
             KeyCode::Down => table.down(),
@@ -149,54 +152,55 @@
     ratatui::restore();
 }
 
-fn strike(table: &Table, ask: &Sender<Ask>, trouble: Option<Fault>) {
-    if let Some(partner) = table.chosen() {
-        let _ = ask.try_send(Ask::Strike(partner as usize, trouble));
+fn inject_fault(table: &Table, commands: &Sender<ViewCommand>, fault: Option<Fault>) {
+    if let Some(destination) = table.chosen() {
+        // The run may have ended by now.
+        let _ = commands.try_send(ViewCommand::InjectFault(destination as usize, fault));
     }
 }
 
-/// Watches a running forwarder until its watcher has enough; without a terminal, a line for each look.
+/// Watches a running forwarder until the user quits; without a terminal, a line for each poll.
 pub fn top(
     address: std::net::SocketAddr,
     every: Duration,
     plain: bool,
-    looks: Option<u32>,
+    polls: Option<u32>,
 ) -> std::io::Result<()> {
-    let look = || async_io::block_on(crate::live::counters(address));
-    let gone = || std::io::Error::other(format!("no forwarder answers at {address}"));
-    let mut report = look().ok_or_else(gone)?;
+    let poll = || async_io::block_on(crate::live::counters(address));
+    let no_answer = || std::io::Error::other(format!("no forwarder answers at {address}"));
+    let mut report = poll().ok_or_else(no_answer)?;
     if plain || !std::io::stdout().is_terminal() {
         let mut n = 0;
         loop {
-            println!("{}", Table::plain(&Row::of(&[&report], None), &report));
+            println!("{}", Table::plain(&DestinationRow::of(&[&report], None), &report));
             n += 1;
-            if looks.is_some_and(|most| n >= most) {
+            if polls.is_some_and(|most| n >= most) {
                 return Ok(());
             }
             std::thread::sleep(every);
-            report = look().ok_or_else(gone)?;
+            report = poll().ok_or_else(no_answer)?;
         }
     }
     let mut terminal = ratatui::init();
     let mut table = Table::new(&format!("forwarder at {address}"), "↑↓ scroll, s sort, p pause, q quit");
-    let (mut last, mut paused, mut there) = (Instant::now(), false, true);
-    table.sorted = Sorted::Worst;
+    let (mut last, mut paused, mut answering) = (Instant::now(), false, true);
+    table.sorted = SortOrder::Worst;
     loop {
         if last.elapsed() >= every && !paused {
             last = Instant::now();
-            match look() {
-                Some(r) => (report, there) = (r, true),
-                None => there = false,
+            match poll() {
+                Some(r) => (report, answering) = (r, true),
+                None => answering = false,
             }
         }
-        table.headline = if there { Table::totals(&report) } else { format!("no answer from {address}") };
-        table.rows = Row::of(&[&report], None);
-        table.channels = Row::channels(&[&report]);
+        table.headline = if answering { Table::totals(&report) } else { format!("no answer from {address}") };
+        table.rows = DestinationRow::of(&[&report], None);
+        table.channels = DestinationRow::channels(&[&report]);
         if let Err(e) = terminal.draw(|f| table.draw(f)) {
             ratatui::restore();
             return Err(e);
         }
-        if !event::poll(KEYS)? {
+        if !event::poll(KEY_POLL_INTERVAL)? {
             continue;
         }
         let Event::Key(key) = event::read()? else { continue };
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -1,52 +1,55 @@
-//! A day, drawn from a seed: partners, forwarders' settings, and every message that is handed in. The same day is
-//! played under each variant.
+//! A day, drawn from a seed: destinations, forwarders' settings, and every client request. The same day is played
+//! under each variant.
 
-use crate::experiment::Experiment;
 use crate::scenario::Signal;
 use cedarbridge::settings_json::Names;
 use cedarbridge::{
-    Class, Decay, DedupScope, DestinationId, EndpointEntry, EndpointId, Idempotency, Kind, KindId, Lifecycle,
-    Micros, Settings, Tenant, WeightSource, ZoneId,
+    Class, Decay, DedupScope, EndpointEntry, Idempotency, Kind, Lifecycle, Micros, Settings, Tenant,
+    WeightSource, ZoneId,
 };
 use cedarbridge_endpoint_model::{DestinationProfile, Fault};
-use rand::{RngExt, SeedableRng};
-use rand_chacha::ChaCha8Rng;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
 /// The clock of a day begins here, so that spans can be taken off early times.
 pub const START: Micros = 60 * SECOND;
 /// Shares of the channels, and how much of its share each may send.
-const TENANTS: [(&str, f64, (f64, f64)); 3] =
+pub(crate) const TENANTS: [(&str, f64, (f64, f64)); 3] =
     [("lounatv", 0.7, (0.69, 1.3)), ("emajogi-tv", 0.17, (0.54, 1.3)), ("valga-kanal", 0.13, (0.54, 1.4))];
-/// Worth of a message beyond its channel's share.
+/// Weight of a message beyond its channel's quota.
 const OVER_SHARE: f64 = 0.1;
-/// The quotas, as a share of the full load.
-const QUOTA: f64 = 0.87;
 
-/// From one message of a clump to the next, in seconds.
-const CLUMP_GAP: f64 = 0.004;
+/// A message before it is known which forwarder receives it.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PlannedMessage {
+    /// When it is sent.
+    pub at: Micros,
+    /// For which destination.
+    pub destination: usize,
+    /// From which channel.
+    pub tenant: usize,
+}
 
-/// A message as a client hands it in.
+/// A message as a client sends it to a forwarder.
 #[derive(Clone, Copy, Debug)]
-pub struct Hand {
+pub struct ClientRequest {
     /// When.
     pub at: Micros,
-    /// For which partner.
-    pub partner: usize,
+    /// For which destination.
+    pub destination: usize,
     /// From which channel.
     pub tenant: usize,
     /// To which forwarder.
     pub forwarder: usize,
-    /// What it is worth if it is in time.
-    pub worth: f64,
-    /// A client that is refused comes again after so long, if at all.
-    pub again: Option<Micros>,
+    /// Its weight if it is delivered in time.
+    pub weight: f64,
+    /// A client that is rejected retries after this, if at all.
+    pub retry_after: Option<Micros>,
 }
 
 /// A forwarder's end.
 #[derive(Clone, Copy, Debug)]
-pub struct StopAt {
+pub struct PlannedStop {
     /// Which forwarder.
     pub forwarder: usize,
     /// When.
@@ -59,8 +62,8 @@
 
 /// A forwarder, as it is set up.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Member {
-    /// The number that it is told, if it is told one.
+pub struct ForwarderProfile {
+    /// Its index in the fleet, if it has one.
     pub number: Option<u64>,
     /// How far its clock is ahead of the slowest one.
     pub clock: Micros,
@@ -68,64 +71,140 @@
 
 /// A fleet's size from some time on.
 #[derive(Clone, Copy, Debug)]
-pub struct SizeAt {
+pub struct PlannedSize {
     /// When it begins.
     pub at: Micros,
     /// How many forwarders serve.
     pub count: usize,
-    /// Each is told so at some time within this.
+    /// Each forwarder learns it at some time within this.
     pub within: Micros,
 }
 
+/// An endpoint of the list.
+pub struct ListedEndpoint {
+    /// Its entry.
+    pub entry: EndpointEntry,
+    /// Its destination's number.
+    pub destination: usize,
+    /// Its index among the destination's endpoints.
+    pub index: usize,
+}
+
+/// A later change of the endpoint list.
+#[derive(Clone, Copy, Debug)]
+pub struct ListChange {
+    /// When.
+    pub at: Micros,
+    /// The endpoint's place in the list.
+    pub endpoint: usize,
+    /// Its lifecycle from then on.
+    pub lifecycle: Lifecycle,
+}
+
+/// A destination's fault for a time.
+#[derive(Clone, Copy, Debug)]
+pub struct PlannedFault {
+    /// The destination's number.
+    pub destination: usize,
+    /// When it begins.
+    pub begin: Micros,
+    /// When it ends.
+    pub end: Micros,
+    /// The fault.
+    pub fault: Fault,
+}
+
+impl PlannedFault {
+    /// A destination has it at a time.
+    pub fn applies(&self, destination: usize, now: Micros) -> bool {
+        self.destination == destination && self.begin <= now && now < self.end
+    }
+}
+
+/// A phase of the day.
+#[derive(Clone, Debug)]
+pub struct DayPhase {
+    /// Its name.
+    pub name: String,
+    /// When it begins.
+    pub begin: Micros,
+    /// When it ends.
+    pub end: Micros,
+}
+
+/// The quotas of channels as token buckets, which decide what a message weighs.
+pub(crate) struct QuotaBuckets<'a> {
+    tenants: &'a [Tenant],
+    /// By channel, the tokens left and when they were counted.
+    buckets: Vec<(f64, Micros)>,
+}
+
+impl<'a> QuotaBuckets<'a> {
+    pub(crate) fn new(tenants: &'a [Tenant]) -> Self {
+        QuotaBuckets { tenants, buckets: tenants.iter().map(|t| (t.quota_per_s, START)).collect() }
+    }
+
+    /// The weight of a channel's next message: less if it is beyond the quota.
+    pub(crate) fn weight(&mut self, tenant: usize, at: Micros) -> f64 {
+        let quota = self.tenants[tenant].quota_per_s;
+        let bucket = &mut self.buckets[tenant];
+        let refilled = bucket.0 + quota * (at - bucket.1) as f64 / SECOND as f64;
+        *bucket = (refilled.min(quota.max(1.0)), at);
+        let within = bucket.0 >= 1.0;
+        bucket.0 -= f64::from(u8::from(within));
+        if within {
+            1.0
+        } else {
+            OVER_SHARE
+        }
+    }
+}
+
 /// A day, before it is played.
 pub struct World {
     /// By number; the busiest first.
-    pub partners: Vec<DestinationProfile>,
-    /// The kind of each partner.
+    pub destinations: Vec<DestinationProfile>,
+    /// The kind of each destination.
     pub kinds: Vec<usize>,
     /// Its share of the traffic.
     pub traffic: Vec<f64>,
-    /// What a forwarder is told; all are told the same but for their numbers.
+    /// The forwarders' settings; they differ only in the forwarder's index.
     pub settings: Settings,
     /// The forwarders.
-    pub fleet: Vec<Member>,
+    pub fleet: Vec<ForwarderProfile>,
     /// How many of them serve, where that changes.
-    pub sizes: Vec<SizeAt>,
-    /// The count that they are told, over the true one.
-    pub told: f64,
+    pub sizes: Vec<PlannedSize>,
+    /// The forwarder count in their settings, over the true one.
+    pub forwarder_count_factor: f64,
     /// What the settings call classes and kinds.
     pub names: Names,
-    /// The list of endpoints, and for each its partner and its place there.
-    pub list: Vec<(EndpointEntry, usize, usize)>,
+    /// The endpoint list: for each endpoint its entry, its destination and its index there.
+    pub list: Vec<ListedEndpoint>,
     /// All messages, in the order of time.
-    pub hands: Vec<Hand>,
-    /// What goes wrong: partner, begin, end, what.
-    pub troubles: Vec<(usize, Micros, Micros, Fault)>,
+    pub requests: Vec<ClientRequest>,
+    /// Faults: destination, begin, end, fault.
+    pub faults: Vec<PlannedFault>,
     /// How many of the list's endpoints are listed from the begin on.
     pub listed: usize,
-    /// What the list tells later: when, of which endpoint, what.
-    pub changes: Vec<(Micros, usize, Lifecycle)>,
+    /// Later changes of the list: when, which endpoint, its lifecycle from then on.
+    pub changes: Vec<ListChange>,
     /// Forwarders that are ended: in the order of time.
-    pub stops: Vec<StopAt>,
-    /// What partners are called.
-    pub partner_names: Vec<String>,
-    /// Connections that an endpoint of each partner holds.
+    pub stops: Vec<PlannedStop>,
+    /// The destinations' names.
+    pub destination_names: Vec<String>,
+    /// The connection limit of an endpoint of each destination.
     pub connections: Vec<usize>,
     /// Parts of the day: name, begin and end.
-    pub phases: Vec<(String, Micros, Micros)>,
+    pub phases: Vec<DayPhase>,
     /// One-way time of the network.
     pub network: (Micros, Micros),
-    /// When the last message comes.
+    /// The end of the day's requests.
     pub end: Micros,
 }
 
 /// So many forwarders, numbered, whose clocks agree.
-pub fn plain_fleet(count: usize) -> Vec<Member> {
-    (0..count as u64).map(|n| Member { number: Some(n), clock: 0 }).collect()
-}
-
-fn pick(rng: &mut ChaCha8Rng, range: (f64, f64)) -> f64 {
-    range.0 + (range.1 - range.0) * rng.random::<f64>()
+pub fn numbered_fleet(count: usize) -> Vec<ForwarderProfile> {
+    (0..count as u64).map(|n| ForwarderProfile { number: Some(n), clock: 0 }).collect()
 }
 
 /// The settings and names that site files of an experiment are checked against.
@@ -179,193 +258,9 @@
 }
 
 impl World {
-    /// The settings as one of so many forwarders is told them.
-    pub fn told_to(&self, forwarder: usize, count: usize) -> Settings {
-        let forwarders = ((count as f64 * self.told).round() as usize).max(1);
+    /// The settings of one of so many forwarders.
+    pub fn settings_for(&self, forwarder: usize, count: usize) -> Settings {
+        let forwarders = ((count as f64 * self.forwarder_count_factor).round() as usize).max(1);
         Settings { forwarders, forwarder_index: self.fleet[forwarder].number, ..self.settings.clone() }
     }
-
-    /// Draws a day at a load, which is a share of full load.
-    pub fn draw(experiment: &Experiment, load: (f64, f64), seed: u64) -> World {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let of = &experiment.partners;
-        let zipf = pick(&mut rng, of.zipf);
-        let weights: Vec<f64> = (0..of.count).map(|i| 1.0 / ((i + 1) as f64).powf(zipf)).collect();
-        let sum: f64 = weights.iter().sum();
-        let traffic: Vec<f64> = weights.iter().map(|w| w / sum).collect();
-        let full = pick(&mut rng, of.rate) * of.count as f64;
-        // The large ones are cable operators: a third of all, among the busiest.
-        let kinds: Vec<usize> =
-            (0..of.count).map(|i| usize::from(i % 2 == 1 || i >= of.count * 2 / 3)).collect();
-        let work = pick(&mut rng, of.work_ms) * 1000.0;
-        let mut partners: Vec<DestinationProfile> = (0..of.count)
-            .map(|i| draw_partner(&mut rng, experiment, full * traffic[i], kinds[i], work))
-            .collect();
-        of.paces.iter().for_each(|p| partners[p.rank - 1].service_time = p.work.0);
-        let mut settings = platform().0;
-        let load = pick(&mut rng, load);
-        settings.forwarders = experiment.forwarders;
-        let each = full / experiment.forwarders as f64;
-        let busy: f64 = partners
-            .iter()
-            .zip(&traffic)
-            .map(|(p, t)| full * t * p.service_time as f64 / SECOND as f64)
-            .sum();
-        let slots = busy / experiment.forwarders as f64 * pick(&mut rng, (1.8, 2.4));
-        settings.max_concurrent_calls = (slots.ceil() as usize).max(3);
-        settings.max_open_messages = ((each * pick(&mut rng, (7.1, 11.0))) as usize).max(8);
-        for (tenant, of) in settings.tenants.iter_mut().zip(TENANTS) {
-            tenant.quota_per_s = full * QUOTA * of.1;
-        }
-        let end = START + experiment.length.0;
-        let hands = draw_hands(&mut rng, experiment, &partners, &traffic, &settings, full * load);
-        let mut list = Vec::new();
-        for (i, p) in partners.iter().enumerate() {
-            // The list tells a rough figure for what the partner takes: up to half too high or too low.
-            let weight = p.limit.unwrap_or(p.capacity) * pick(&mut rng, (0.67, 1.5));
-            for e in 0..p.endpoints {
-                let entry = EndpointEntry {
-                    endpoint: EndpointId(list.len() as u32 + 1),
-                    destination: DestinationId(i as u64),
-                    zone: ZoneId(0),
-                    kind: KindId(kinds[i]),
-                    lifecycle: Lifecycle::Listed,
-                    weight,
-                };
-                list.push((entry, i, e));
-            }
-        }
-        let troubles = experiment.troubles.iter().map(|t| {
-            let from = START + t.from.0;
-            (t.rank - 1, from, from + t.lasts.0, t.drawn(rng.random()))
-        });
-        let troubles = troubles.collect();
-        // One endpoint of a partner with several leaves for a while, as in a restart.
-        let several = list.iter().position(|e| partners[e.1].endpoints > 1);
-        let part = |of: u64| START + experiment.length.0 / of;
-        let changes = several.map(|e| [(part(4), e, Lifecycle::Draining), (part(2), e, Lifecycle::Listed)]);
-        let changes = changes.into_iter().flatten().collect();
-        let network = ((of.network_ms.0 * 1e3) as Micros, (of.network_ms.1 * 1e3) as Micros);
-        let names = platform().1;
-        World {
-            fleet: plain_fleet(experiment.forwarders),
-            sizes: Vec::new(),
-            told: 1.0,
-            listed: list.len(),
-            stops: Vec::new(),
-            partner_names: (1..=partners.len()).map(|n| format!("partner-{n}")).collect(),
-            connections: vec![usize::MAX; partners.len()],
-            phases: Vec::new(),
-            partners,
-            kinds,
-            traffic,
-            settings,
-            names,
-            list,
-            hands,
-            troubles,
-            changes,
-            network,
-            end,
-        }
-    }
-}
-
-fn draw_partner(
-    rng: &mut ChaCha8Rng,
-    experiment: &Experiment,
-    rate: f64,
-    kind: usize,
-    work: f64,
-) -> DestinationProfile {
-    let of = &experiment.partners;
-    let headroom = pick(rng, of.headroom);
-    let spare = pick(rng, of.spare);
-    let unlike = of.unlike.max(1.0).powf(pick(rng, (-1.0, 1.0)));
-    let least = if kind == 0 { pick(rng, (1.8, 4.6)) } else { pick(rng, (1.6, 4.5)) };
-    let limit = (rate * headroom).max(least);
-    let limited = kind == 0 || rng.random_bool(0.5);
-    let endpoints = if rate > 6.0 { rng.random_range(1..=4) } else { rng.random_range(1..=2) };
-    let capacity = limit * spare;
-    let depth = pick(rng, (0.44, 0.99));
-    DestinationProfile {
-        endpoints,
-        service_time: (work * unlike) as Micros,
-        service_time_variation: pick(rng, (0.36, 0.8)),
-        capacity,
-        limit: limited.then_some(limit),
-        rejections_count: kind == 1,
-        retry_after: None,
-        queue_length: ((capacity * depth / endpoints as f64).ceil() as usize).max(1),
-        messages_per_call: if kind == 0 { 10 } else { 1 },
-        further_message_cost: if kind == 0 { pick(rng, (0.074, 0.18)) } else { 0.0 },
-        error_rate: pick(rng, (0.0, if kind == 0 { 0.01 } else { 0.005 })),
-        slow_start_floor: pick(rng, (0.23, 0.33)),
-        slow_start: (pick(rng, (7.4, 9.4)) * SECOND as f64) as Micros,
-        overload_multiple: 2.0,
-        overload_window: 3 * SECOND,
-    }
-}
-
-/// All messages: an even stream for each partner, and clumps.
-fn draw_hands(
-    rng: &mut ChaCha8Rng,
-    experiment: &Experiment,
-    partners: &[DestinationProfile],
-    traffic: &[f64],
-    settings: &Settings,
-    rate: f64,
-) -> Vec<Hand> {
-    let length = experiment.length.0 as f64 / SECOND as f64;
-    let clumped = pick(rng, experiment.clumps.share);
-    let usage: Vec<f64> = TENANTS.iter().map(|t| t.1 * pick(rng, t.2)).collect();
-    let all: f64 = usage.iter().sum();
-    let mut times: Vec<(Micros, usize)> = Vec::new();
-    let at = |s: f64| START + (s * SECOND as f64) as Micros;
-    for (i, share) in traffic.iter().enumerate() {
-        let each = rate * share * (1.0 - clumped);
-        let mut t = 0.0;
-        loop {
-            t += -(1.0 - rng.random::<f64>()).ln() / each;
-            if t >= length {
-                break;
-            }
-            times.push((at(t), i));
-        }
-    }
-    let mut left = rate * length * clumped;
-    while left >= 1.0 {
-        let mut draw = rng.random::<f64>();
-        let partner = traffic.iter().position(|t| {
-            draw -= t;
-            draw < 0.0
-        });
-        let partner = partner.unwrap_or(0);
-        let takes = partners[partner].limit.unwrap_or(partners[partner].capacity);
-        let size = (takes * pick(rng, experiment.clumps.seconds)).min(left).ceil();
-        // One in CLUMP_GAP seconds; all of it lies within the day.
-        let begin = rng.random::<f64>() * (length - size * CLUMP_GAP).max(0.0);
-        let hands = (0..size as usize).map(|n| begin + n as f64 * CLUMP_GAP).filter(|t| *t < length);
-        times.extend(hands.map(|t| (at(t), partner)));
-        left -= size;
-    }
-    times.sort();
-    let mut buckets: Vec<(f64, Micros)> = settings.tenants.iter().map(|t| (t.quota_per_s, START)).collect();
-    let hand = |(at, partner): (Micros, usize)| {
-        let mut draw = rng.random::<f64>() * all;
-        let tenant = usage.iter().position(|u| {
-            draw -= u;
-            draw < 0.0
-        });
-        let tenant = tenant.unwrap_or(0);
-        let quota = settings.tenants[tenant].quota_per_s;
-        let b = &mut buckets[tenant];
-        *b = ((b.0 + quota * (at - b.1) as f64 / SECOND as f64).min(quota.max(1.0)), at);
-        let within = b.0 >= 1.0;
-        b.0 -= f64::from(u8::from(within));
-        let again = rng.random_bool(0.75).then(|| (pick(rng, (0.53, 1.5)) * SECOND as f64) as Micros);
-        let forwarder = rng.random_range(0..settings.forwarders);
-        Hand { at, partner, tenant, forwarder, worth: if within { 1.0 } else { OVER_SHARE }, again }
-    };
-    times.into_iter().map(hand).collect()
 }
--- a/crates/rehearsal/tests/experiments.rs
+++ b/crates/rehearsal/tests/experiments.rs
@@ -1,8 +1,8 @@
 //! The shipped experiments, on few days: they can be read, repeat themselves, and break no rule.
 
-use cedarbridge_rehearsal::experiment::{Experiment, Unfit};
-use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::experiment::{Experiment, InputError};
 use cedarbridge_rehearsal::report::{page, Row};
+use cedarbridge_rehearsal::simulation::simulate;
 use cedarbridge_rehearsal::world::{platform, World};
 use std::path::{Path, PathBuf};
 
@@ -15,12 +15,12 @@
     let world = World::draw(experiment, load, 5);
     let plays = experiment.variants.iter().map(|v| {
         let plan = experiment.plan(v, &folder(), &platform()).expect("accepted");
-        let (figures, broken) = play(&world, plan, 5);
+        let (figures, violations) = simulate(&world, plan, 5);
         Row {
             load,
             variant: v.name.clone(),
             days: vec![figures],
-            broken: broken.iter().map(ToString::to_string).collect(),
+            violations: violations.iter().map(ToString::to_string).collect(),
         }
     });
     plays.collect()
@@ -34,10 +34,10 @@
         experiment.length.0 /= 2;
         let first = rows(&experiment);
         for row in &first {
-            assert_eq!(row.broken, Vec::<String>::new(), "{file}, {}", row.variant);
+            assert_eq!(row.violations, Vec::<String>::new(), "{file}, {}", row.variant);
             // A day on which nothing is sent would break no rule either.
             assert!(
-                row.days[0].delivered > 500 && row.days[0].worth().share() > 0.5,
+                row.days[0].delivered > 500 && row.days[0].value().share() > 0.5,
                 "{file}, {}",
                 row.variant
             );
@@ -65,12 +65,12 @@
         assert!(told.contains(wanted), "{told}");
     }
     std::fs::remove_file(&path).expect("removed");
-    assert!(matches!(Experiment::read(&path), Err(Unfit::Unread(..))));
+    assert!(matches!(Experiment::read(&path), Err(InputError::Unreadable(..))));
 }
 
 #[test]
 fn the_commands_compare_sweep_and_check() {
-    let lab = |arguments: &[&str]| {
+    let kit = |arguments: &[&str]| {
         let program =
             std::process::Command::new(env!("CARGO_BIN_EXE_cedarbridge-rehearsal")).args(arguments).output();
         let output = program.expect("it runs");
@@ -79,7 +79,7 @@
     let shipped = folder().join("slow-partner.yaml");
     let shipped = shipped.to_str().expect("text");
     assert_eq!(
-        lab(&["check", shipped]),
+        kit(&["check", shipped]),
         (Some(0), format!("{shipped}: 4 variants, 2 loads, nothing against it\n"))
     );
     let path = std::env::temp_dir().join(format!("cedarbridge-rehearsal-short-{}.yaml", std::process::id()));
@@ -89,13 +89,13 @@
     let short = path.to_str().expect("text");
     let site = |name: &str| folder().join(name).to_str().expect("text").to_owned();
     let (code, table) =
-        lab(&["compare", &site("one-short.yaml"), &site("one-long.yaml"), "--experiment", short]);
+        kit(&["compare", &site("one-short.yaml"), &site("one-long.yaml"), "--experiment", short]);
     assert_eq!(code, Some(0));
     assert!(table.contains("change against the first variant") && table.contains("one-long.yaml"), "{table}");
-    let (code, table) = lab(&["sweep", short, "--load", "0.5", "--to", "0.9", "--steps", "3"]);
+    let (code, table) = kit(&["sweep", short, "--load", "0.5", "--to", "0.9", "--steps", "3"]);
     assert_eq!(code, Some(0));
     assert!(["50%", "70%", "90%"].iter().all(|l| table.contains(l)), "{table}");
-    assert_eq!(lab(&["sweep", short, "--load", "0.9", "--to", "0.5"]).0, Some(1));
-    assert_eq!(lab(&["check", "none.yaml"]).0, Some(2));
+    assert_eq!(kit(&["sweep", short, "--load", "0.9", "--to", "0.5"]).0, Some(1));
+    assert_eq!(kit(&["check", "none.yaml"]).0, Some(2));
     std::fs::remove_file(path).expect("removed");
 }
--- a/crates/rehearsal/tests/rehearsal.rs
+++ b/crates/rehearsal/tests/rehearsal.rs
@@ -2,18 +2,18 @@
 //! stays behind.
 
 use cedarbridge_rehearsal::audit::Rule;
-use cedarbridge_rehearsal::capture::Captured;
-use cedarbridge_rehearsal::draw::day;
-use cedarbridge_rehearsal::play::play;
+use cedarbridge_rehearsal::capture::CapturedDay;
 use cedarbridge_rehearsal::scenario::Scenario;
-use cedarbridge_rehearsal::verdict::{How, Lateness, Run, Verdict};
+use cedarbridge_rehearsal::scenario_day::day;
+use cedarbridge_rehearsal::simulation::simulate;
+use cedarbridge_rehearsal::verdict::{Lateness, Run, RunMode, Verdict};
 use serde_json::Value;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-const LAB: &str = env!("CARGO_BIN_EXE_cedarbridge-rehearsal");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_cedarbridge-rehearsal");
 
 fn shipped(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios").join(name)
@@ -47,7 +47,7 @@
 }
 
 fn start(folder: &Folder, scenario: &Path, more: &[&str]) -> Child {
-    let mut command = Command::new(LAB);
+    let mut command = Command::new(PROGRAM);
     command.current_dir(&folder.0).arg("rehearse").arg(scenario).arg("--keep").arg(folder.file("kept"));
     command
         .arg("--json")
@@ -79,11 +79,11 @@
 fn virtually(text: &str, seed: u64) -> (f64, usize) {
     let scenario = Scenario::parse(text).expect("a scenario");
     let world = day(&scenario, seed, None);
-    let (figures, broken) = play(&world, None, seed);
-    (figures.worth().share(), broken.len())
+    let (figures, violations) = simulate(&world, None, seed);
+    (figures.value().share(), violations.len())
 }
 
-/// Guards against an emulator that is trusted for no reason: the same day on sockets comes to the same worth. A machine
+/// Guards against an emulator that is trusted without reason: the same day on sockets delivers the same value. A machine
 /// that was too loaded judges nothing, and then neither does this.
 #[test]
 fn a_brief_rehearsal_is_as_expected_and_agrees_with_virtual_time() {
@@ -97,7 +97,7 @@
     let junit = std::fs::read_to_string(folder.file("told.xml")).expect("JUnit");
     assert!(junit.contains("rule one-answer") && junit.contains("expected worth"));
     if told["verdict"] == "passed" {
-        // The forwarders tell of it themselves: the one that hung was given up and came back.
+        // The forwarders' counters show it: the one that hung was ejected and recovered.
         let operator = told["breakers"]["operator"].as_array().expect("a line");
         assert!(
             operator.iter().any(|b| b[1] == "open") && operator.last().is_some_and(|b| b[1] == "closed"),
@@ -111,7 +111,7 @@
     }
 }
 
-/// Guards against messages that a killed forwarder held being lost or sent twice: its journal gives them back.
+/// Guards against open messages of a killed forwarder being lost or sent twice: its journal restores them.
 #[test]
 fn a_forwarder_killed_with_200_in_its_hands_gives_each_its_end() {
     let folder = Folder::new("killed");
@@ -125,21 +125,21 @@
     let out = start(&folder, &scenario, &["--log-level", "debug"]).wait_with_output().expect("an end");
     let told = told(&folder, &out);
     assert_kept(&told);
-    // While nobody is there for longer than a client's patience, on a slow machine, what comes is given back.
+    // While no forwarder accepts for longer than a client's patience, on a slow machine, requests are rejected.
     let of = |key: &str| told[key].as_u64().expect("a number");
     assert_eq!((of("failed"), of("delivered") + of("refused")), (0, of("messages")), "{told:#}");
     // Its log, from before the kill and after, makes a day that can be played again.
     let capture = folder.file("day.zst");
     let log = folder.file("kept/forwarder-1/log");
     let made =
-        Command::new(LAB).arg("capture").arg(log).arg("--out").arg(&capture).output().expect("the kit");
+        Command::new(PROGRAM).arg("capture").arg(log).arg("--out").arg(&capture).output().expect("the kit");
     assert!(made.status.success(), "{made:?}");
-    let day = Captured::read(&capture).expect("a day");
-    assert!(day.lines.len() as u64 + of("refused") >= of("messages"), "{}", day.lines.len());
-    let again = Command::new(LAB).arg("simulate").arg(&scenario).arg("--capture").arg(&capture).output();
+    let day = CapturedDay::read(&capture).expect("a day");
+    assert!(day.messages.len() as u64 + of("refused") >= of("messages"), "{}", day.messages.len());
+    let again = Command::new(PROGRAM).arg("simulate").arg(&scenario).arg("--capture").arg(&capture).output();
     let again = String::from_utf8(again.expect("the kit").stdout).expect("text");
     let played = again.lines().find_map(|l| l.split_once(" messages:")?.0.parse::<usize>().ok());
-    assert!(played.is_some_and(|n| n > 0 && n <= day.lines.len()), "{again}");
+    assert!(played.is_some_and(|n| n > 0 && n <= day.messages.len()), "{again}");
 }
 
 /// Guards against a hand-over that loses, repeats or turns away what comes meanwhile: the audit sees both sides.
@@ -176,7 +176,7 @@
 limit: 16s
 ";
 
-/// Guards against an audit that cannot fail: each fault is told by its rule, with time and, where it has one, message
+/// Guards against an audit that cannot fail: each fault is reported by its rule, with time and, where it has one, message
 /// and forwarder; and the same day without a fault breaks nothing.
 #[test]
 fn each_fault_put_in_is_caught_by_its_rule() {
@@ -201,13 +201,13 @@
     for (fault, rule, folder, child) in runs {
         let out = child.wait_with_output().expect("an end");
         let told = told(&folder, &out);
-        let broken = told["broken"].as_array().expect("a list");
+        let violations = told["broken"].as_array().expect("a list");
         let Some(rule) = rule else {
             assert_kept(&told);
             continue;
         };
-        let found = broken.iter().find(|b| b["rule"] == rule.name());
-        let found = found.unwrap_or_else(|| panic!("{fault} went unseen: {broken:#?}"));
+        let found = violations.iter().find(|b| b["rule"] == rule.name());
+        let found = found.unwrap_or_else(|| panic!("{fault} went unseen: {violations:#?}"));
         assert!(found["at_us"].as_u64().is_some_and(|t| t > 0), "{found}");
         let names = |key: &str| found[key].is_u64();
         match rule {
@@ -259,22 +259,22 @@
     let text = std::fs::read_to_string(shipped("brief.yaml")).expect("there");
     let scenario = Scenario::parse(&text).expect("a scenario");
     let world = day(&scenario, 1, None);
-    let (figures, _) = play(&world, None, 1);
-    let mishaps = ["odd".to_owned()];
+    let (figures, _) = simulate(&world, None, 1);
+    let incidents = ["odd".to_owned()];
     let run = |late_sends| Run {
         scenario: &scenario,
         world: &world,
         seed: 1,
         figures: &figures,
-        broken: &[],
-        how: How::Live(Lateness {
+        violations: &[],
+        run_mode: RunMode::Live(Lateness {
             loop_p99: 2_000,
             loop_most: 9_000,
             late_sends,
             sends: 100,
-            tells_p90: 9_000,
+            counters_p90: 9_000,
         }),
-        mishaps: &mishaps,
+        incidents: &incidents,
         took: Duration::from_secs(1),
     };
     assert!(matches!(run(1).verdict(), Verdict::Failed(_)));
@@ -292,7 +292,7 @@
         let scenario = Scenario::parse(&text).unwrap_or_else(|e| panic!("{}: {e:?}", path.display()));
         let first = virtually(&text, scenario.seed);
         assert_eq!(first.1, 0, "{}", path.display());
-        let least = scenario.expect.worth.as_ref().map_or(0.0, |w| w.value);
+        let least = scenario.expect.delivered_share.as_ref().map_or(0.0, |w| w.value);
         assert!(first.0 >= least, "{}: {}", path.display(), first.0);
         assert_eq!(first, virtually(&text, scenario.seed), "{}", path.display());
         seen += 1;
@@ -300,7 +300,7 @@
     assert!(seen >= 8, "only {seen} scenarios");
 }
 
-/// Each way to get a scenario wrong, with the place and the reason that the user is told.
+/// Each way to get a scenario wrong, with the place and the reason that the user reads.
 #[test]
 fn a_scenario_that_makes_no_sense_is_refused_with_its_place() {
     let good = "title: x\nrate: 10\npartners:\n  - {name: a, kind: small-partner, share: 1, work: 50ms}\nphases:\n  \
