--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -1,5 +1,6 @@
 //! `cedarbridge-rehearsal`: rehearses scenarios on sockets and in virtual time, and plays experiments.
 
+mod fleet_command;
 mod load;
 mod rehearsal;
 
@@ -151,7 +152,7 @@
         /// The scenario (YAML)
         scenario: PathBuf,
         #[command(flatten)]
-        options: rehearsal::FleetOptions,
+        options: fleet_command::FleetOptions,
     },
     /// Play a scenario in virtual time, without sockets
     Simulate {
@@ -253,7 +254,7 @@
             }
             Ok(verdict(fine))
         }
-        Command::Fleet { scenario, options } => rehearsal::fleet(&scenario, &options).map(verdict),
+        Command::Fleet { scenario, options } => fleet_command::fleet(&scenario, &options).map(verdict),
         Command::Simulate { scenario, options } => rehearsal::simulate(&scenario, &options).map(verdict),
         Command::Rehearse { scenario, options, live } => {
             Ok(match rehearsal::rehearse(&scenario, &options, &live)? {
