--- /dev/null
+++ b/crates/registry-standin/src/applications.rs
@@ -0,0 +1,140 @@
+//! The registry's state: instances by application, and the changes that a delta reports.
+
+use crate::instance::Instance;
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, VecDeque};
+use std::time::{Duration, Instant};
+
+/// Changes stay in the delta for so long, as at real servers.
+const DELTA_RETENTION: Duration = Duration::from_secs(180);
+
+/// An instance of an answer, with its action if the answer is a delta.
+pub(crate) type Entry<'a> = (&'a Instance, Option<&'static str>);
+
+struct Change {
+    at: Instant,
+    instance: Instance,
+    action: &'static str,
+}
+
+/// The instances of all applications, with their latest changes.
+#[derive(Default)]
+pub(crate) struct Applications {
+    /// By application and id.
+    pub(crate) instances: BTreeMap<(String, String), Instance>,
+    /// The latest change of each instance that changed lately, oldest first.
+    recent: VecDeque<Change>,
+    version: u64,
+    /// Counts the changes, also over a restart.
+    changes: u64,
+}
+
+impl Applications {
+    fn stamp(&mut self) -> u64 {
+        self.changes += 1;
+        1_700_000_000_000 + self.changes
+    }
+
+    fn record_change(&mut self, instance: Instance, action: &'static str) {
+        self.version += 1;
+        // A delta has each instance once, as it is now.
+        self.recent
+            .retain(|change| (&change.instance.app, &change.instance.id) != (&instance.app, &instance.id));
+        self.recent.push_back(Change { at: Instant::now(), instance, action });
+        while self.recent.front().is_some_and(|change| change.at.elapsed() > DELTA_RETENTION) {
+            self.recent.pop_front();
+        }
+    }
+
+    pub(crate) fn put(&mut self, mut instance: Instance) {
+        instance.stamp = self.stamp();
+        let key = (instance.app.clone(), instance.id.clone());
+        let action = if self.instances.contains_key(&key) { "MODIFIED" } else { "ADDED" };
+        self.instances.insert(key, instance.clone());
+        self.record_change(instance, action);
+    }
+
+    pub(crate) fn delete(&mut self, app: &str, id: &str) -> bool {
+        let Some(gone) = self.instances.remove(&(app.to_owned(), id.to_owned())) else { return false };
+        self.record_change(gone, "DELETED");
+        true
+    }
+
+    /// Removes the instances with an expired lease.
+    pub(crate) fn evict(&mut self) {
+        let is_expired = |instance: &Instance| instance.lease.is_some_and(|lease| lease.is_expired());
+        let expired: Vec<_> =
+            self.instances.iter().filter(|(_, i)| is_expired(i)).map(|(key, _)| key.clone()).collect();
+        for (app, id) in &expired {
+            self.delete(app, id);
+        }
+    }
+
+    /// Forgets everything, as a registry does that restarts.
+    pub(crate) fn clear(&mut self) {
+        *self = Applications { changes: self.changes, ..Applications::default() };
+    }
+
+    /// Forgets the changes that a delta would report.
+    pub(crate) fn lose_deltas(&mut self) {
+        self.recent.clear();
+    }
+
+    /// The count of instances by status, as the protocol's hash of the list.
+    fn hash(&self) -> String {
+        let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
+        self.instances.values().for_each(|i| *counts.entry(&i.status).or_default() += 1);
+        counts.iter().map(|(s, n)| format!("{s}_{n}_")).collect()
+    }
+
+    /// The answer to a question for all instances.
+    pub(crate) fn full(&self, xml: bool) -> String {
+        let all: Vec<Entry> = self.instances.values().map(|i| (i, None)).collect();
+        self.answer(xml, &all)
+    }
+
+    /// The answer to a question for the changes.
+    pub(crate) fn delta(&self, xml: bool) -> String {
+        let changed: Vec<Entry> = self.recent.iter().map(|c| (&c.instance, Some(c.action))).collect();
+        self.answer(xml, &changed)
+    }
+
+    /// These instances with their actions, by application.
+    pub(crate) fn answer(&self, xml: bool, entries: &[Entry]) -> String {
+        let mut by_app: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
+        entries.iter().for_each(|entry| by_app.entry(&entry.0.app).or_default().push(*entry));
+        if xml {
+            self.xml(&by_app)
+        } else {
+            self.json(&by_app)
+        }
+    }
+
+    fn xml(&self, by_app: &BTreeMap<&str, Vec<Entry>>) -> String {
+        let application = |(name, entries): (&&str, &Vec<Entry>)| {
+            let instances: String = entries.iter().map(|(i, action)| i.xml(*action)).collect();
+            format!("<application><name>{name}</name>{instances}</application>")
+        };
+        let applications: String = by_app.iter().map(application).collect();
+        format!(
+            "<?xml version=\"1.0\"?><applications><versions__delta>{}</versions__delta>\
+             <apps__hashcode>{}</apps__hashcode>{applications}</applications>",
+            self.version,
+            self.hash()
+        )
+    }
+
+    fn json(&self, by_app: &BTreeMap<&str, Vec<Entry>>) -> String {
+        // A list of one is written as its one element, as some servers do.
+        let list = |mut all: Vec<Value>| if all.len() == 1 { all.remove(0) } else { all.into() };
+        let application = |(name, entries): (&&str, &Vec<Entry>)| {
+            let instances = entries.iter().map(|(i, action)| i.json(*action)).collect();
+            json!({"name": name, "instance": list(instances)})
+        };
+        let applications = list(by_app.iter().map(application).collect());
+        json!({"applications": {
+            "versions__delta": self.version.to_string(), "apps__hashcode": self.hash(), "application": applications,
+        }})
+        .to_string()
+    }
+}
--- /dev/null
+++ b/crates/registry-standin/src/show/peers.rs
@@ -0,0 +1,118 @@
+//! The forwarder's peers: partners' endpoints that answer every call, and the platform's agent.
+
+use cedarbridge_registry_standin::request;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+/// Work of a few milliseconds, so that calls are in flight at each change.
+const SERVICE_TIME: Duration = Duration::from_millis(5);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
+const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const NO_CONTENT: &[u8] = b"HTTP/1.1 204 No\r\nContent-Length: 0\r\n\r\n";
+
+/// The endpoints, with one count of their calls.
+pub struct Endpoints {
+    /// Where each listens.
+    pub addresses: Vec<SocketAddr>,
+    calls: Arc<AtomicU64>,
+}
+
+impl Endpoints {
+    /// Starts them.
+    pub fn start(count: usize) -> std::io::Result<Self> {
+        let calls = Arc::new(AtomicU64::new(0));
+        let start_one = |_| {
+            let calls = calls.clone();
+            serve(move |stream| answer_calls(stream, &calls))
+        };
+        let addresses = (0..count).map(start_one).collect::<std::io::Result<_>>()?;
+        Ok(Endpoints { addresses, calls })
+    }
+
+    /// The calls that all of them have had.
+    pub fn calls(&self) -> u64 {
+        self.calls.load(Ordering::SeqCst)
+    }
+}
+
+/// The platform's agent; its endpoint list is empty.
+pub struct PlatformAgent {
+    /// Where it listens.
+    pub address: SocketAddr,
+    reports: Arc<AtomicU64>,
+}
+
+impl PlatformAgent {
+    /// Starts it.
+    pub fn start() -> std::io::Result<Self> {
+        let reports = Arc::new(AtomicU64::new(0));
+        let counted = reports.clone();
+        let address = serve(move |stream| serve_agent(&stream, &counted))?;
+        Ok(PlatformAgent { address, reports })
+    }
+
+    /// The delivery reports that it has received.
+    pub fn reports(&self) -> u64 {
+        self.reports.load(Ordering::SeqCst)
+    }
+}
+
+fn serve(each: impl Fn(TcpStream) + Send + Sync + 'static) -> std::io::Result<SocketAddr> {
+    let listener = TcpListener::bind("127.0.0.1:0")?;
+    let address = listener.local_addr()?;
+    let each = Arc::new(each);
+    thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let each = each.clone();
+            thread::spawn(move || each(stream));
+        }
+    });
+    Ok(address)
+}
+
+fn answer_calls(mut stream: TcpStream, calls: &AtomicU64) {
+    // Without it calls are slower, and nothing else.
+    let _ = stream.set_nodelay(true);
+    let Ok(handle) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(handle);
+    while request(&mut reader).is_some() {
+        calls.fetch_add(1, Ordering::SeqCst);
+        thread::sleep(SERVICE_TIME);
+        if stream.write_all(OK).is_err() {
+            return;
+        }
+    }
+}
+
+fn serve_agent(stream: &TcpStream, reports: &AtomicU64) {
+    let Ok(mut writer) = stream.try_clone() else { return };
+    let Ok(handle) = stream.try_clone() else { return };
+    let mut reader = BufReader::new(handle);
+    while let Some((method, _, body)) = request(&mut reader) {
+        if method != "POST" {
+            return send_list(&mut writer);
+        }
+        let lines = body.iter().filter(|byte| **byte == b'\n').count();
+        reports.fetch_add(lines as u64, Ordering::SeqCst);
+        if writer.write_all(NO_CONTENT).is_err() {
+            return;
+        }
+    }
+}
+
+/// Sends the empty endpoint list, then heartbeats until the connection ends.
+fn send_list(writer: &mut TcpStream) {
+    let list = "{\"generation\":1,\"reset\":true,\"instances\":[]}\n";
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let first = format!("{head}{:x}\r\n{list}\r\n", list.len());
+    if writer.write_all(first.as_bytes()).is_err() {
+        return;
+    }
+    while writer.write_all(b"1\r\n\n\r\n").is_ok() {
+        thread::sleep(HEARTBEAT_INTERVAL);
+    }
+}
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -304,8 +304,8 @@
             ));
         }
         let least = row.days.iter().map(|d| d.served).fold(f64::INFINITY, f64::min);
-        if let Some(worth) = expect.delivered_share.as_ref().filter(|w| least < w.value) {
-            all.push(format!("{count} forwarders: {least:.3} served, {} expected at least", worth.value));
+        if let Some(expected) = expect.delivered_share.as_ref().filter(|w| least < w.value) {
+            all.push(format!("{count} forwarders: {least:.3} served, {} expected at least", expected.value));
         }
         let longest = row.days.iter().filter_map(|d| d.first).max().unwrap_or(0);
         if let Some(most) = expect.returns.filter(|m| longest > m.0) {
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -24,13 +24,13 @@
             let listener = listen(SocketAddr::from((ip, 0)), BACKLOG)
                 .map_err(|e| LiveError::System("no address for an endpoint".into(), e))?;
             let address = listener.get_ref().local_addr().expect("bound");
-            let told = match run.options.fault {
+            let advertised = match run.options.fault {
                 Some(fault) if fault.at_calls() => {
                     super::proxy::start_call_proxy(run, endpoint, address, fault)?
                 }
                 _ => address,
             };
-            run.addresses.borrow_mut()[forwarder].push(told);
+            run.addresses.borrow_mut()[forwarder].push(advertised);
             run.clone().spawn(serve(run.clone(), forwarder, endpoint, listener, address));
         }
     }
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -402,10 +402,10 @@
             rows.push(COLUMNS.map(|c| c.1(&figures)));
         }
         let of = |n: usize| mean(&rows.iter().map(|r| r[n]).collect::<Vec<_>>());
-        let (worth, half) = of(0);
+        let (value, half) = of(0);
         println!(
             "{value:>12.3} {:>18} {:>10.1} {:>10.1} {:>10.0} {:>10.0}",
-            format!("{worth:.3} ±{half:.3}"),
+            format!("{value:.3} ±{half:.3}"),
             of(1).0,
             of(2).0,
             of(3).0,
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -38,9 +38,10 @@
         if let Some(fleet) = &self.fleet {
             self.check_fleet(fleet, found);
         }
-        if let Some(worth) = self.expect.delivered_share.as_ref().filter(|w| !(0.0..=1.0).contains(&w.value))
+        if let Some(expected) =
+            self.expect.delivered_share.as_ref().filter(|w| !(0.0..=1.0).contains(&w.value))
         {
-            found.push(ScenarioError::at(worth.referenced, "the expected `worth` is a share from 0 to 1"));
+            found.push(ScenarioError::at(expected.referenced, "the expected `worth` is a share from 0 to 1"));
         }
     }
 
@@ -148,9 +149,9 @@
         }
         match self.moment(of) {
             None => {
-                let word = of.phase.as_ref().or(of.clump.as_ref()).unwrap_or(by);
-                let reason = format!("there is no phase or clump `{}`", word.value);
-                found.push(ScenarioError::at(word.referenced, reason));
+                let location = of.phase.as_ref().or(of.clump.as_ref()).unwrap_or(by);
+                let reason = format!("there is no phase or clump `{}`", location.value);
+                found.push(ScenarioError::at(location.referenced, reason));
             }
             Some(at) if at + lasts > self.length() => {
                 let s = |t: Micros| t as f64 / 1e6;
@@ -194,14 +195,14 @@
                 ));
             }
         }
-        let word = Spanned { value: String::from("fleet"), referenced: place, defined: of.defined };
+        let location = Spanned { value: String::from("fleet"), referenced: place, defined: of.defined };
         if let Some(dead) = &f.dead {
-            self.check_moment(&dead.at, &word, dead.lasts.0, found);
+            self.check_moment(&dead.at, &location, dead.lasts.0, found);
             if !share(dead.share) {
                 found.push(ScenarioError::at(place, "the `share` of `dead` is from 0 to 1"));
             }
         }
-        f.sizes.iter().for_each(|s| self.check_moment(&s.at, &word, s.within.0, found));
+        f.sizes.iter().for_each(|s| self.check_moment(&s.at, &location, s.within.0, found));
         let times: Vec<_> = f.sizes.iter().filter_map(|s| self.moment(&s.at)).collect();
         if times.windows(2).any(|t| t[0] >= t[1]) {
             found.push(ScenarioError::at(place, "`sizes` come one after the other"));
@@ -229,9 +230,9 @@
                 let reason = format!("forwarders are numbered from 1 to {}", self.forwarders.count);
                 found.push(ScenarioError::at(place, reason));
             }
-            let word =
+            let location =
                 Spanned { value: String::from("stop"), referenced: place, defined: s.forwarder.defined };
-            self.check_moment(&s.at, &word, 0, found);
+            self.check_moment(&s.at, &location, 0, found);
             if s.times == 0 || s.times > 1 && s.every.0 < once(s) {
                 found
                     .push(ScenarioError::at(place, "`times` is 1 at least, and `every` leaves time for one"));
@@ -249,11 +250,11 @@
 }
 
 /// A destination that is named must exist.
-fn check_destination_name(names: &BTreeSet<String>, word: &SpannedName, found: &mut Vec<ScenarioError>) {
-    if !names.contains(&word.value) {
+fn check_destination_name(names: &BTreeSet<String>, name: &SpannedName, found: &mut Vec<ScenarioError>) {
+    if !names.contains(&name.value) {
         let some: Vec<&str> = names.iter().take(6).map(String::as_str).collect();
-        let reason = format!("there is no partner `{}`; there are {}", word.value, some.join(", "));
-        found.push(ScenarioError::at(word.referenced, reason));
+        let reason = format!("there is no partner `{}`; there are {}", name.value, some.join(", "));
+        found.push(ScenarioError::at(name.referenced, reason));
     }
 }
 
--- a/crates/rehearsal/src/simulation/forwarders.rs
+++ b/crates/rehearsal/src/simulation/forwarders.rs
@@ -69,8 +69,11 @@
     pub(super) fn push_settings(&mut self, forwarder: usize) {
         if self.forwarders[forwarder].up {
             let routes = self.settings.routes.clone();
-            let told = self.world.settings_for(forwarder, self.settings.forwarders);
-            self.push_event(forwarder, Event::Settings(Box::new(cedarbridge::Settings { routes, ..told })));
+            let settings = self.world.settings_for(forwarder, self.settings.forwarders);
+            self.push_event(
+                forwarder,
+                Event::Settings(Box::new(cedarbridge::Settings { routes, ..settings })),
+            );
         }
     }
 
--- a/crates/rehearsal/src/verdict/mod.rs
+++ b/crates/rehearsal/src/verdict/mod.rs
@@ -93,9 +93,9 @@
         let rules = self.violations.len();
         check("rules", rules <= e.violations, format!("{rules} rules broken, {} allowed", e.violations));
         if let Some(least) = &e.delivered_share {
-            let worth = f.value().share();
-            let what = format!("worth {worth:.3}, {} expected at least", least.value);
-            check("worth", worth >= least.value, what);
+            let value = f.value().share();
+            let what = format!("worth {value:.3}, {} expected at least", least.value);
+            check("worth", value >= least.value, what);
         }
         for (name, most, seen) in [("refused", e.refused, f.refused), ("failed", e.failed, f.failed)] {
             if let Some(most) = most {
--- a/crates/rehearsal/tests/rehearsal.rs
+++ b/crates/rehearsal/tests/rehearsal.rs
@@ -64,16 +64,16 @@
         .expect("the kit")
 }
 
-fn told(folder: &Folder, out: &Output) -> Value {
+fn read_verdict(folder: &Folder, out: &Output) -> Value {
     let text =
         std::fs::read_to_string(folder.file("told.json")).unwrap_or_else(|_| panic!("no figures: {out:?}"));
     serde_json::from_str(&text).expect("JSON")
 }
 
 /// No rule was broken; what a loaded machine saw is not judged.
-fn assert_kept(told: &Value) {
-    let late = told["verdict"] == "not judged";
-    assert!(late || told["broken"] == Value::Array(vec![]), "{told:#}");
+fn assert_kept(verdict: &Value) {
+    let late = verdict["verdict"] == "not judged";
+    assert!(late || verdict["broken"] == Value::Array(vec![]), "{verdict:#}");
 }
 
 fn virtually(text: &str, seed: u64) -> (f64, usize) {
@@ -89,22 +89,25 @@
 fn a_brief_rehearsal_is_as_expected_and_agrees_with_virtual_time() {
     let folder = Folder::new("brief");
     let out = start(&folder, &shipped("brief.yaml"), &[]).wait_with_output().expect("an end");
-    let told = told(&folder, &out);
-    assert_kept(&told);
-    assert!(["passed", "not judged"].contains(&told["verdict"].as_str().expect("a verdict")), "{told:#}");
+    let verdict = read_verdict(&folder, &out);
+    assert_kept(&verdict);
+    assert!(
+        ["passed", "not judged"].contains(&verdict["verdict"].as_str().expect("a verdict")),
+        "{verdict:#}"
+    );
     let page = std::fs::read_to_string(folder.file("brief.html")).expect("a page");
     assert!(page.matches("<svg").count() == 5 && page.contains("operator"));
     let junit = std::fs::read_to_string(folder.file("told.xml")).expect("JUnit");
     assert!(junit.contains("rule one-answer") && junit.contains("expected worth"));
-    if told["verdict"] == "passed" {
+    if verdict["verdict"] == "passed" {
         // The forwarders' counters show it: the one that hung was ejected and recovered.
-        let operator = told["breakers"]["operator"].as_array().expect("a line");
+        let operator = verdict["breakers"]["operator"].as_array().expect("a line");
         assert!(
             operator.iter().any(|b| b[1] == "open") && operator.last().is_some_and(|b| b[1] == "closed"),
-            "{told:#}"
+            "{verdict:#}"
         );
         let text = std::fs::read_to_string(shipped("brief.yaml")).expect("there");
-        let live = told["worth"]["share"].as_f64().expect("a share");
+        let live = verdict["worth"]["share"].as_f64().expect("a share");
         let (share, _) = virtually(&text, 1);
         // On a quiet machine they are within 0.01 of each other (`docs/measured-lab.md`); this one may be a busy one.
         assert!((live - share).abs() < 0.15, "live {live}, in virtual time {share}");
@@ -123,11 +126,11 @@
          - {forwarder: 1, signal: kill, at: {clump: clump, after: 350ms}}\n",
     );
     let out = start(&folder, &scenario, &["--log-level", "debug"]).wait_with_output().expect("an end");
-    let told = told(&folder, &out);
-    assert_kept(&told);
+    let verdict = read_verdict(&folder, &out);
+    assert_kept(&verdict);
     // While no forwarder accepts for longer than a client's patience, on a slow machine, requests are rejected.
-    let of = |key: &str| told[key].as_u64().expect("a number");
-    assert_eq!((of("failed"), of("delivered") + of("refused")), (0, of("messages")), "{told:#}");
+    let of = |key: &str| verdict[key].as_u64().expect("a number");
+    assert_eq!((of("failed"), of("delivered") + of("refused")), (0, of("messages")), "{verdict:#}");
     // Its log, from before the kill and after, makes a day that can be played again.
     let capture = folder.file("day.zst");
     let log = folder.file("kept/forwarder-1/log");
@@ -154,9 +157,9 @@
          - {forwarder: 1, signal: upgrade, at: {after: 1s}, times: 3, every: 5s}\n",
     );
     let out = start(&folder, &scenario, &[]).wait_with_output().expect("an end");
-    let told = told(&folder, &out);
-    assert_kept(&told);
-    assert_eq!(told["upgrades"].as_array().expect("a list").len(), 3, "{told:#}");
+    let verdict = read_verdict(&folder, &out);
+    assert_kept(&verdict);
+    assert_eq!(verdict["upgrades"].as_array().expect("a list").len(), 3, "{verdict:#}");
 }
 
 const FAULTS: &str = "title: Faults
@@ -200,10 +203,10 @@
     });
     for (fault, rule, folder, child) in runs {
         let out = child.wait_with_output().expect("an end");
-        let told = told(&folder, &out);
-        let violations = told["broken"].as_array().expect("a list");
+        let verdict = read_verdict(&folder, &out);
+        let violations = verdict["broken"].as_array().expect("a list");
         let Some(rule) = rule else {
-            assert_kept(&told);
+            assert_kept(&verdict);
             continue;
         };
         let found = violations.iter().find(|b| b["rule"] == rule.name());
