--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -40,11 +40,11 @@
 /// What was counted of a source's updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceStats {
-    /// Entries that were older than the view's.
+    /// Entries with a lower stamp than the view's.
     pub stale_entries: u64,
     /// Times that an entry left service.
     pub flaps: u64,
-    /// Times that an entry came back into service and was held down.
+    /// Times that an entry returned to service and was held down.
     pub held_down: u64,
     /// Complete updates whose gaps were not believed at once.
     pub doubted_updates: u64,
@@ -254,7 +254,7 @@
         }
     }
 
-    /// A complete update is doubted if it lacks many entries, or any while it is older than the view.
+    /// A complete update is doubted if it lacks many entries, or any while its stamps are lower than the view's.
     fn doubts(&self, missing: usize, newest_stamp: u64) -> bool {
         let Some(guard) = self.policy.shrink_guard else { return false };
         let max_missing = guard.max_missing_share * self.entries.len() as f64;
@@ -334,7 +334,7 @@
         self.flaps.insert(key.clone(), FlapHistory { count: recent + 1, last_at: now });
     }
 
-    /// Up to when an entry that came into service is not used, if it left service lately.
+    /// Up to when an entry that entered service is not used, if it left service lately.
     fn hold_down(&mut self, now: Micros, key: &Key) -> Option<Micros> {
         let hold_down = self.policy.hold_down?;
         let recent = self.flaps.get(key)?.recent_count(now, &hold_down);
--- a/src/net/platform/endpoint_list/watching.rs
+++ b/src/net/platform/endpoint_list/watching.rs
@@ -133,7 +133,7 @@
         let is_current = self.watches.is_current(number);
         let connecting = self.watches.connecting.iter().position(|watch| watch.number == number);
         let now = self.context.stall_detector.arrived_since(self.context.clock.now());
-        // What a new watch sends first may have been there since something last came on the current one.
+        // What a new watch sends first may have been there since the current one last received anything.
         let received_at = if connecting.is_some() { self.last_line_at } else { now };
         if is_current {
             self.last_line_at = now;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -140,7 +140,7 @@
         }
     }
 
-    /// A rejection for lack of capacity. It is a failure only if nothing else came back for
+    /// A rejection for lack of capacity. It is a failure only if nothing else was answered for
     /// [`OPEN_TIMEOUT`].
     fn record_rejection(
         &mut self,
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -77,8 +77,8 @@
             admission.record(now, call, overall_latency_us, &self.settings, slot);
             let (state, count) = (admission.circuit.state, admission.circuit.failure_count);
             if before != state && state != BreakerState::HalfOpen {
-                let outcome = call.outcome;
-                transition = Some(format!("breaker {state:?}: at {} failures {count}: {outcome:?}", id.0));
+                let outcome = outcome_name(call.outcome);
+                transition = Some(format!("breaker {state:?}: at {} failures {count}: {outcome}", id.0));
             }
         }
         self.actions.extend(transition.map(Action::Log));
@@ -101,3 +101,14 @@
         *average += LATENCY_SMOOTHING * (multiple.unwrap_or(*average) - *average);
     }
 }
+
+/// An outcome in the text of a transition. The simulator's adapter sends that text: its names are fixed.
+fn outcome_name(outcome: Outcome) -> String {
+    match outcome {
+        Outcome::Rejected(retry_after) => format!("Full({retry_after:?})"),
+        Outcome::StaleConnection => "Stale".to_owned(),
+        Outcome::NotSent => "Moot".to_owned(),
+        Outcome::NotJournaled => "Unsent".to_owned(),
+        other => format!("{other:?}"),
+    }
+}
--- a/tests/circuit_breaker.rs
+++ b/tests/circuit_breaker.rs
@@ -116,3 +116,33 @@
         assert_eq!(attempts, goes, "{outcome:?}");
     }
 }
+
+/// Guards against a renamed variant that changes the text of a transition, which the simulator's adapter sends.
+#[test]
+fn the_text_of_a_transition_keeps_its_names() {
+    assert_eq!(transition_after(Outcome::Error), "breaker Open: at 7 failures 2: Error");
+    assert_eq!(transition_after(Outcome::Rejected(None)), "breaker Open: at 7 failures 2: Full(None)");
+}
+
+/// The text as the breaker opens, where each call has this outcome.
+fn transition_after(outcome: Outcome) -> String {
+    let mut harness = one_destination();
+    let mut attempts = std::collections::BTreeMap::new();
+    let mut events: Vec<Event> = Vec::new();
+    for _ in 0..400 {
+        events.push(Event::Message(harness.new_message(IDEMPOTENT, 1)));
+        let actions = harness.step_after(20 * MS, std::mem::take(&mut events));
+        for (id, endpoint) in sends(&actions) {
+            let attempt = attempts.entry(id).and_modify(|number| *number += 1).or_insert(0);
+            events.push(attempt_ended(id, *attempt, endpoint, outcome));
+        }
+        let opened = actions.into_iter().find_map(|action| match action {
+            Action::Log(line) if line.starts_with("breaker Open") => Some(line),
+            _ => None,
+        });
+        if let Some(line) = opened {
+            return line;
+        }
+    }
+    panic!("the breaker stayed closed");
+}
