--- a/src/invariants/connection.rs
+++ b/src/invariants/connection.rs
@@ -15,7 +15,7 @@
     /// It leads to the address that the endpoint list has for the endpoint.
     pub address_is_current: bool,
     /// Why the connection is of no more use: its other side has closed it, or has sent something unasked.
-    pub disturbance: Option<&'static str>,
+    pub peer_activity: Option<&'static str>,
 }
 
 /// Why an idle connection to an endpoint is closed.
@@ -26,7 +26,7 @@
     /// Its endpoint has another address now.
     EndpointMoved,
     /// What its other side did.
-    Disturbed(&'static str),
+    PeerActivity(&'static str),
 }
 
 impl CloseReason {
@@ -35,7 +35,7 @@
         match self {
             CloseReason::IdleTimeout => "idle",
             CloseReason::EndpointMoved => "moved",
-            CloseReason::Disturbed(disturbance) => disturbance,
+            CloseReason::PeerActivity(peer_activity) => peer_activity,
         }
     }
 }
@@ -58,5 +58,5 @@
         return Err(CloseReason::EndpointMoved);
     }
     // What was sent unasked would be read as the answer to the next call.
-    facts.disturbance.map_or(Ok(()), |disturbance| Err(CloseReason::Disturbed(disturbance)))
+    facts.peer_activity.map_or(Ok(()), |peer_activity| Err(CloseReason::PeerActivity(peer_activity)))
 }
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -72,7 +72,7 @@
                 now,
                 reusable_until: idle.reusable_until,
                 address_is_current: idle.address == address,
-                disturbance: idle.connection.poll_idle_end(&mut task),
+                peer_activity: idle.connection.poll_idle_end(&mut task),
             };
             if let Err(reason) = may_reuse(&facts) {
                 drop(self.remove(index));
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -78,7 +78,7 @@
         now: 10,
         reusable_until: reusable_until(0, 5_000_000),
         address_is_current: true,
-        disturbance: None,
+        peer_activity: None,
     };
     assert_eq!(may_reuse(&reusable), Ok(()));
     assert_eq!(may_reuse(&IdleFacts { now: 4_750_000, ..reusable }), Err(CloseReason::IdleTimeout));
@@ -86,8 +86,8 @@
         may_reuse(&IdleFacts { address_is_current: false, ..reusable }),
         Err(CloseReason::EndpointMoved)
     );
-    let disturbed = IdleFacts { disturbance: Some("unasked"), ..reusable };
-    assert_eq!(may_reuse(&disturbed), Err(CloseReason::Disturbed("unasked")));
+    let disturbed = IdleFacts { peer_activity: Some("unasked"), ..reusable };
+    assert_eq!(may_reuse(&disturbed), Err(CloseReason::PeerActivity("unasked")));
     assert_eq!(reusable_until(0, 100), 75, "of a short timeout a quarter is kept as margin");
 }
 
