--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -30,7 +30,7 @@
 pub mod storage;
 
 pub use record::{AttemptStart, JournaledMessage, Progress, ReportedEnd};
-pub use recovery::{Restored, UnreadableSegmentPolicy};
+pub use recovery::{RestoredJournal, UnreadableSegmentPolicy};
 pub use segment::ClockReading;
 
 use record::{JournalRecord, ProgressStep};
@@ -91,7 +91,7 @@
         read_clocks: impl Fn() -> ClockReading + 'static,
         salt: u32,
         unreadable: UnreadableSegmentPolicy,
-    ) -> io::Result<(Journal, Restored)> {
+    ) -> io::Result<(Journal, RestoredJournal)> {
         let mut log = SegmentLog::new(storage, limit, Box::new(read_clocks), salt);
         let restored = log.recover(unreadable)?;
         Ok((Journal { log, write_state: WriteState::Writable, unwritten: VecDeque::new() }, restored))
--- a/src/journal/recovery.rs
+++ b/src/journal/recovery.rs
@@ -18,7 +18,7 @@
 
 /// What a journal held when it was opened.
 #[derive(Debug, Default)]
-pub struct Restored {
+pub struct RestoredJournal {
     /// The messages that are not completed, by id.
     pub messages: Vec<(u64, JournaledMessage)>,
     /// Lines on what could not be read.
@@ -37,7 +37,7 @@
 
 impl SegmentLog {
     /// Reads all segments. Appending goes to a new one, so nothing is ever written behind what may be torn.
-    pub fn recover(&mut self, unreadable: UnreadableSegmentPolicy) -> io::Result<Restored> {
+    pub fn recover(&mut self, unreadable: UnreadableSegmentPolicy) -> io::Result<RestoredJournal> {
         let mut recovery = Recovery::default();
         for (number, size) in self.list_segments()? {
             self.next_number = number + 1;
@@ -53,7 +53,7 @@
         }
         self.remove_empty_segments();
         let Recovery { messages, damage, highest_id } = recovery;
-        Ok(Restored { messages: messages.into_iter().collect(), damage, highest_id })
+        Ok(RestoredJournal { messages: messages.into_iter().collect(), damage, highest_id })
     }
 
     /// The numbers and sizes of the segments, oldest first; the folder's other files are counted.
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -7,7 +7,7 @@
 use super::reload;
 use super::shutdown;
 use super::signals::{Signal, Signals};
-use crate::journal::{Journal, JournaledMessage, Restored, UnreadableSegmentPolicy};
+use crate::journal::{Journal, JournaledMessage, RestoredJournal, UnreadableSegmentPolicy};
 use crate::net::config::Config;
 use crate::net::context::{Context, ContextParts};
 use crate::net::delivery::DeliveryActor;
@@ -252,7 +252,7 @@
     claim: Option<FolderClaim>,
     sockets: Sockets,
     journal: Journal,
-    restored: Restored,
+    restored: RestoredJournal,
 }
 
 /// Claims the folder, reads it and listens. A failure that may pass is retried: what was accepted is still owed.
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -3,8 +3,8 @@
 use cedarbridge::journal::encoding::encode;
 use cedarbridge::journal::record::{JournalRecord, ProgressStep};
 use cedarbridge::journal::{
-    AttemptStart, ClockReading, Journal, JournalError, JournaledMessage, Progress, ReportedEnd, Restored,
-    UnreadableSegmentPolicy,
+    AttemptStart, ClockReading, Journal, JournalError, JournaledMessage, Progress, ReportedEnd,
+    RestoredJournal, UnreadableSegmentPolicy,
 };
 use cedarbridge::net::storage::FolderStorage;
 use std::collections::VecDeque;
@@ -34,11 +34,11 @@
         Folder(path)
     }
 
-    fn open(&self, limit: u64) -> (Journal, Restored) {
+    fn open(&self, limit: u64) -> (Journal, RestoredJournal) {
         self.open_at(limit, NOW)
     }
 
-    fn open_at(&self, limit: u64, now: ClockReading) -> (Journal, Restored) {
+    fn open_at(&self, limit: u64, now: ClockReading) -> (Journal, RestoredJournal) {
         let storage = FolderStorage::open(&self.0).expect("a folder");
         Journal::open(Box::new(storage), limit, move || now, 99, UnreadableSegmentPolicy::Fail)
             .expect("opens")
--- a/tests/journal_faults.rs
+++ b/tests/journal_faults.rs
@@ -4,7 +4,8 @@
 
 use cedarbridge::journal::storage::Storage;
 use cedarbridge::journal::{
-    AttemptStart, ClockReading, Journal, JournaledMessage, ReportedEnd, Restored, UnreadableSegmentPolicy,
+    AttemptStart, ClockReading, Journal, JournaledMessage, ReportedEnd, RestoredJournal,
+    UnreadableSegmentPolicy,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -61,7 +62,7 @@
         self.next_fault().map_or(Ok(()), |_| Err(io_error()))
     }
 
-    fn open(&self) -> (Journal, Restored) {
+    fn open(&self) -> (Journal, RestoredJournal) {
         let unreadable = UnreadableSegmentPolicy::Fail;
         Journal::open(Box::new(self.clone()), LIMIT, || NOW, 3, unreadable).expect("opens")
     }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -2,7 +2,7 @@
 //! data was made.
 
 use cedarbridge::journal::{
-    AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, Restored,
+    AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, RestoredJournal,
     UnreadableSegmentPolicy,
 };
 use cedarbridge::membership::{Key, Listing, MembershipSnapshot, State};
@@ -30,7 +30,7 @@
 }
 
 /// Opens a copy of a stored journal at a moment.
-fn restored(name: &str, test: &str, now: ClockReading) -> Restored {
+fn restored(name: &str, test: &str, now: ClockReading) -> RestoredJournal {
     let folder = std::env::temp_dir().join(format!("cedarbridge-stored-{test}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
