--- a/src/journal/compaction.rs
+++ b/src/journal/compaction.rs
@@ -1,4 +1,5 @@
-//! Keeping the log under its limit: the oldest segments are removed after the records that are still needed were copied.
+//! Compaction keeps the log under its size limit: the live records of the oldest segment are copied to the newest one, then
+//! the oldest segment is removed.
 
 use super::encoding::{self, FRAME_BYTES};
 use super::record::{JournalRecord, JournaledMessage};
@@ -6,41 +7,45 @@
 use super::segment_log::{LiveMessage, Segment, SegmentLog, DISK_BLOCK_BYTES};
 use std::io;
 
-/// Blocks that are kept free beside the copies of the oldest segment, so that the next compaction has space too.
+/// Disk blocks kept free in addition to the space for copies of the oldest segment, so that the next compaction has
+/// space too.
 const RESERVED_BLOCKS: u64 = 4;
 
 impl Segment {
-    /// The disk space that copies of its live records may take, in bytes. Each copy may begin a block of its own.
-    fn copies_size(&self) -> u64 {
+    /// An upper bound of the disk space for copies of its live records, in bytes. Two extra blocks are counted for each
+    /// copy, because it may start in a block of its own.
+    fn max_copy_size(&self) -> u64 {
         self.live_size + self.live_records as u64 * 2 * DISK_BLOCK_BYTES
     }
 }
 
 impl SegmentLog {
-    /// Removes the oldest segments until so many bytes more fit, and what the next compaction needs beside them.
+    /// Compacts the oldest segments until `additional_bytes` fit under the limit together with the space that the next
+    /// compaction needs.
     ///
     /// # Errors
     ///
-    /// If they do not fit.
-    pub fn free_space_for(&mut self, more: u64) -> io::Result<()> {
+    /// `StorageFull` if the bytes do not fit even without the space for the next compaction.
+    pub fn free_space_for(&mut self, additional_bytes: u64) -> io::Result<()> {
         let mut remaining_rounds = self.segments.len() + 1;
         loop {
             self.remove_unneeded_segments();
-            let copies = self.segments.front().map_or(0, Segment::copies_size);
-            if self.disk_bytes() + more + copies + RESERVED_BLOCKS * DISK_BLOCK_BYTES <= self.limit {
+            let copy_size = self.segments.front().map_or(0, Segment::max_copy_size);
+            if self.disk_bytes() + additional_bytes + copy_size + RESERVED_BLOCKS * DISK_BLOCK_BYTES <= self.limit {
                 return Ok(());
             }
             let is_stuck = self.segments.front().is_none_or(|oldest| oldest.pinned);
             if remaining_rounds == 0 || is_stuck || self.compact_oldest().is_err() {
-                // All was copied once and gave no more, or cannot be; without the reserve for copies it may still fit.
-                let fits = self.disk_bytes() + more + DISK_BLOCK_BYTES <= self.limit;
+                // Either compacting every segment once freed too little, or the oldest segment cannot be compacted. The
+                // bytes may still fit without the space for the next compaction.
+                let fits = self.disk_bytes() + additional_bytes + DISK_BLOCK_BYTES <= self.limit;
                 return if fits { Ok(()) } else { Err(io::ErrorKind::StorageFull.into()) };
             }
             remaining_rounds -= 1;
         }
     }
 
-    /// Removes the oldest segments of which no record is needed any more: they cost no copy.
+    /// Removes the oldest segments as far as they have no live records, so that nothing has to be copied.
     fn remove_unneeded_segments(&mut self) {
         let is_unneeded = |oldest: &Segment| oldest.live_records == 0 && !oldest.pinned;
         while self.segments.len() > 1 && self.segments.front().is_some_and(is_unneeded) {
@@ -52,7 +57,7 @@
 
     fn compact_oldest(&mut self) -> io::Result<()> {
         if self.segments.len() == 1 {
-            // The copies go to a new segment.
+            // The oldest segment is also the newest one; the copies must go to a new segment.
             self.close_newest_segment();
         }
         self.copy_live_records_of_oldest()?;
@@ -76,7 +81,8 @@
         Ok(())
     }
 
-    /// Removes the oldest segment. Later ones must stay until it is gone: they may hold the completions of messages in it.
+    /// Removes the oldest segment. No later segment may be removed before it, because later ones may hold the completion
+    /// records of messages in it.
     fn remove_oldest(&mut self) -> io::Result<()> {
         if let Some(oldest) = self.segments.front() {
             self.storage.remove(&segment::file_name(oldest.number))?;
@@ -86,7 +92,7 @@
     }
 }
 
-/// A message as its segment holds it, with its current progress.
+/// Decodes a live message from the bytes of its segment and sets its current progress.
 fn current_message(
     segment: &[u8],
     salt: u32,
@@ -101,7 +107,7 @@
         record
     });
     let Some(JournalRecord::Received(mut message)) = record else {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "a record changed under the journal"));
+        return Err(io::Error::new(io::ErrorKind::InvalidData, "a journal record was changed after it was written"));
     };
     message.progress = live.progress.clone();
     Ok(message)
--- a/src/journal/encoding.rs
+++ b/src/journal/encoding.rs
@@ -1,10 +1,11 @@
-//! The bytes of a record: a frame of length and CRC-32, then the content. All numbers are little-endian.
+//! The binary encoding of a record: a frame that holds the length and the CRC-32 checksum of the content, then the content.
+//! All numbers are little-endian.
 
 use super::record::{AttemptStart, JournalRecord, JournaledMessage, Progress, ProgressStep, ReportedEnd};
 
-/// The size of the frame, the length and the checksum in front of a record's content, in bytes.
+/// The size in bytes of the frame in front of a record's content.
 pub const FRAME_BYTES: usize = 8;
-/// The largest content in bytes; a larger length is a damaged one.
+/// The largest content in bytes. A frame that claims a larger one is damaged.
 const MAX_CONTENT_BYTES: usize = 1 << 20;
 
 const KIND_RECEIVED: u8 = 1;
@@ -18,7 +19,7 @@
 const FLAG_ATTEMPT_IN_FLIGHT: u8 = 1 << 1;
 const FLAG_HAS_KEY: u8 = 1 << 2;
 const FLAG_HAS_TENANT: u8 = 1 << 3;
-/// Written for readers of later releases; this one sees by the record's end whether a start follows.
+/// Set for readers in later releases. This release tells by the length of the record whether an attempt's start follows.
 const FLAG_HAS_FIRST_ATTEMPT: u8 = 1 << 4;
 
 const REPORT_NONE: u8 = 0;
@@ -26,14 +27,14 @@
 const REPORT_RETURNED: u8 = 2;
 const REPORT_RETURNED_WITH_RETRY_AFTER: u8 = 3;
 
-/// A record that was decoded from the start of some bytes.
+/// A record with its message's id, as decoded from a frame.
 #[derive(Debug)]
 pub struct DecodedFrame {
-    /// The message's id.
+    /// The id of the message that the record belongs to; 0 for a probe.
     pub message_id: u64,
-    /// What it says.
+    /// The record's content, its times as they were written.
     pub record: JournalRecord,
-    /// The length of its content in bytes.
+    /// The length of the encoded content in bytes, without the frame.
     pub content_length: usize,
 }
 
@@ -43,7 +44,7 @@
     hasher.finalize()
 }
 
-/// The bytes of a framed record; its checksum begins from the segment's salt.
+/// Encodes a record with its frame. `salt` is the segment's: the CRC-32 starts from it.
 pub fn encode(salt: u32, message_id: u64, record: &JournalRecord) -> Vec<u8> {
     let mut bytes = vec![0; FRAME_BYTES];
     bytes.extend_from_slice(&message_id.to_le_bytes());
@@ -72,29 +73,29 @@
     bytes
 }
 
-/// The size of a framed record in bytes.
+/// The size in bytes of an encoded record with its frame.
 pub fn encoded_size(message_id: u64, record: &JournalRecord) -> u64 {
     encode(0, message_id, record).len() as u64
 }
 
-fn put_bytes(to: &mut Vec<u8>, bytes: &[u8]) {
-    to.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
-    to.extend_from_slice(bytes);
+fn put_bytes(buffer: &mut Vec<u8>, bytes: &[u8]) {
+    buffer.extend_from_slice(&(bytes.len() as u32).to_le_bytes());
+    buffer.extend_from_slice(bytes);
 }
 
-fn put_message(to: &mut Vec<u8>, message: &JournaledMessage) {
-    to.extend_from_slice(&message.destination.to_le_bytes());
-    to.extend_from_slice(&message.deadline.to_le_bytes());
-    to.extend_from_slice(&message.progress.attempts.to_le_bytes());
-    to.push(flags(message));
-    put_report(to, message.progress.report);
-    put_bytes(to, message.request_id.as_bytes());
-    put_bytes(to, message.class.as_bytes());
+fn put_message(buffer: &mut Vec<u8>, message: &JournaledMessage) {
+    buffer.extend_from_slice(&message.destination.to_le_bytes());
+    buffer.extend_from_slice(&message.deadline.to_le_bytes());
+    buffer.extend_from_slice(&message.progress.attempts.to_le_bytes());
+    buffer.push(flags(message));
+    put_report(buffer, message.progress.report);
+    put_bytes(buffer, message.request_id.as_bytes());
+    put_bytes(buffer, message.class.as_bytes());
     for optional in [&message.key, &message.tenant].into_iter().flatten() {
-        put_bytes(to, optional.as_bytes());
+        put_bytes(buffer, optional.as_bytes());
     }
-    put_bytes(to, &message.body);
-    put_attempt_start(to, message.progress.first_attempt.as_ref());
+    put_bytes(buffer, &message.body);
+    put_attempt_start(buffer, message.progress.first_attempt.as_ref());
 }
 
 fn flags(message: &JournaledMessage) -> u8 {
@@ -109,7 +110,7 @@
     flags.into_iter().filter(|(_, is_set)| *is_set).map(|(flag, _)| flag).sum()
 }
 
-fn put_report(to: &mut Vec<u8>, report: Option<ReportedEnd>) {
+fn put_report(buffer: &mut Vec<u8>, report: Option<ReportedEnd>) {
     let (kind, retry_after_ms) = match report {
         None => (REPORT_NONE, 0),
         Some(ReportedEnd::Failed) => (REPORT_FAILED, 0),
@@ -118,24 +119,25 @@
             (REPORT_RETURNED_WITH_RETRY_AFTER, retry_after_ms)
         }
     };
-    to.push(kind);
-    to.extend_from_slice(&retry_after_ms.to_le_bytes());
+    buffer.push(kind);
+    buffer.extend_from_slice(&retry_after_ms.to_le_bytes());
 }
 
-fn put_attempt_start(to: &mut Vec<u8>, start: Option<&AttemptStart>) {
+fn put_attempt_start(buffer: &mut Vec<u8>, start: Option<&AttemptStart>) {
     if let Some(start) = start {
-        to.extend_from_slice(&start.started_at.to_le_bytes());
-        put_bytes(to, start.zone.as_bytes());
+        buffer.extend_from_slice(&start.started_at.to_le_bytes());
+        put_bytes(buffer, start.zone.as_bytes());
     }
 }
 
-/// The length of content in bytes that the record at the start of some bytes claims, if that many are there.
+/// The content length in bytes that the frame at the start of `bytes` claims. `None` if it is over the largest content,
+/// or if `bytes` ends before.
 pub fn claimed_content_length(bytes: &[u8]) -> Option<usize> {
     let length = ByteReader(bytes).u32()? as usize;
     (length <= MAX_CONTENT_BYTES && FRAME_BYTES + length <= bytes.len()).then_some(length)
 }
 
-/// The record at the start of some bytes, if it is complete and undamaged.
+/// Decodes the record at the start of `bytes`. `None` if it is incomplete, damaged or of an unknown kind.
 pub fn decode(salt: u32, bytes: &[u8]) -> Option<DecodedFrame> {
     let content_length = claimed_content_length(bytes)?;
     let mut frame = ByteReader(bytes);
@@ -150,11 +152,12 @@
     Some(DecodedFrame { message_id, record, content_length })
 }
 
-/// Takes values off the front of some bytes; each method returns none where the bytes are too few or mean nothing.
+/// Reads values one after the other from the front of a byte slice. Each method returns `None` if too few bytes are left or
+/// they are no valid value.
 pub struct ByteReader<'a>(pub &'a [u8]);
 
 impl<'a> ByteReader<'a> {
-    /// So many bytes.
+    /// Reads `count` bytes.
     pub fn bytes(&mut self, count: usize) -> Option<&'a [u8]> {
         let (front, rest) = self.0.split_at_checked(count)?;
         self.0 = rest;
@@ -165,12 +168,12 @@
         Some(self.bytes(1)?[0])
     }
 
-    /// A number of four bytes.
+    /// Reads a number of four bytes.
     pub fn u32(&mut self) -> Option<u32> {
         Some(u32::from_le_bytes(self.bytes(4)?.try_into().ok()?))
     }
 
-    /// A number of eight bytes.
+    /// Reads a number of eight bytes.
     pub fn u64(&mut self) -> Option<u64> {
         Some(u64::from_le_bytes(self.bytes(8)?.try_into().ok()?))
     }
@@ -223,7 +226,8 @@
         Some(JournaledMessage { request_id, key, class, tenant, destination, deadline, body, progress })
     }
 
-    /// The records of an older release end without it.
+    /// Reads when and where an attempt started, as the last value of a record. `Some(None)` if the record ends before
+    /// it: it has no attempt, or an older release wrote it.
     fn attempt_start(&mut self) -> Option<Option<AttemptStart>> {
         if self.0.is_empty() {
             return Some(None);
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -1,25 +1,25 @@
-//! The journal: every accepted message, its attempts and its completion, in segment files of checksummed records.
+//! The journal stores each accepted message, its attempts and its completion in segment files of checksummed records.
 //!
-//! Segments are only ever removed from the oldest on, after the records in them that are still needed were copied to the
-//! newest one; so the record of a completion never goes before the record of the message does. The journal stays under its
-//! size limit at any moment, also during compaction.
+//! The oldest segment is always removed first, after its live records (those of messages that are not completed) were
+//! copied to the newest one. So the record of a message is removed before the record of its completion, never after it.
+//! The journal stays under its size limit at all times, also during compaction.
 //!
-//! A write that fails leaves the journal *failing*: whatever would start something (an accepted message, an attempt) is
-//! rejected, and whatever has happened already (a completion, a report, an attempt that never ran) is queued in memory, in
-//! order, until it can be written. Nothing is ever appended behind a record that may be torn. [`Journal::retry`] finds out
-//! whether the journal can be written again.
+//! After a failed write the journal is *failing*. Then it rejects a record that must be written before something starts
+//! (an accepted message, an attempt). A record of something that has already happened (a completion, a delivery report,
+//! an attempt that never ran) is queued in memory, in order, until it can be written. No record is appended after a
+//! torn one, of which only a part was written. [`Journal::retry`] finds out whether the journal can be written again.
 //!
-//! | module | concern |
+//! | module | content |
 //! |---|---|
-//! | [`record`] | what a record says |
-//! | [`encoding`] | the bytes of a record |
-//! | [`segment`] | one segment file: its header, and reading past damage |
-//! | [`storage`] | the trait behind which the files are |
-//! | `segment_log` | the segments as one log, and which records in them are still needed |
-//! | `recovery` | reading the log at the start |
-//! | `compaction` | keeping the log under its limit |
+//! | [`record`] | the records and their fields |
+//! | [`encoding`] | the binary encoding of a record |
+//! | [`segment`] | a segment file: its header, and a decoder that continues after damage |
+//! | [`storage`] | the interface to the files |
+//! | `segment_log` | all segments as one log, and the live records in it |
+//! | `recovery` | reading the segments when the journal is opened |
+//! | `compaction` | keeping the log under its size limit |
 //!
-//! The journal does no I/O of its own: see [`storage::Storage`].
+//! All I/O goes through [`storage::Storage`].
 
 mod compaction;
 pub mod encoding;
@@ -39,17 +39,17 @@
 use std::io;
 use storage::Storage;
 
-/// Why something was not written.
+/// Why a record was not written.
 #[derive(Debug, thiserror::Error)]
 pub enum JournalError {
-    /// The records that are still needed leave no space for another message.
-    #[error("the journal has no room")]
+    /// The live records leave no space for another message.
+    #[error("the journal is full")]
     Full,
-    /// The storage fails.
+    /// This write or an earlier one failed.
     #[error("the journal cannot be written: {0}")]
     Failing(#[from] io::Error),
-    /// Another process may be writing to the folder.
-    #[error("the folder is being handed over")]
+    /// The journal is paused, as another process may be writing to the folder.
+    #[error("the journal is paused for a hand-over")]
     HandedOver,
 }
 
@@ -58,13 +58,13 @@
 enum WriteState {
     /// The last write succeeded.
     Writable,
-    /// The last write failed; only a retry tries the storage again.
+    /// The last write failed. Only [`Journal::retry`] tries the storage again.
     Failing,
-    /// Another process may own the folder.
+    /// Nothing is written, because another process may own the folder.
     Paused,
 }
 
-/// A record of something that has happened and that is not written yet.
+/// A queued record of something that has happened.
 struct UnwrittenRecord {
     message_id: u64,
     record: JournalRecord,
@@ -74,17 +74,20 @@
 pub struct Journal {
     log: SegmentLog,
     write_state: WriteState,
-    /// At most three for each message that is not completed.
+    /// The queued records, oldest first: at most three for each message that is not completed.
     unwritten: VecDeque<UnwrittenRecord>,
 }
 
 impl Journal {
-    /// Opens a journal, which may be empty, to stay under a limit in bytes. The clocks are read as each segment is created;
-    /// the salt, from which the checksums of the segments are derived, should be new with each process.
+    /// Opens the journal in a storage, which may be empty, and restores what is in it.
+    ///
+    /// `limit` is the size limit of the folder in bytes. `read_clocks` is called whenever a segment is read or created. The
+    /// checksums of the segments depend on `salt`, which should differ from process to process.
     ///
     /// # Errors
     ///
-    /// If the storage cannot list its files, or cannot read a segment and `unreadable` says to fail then.
+    /// If the storage cannot list its files, or cannot read a segment and `unreadable` is
+    /// [`UnreadableSegmentPolicy::Fail`].
     pub fn open(
         storage: Box<dyn Storage>,
         limit: u64,
@@ -97,8 +100,8 @@
         Ok((Journal { log, write_state: WriteState::Writable, unwritten: VecDeque::new() }, restored))
     }
 
-    /// Sets the limit in bytes. Under a lower one than the records that are still needed, no message is accepted until enough
-    /// have completed.
+    /// Sets the size limit of the folder in bytes. If the live records take more than it allows, no message is accepted
+    /// until enough messages are completed.
     pub fn set_limit(&mut self, limit: u64) {
         self.log.set_limit(limit);
     }
@@ -108,26 +111,26 @@
         self.log.disk_bytes()
     }
 
-    /// The last write failed: nothing is to be started.
+    /// Whether the last write failed. No message may be accepted then, and no attempt started.
     pub fn is_failing(&self) -> bool {
         self.write_state == WriteState::Failing
     }
 
-    /// Another process may be writing.
+    /// Whether the journal is paused, because another process may be writing to the folder.
     pub fn is_paused(&self) -> bool {
         self.write_state == WriteState::Paused
     }
 
-    /// How many records of what has happened are not written yet.
+    /// The number of queued records.
     pub fn unwritten_records(&self) -> usize {
         self.unwritten.len()
     }
 
-    /// Records a message that is about to be accepted.
+    /// Records a message before it is accepted.
     ///
     /// # Errors
     ///
-    /// If there is no space for it, or the journal is failing or paused; the message must not be accepted then.
+    /// If there is no space for it, or the journal is failing or paused. The message must not be accepted then.
     pub fn record_received(&mut self, id: u64, message: &JournaledMessage) -> Result<(), JournalError> {
         let record = JournalRecord::Received(Box::new(message.clone()));
         if !self.log.has_space_for_message(encoding::encoded_size(id, &record)) {
@@ -138,12 +141,12 @@
         Ok(())
     }
 
-    /// Records an attempt that is about to be sent to its endpoint; of a message that the journal does not hold, nothing is
-    /// recorded.
+    /// Records an attempt before it is sent to its endpoint. Attempts are numbered from 0. Does nothing for a message
+    /// that the journal does not hold.
     ///
     /// # Errors
     ///
-    /// If the journal is failing or paused; the attempt must not be sent then.
+    /// If the journal is failing or paused. The attempt must not be sent then.
     pub fn record_attempt(&mut self, id: u64, number: u32, start: AttemptStart) -> Result<(), JournalError> {
         if !self.log.contains(id) {
             return Ok(());
@@ -154,7 +157,8 @@
         Ok(())
     }
 
-    /// Records that an attempt never ran; one that was not recorded before changes nothing.
+    /// Records that an attempt never ran. Does nothing unless it is the last attempt that was recorded for the message,
+    /// and in flight.
     pub fn record_never_ran(&mut self, id: u64, number: u32) {
         let is_in_flight = self.log.progress(id).is_some_and(|progress| {
             progress.attempt_in_flight && progress.attempts == number.saturating_add(1)
@@ -164,27 +168,30 @@
         }
     }
 
-    /// Records how a message ended, which the platform is yet to confirm.
+    /// Records how an undelivered message ended. The message stays in the journal until the platform has confirmed its
+    /// delivery report.
     pub fn record_end(&mut self, id: u64, end: ReportedEnd) {
         if self.log.contains(id) {
             self.record_event(id, JournalRecord::Progressed(ProgressStep::Ended(end)));
         }
     }
 
-    /// Records that a message is complete: nothing more is to be done for it.
+    /// Records that a message is complete, so that nothing more is to be done for it. The record is queued if it cannot be
+    /// written now.
     pub fn record_completed(&mut self, id: u64) {
         if self.log.mark_completed(id) {
-            // What else is unwritten of it is of no use any more.
+            // Other queued records of the message are no longer needed.
             self.unwritten.retain(|unwritten| unwritten.message_id != id);
             self.record_event(id, JournalRecord::Completed);
         }
     }
 
-    /// Records that a message is complete before anybody is told.
+    /// Records that a message is complete before its client gets the reply. Unlike [`Journal::record_completed`], this
+    /// queues nothing.
     ///
     /// # Errors
     ///
-    /// If the journal is failing or paused; nothing is recorded then, and a restart finds the message open.
+    /// If the journal is failing or paused. Nothing is recorded then, and a restart restores the message as open.
     pub fn try_record_completed(&mut self, id: u64) -> Result<(), JournalError> {
         if self.log.contains(id) {
             self.append(id, &JournalRecord::Completed)?;
@@ -193,24 +200,24 @@
         Ok(())
     }
 
-    /// Whether the end of a message waits to be written: a restart would find the message open.
+    /// Whether the end of a message is queued and not written yet. A restart would restore the message as open.
     pub fn has_unwritten_end(&self, id: u64) -> bool {
         self.unwritten.iter().any(|unwritten| unwritten.message_id == id && unwritten.record.is_end())
     }
 
-    /// Records something that has happened, whether it can be written now or not.
+    /// Records something that has already happened; the record is queued if it cannot be written now.
     fn record_event(&mut self, message_id: u64, record: JournalRecord) {
         if let JournalRecord::Progressed(step) = &record {
             self.log.apply(message_id, step);
         }
         self.unwritten.push_back(UnwrittenRecord { message_id, record });
         if self.write_state == WriteState::Writable {
-            // A failure is kept in `write_state`, and what remains unwritten is written by a later retry.
+            // An error sets `write_state`, and a later retry writes what stays in the queue.
             let _ = self.write_unwritten();
         }
     }
 
-    /// Tries again to write what is unwritten, or anything at all.
+    /// Tries to write the queued records; if there are none and the journal is failing, a probe.
     ///
     /// # Errors
     ///
@@ -226,11 +233,11 @@
         Ok(())
     }
 
-    /// From now on nothing is written: another process may own the folder.
+    /// Writes the queued records, then pauses the journal: another process may own the folder from now on.
     ///
     /// # Errors
     ///
-    /// If something is unwritten that cannot be written; nothing is changed then.
+    /// If a record cannot be written, or the journal is already paused. The journal is not paused by this call then.
     pub fn pause(&mut self) -> Result<(), JournalError> {
         self.retry()?;
         self.write_state = WriteState::Paused;
@@ -238,20 +245,20 @@
         Ok(())
     }
 
-    /// Writes again, after another process has read the folder and changed no record that is still needed.
+    /// Ends a pause. Another process may have read the folder meanwhile, but must not have changed any live record.
     pub fn resume(&mut self) {
         if self.is_paused() {
             self.write_state = WriteState::Writable;
         }
-        // A failure is kept in `write_state`, and what remains unwritten is written by a later retry.
+        // An error sets `write_state`, and a later retry writes what stays in the queue.
         let _ = self.retry();
     }
 
-    /// Writes what is unwritten, then a record.
+    /// Writes the queued records, then `record`.
     fn append(&mut self, id: u64, record: &JournalRecord) -> Result<RecordLocation, JournalError> {
         match self.write_state {
             WriteState::Paused => return Err(JournalError::HandedOver),
-            // Only a retry finds out whether the storage works again, or every new message would try it.
+            // Only `retry` tries the storage again; otherwise each new message would try it.
             WriteState::Failing => return Err(io::Error::other("an earlier write failed").into()),
             WriteState::Writable => {}
         }
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -1,48 +1,51 @@
-//! What the journal's records say. Times are on the clock of the process that wrote the segment.
+//! The records of the journal. Their times are on the monotonic clock of the process that wrote the segment, until
+//! [`JournalRecord::shift_times`] converts them.
 
-/// A message as it is journaled. Classes and tenants are kept by name, as settings may change between starts.
+/// A message as the journal stores it. Class and tenant are stored by name, because settings may change between starts.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JournaledMessage {
-    /// The client's id of it.
+    /// The id that its client gave it.
     pub request_id: String,
-    /// Its idempotency key.
+    /// Its idempotency key; `None` if its client gave none.
     pub key: Option<String>,
     /// The name of its class.
     pub class: String,
-    /// The name of its tenant.
+    /// The name of its tenant; `None` if its client named none.
     pub tenant: Option<String>,
     /// The number of its destination.
     pub destination: u64,
-    /// Up to when it may be delivered, in microseconds of the program's clock.
+    /// The latest time at which it may be delivered, in microseconds of the program's clock.
     pub deadline: u64,
-    /// What is forwarded.
+    /// The body that is forwarded to an endpoint.
     pub body: Vec<u8>,
-    /// What became of it so far.
+    /// Its attempts and its end so far.
     pub progress: Progress,
 }
 
-/// What became of a message so far.
+/// The attempts and the end of a message so far.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Progress {
-    /// Attempts started.
+    /// The number of attempts started.
     pub attempts: u32,
-    /// An attempt may have run that is not in flight any more.
+    /// Whether an attempt that is not in flight may have run, here or at another forwarder.
     pub earlier_attempt_may_have_run: bool,
-    /// An attempt is in flight.
+    /// Whether an attempt is in flight.
     pub attempt_in_flight: bool,
-    /// The first attempt that may have run, where that is known: it bounds where and for how long repeats are dropped.
+    /// The first attempt that may have run. Its zone and its start determine where and for how long repeats are dropped.
+    /// `None` if no attempt may have run, or if its start is not known: another forwarder or an older release made it.
     pub first_attempt: Option<AttemptStart>,
-    /// What is to be reported to the platform of its end, where the platform has not confirmed that yet.
+    /// How the message ended, until the platform has confirmed the delivery report. `None` while it is open, and after the
+    /// confirmation.
     pub report: Option<ReportedEnd>,
 }
 
 impl Progress {
-    /// An attempt was started, and it is not known that it never ran.
+    /// Whether the message may have run: an attempt was started, and it is not known that it never ran.
     pub fn may_have_run(&self) -> bool {
         self.earlier_attempt_may_have_run || self.attempt_in_flight
     }
 
-    /// Applies a step.
+    /// Updates the progress by one recorded step.
     pub fn apply(&mut self, step: &ProgressStep) {
         match step {
             ProgressStep::AttemptStarted { number, start } => {
@@ -50,7 +53,7 @@
                 if !self.may_have_run() {
                     self.first_attempt = start.clone();
                 }
-                // The one in flight until now may have run, as it was never recorded that it did not.
+                // No record says that the attempt in flight until now never ran, so it may have run.
                 self.earlier_attempt_may_have_run |= self.attempt_in_flight;
                 self.attempt_in_flight = true;
             }
@@ -65,60 +68,60 @@
     }
 }
 
-/// When and where an attempt started. The zone is kept by name, as settings may change between starts.
+/// When and where an attempt started. The zone is stored by name, because settings may change between starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AttemptStart {
-    /// In microseconds of the program's clock.
+    /// Its start, in microseconds of the program's clock.
     pub started_at: u64,
-    /// The name of its endpoint's zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
 }
 
-/// How a message ended that was not delivered, as it is reported to the platform.
+/// How an undelivered message ended, as reported to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedEnd {
-    /// It failed.
+    /// The message failed.
     Failed,
-    /// Its client may send it again, after so many milliseconds if that is known.
+    /// The message was returned: its client may send it again, after this many milliseconds if a delay is known.
     Returned(Option<u64>),
 }
 
-/// A step in the progress of a message.
+/// A change in the progress of a message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProgressStep {
     /// An attempt is about to be sent.
     AttemptStarted {
         /// Its number, from 0.
         number: u32,
-        /// When and where it started; older releases did not record that.
+        /// When and where it started; `None` in records of older releases.
         start: Option<AttemptStart>,
     },
     /// The attempt in flight never ran.
     AttemptNeverRan,
-    /// The message has ended, and that is to be reported to the platform.
+    /// The message ended undelivered, which is to be reported to the platform.
     Ended(ReportedEnd),
 }
 
-/// What a record says of a message.
+/// A record of the journal. Each but the probe belongs to one message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JournalRecord {
-    /// It is accepted.
+    /// The message was accepted.
     Received(Box<JournaledMessage>),
-    /// It has progressed.
+    /// The message has progressed.
     Progressed(ProgressStep),
-    /// Nothing more is to be done for it.
+    /// The message is complete: nothing more is to be done for it.
     Completed,
-    /// Nothing at all: written to find out whether the journal can be written.
+    /// An empty record, written to find out whether the journal can be written.
     Probe,
 }
 
 impl JournalRecord {
-    /// Whether nothing is sent for a message any more that has this record.
+    /// Whether the record ends its message: no attempt is sent after it.
     pub fn is_end(&self) -> bool {
         matches!(self, JournalRecord::Progressed(ProgressStep::Ended(_)) | JournalRecord::Completed)
     }
 
-    /// Shifts all times in it by so many microseconds, but not below the start of the clock.
+    /// Adds `shift_us` microseconds to all times in the record; a time that would be negative becomes 0.
     pub fn shift_times(&mut self, shift_us: i64) {
         let shift = |time: &mut u64| *time = time.saturating_add_signed(shift_us);
         match self {
--- a/src/journal/recovery.rs
+++ b/src/journal/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the log at the start: which messages are not completed, and what could not be read.
+//! Recovery: reads all segments when the journal is opened and restores the messages that are not completed.
 
 use super::encoding::FRAME_BYTES;
 use super::record::{JournalRecord, JournaledMessage};
@@ -7,23 +7,23 @@
 use std::collections::BTreeMap;
 use std::io;
 
-/// What to do about a segment that cannot be read at the start.
+/// What to do if the storage cannot read a segment when the journal is opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadableSegmentPolicy {
-    /// Fail, so that opening can be tried again.
+    /// Opening fails, so that it can be tried again.
     Fail,
-    /// Leave it where it is for a later start.
+    /// The segment stays in the folder, and a later start reads it.
     KeepForLaterStart,
 }
 
-/// What a journal held when it was opened.
+/// What was restored from a journal when it was opened.
 #[derive(Debug, Default)]
 pub struct RestoredJournal {
-    /// The messages that are not completed, by id.
+    /// The messages that are not completed, in the order of their ids.
     pub messages: Vec<(u64, JournaledMessage)>,
-    /// Lines on what could not be read.
+    /// A log line for each part that could not be read.
     pub damage: Vec<String>,
-    /// The highest message id ever seen in it.
+    /// The highest message id in any record, also of a completed message.
     pub highest_id: u64,
 }
 
@@ -36,7 +36,11 @@
 }
 
 impl SegmentLog {
-    /// Reads all segments. Appending goes to a new one, so nothing is ever written behind what may be torn.
+    /// Reads all segments. Records are then appended to a new segment, so that none follows a torn record.
+    ///
+    /// # Errors
+    ///
+    /// If the storage cannot list its files, or cannot read a segment and `unreadable` is `Fail`.
     pub fn recover(&mut self, unreadable: UnreadableSegmentPolicy) -> io::Result<RestoredJournal> {
         let mut recovery = Recovery::default();
         for (number, size) in self.list_segments()? {
@@ -45,7 +49,7 @@
                 Ok(bytes) => self.replay(number, &bytes, &mut recovery),
                 Err(error) if unreadable == UnreadableSegmentPolicy::Fail => return Err(error),
                 Err(error) => {
-                    let line = format!("segment {number}: it is left for a later start: {error}");
+                    let line = format!("segment {number} cannot be read and is left for a later start: {error}");
                     recovery.damage.push(line);
                     self.segments.push_back(Segment { number, size, pinned: true, ..Segment::default() });
                 }
@@ -56,11 +60,11 @@
         Ok(RestoredJournal { messages: messages.into_iter().collect(), damage, highest_id })
     }
 
-    /// The numbers and sizes of the segments, oldest first; the folder's other files are counted.
+    /// Lists the number and the size in bytes of each segment, oldest first. The sizes of other files are added up.
     fn list_segments(&mut self) -> io::Result<Vec<(u64, u64)>> {
         let mut segments = Vec::new();
-        for (file, size) in self.storage.list()? {
-            match segment::parse_file_name(&file) {
+        for (file_name, size) in self.storage.list()? {
+            match segment::parse_file_name(&file_name) {
                 Some(number) => segments.push((number, size)),
                 None => self.other_files_size += size_on_disk(size),
             }
@@ -73,12 +77,12 @@
         let decoded = segment::decode(bytes, &(self.read_clocks)());
         let (salt, time_shift) = (decoded.salt, decoded.time_shift);
         self.segments.push_back(Segment { number, salt, time_shift, ..Segment::default() });
-        for stretch in &decoded.damage {
-            let (length, offset) = (stretch.length, stretch.offset);
-            recovery.damage.push(format!("segment {number}: {length} bytes at {offset} cannot be read"));
+        for range in &decoded.damage {
+            let (length, offset) = (range.length, range.offset);
+            recovery.damage.push(format!("segment {number}: {length} bytes at offset {offset} are damaged"));
         }
         let size = self.truncate_torn_tail(number, bytes, &decoded);
-        self.segments.back_mut().expect("it was just added").size = size as u64;
+        self.segments.back_mut().expect("the segment was just added").size = size as u64;
         for record in decoded.records {
             self.replay_record(number, record, recovery);
         }
@@ -108,8 +112,8 @@
         }
     }
 
-    /// Cuts off what follows the last complete record, so that it is reported once; the size of the file then. Nothing depends
-    /// on it.
+    /// Truncates a segment after its last complete record and returns its size in bytes. This only avoids that the same
+    /// damage is reported at each start; if the storage cannot truncate the file, it stays as it is.
     fn truncate_torn_tail(&mut self, number: u64, bytes: &[u8], decoded: &DecodedSegment) -> usize {
         let records_end = decoded.end;
         let is_torn = records_end < bytes.len() && (records_end > 0 || bytes.len() <= segment::HEADER_BYTES);
--- a/src/journal/segment.rs
+++ b/src/journal/segment.rs
@@ -1,35 +1,36 @@
-//! One segment file: its header, which says by which clock its times are, and reading it past damage.
+//! A segment file: its header, which holds the clocks at its creation, and a decoder that continues after damaged records.
 
 use super::encoding::{claimed_content_length, decode as decode_record, ByteReader, FRAME_BYTES};
 use super::record::JournalRecord;
 
-/// What a segment of this format begins with. An older format has no header: the length of its first record is never that
-/// large.
+/// The first bytes of a segment in this format. A segment in the older format has no header and starts with the length
+/// of its first record, which is always smaller than these bytes read as a number.
 const MAGIC: [u8; 8] = *b"cbjrnl2\n";
 /// The checksum at the end of a header, in bytes.
 const HEADER_CHECKSUM_BYTES: usize = 4;
-/// The size of a header: magic, boot, both clocks, salt and checksum, in bytes.
+/// The size of a header in bytes: magic, boot id, monotonic clock, wall clock, salt and checksum.
 pub const HEADER_BYTES: usize = MAGIC.len() + 16 + 8 + 8 + 4 + HEADER_CHECKSUM_BYTES;
-/// At most so many bytes are checksummed in search of a complete record behind a damaged one.
+/// How many bytes of a segment are checksummed at most in search of complete records after damaged ones.
 const MAX_SEARCH_BYTES: usize = 64 << 20;
 
-/// The clocks at one moment, and the boot of the machine that the monotonic one counts from: what makes times readable to the
-/// next process, also after the wall clock was set or the machine was restarted.
+/// Both clocks at one moment, and the boot that the monotonic clock counts from. With it the next process can convert
+/// recorded times to its own clock, also after the wall clock was set or the machine was restarted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClockReading {
-    /// The machine's boot; 0 where that is not known.
+    /// The id of the machine's boot; 0 if it is not known.
     pub boot_id: u128,
-    /// The program's clock, in microseconds.
+    /// The program's monotonic clock, in microseconds.
     pub monotonic_us: u64,
-    /// The wall clock, in microseconds of Unix time.
+    /// The wall clock, in microseconds since the Unix epoch.
     pub wall_us: u64,
 }
 
 impl ClockReading {
-    /// What must be added to the times of a process that recorded an earlier reading, in microseconds, to have them on this
-    /// one's clock. Within one boot both clocks count alike, whatever the wall clock did; beyond that the wall clock is all
-    /// there is.
-    pub fn shift_from(&self, earlier: &ClockReading) -> i64 {
+    /// The shift in microseconds that converts times recorded with an earlier reading to the monotonic clock of this one.
+    ///
+    /// Within one boot the shift is 0, because all processes share the monotonic clock, even if the wall clock was set.
+    /// After a restart of the machine only the wall clock shows how much time has passed.
+    pub fn time_shift_from(&self, earlier: &ClockReading) -> i64 {
         let same_boot = self.boot_id != 0 && self.boot_id == earlier.boot_id;
         if same_boot && self.monotonic_us >= earlier.monotonic_us {
             return 0;
@@ -38,8 +39,8 @@
         signed_difference(self.monotonic_us, earlier.monotonic_us.saturating_add(elapsed_us))
     }
 
-    /// What must be added to times that are kept as Unix time, as the older format does, in microseconds.
-    pub fn shift_from_wall(&self) -> i64 {
+    /// The shift in microseconds that converts Unix time, as the older format stores it, to the monotonic clock.
+    pub fn time_shift_from_unix_time(&self) -> i64 {
         signed_difference(self.monotonic_us, self.wall_us)
     }
 }
@@ -48,17 +49,17 @@
     i64::try_from(i128::from(minuend) - i128::from(subtrahend)).unwrap_or(i64::MIN)
 }
 
-/// The name of a segment's file.
+/// The file name of a segment.
 pub(super) fn file_name(number: u64) -> String {
     format!("{number:010}.journal")
 }
 
-/// The number of the segment whose file has a name; none if the file is no segment.
+/// The number of a segment by its file name; `None` if the name is not that of a segment.
 pub(super) fn parse_file_name(name: &str) -> Option<u64> {
     name.strip_suffix(".journal")?.parse().ok()
 }
 
-/// The header of a segment: when it was created, and the salt of its checksums.
+/// Encodes the header of a segment that is created at `created_at` and whose checksums start from `salt`.
 pub fn encode_header(created_at: &ClockReading, salt: u32) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&created_at.boot_id.to_le_bytes());
@@ -87,71 +88,73 @@
     Some(Header { created_at: ClockReading { boot_id, monotonic_us, wall_us }, salt: reader.u32()? })
 }
 
-/// A record that was decoded, and where its content lies.
+/// A decoded record and the place of its content in the segment.
 #[derive(Debug)]
 pub struct DecodedRecord {
-    /// The message's id.
+    /// The id of the message that the record belongs to; 0 for a probe.
     pub message_id: u64,
-    /// What it says, its times on the reader's clock.
+    /// The record, its times converted to the reader's clock.
     pub record: JournalRecord,
-    /// Where its content starts in the segment.
+    /// The offset of its content in the segment, in bytes.
     pub content_offset: usize,
     /// The length of its content in bytes.
     pub content_length: usize,
 }
 
-/// A stretch of a segment that cannot be read.
+/// A range of a segment that cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DamagedStretch {
-    /// Where it starts.
+pub struct DamagedRange {
+    /// Its offset in the segment, in bytes.
     pub offset: usize,
     /// Its length in bytes.
     pub length: usize,
 }
 
-/// A segment that was decoded.
+/// The content of a segment.
 #[derive(Debug, Default)]
 pub struct DecodedSegment {
-    /// The records, in order.
+    /// The complete records, in order.
     pub records: Vec<DecodedRecord>,
-    /// Where the last complete record ends.
+    /// The offset at which the last complete record ends, in bytes.
     pub end: usize,
-    /// What cannot be read.
-    pub damage: Vec<DamagedStretch>,
-    /// The salt of its checksums.
+    /// The ranges that cannot be decoded, in order.
+    pub damage: Vec<DamagedRange>,
+    /// The salt of the checksums; 0 if the header is damaged or missing.
     pub salt: u32,
-    /// What was added to its times, in microseconds.
+    /// The shift that was added to the times of all records, in microseconds.
     pub time_shift: i64,
 }
 
-/// Decodes a segment by the clocks of now. Behind a damaged record it goes on with the next complete one: records are found by
-/// their checksums, which depend on a salt that no message body knows.
+/// Decodes a segment and converts its times to the monotonic clock of `now`.
+///
+/// After a damaged record, decoding continues with the next complete one, which is found by its checksum. A message
+/// body cannot imitate a record, because the checksums depend on the segment's salt, which no client knows.
 pub fn decode(bytes: &[u8], now: &ClockReading) -> DecodedSegment {
     let mut segment = DecodedSegment::default();
     let has_magic = bytes.starts_with(&MAGIC) || MAGIC.starts_with(bytes);
     match decode_header(bytes) {
         Some(header) => {
             segment.salt = header.salt;
-            segment.time_shift = now.shift_from(&header.created_at);
+            segment.time_shift = now.time_shift_from(&header.created_at);
             segment.end = HEADER_BYTES;
             decode_records(&mut segment, bytes, true);
         }
         None if has_magic => {
-            // Without its salt no record can be checked.
+            // The header is damaged. Without its salt no checksum can be verified.
             if !bytes.is_empty() {
-                segment.damage.push(DamagedStretch { offset: 0, length: bytes.len() });
+                segment.damage.push(DamagedRange { offset: 0, length: bytes.len() });
             }
         }
         None => {
-            segment.time_shift = now.shift_from_wall();
+            segment.time_shift = now.time_shift_from_unix_time();
             decode_records(&mut segment, bytes, false);
         }
     }
     segment
 }
 
-/// Decodes the records from where the header ends. Without a salt, what follows a damaged record cannot be told from a message
-/// body that looks like a record.
+/// Decodes the records after the header. In the older format, which has no salt, decoding ends at a damaged record: what
+/// follows might be a message body that looks like a record.
 fn decode_records(segment: &mut DecodedSegment, bytes: &[u8], is_salted: bool) {
     let mut search_budget = MAX_SEARCH_BYTES;
     let mut offset = segment.end;
@@ -161,7 +164,7 @@
                 true => find_next_record(segment.salt, bytes, offset + 1, &mut search_budget),
                 false => bytes.len(),
             };
-            segment.damage.push(DamagedStretch { offset, length: next - offset });
+            segment.damage.push(DamagedRange { offset, length: next - offset });
             offset = next;
             continue;
         };
@@ -178,7 +181,8 @@
     }
 }
 
-/// Where the next complete record starts; the end if there is none, or finding it would exceed the budget of bytes.
+/// The offset of the next complete record at `from` or after it. The end of the segment if there is none, or if the search
+/// would checksum more than `search_budget` bytes, which is reduced by what was checksummed.
 fn find_next_record(salt: u32, bytes: &[u8], from: usize, search_budget: &mut usize) -> usize {
     for offset in from..bytes.len() {
         let Some(length) = claimed_content_length(&bytes[offset..]) else { continue };
--- a/src/journal/segment_log.rs
+++ b/src/journal/segment_log.rs
@@ -1,4 +1,7 @@
-//! The segments as one log that is appended to, and which of the records in it are still needed.
+//! All segments as one log: records are appended to the newest segment, and the live records are tracked.
+//!
+//! A record with which a message was received is *live* until the message's completion is written. Only live records
+//! are copied by compaction.
 
 use super::encoding::{self, FRAME_BYTES};
 use super::record::{JournalRecord, Progress, ProgressStep};
@@ -7,24 +10,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-/// Files are counted in whole blocks of this many bytes, as the platform counts them.
+/// The disk block size in bytes. File sizes are rounded up to whole blocks, as the platform does for its disk limit.
 pub(super) const DISK_BLOCK_BYTES: u64 = 512;
-/// What a message may still need after its first record, in bytes: a dozen attempts, each with its zone and withdrawn again,
-/// and a completion.
+/// The space in bytes that is reserved for the records after a message's first one: a dozen attempts, each with its
+/// zone and a record that it never ran, and the completion.
 const LATER_RECORDS_BYTES: u64 = 1024;
-/// The share of the limit that the records still needed may take, in percent; the rest keeps compaction rare.
+/// The share of the limit in percent that live records may take, with their reserves. The rest keeps compaction rare.
 const LIVE_PERCENT: u64 = 70;
-/// A segment is a twelfth of the limit: small enough that one can be copied within the space that is kept free.
+/// A segment is a twelfth of the limit, small enough that compaction can copy one within the space that is kept free.
 const SEGMENTS_PER_LIMIT: u64 = 12;
-/// Spreads the salts of the segments (2^32 over the golden ratio).
+/// The difference between the salts of successive segments: 2^32 divided by the golden ratio, so that the salts are far
+/// apart.
 const SALT_STEP: u32 = 0x9E37_79B9;
 
-/// Where the record lies that a message was received with.
+/// The place of the record with which a message was received.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecordLocation {
     /// The segment's number.
     pub segment: u64,
-    /// Where the record's content starts in the segment.
+    /// The offset of the record's content in the segment, in bytes.
     pub content_offset: usize,
     /// The size of the record with its frame, in bytes.
     pub size: u64,
@@ -37,40 +41,42 @@
     completed: bool,
 }
 
-/// A segment file. The records in it that are still needed are counted, so that nothing is searched to know how many there are.
+/// A segment file. It counts its live records, so that compaction need not search for them.
 #[derive(Default)]
 pub(super) struct Segment {
     pub number: u64,
-    /// The size of the file in bytes, at most.
+    /// An upper bound of the file's size, in bytes.
     pub size: u64,
-    /// Records that are still needed.
+    /// The number of live records in it.
     pub live_records: usize,
-    /// Their size in bytes.
+    /// The size of the live records in bytes.
     pub live_size: u64,
+    /// Where the checksums of its records start from.
     pub salt: u32,
-    /// What must be added to its times, in microseconds.
+    /// The shift that converts its times to the clock of this process, in microseconds.
     pub time_shift: i64,
-    /// It could not be read, so it must stay, and all behind it.
+    /// The file could not be read, so neither it nor any later segment may be removed.
     pub pinned: bool,
 }
 
-/// The segments in order, and the messages that live in them.
+/// The segments, oldest first, and the live messages in them by id.
 pub(super) struct SegmentLog {
     pub(super) storage: Box<dyn Storage>,
     pub(super) read_clocks: Box<dyn Fn() -> ClockReading>,
+    /// The salts of all segments are derived from this one.
     salt: u32,
-    /// In bytes, for the whole folder.
+    /// The size limit of the whole folder, in bytes.
     pub(super) limit: u64,
-    /// The size in bytes from which a new segment is created.
+    /// The size in bytes at which a segment is full.
     segment_size: u64,
     pub(super) segments: VecDeque<Segment>,
-    /// The newest segment may be appended to.
+    /// Whether records may be appended to the newest segment.
     newest_is_open: bool,
     pub(super) next_number: u64,
     pub(super) live: BTreeMap<u64, LiveMessage>,
-    /// The size of the live records and of what may follow them, in bytes.
+    /// The size of all live records with the space reserved for the records after them, in bytes.
     live_size: u64,
-    /// The size of the folder's other files, in bytes.
+    /// The size on disk of the files in the folder that are no segments, in bytes.
     pub(super) other_files_size: u64,
 }
 
@@ -104,7 +110,7 @@
     }
 
     pub fn set_limit(&mut self, limit: u64) {
-        // Some blocks are kept free for what the folder itself may count.
+        // Four blocks are left for the folder itself, in case the platform counts it as well.
         self.limit = limit.saturating_sub(4 * DISK_BLOCK_BYTES);
         self.segment_size = (limit / SEGMENTS_PER_LIMIT).max(8 * DISK_BLOCK_BYTES);
     }
@@ -113,7 +119,7 @@
         self.other_files_size + self.segments.iter().map(|segment| size_on_disk(segment.size)).sum::<u64>()
     }
 
-    /// There is space for a message's first record, for what may follow it, and for compaction.
+    /// Whether there is space for a message's first record and the records after it, with enough left for compaction.
     pub fn has_space_for_message(&self, record_size: u64) -> bool {
         let available = self.limit.saturating_sub(self.other_files_size) * LIVE_PERCENT / 100;
         self.live_size + record_size + LATER_RECORDS_BYTES <= available
@@ -133,12 +139,12 @@
         }
     }
 
-    /// Marks a live message as completed; false if there is none, or it is marked already.
+    /// Marks a live message as completed. Returns false if the message is not live or already marked.
     pub fn mark_completed(&mut self, id: u64) -> bool {
         self.live.get_mut(&id).is_some_and(|message| !std::mem::replace(&mut message.completed, true))
     }
 
-    /// Adds a message, or moves it to where its record was copied.
+    /// Adds a live message, or sets the new location of one whose record was copied.
     pub fn insert_live(&mut self, id: u64, location: RecordLocation, progress: Progress) {
         let completed = self.live.get(&id).is_some_and(|message| message.completed);
         self.remove_live(id);
@@ -164,12 +170,17 @@
         self.segments.get_mut(index)
     }
 
-    /// The next record goes to a new segment.
+    /// Closes the newest segment, so that the next record goes to a new one.
     pub fn close_newest_segment(&mut self) {
         self.newest_is_open = false;
     }
 
-    /// Appends to the newest segment, or to a new one if that is large or may end in a torn record.
+    /// Appends a record to the newest segment, or to a new one if the newest is full or closed.
+    ///
+    /// # Errors
+    ///
+    /// If the storage cannot create the segment or write the record. Part of the record may be in the file then; the
+    /// segment is closed unless that part could be truncated.
     pub fn append(&mut self, id: u64, record: &JournalRecord) -> io::Result<RecordLocation> {
         let is_full = self.segments.back().is_none_or(|segment| segment.size >= self.segment_size);
         if !self.newest_is_open || is_full {
@@ -184,7 +195,7 @@
         let encoded = encoding::encode(segment.salt, id, record);
         bytes.extend_from_slice(&encoded);
         if let Err(error) = self.storage.append(&bytes) {
-            // What may be torn is cut off, or else nothing may follow it.
+            // Part of the record may have been written. If it cannot be truncated, no record may follow it.
             if self.storage.truncate_newest(segment.size).is_err() {
                 segment.size += bytes.len() as u64;
                 self.newest_is_open = false;
@@ -202,7 +213,7 @@
     fn create_segment(&mut self) -> io::Result<()> {
         self.newest_is_open = false;
         let number = self.next_number;
-        // If this fails the file may be there all the same: its number is used up.
+        // The number is not used again even if this fails, because the file may have been created.
         self.next_number += 1;
         self.storage.create(&segment::file_name(number))?;
         let salt = self.salt.wrapping_add(SALT_STEP.wrapping_mul(number as u32));
--- a/src/journal/storage.rs
+++ b/src/journal/storage.rs
@@ -1,55 +1,55 @@
-//! What the journal needs of the storage that holds its files. Tests implement one that fails at will.
+//! The storage interface of the journal. Tests implement it with a storage that fails as planned.
 
 use std::io;
 
-/// A flat folder of files, one of which is being appended to.
+/// A folder of files without subfolders. Only the file that was created last is appended to.
 pub trait Storage {
-    /// The names of the files, with their sizes in bytes.
+    /// Lists the name and the size in bytes of each file.
     ///
     /// # Errors
     ///
-    /// If they cannot be listed.
+    /// If the folder cannot be listed.
     fn list(&mut self) -> io::Result<Vec<(String, u64)>>;
 
-    /// The content of a file.
+    /// Reads a whole file.
     ///
     /// # Errors
     ///
-    /// If it cannot be read.
+    /// If the file does not exist or cannot be read.
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Creates a file that must not exist yet; from now on appends go to it.
+    /// Creates a file that must not exist yet. Later appends go to this file.
     ///
     /// # Errors
     ///
-    /// If it cannot be created; an empty file may be there all the same.
+    /// If the file cannot be created; an empty one may exist nevertheless.
     fn create(&mut self, name: &str) -> io::Result<()>;
 
     /// Appends to the file that was created last.
     ///
     /// # Errors
     ///
-    /// If not all could be written; any part of it may be there then.
+    /// If not all bytes could be written; any part of them may be in the file then.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Truncates the file that was created last to a size in bytes.
+    /// Truncates the file that was created last to `size` bytes.
     ///
     /// # Errors
     ///
-    /// If it cannot be truncated.
+    /// If the file cannot be truncated.
     fn truncate_newest(&mut self, size: u64) -> io::Result<()>;
 
-    /// Truncates another file to a size in bytes.
+    /// Truncates any file to `size` bytes.
     ///
     /// # Errors
     ///
-    /// If it cannot be truncated.
+    /// If the file cannot be truncated.
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()>;
 
-    /// Removes a file; one that is not there is no error.
+    /// Removes a file. Removing one that does not exist succeeds.
     ///
     /// # Errors
     ///
-    /// If it is still there.
+    /// If the file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
