--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -1,122 +1,123 @@
-//! What is wrong with a site file: where, under which code, and why. It checks nothing itself.
+//! The errors of a site file: the place, a code and a reason. The checks themselves are in other modules.
 
 use std::fmt;
 use std::path::Path;
 
-/// A place in a file, both counted from 1.
+/// A position in a file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line.
+    /// The line, counted from 1.
     pub line: u32,
-    /// The column, in characters.
+    /// The column in characters, counted from 1.
     pub column: u32,
 }
 
-/// A value and where it stands.
+/// A value from a file with its position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Located<T> {
     /// The value.
     pub value: T,
-    /// Where it stands.
+    /// The position at which the value starts.
     pub at: Position,
 }
 
 macro_rules! codes {
-    ($($(#[$doc:meta])* $name:ident = $word:literal),* $(,)?) => {
-        /// Why a file is refused, one word for each kind of error; scripts may depend on the words.
+    ($($(#[$doc:meta])* $name:ident = $code:literal),* $(,)?) => {
+        /// The kind of an error. Scripts may depend on the codes.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
         pub enum ErrorCode { $($(#[$doc])* $name),* }
 
         impl ErrorCode {
-            /// Its word.
+            /// The code as it is printed.
             pub fn as_str(self) -> &'static str {
-                match self { $(ErrorCode::$name => $word),* }
+                match self { $(ErrorCode::$name => $code),* }
             }
         }
     };
 }
 
 codes! {
-    /// Not YAML, or larger or deeper than any settings file is.
+    /// The file is not YAML, or larger or more deeply nested than allowed.
     Syntax = "syntax",
-    /// Another type than the key takes.
+    /// A value has another type than its key takes.
     Type = "type",
-    /// A key that does not exist.
+    /// A key does not exist.
     UnknownKey = "unknown-key",
-    /// A key given twice.
+    /// A key is given twice.
     RepeatedKey = "repeated-key",
-    /// A key that must be there.
+    /// A required key is missing.
     MissingKey = "missing-key",
-    /// A version of the file that this program does not know.
+    /// This program does not support the version of the file.
     Version = "version",
-    /// A time without a unit, or with one that does not exist.
+    /// A duration has no number, or no unit that exists.
     Unit = "unit",
-    /// A time of zero, negative or over a day.
+    /// A duration is zero, negative or over a day.
     Time = "time",
-    /// No address of a registry, or one given twice.
+    /// There is no address of a registry, or one is given twice.
     Address = "address",
-    /// A lease that ends before it is renewed.
+    /// A lease ends before it is renewed.
     Lease = "lease",
-    /// A longest pause that is shorter than the first.
+    /// The longest pause is shorter than the first.
     Pause = "pause",
-    /// No attempts, or more than are allowed.
+    /// There are no attempts, or more than allowed.
     Attempts = "attempts",
-    /// A hedged request while the first attempt may be in flight.
+    /// A hedged request could be sent while the first attempt is in flight.
     HedgedRequest = "second-copy",
-    /// More than one attempt that may have run in a class that allows one.
+    /// More than one attempt may have run in a class that allows one.
     NonIdempotent = "side-effect",
-    /// An attempt that could start after the deduplication window of the first.
+    /// An attempt could start after the deduplication window of the first.
     DeduplicationWindow = "memory-span",
-    /// Attempts that cannot end before the class's deadline, or an abandonment beyond it.
+    /// The attempts cannot end before the class's deadline, or the message would be abandoned after it.
     Deadline = "deadline",
-    /// Attempts that cannot end before the entry's own abandonment.
+    /// The attempts cannot end before the route itself abandons the message.
     AbandonAfter = "give-up",
-    /// Two entries, equally specific, that could both win for some message.
+    /// Two routes are equally specific, and both match some message.
     Overlap = "overlap",
-    /// An entry that can never win.
+    /// A route can never apply, because others always take precedence.
     Shadowed = "shadowed",
-    /// A name given to two entries.
+    /// Two routes have the same name.
     RepeatedName = "repeated-name",
-    /// A kind that the platform's settings do not list.
+    /// The platform's settings do not list the kind.
     UnknownKind = "unknown-kind",
-    /// A class that the platform's settings do not list.
+    /// The platform's settings do not list the class.
     UnknownClass = "unknown-class",
-    /// A list of destinations with nothing in it.
+    /// A list of destinations is empty.
     NoDestination = "no-destination",
-    /// A destination given twice in one list.
+    /// A destination is given twice in one list.
     RepeatedDestination = "repeated-destination",
 }
 
 /// One error in a site file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Its place in the file.
+    /// Its position in the file.
     pub at: Position,
     /// Its kind.
     pub code: ErrorCode,
-    /// The figures that collide, and what would be right.
+    /// A text that names the conflicting values and says what would be valid.
     pub reason: String,
 }
 
 impl ConfigError {
-    /// An error at a place.
+    /// Creates an error at a position.
     pub fn new(at: Position, code: ErrorCode, reason: impl Into<String>) -> Self {
         ConfigError { at, code, reason: reason.into() }
     }
 
-    /// As one line, `FILE:LINE:COLUMN: [code] reason`.
+    /// The error as one line of text, `FILE:LINE:COLUMN: [code] reason`.
     pub fn line(&self, file: &str) -> String {
         format!("{file}:{self}")
     }
 }
 
-/// The errors of a file, one a line.
+/// The errors of a file as text, one per line.
 pub fn error_lines(file: &Path, errors: &[ConfigError]) -> String {
     let file = file.display().to_string();
     errors.iter().map(|error| error.line(&file)).collect::<Vec<_>>().join("\n")
 }
 
-/// A text from a file, cut so that a line of the log stays a line.
+/// Shortens a text from a file to 60 characters and replaces control characters by spaces, so that a log entry stays on
+/// one line.
 pub fn shortened(text: &str) -> String {
     const MAX_CHARS: usize = 60;
     let mut short: String =
--- a/src/durations.rs
+++ b/src/durations.rs
@@ -1,33 +1,33 @@
-//! Durations as they are written in the site file, such as `200ms`, `1.5s` or `2m`.
+//! The text form of durations in a site file, such as `200ms`, `1.5s` or `2m`.
 
 use crate::config_error::{shortened, ErrorCode};
 use crate::Micros;
 
-/// No duration in a settings file is longer.
+/// The longest duration that a site file may contain: a day.
 const MAX_DURATION: Micros = 86_400_000_000;
 
-/// Why a text is no duration.
+/// Why a text is not a duration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DurationError {
-    /// A number alone.
+    /// The value is a number without a unit.
     #[error("it has no unit; write it with `ms`, `s` or `m`")]
     NoUnit,
-    /// Another unit than the known ones, or none.
+    /// The text has no unit or an unknown one.
     #[error("`{0}` is not a time; the units are `ms`, `s` and `m`")]
     UnknownUnit(String),
-    /// No number before the unit.
+    /// The text has no number before the unit.
     #[error("`{0}` does not begin with a number")]
     NoNumber(String),
-    /// Zero or negative.
+    /// The duration is zero or negative.
     #[error("`{0}` is no time; it must be above zero")]
     NotPositive(String),
-    /// Longer than any duration that is meant.
+    /// The duration is over a day.
     #[error("`{0}` is over a day; a message lives for seconds")]
     TooLong(String),
 }
 
 impl DurationError {
-    /// The code under which a settings file is refused for it.
+    /// The code of this error in a site file.
     pub fn code(&self) -> ErrorCode {
         match self {
             DurationError::NoUnit | DurationError::UnknownUnit(_) | DurationError::NoNumber(_) => {
@@ -38,11 +38,11 @@
     }
 }
 
-/// Parses a duration such as `200ms`, `1.5s` or `2m`, to microseconds.
+/// Parses a duration such as `200ms`, `1.5s` or `2m`. Returns microseconds.
 ///
 /// # Errors
 ///
-/// If it has no number or unit, is not above zero, or is over a day.
+/// If the text has no number or no known unit, or the duration is not above zero or is over a day.
 pub fn parse_duration(text: &str) -> Result<Micros, DurationError> {
     let unit_start = text.find(|c: char| c.is_ascii_alphabetic()).unwrap_or(text.len());
     let (number, unit) = text.split_at(unit_start);
@@ -63,7 +63,7 @@
     Ok(micros as Micros)
 }
 
-/// A number without an exponent or a name such as `inf`.
+/// Parses a decimal number. Unlike [`str::parse`], it takes no exponent and no name such as `inf`.
 fn parse_plain_number(text: &str) -> Option<f64> {
     let is_plain = text.chars().all(|c| c.is_ascii_digit() || c == '.' || c == '-');
     if is_plain {
@@ -73,7 +73,7 @@
     }
 }
 
-/// A duration as a file would have it.
+/// Formats a duration as it would be written in a site file.
 pub fn format_duration(duration: Micros) -> String {
     if duration > 0 && duration.is_multiple_of(60_000_000) {
         format!("{}m", duration / 60_000_000)
--- a/src/invariants/admission.rs
+++ b/src/invariants/admission.rs
@@ -1,43 +1,43 @@
-//! Whether a message that was received from a client may be admitted now.
+//! The check whether a message that was received from a client may be admitted.
 
-/// What the admission of a message depends on.
+/// The facts on which the admission of a message depends.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionFacts {
-    /// The program makes no more decisions: it shuts down, or its successor decides.
+    /// Whether the program makes no more decisions, because it is shutting down or its successor has taken over.
     pub draining: bool,
-    /// An open message has the same id.
+    /// Whether an open message has the same id.
     pub id_in_use: bool,
-    /// Messages that are open now.
+    /// The number of open messages.
     pub open_messages: usize,
-    /// How many messages may be open.
+    /// The number of messages that may be open at once.
     pub max_open_messages: usize,
-    /// The journal can be written.
+    /// Whether the journal can be written.
     pub journal_writable: bool,
 }
 
 /// Why a message is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rejection {
-    /// Another open message has its id: neither may it replace that one, nor may one end be reported for both.
+    /// Another open message has the same id. It must not be replaced, and one end must not be reported for both.
     IdInUse,
-    /// The program is shutting down.
+    /// The program is shutting down, or its successor has taken over.
     Draining,
-    /// As many messages are open as may be.
+    /// The number of open messages is at its limit.
     TooManyOpenMessages,
     /// The journal cannot be written.
     JournalFailing,
-    /// The journal has no space.
+    /// The journal has no space for the message.
     JournalFull,
-    /// The endpoint list has not named its destination lately.
+    /// The endpoint list has not contained its destination recently.
     UnknownDestination,
-    /// Its client has ended its side of the connection, and may be gone.
+    /// Its client has closed its side of the connection, and may be gone.
     ClientGone,
-    /// The policy rejected it at once.
+    /// The policy rejected it on arrival.
     Policy,
 }
 
 impl Rejection {
-    /// Its name in logs and counters.
+    /// The name of the reason in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Rejection::IdInUse => "id-in-use",
@@ -52,11 +52,11 @@
     }
 }
 
-/// Whether a message may be admitted, before it is journaled.
+/// Checks whether a message may be admitted. It is called before the message is journaled.
 ///
 /// # Errors
 ///
-/// The first reason against it.
+/// The first reason to reject the message, in the order of the checks.
 pub fn may_admit(facts: &AdmissionFacts) -> Result<(), Rejection> {
     if facts.id_in_use {
         return Err(Rejection::IdInUse);
--- a/src/invariants/connection.rs
+++ b/src/invariants/connection.rs
@@ -1,36 +1,38 @@
-//! Whether an idle connection to an endpoint may carry the next call.
+//! The check whether an idle connection to an endpoint may carry the next call.
 
 use crate::Micros;
 
-/// An idle connection is closed so long before the endpoint may close it: a request must not cross that.
+/// How long before the endpoint may close an idle connection this program closes it, so that no request crosses the
+/// endpoint's close.
 const IDLE_MARGIN: Micros = 250_000;
 
-/// What is known of an idle connection.
+/// The facts on which the reuse of an idle connection depends.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleFacts {
-    /// Now.
+    /// The current time.
     pub now: Micros,
-    /// Up to when it may be reused: see [`reusable_until`].
+    /// The time from which on it must not be reused: see [`reusable_until`].
     pub reusable_until: Micros,
-    /// It leads to the address that the endpoint list has for the endpoint.
+    /// Whether it leads to the address that the endpoint list has for the endpoint.
     pub address_is_current: bool,
-    /// Why the connection is of no more use: its other side has closed it, or has sent something unasked.
+    /// What the endpoint did on the idle connection, by its name in logs: it closed the connection, or sent bytes without a
+    /// request. `None` if it did nothing.
     pub peer_activity: Option<&'static str>,
 }
 
 /// Why an idle connection to an endpoint is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was idle for too long.
+    /// It has been idle for too long.
     IdleTimeout,
     /// Its endpoint has another address now.
     EndpointMoved,
-    /// What its other side did.
+    /// The endpoint closed it or sent bytes without a request: see [`IdleFacts::peer_activity`].
     PeerActivity(&'static str),
 }
 
 impl CloseReason {
-    /// Its name in logs.
+    /// The name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::IdleTimeout => "idle",
@@ -40,16 +42,17 @@
     }
 }
 
-/// Up to when a connection that became idle now may be reused, where its endpoint closes it after `idle_timeout`.
+/// The time until which a connection that becomes idle `now` may be reused, if its endpoint closes it after
+/// `idle_timeout`. The margin before that is 250 ms, but at most a quarter of the timeout.
 pub fn reusable_until(now: Micros, idle_timeout: Micros) -> Micros {
     now + idle_timeout.saturating_sub(IDLE_MARGIN.min(idle_timeout / 4))
 }
 
-/// Whether an idle connection may carry a call.
+/// Checks whether an idle connection may carry a call.
 ///
 /// # Errors
 ///
-/// The first reason to close it instead.
+/// The first reason to close it, in the order of the checks.
 pub fn may_reuse(facts: &IdleFacts) -> Result<(), CloseReason> {
     if facts.now >= facts.reusable_until {
         return Err(CloseReason::IdleTimeout);
@@ -57,6 +60,6 @@
     if !facts.address_is_current {
         return Err(CloseReason::EndpointMoved);
     }
-    // What was sent unasked would be read as the answer to the next call.
+    // Bytes that the endpoint sent without a request would be read as the response to the next call.
     facts.peer_activity.map_or(Ok(()), |peer_activity| Err(CloseReason::PeerActivity(peer_activity)))
 }
--- a/src/invariants/ledger.rs
+++ b/src/invariants/ledger.rs
@@ -1,73 +1,74 @@
-//! The run-time check: a record of what was in fact done for each message, compared with the rules as it happens. It neither
-//! asks the policy nor binds it; what breaks a rule is named, and the caller counts and logs it.
+//! The run-time check of the rules: a ledger of what was actually done for each message. Each event is compared with
+//! the rules as it is recorded, independently of the policy and without influence on it. The caller counts and logs
+//! violations.
 
 use crate::{DedupScope, Idempotency, MessageId, Micros, Outcome, ZoneId};
 use std::collections::BTreeMap;
 
-/// How messages of a class may be repeated.
+/// The rules for repeating messages of a class.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatPolicy {
-    /// What a repeat may do.
+    /// Whether a message may run more than once.
     pub idempotency: Idempotency,
-    /// Where repeats are dropped.
+    /// Which endpoints share the memory by which repeats are dropped.
     pub dedup_scope: DedupScope,
-    /// For how long they are dropped, from the first attempt that may have run.
+    /// How long repeats are dropped, from the start of the first attempt that may have run.
     pub dedup_window: Micros,
-    /// Attempts for one message.
+    /// The number of attempts allowed for one message.
     pub max_attempts: u32,
 }
 
 /// When and where an attempt started.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedAttempt {
-    /// When its first byte was sent.
+    /// The time at which its first byte was written.
     pub started_at: Micros,
-    /// Its endpoint's zone; not known of an attempt that another forwarder made.
+    /// The zone of its endpoint; `None` if it is not known, as for an attempt of another forwarder.
     pub zone: Option<ZoneId>,
 }
 
-/// What is known of a message as tracking starts.
+/// A message and the attempts made for it so far.
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedMessage {
-    /// How it may be repeated.
+    /// The rules for repeating it.
     pub repeats: RepeatPolicy,
-    /// Attempts that were made for it before.
+    /// The number of attempts that were made for it.
     pub attempts: u32,
-    /// The first of them that may have run.
+    /// The first attempt that may have run, other than the one in flight; `None` if there is none.
     pub first_attempt: Option<TrackedAttempt>,
-    /// The number of the attempt in flight.
+    /// The number of the attempt in flight; `None` if none is.
     pub in_flight: Option<u32>,
 }
 
-/// A rule that was broken.
+/// A violated rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An attempt of a message that is not tracked.
+    /// An attempt was started for a message that is not tracked.
     UnknownMessage,
-    /// A second attempt while one is in flight.
+    /// A second attempt was started while one was in flight.
     TwoAttemptsInFlight,
-    /// An attempt after the message's completion.
+    /// An attempt was started after the message was completed.
     AttemptAfterCompletion,
-    /// More attempts than allowed.
+    /// More attempts were started than allowed.
     TooManyAttempts,
-    /// A repeat of what must not run twice.
+    /// A message that must not run twice was repeated.
     RepeatForbidden,
-    /// A repeat in a zone where it is not dropped.
+    /// A message was repeated in a zone in which the repeat is not dropped.
     RepeatInAnotherZone,
-    /// A repeat when it is not dropped any more.
+    /// A message was repeated at a time at which the repeat is no longer dropped.
     RepeatAfterWindow,
-    /// A second final answer.
+    /// A message was completed twice.
     CompletedTwice,
-    /// Returned to the client although it may have run, and may not run twice.
+    /// A message was returned to its client although it may have run and must not run twice.
     ReturnedAlthoughItMayHaveRun,
-    /// A first byte to a draining endpoint, past the grace.
+    /// The first byte of a call was written to an endpoint that had been draining for longer than the grace.
     SentToDraining,
-    /// A first byte before the time that a Retry-After asked for.
+    /// The first byte of a call was written before the time that a Retry-After had asked for.
     SentWithinRetryAfter,
 }
 
 impl Violation {
-    /// Its name in logs and counters.
+    /// The name of the rule in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Violation::UnknownMessage => "unknown_message",
@@ -88,24 +89,24 @@
 #[derive(Debug)]
 struct LedgerEntry {
     message: TrackedMessage,
-    /// The start of the attempt in flight.
+    /// The start of the attempt in flight; `None` if none is, or if it started before the message was tracked.
     last_attempt: Option<TrackedAttempt>,
     completed: bool,
 }
 
-/// What was done for each message that is tracked.
+/// A record of the attempts and the completion of each tracked message.
 #[derive(Debug, Default)]
 pub struct Ledger {
     entries: BTreeMap<MessageId, LedgerEntry>,
 }
 
 impl Ledger {
-    /// A message is tracked from now on.
+    /// Starts to track a message. `message` holds the attempts made before.
     pub fn track(&mut self, id: MessageId, message: TrackedMessage) {
         self.entries.insert(id, LedgerEntry { message, last_attempt: None, completed: false });
     }
 
-    /// The first byte of an attempt is about to be written; returns the rule that is broken by it.
+    /// Records an attempt whose first byte is about to be written. Returns the rule that it violates, if any.
     pub fn attempt_started(
         &mut self,
         id: MessageId,
@@ -121,7 +122,7 @@
         violation
     }
 
-    /// An attempt has ended, or its connection was closed.
+    /// Records that an attempt has ended or its connection was closed. Only the attempt in flight counts.
     pub fn attempt_ended(&mut self, id: MessageId, number: u32, outcome: Outcome) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if entry.message.in_flight != Some(number) {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// A message has got its final answer; if it is returned, the client may send it again. Returns the rule that is broken by it.
+    /// Records that a message was completed; `returned` says that its client may send it again. Returns the rule that this
+    /// violates, if any.
     pub fn completed(&mut self, id: MessageId, returned: bool) -> Option<Violation> {
         let entry = self.entries.get_mut(&id)?;
         if std::mem::replace(&mut entry.completed, true) {
@@ -155,17 +157,17 @@
         is_violated.then_some(Violation::ReturnedAlthoughItMayHaveRun)
     }
 
-    /// Nothing more can happen to a message.
+    /// Stops tracking a message, as nothing more can happen to it.
     pub fn forget(&mut self, id: MessageId) {
         self.entries.remove(&id);
     }
 
-    /// How many messages are tracked: those that the program holds, and no more.
+    /// The number of tracked messages. It is the number of messages that the program holds.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// No message is tracked.
+    /// Whether no message is tracked.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/invariants/mod.rs
+++ b/src/invariants/mod.rs
@@ -1,9 +1,9 @@
-//! The one place that says whether something may be sent, accepted, reused or started now, and the run-time check that what
-//! was done kept the rules.
+//! The safety rules of the forwarder: whether a message may be admitted, a call sent or a connection reused now, and a
+//! run-time check that the rules were kept.
 //!
-//! Facts come in, a permit or a typed reason comes out. The socket code cannot write a call without a [`SendPermit`]. The
-//! [`Ledger`] is independent of that and of the policy: it records what was in fact done, names what breaks a rule, and never
-//! stops the program. No I/O.
+//! Each check is a function without I/O that takes the relevant facts and returns `Ok` or a typed reason. The socket
+//! code cannot write a call without a [`SendPermit`]. The [`Ledger`] is independent of these checks and of the policy:
+//! it records what was actually done and reports each violation of a rule. It never stops the program.
 
 pub mod admission;
 pub mod connection;
--- a/src/invariants/send.rs
+++ b/src/invariants/send.rs
@@ -1,65 +1,65 @@
-//! Whether the first byte of a call may go out now. The policy decided on the call a moment ago; connecting takes time, and
-//! what happened meanwhile binds all the same.
+//! The check whether the first byte of a call may be written now. It is made after the connection is established, because
+//! things may have changed since the policy decided on the call.
 
 use crate::Micros;
 
-/// The platform allows for a process that is stalled for so long between its reading of the clock and its write; a drain's
-/// grace has to cover that.
+/// The delay between reading the clock and the write that the platform allows for, as a process may be stalled there.
+/// The grace of a draining endpoint has to include it.
 pub const WRITE_DELAY_ALLOWANCE: Micros = 150_000;
 
-/// What is known of an endpoint that is about to be called.
+/// The facts about the endpoint that is about to be called.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointFacts {
-    /// When this program learned that the endpoint is draining.
+    /// The time at which this program learned that the endpoint is draining; `None` if it is not.
     pub draining_since: Option<Micros>,
-    /// Up to when nothing may be sent there, as an answer asked for.
+    /// The time before which nothing may be sent there, as a Retry-After asked for; `None` if there is none.
     pub retry_after: Option<Micros>,
 }
 
-/// What the first byte of a call depends on.
+/// The facts on which sending a call depends.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// Now.
+    /// The current time.
     pub now: Micros,
-    /// A message of the call is complete.
+    /// Whether a message of the call is complete.
     pub message_complete: bool,
-    /// Another process decides from here on, or may.
+    /// Whether another process makes the decisions now, or may do so.
     pub handed_over: bool,
-    /// The journal can record messages and attempts.
+    /// Whether the journal can record messages and attempts.
     pub journal_writable: bool,
-    /// When the first of its attempts is abandoned.
+    /// The earliest time at which one of its attempts is abandoned.
     pub abandon_at: Micros,
-    /// The latest time for its first byte: beyond it a repeat would run twice, or find no time to run.
+    /// The time before which its first byte must be written. Later, a repeat might run twice or have no time left to run.
     pub send_by: Micros,
-    /// For how long work may be sent to a draining endpoint.
+    /// How long work may be sent to a draining endpoint.
     pub drain_grace: Micros,
-    /// Its endpoint; none if the endpoint list does not name it any more.
+    /// Its endpoint; `None` if the endpoint list no longer contains it.
     pub endpoint: Option<EndpointFacts>,
 }
 
-/// Why a call may not go out.
+/// Why a call may not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SendRefusal {
-    /// A message of it is complete.
+    /// One of its messages is complete.
     MessageComplete,
-    /// Another process decides.
+    /// Another process makes the decisions now, or may do so.
     HandedOver,
-    /// The attempt could not be journaled.
+    /// The journal cannot record its attempts.
     JournalFailing,
-    /// An attempt of it is abandoned.
+    /// One of its attempts is abandoned.
     Abandoned,
-    /// Its first byte would come too late.
+    /// The latest time for its first byte has passed.
     TooLate,
-    /// The endpoint list does not name its endpoint any more.
+    /// The endpoint list no longer contains its endpoint.
     UnknownEndpoint,
-    /// Its endpoint is draining, and the grace is over.
+    /// Its endpoint is draining, and the grace has passed.
     Draining,
-    /// Its endpoint or destination has sent a Retry-After.
+    /// Its endpoint or destination asked by a Retry-After to wait longer.
     RetryAfter,
 }
 
 impl SendRefusal {
-    /// Its name in logs and counters.
+    /// The name of the reason in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             SendRefusal::MessageComplete => "over",
@@ -74,21 +74,21 @@
     }
 }
 
-/// The right to write one call, now. Only [`may_send`] makes one, and writing consumes it.
+/// A permit to write one call now. Only [`may_send`] creates one, and writing the call consumes it.
 #[derive(Debug)]
 pub struct SendPermit(());
 
-/// Up to how long after an endpoint began to drain a first byte may be started, so that it is written within the grace. The
-/// platform counts from a little earlier than this program, hence the fifth.
+/// How long after an endpoint began to drain a call may still be started, so that its first byte is written within the
+/// grace. One fifth is subtracted, because the platform counts from slightly before this program learns of the drain.
 pub fn latest_start(drain_grace: Micros) -> Micros {
     drain_grace.saturating_sub(WRITE_DELAY_ALLOWANCE) * 4 / 5
 }
 
-/// Whether the first byte of a call may go out.
+/// Checks whether the first byte of a call may be written.
 ///
 /// # Errors
 ///
-/// The first reason against it.
+/// The first reason not to send it, in the order of the checks.
 pub fn may_send(facts: &SendFacts) -> Result<SendPermit, SendRefusal> {
     if facts.message_complete {
         return Err(SendRefusal::MessageComplete);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Hands the arguments to the command line and its exit code to the system.
+//! The `cedarbridge` program: passes its arguments to [`cedarbridge::cli::main`] and returns the exit code.
 
 use std::process::ExitCode;
 
