--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -1,4 +1,5 @@
-//! `explain`: which entry wins for a message and why, and the worst case that follows.
+//! The `explain` command: shows which route of a site file applies to a message and why, and the worst case of its
+//! attempts.
 
 use super::{print, CommandError, Files, PlatformSettings};
 use crate::durations::format_duration;
@@ -14,171 +15,194 @@
 pub struct ExplainArgs {
     #[command(flatten)]
     files: Files,
-    /// The number of a destination; without it, one that no entry names
+    /// The number of the destination, by default one that no route names
     #[arg(long, value_name = "N")]
     destination: Option<u64>,
-    /// A class; without it, each
+    /// The class, by default all of them
     #[arg(long, value_name = "NAME")]
     class: Option<String>,
-    /// A kind; without it, that of the destination if the configuration lists it, or else each
+    /// The kind, by default that of the destination if the configuration lists it, otherwise all of them
     #[arg(long, value_name = "NAME")]
     kind: Option<String>,
 }
 
-/// A message of which everything is known that an entry can match.
-struct Case<'a> {
+/// One case that `explain` describes: the messages with this destination, kind and class.
+struct MessageCase<'a> {
+    /// The number of the destination; `None` for any destination that no route names.
     destination: Option<u64>,
     kind: KindId,
     class: ClassId,
-    of: &'a PlatformSettings,
+    platform: &'a PlatformSettings,
     plan: &'a Plan,
 }
 
-/// The kind that the configuration's list gives a destination.
-fn listed_kind(of: &PlatformSettings, destination: u64) -> Option<KindId> {
-    let config: Value = serde_json::from_str(&of.json).ok()?;
-    let all = config.get("known")?.get("instances")?.as_array()?;
-    let entry = all.iter().find(|e| e["cell"].as_u64() == Some(destination))?;
-    index_of(&of.names.kinds, entry["machineType"].as_str()?, "kind").ok().map(KindId)
+/// The kind of a destination by the endpoint list in the configuration; `None` if it does not list the destination.
+fn listed_kind(platform: &PlatformSettings, destination: u64) -> Option<KindId> {
+    let config: Value = serde_json::from_str(&platform.json).ok()?;
+    let instances = config.get("known")?.get("instances")?.as_array()?;
+    let instance = instances.iter().find(|instance| instance["cell"].as_u64() == Some(destination))?;
+    index_of(&platform.names.kinds, instance["machineType"].as_str()?, "kind").ok().map(KindId)
 }
 
-fn chosen_indexes(
-    all: &[String],
+/// The index of the given name, or all indexes if none is given. `what` is the kind of name in the error text.
+fn selected_indexes(
+    names: &[String],
     given: Option<&str>,
     what: &'static str,
 ) -> Result<Vec<usize>, CommandError> {
     match given {
-        None => Ok((0..all.len()).collect()),
-        Some(name) => index_of(all, name, what)
-            .map(|at| vec![at])
-            .map_err(|e| CommandError::Usage(format!("{e}; the settings list {}", all.join(", ")))),
+        None => Ok((0..names.len()).collect()),
+        Some(name) => index_of(names, name, what)
+            .map(|index| vec![index])
+            .map_err(|error| CommandError::Usage(format!("{error}; the settings list {}", names.join(", ")))),
     }
 }
 
-impl Case<'_> {
+impl MessageCase<'_> {
     fn class(&self) -> &Class {
-        &self.of.settings.classes[self.class.0]
+        &self.platform.settings.classes[self.class.0]
     }
 
+    /// The routes that match, the one that applies first.
     fn matching(&self) -> Vec<&Route> {
-        // A number that no entry names stands for all that none names.
-        let to = DestinationId(self.destination.unwrap_or(u64::MAX));
-        self.plan.matching(to, Some(self.kind), self.class)
+        // The highest number stands for all destinations that no route names.
+        let destination = DestinationId(self.destination.unwrap_or(u64::MAX));
+        self.plan.matching(destination, Some(self.kind), self.class)
     }
 
     fn timing(&self) -> Timing {
-        self.matching().first().map_or(Timing::default(), |r| r.timing)
+        self.matching().first().map_or(Timing::default(), |route| route.timing)
     }
 
-    /// When a message that nothing delivers ends at the latest, counted from its hand-in.
+    /// The latest time at which an undelivered message ends, in microseconds since it was received.
     fn end(&self) -> Micros {
         self.timing().ends_at(0, self.class().deadline)
     }
 
-    /// The attempts of the worst case: of those that are allowed, as many as begin in time.
-    fn steps(&self) -> Vec<WorstCaseAttempt> {
+    /// The attempts of the worst case: those of the allowed attempts that start before the message ends.
+    fn worst_case_attempts(&self) -> Vec<WorstCaseAttempt> {
         let timing = self.timing();
         let timeout = timing.attempt_timeout(max_attempt_timeout(self.class().idempotency));
-        let most = timing.max_attempts(self.of.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
+        let max_attempts =
+            timing.max_attempts(self.platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
         let end = self.end();
-        let all = worst_case(&timing, timeout, most).into_iter().filter(|s| s.starts_at < end);
-        all.map(|s| WorstCaseAttempt { abandoned_at: s.abandoned_at.min(end), ..s }).collect()
+        let attempts = worst_case(&timing, timeout, max_attempts)
+            .into_iter()
+            .filter(|attempt| attempt.starts_at < end);
+        attempts
+            .map(|attempt| WorstCaseAttempt { abandoned_at: attempt.abandoned_at.min(end), ..attempt })
+            .collect()
     }
 
     fn title(&self) -> String {
-        let (kinds, classes) = (&self.of.names.kinds, &self.of.names.classes);
-        let to = self.destination.map_or("any destination not named".into(), |d| format!("destination {d}"));
-        format!("{to}, kind {}, class {}", kinds[self.kind.0], classes[self.class.0])
+        let (kinds, classes) = (&self.platform.names.kinds, &self.platform.names.classes);
+        let destination = self
+            .destination
+            .map_or("any destination not named".into(), |destination| format!("destination {destination}"));
+        format!("{destination}, kind {}, class {}", kinds[self.kind.0], classes[self.class.0])
     }
 
-    fn why(&self) -> String {
+    /// Why the first of the matching routes applies.
+    fn reason(&self) -> String {
         let matching = self.matching();
         let Some((first, rest)) = matching.split_first() else {
             return "no entry matches: as without a site file".into();
         };
-        let names = &self.of.names;
-        let mut why = format!("matches {}", first.shape.describe(names));
-        for r in rest {
+        let names = &self.platform.names;
+        let mut reason = format!("matches {}", first.shape.describe(names));
+        for route in rest {
             let _ = write!(
-                why,
+                reason,
                 "; more specific than `{}` (line {}: {})",
-                r.name,
-                r.line,
-                r.shape.describe(names)
+                route.name,
+                route.line,
+                route.shape.describe(names)
             );
         }
-        why
+        reason
     }
 
     fn text(&self, file: &str) -> String {
-        let (t, mut out) = (self.timing(), self.title());
-        let entry = self.matching().first().map(|r| format!("`{}` ({file}:{})", r.name, r.line));
-        let _ = write!(out, "\n  entry        {}", entry.unwrap_or("none".into()));
-        let _ = write!(out, "\n  why          {}", self.why());
-        let module = || "left to the module".to_owned();
-        let _ = write!(out, "\n  timeout      {}", t.timeout.map_or_else(module, format_duration));
-        let most = t.max_attempts(self.of.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
-        let _ = write!(out, "\n  attempts     {most} at most");
-        let pause = t
+        let (timing, mut text) = (self.timing(), self.title());
+        let route = self.matching().first().map(|route| format!("`{}` ({file}:{})", route.name, route.line));
+        let _ = write!(text, "\n  entry        {}", route.unwrap_or("none".into()));
+        let _ = write!(text, "\n  why          {}", self.reason());
+        let policy_default = || "left to the module".to_owned();
+        let _ =
+            write!(text, "\n  timeout      {}", timing.timeout.map_or_else(policy_default, format_duration));
+        let max_attempts =
+            timing.max_attempts(self.platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
+        let _ = write!(text, "\n  attempts     {max_attempts} at most");
+        let pause = timing
             .pause
             .map(|p| format!("{}, doubled up to {}", format_duration(p.first), format_duration(p.max)));
-        let _ = write!(out, "\n  pause        {}", pause.unwrap_or_else(module));
-        let copy = t
+        let _ = write!(text, "\n  pause        {}", pause.unwrap_or_else(policy_default));
+        let hedge = timing
             .hedge_after
-            .map(|a| format!("{} after an attempt began that was cut, elsewhere", format_duration(a)));
-        let _ = write!(out, "\n  second copy  {}", copy.unwrap_or("none".into()));
+            .map(|after| format!("{} after an attempt began that was cut, elsewhere", format_duration(after)));
+        let _ = write!(text, "\n  second copy  {}", hedge.unwrap_or("none".into()));
         let _ = write!(
-            out,
+            text,
             "\n  ends         {} after it was handed in, at the latest",
             format_duration(self.end())
         );
-        let _ = write!(out, "\n  worst case   attempt    begins       cut");
-        for s in self.steps() {
-            let (begins, ends) = (format_duration(s.starts_at), format_duration(s.abandoned_at));
-            let _ = write!(out, "\n               {:>7} {begins:>9} {ends:>9}", s.number);
+        let _ = write!(text, "\n  worst case   attempt    begins       cut");
+        for attempt in self.worst_case_attempts() {
+            let (start, end) = (format_duration(attempt.starts_at), format_duration(attempt.abandoned_at));
+            let _ = write!(text, "\n               {:>7} {start:>9} {end:>9}", attempt.number);
         }
-        out + "\n"
+        text + "\n"
     }
 
     fn json(&self) -> Value {
-        let t = self.timing();
-        let ms = |t: Micros| t as f64 / 1e3;
+        let timing = self.timing();
+        let ms = |duration: Micros| duration as f64 / 1e3;
         let matching = self.matching();
-        let also: Vec<_> = matching.iter().skip(1).map(|r| json!({"name": r.name, "line": r.line})).collect();
-        let step = |s: &WorstCaseAttempt| json!({"attempt": s.number, "begins_ms": ms(s.starts_at), "cut_ms": ms(s.abandoned_at)});
+        let also_matching: Vec<_> =
+            matching.iter().skip(1).map(|route| json!({"name": route.name, "line": route.line})).collect();
+        let attempt_json = |attempt: &WorstCaseAttempt| json!({"attempt": attempt.number, "begins_ms": ms(attempt.starts_at), "cut_ms": ms(attempt.abandoned_at)});
         json!({
-            "destination": self.destination, "kind": self.of.names.kinds[self.kind.0],
-            "class": self.of.names.classes[self.class.0],
-            "entry": matching.first().map(|r| json!({"name": r.name, "line": r.line})),
-            "why": self.why(), "also_matching": also,
-            "timeout_ms": t.timeout.map(ms), "attempts": t.attempts,
-            "pause_ms": t.pause.map(|p| [ms(p.first), ms(p.max)]), "second_copy_ms": t.hedge_after.map(ms),
-            "ends_ms": ms(self.end()), "worst_case": self.steps().iter().map(step).collect::<Vec<_>>(),
+            "destination": self.destination, "kind": self.platform.names.kinds[self.kind.0],
+            "class": self.platform.names.classes[self.class.0],
+            "entry": matching.first().map(|route| json!({"name": route.name, "line": route.line})),
+            "why": self.reason(), "also_matching": also_matching,
+            "timeout_ms": timing.timeout.map(ms), "attempts": timing.attempts,
+            "pause_ms": timing.pause.map(|pause| [ms(pause.first), ms(pause.max)]),
+            "second_copy_ms": timing.hedge_after.map(ms), "ends_ms": ms(self.end()),
+            "worst_case": self.worst_case_attempts().iter().map(attempt_json).collect::<Vec<_>>(),
         })
     }
 }
 
 impl ExplainArgs {
     pub fn run(self) -> Result<(), CommandError> {
-        let of = self.files.platform()?;
-        let site = self.files.valid_site(&of)?;
-        let classes = chosen_indexes(&of.names.classes, self.class.as_deref(), "class")?;
-        let mut kinds = chosen_indexes(&of.names.kinds, self.kind.as_deref(), "kind")?;
+        let platform = self.files.platform()?;
+        let site = self.files.valid_site(&platform)?;
+        let classes = selected_indexes(&platform.names.classes, self.class.as_deref(), "class")?;
+        let mut kinds = selected_indexes(&platform.names.kinds, self.kind.as_deref(), "kind")?;
         if self.kind.is_none() {
-            let listed = self.destination.and_then(|d| listed_kind(&of, d));
-            kinds = listed.map_or(kinds, |k| vec![k.0]);
+            let listed = self.destination.and_then(|destination| listed_kind(&platform, destination));
+            kinds = listed.map_or(kinds, |kind| vec![kind.0]);
         }
         let plan = &site.routes;
-        let cases = kinds.iter().flat_map(|k| classes.iter().map(move |c| (KindId(*k), ClassId(*c))));
-        let cases: Vec<Case<'_>> = cases
-            .map(|(kind, class)| Case { destination: self.destination, kind, class, of: &of, plan })
+        let cases = kinds
+            .iter()
+            .flat_map(|kind| classes.iter().map(move |class| (KindId(*kind), ClassId(*class))));
+        let cases: Vec<MessageCase<'_>> = cases
+            .map(|(kind, class)| MessageCase {
+                destination: self.destination,
+                kind,
+                class,
+                platform: &platform,
+                plan,
+            })
             .collect();
         if self.files.json {
-            print(&Value::from(cases.iter().map(Case::json).collect::<Vec<_>>()).to_string());
+            print(&Value::from(cases.iter().map(MessageCase::json).collect::<Vec<_>>()).to_string());
         } else {
             let file = self.files.site.display().to_string();
-            let all: Vec<String> = cases.iter().map(|c| c.text(&file)).collect();
-            print(all.join("\n").trim_end());
+            let texts: Vec<String> = cases.iter().map(|case| case.text(&file)).collect();
+            print(texts.join("\n").trim_end());
         }
         Ok(())
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: which command is run, and its exit code. Each command has a module.
+//! The command line: parses the arguments, runs a command and returns its exit code. Each command has its own module.
 
 mod check;
 mod explain;
@@ -23,8 +23,8 @@
   cedarbridge explain --config config.json deploy/site.yaml --kind cable-operator --class notice
   cedarbridge completions bash > /etc/bash_completion.d/cedarbridge
 
-With no command it runs, as `cedarbridge run` does; the configuration may also be named in ROUTER_CONFIG.
-Exit codes: 0 fine, 1 a file was read and refused (or the forwarder could not go on), 2 the call was wrong.";
+Without a command the forwarder runs, as with `cedarbridge run`. The configuration file may also be named in ROUTER_CONFIG.
+Exit codes: 0 success, 1 a file was rejected or the forwarder could not continue, 2 wrong usage.";
 
 #[derive(Parser)]
 #[command(name = "cedarbridge", version, about = "Forwards messages to partner systems.")]
@@ -38,45 +38,46 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run the forwarder (what also happens with no command)
+    /// Run the forwarder (the default)
     Run(run::RunArgs),
     /// Check a site file against the platform's settings
     Check(check::CheckArgs),
-    /// Tell which entry of a site file wins for which message, and its worst case
+    /// Show which route of a site file applies to a message, and the worst case of its attempts
     Explain(explain::ExplainArgs),
-    /// Show what the forwarder would hold of a registry, and why
+    /// Show which endpoints the forwarder would take from a registry, and why
     Registry(registry::RegistryArgs),
-    /// Watch a running forwarder in the terminal (`cedarbridge-top` beside this program)
+    /// Watch a running forwarder in the terminal (starts the program `cedarbridge-top`)
     Top {
-        /// Where it listens, and what else `cedarbridge-top` takes
+        /// The address on which the forwarder listens, and other arguments of `cedarbridge-top`
         #[arg(required = true, trailing_var_arg = true, allow_hyphen_values = true)]
         arguments: Vec<OsString>,
     },
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions {
-        /// Which shell
+        /// The shell
         shell: clap_complete::Shell,
     },
 }
 
-/// Replaces this process by `cedarbridge-top`, which is a program of its own so that the forwarder stays small.
-fn top(arguments: &[OsString]) -> Result<(), CommandError> {
+/// Replaces this process by `cedarbridge-top`, from the folder of this program or else from the search path. It is a
+/// separate program so that the forwarder stays small.
+fn exec_top(arguments: &[OsString]) -> Result<(), CommandError> {
     use std::os::unix::process::CommandExt;
-    let beside = std::env::current_exe().ok().map(|p| p.with_file_name("cedarbridge-top"));
-    let program = beside.filter(|p| p.exists()).unwrap_or_else(|| "cedarbridge-top".into());
-    let why = std::process::Command::new(&program).args(arguments).exec();
-    Err(CommandError::Usage(format!("cannot start `cedarbridge-top`, which the kit brings along: {why}")))
+    let sibling = std::env::current_exe().ok().map(|path| path.with_file_name("cedarbridge-top"));
+    let program = sibling.filter(|path| path.exists()).unwrap_or_else(|| "cedarbridge-top".into());
+    let error = std::process::Command::new(&program).args(arguments).exec();
+    Err(CommandError::Usage(format!("cannot start `cedarbridge-top`, which the kit provides: {error}")))
 }
 
-/// The two files that a site is checked with.
+/// The arguments of the commands that read a site file.
 #[derive(Args)]
 struct Files {
-    /// The platform's configuration (JSON), whose settings the site file is held against
+    /// The platform's configuration (JSON), with whose settings the site file is checked
     #[arg(long, value_name = "FILE", env = "ROUTER_CONFIG")]
     config: PathBuf,
     /// The site file (YAML)
     site: PathBuf,
-    /// Answer in JSON
+    /// Print JSON
     #[arg(long)]
     json: bool,
 }
@@ -84,19 +85,19 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// The command line was wrong.
+    /// The command line was wrong, or a file or program that it needs is missing.
     #[error("{0}")]
     Usage(String),
-    /// A file was read and rejected, or the forwarder could not go on.
+    /// A file was rejected, or the command could not continue.
     #[error("{0}")]
     Rejected(String),
-    /// The command has printed its result already.
-    #[error("the result was printed")]
+    /// The command failed and has already printed why.
+    #[error("the errors were already printed")]
     AlreadyPrinted,
 }
 
 impl CommandError {
-    /// Prints the error, if that is not done yet, and gives the exit code for it.
+    /// Prints the error unless it was already printed, and returns its exit code.
     fn report(self) -> ExitCode {
         if !matches!(self, CommandError::AlreadyPrinted) {
             eprintln!("cedarbridge: {self}");
@@ -108,56 +109,58 @@
     }
 }
 
-/// The platform's settings of a configuration.
+/// The platform's settings from a configuration file.
 struct PlatformSettings {
     settings: Settings,
     names: Names,
-    /// The text of the configuration.
+    /// The text of the configuration file.
     json: String,
 }
 
 fn read_text(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path)
-        .map_err(|e| CommandError::Usage(format!("cannot read `{}`: {e}", path.display())))
+        .map_err(|error| CommandError::Usage(format!("cannot read `{}`: {error}", path.display())))
 }
 
 impl Files {
     fn platform(&self) -> Result<PlatformSettings, CommandError> {
         let json = read_text(&self.config)?;
-        let refused = |e| CommandError::Rejected(format!("`{}`: {e}", self.config.display()));
-        let (settings, names) = config::read_platform_settings(&json).map_err(refused)?;
+        let rejected = |error| CommandError::Rejected(format!("`{}`: {error}", self.config.display()));
+        let (settings, names) = config::read_platform_settings(&json).map_err(rejected)?;
         Ok(PlatformSettings { settings, names, json })
     }
 
-    /// The site file, checked; if it has errors they are printed.
-    fn valid_site(&self, of: &PlatformSettings) -> Result<Site, CommandError> {
-        self.site(of)?.map_err(|errors| {
+    /// Reads the site file. If it has errors, prints them and fails.
+    fn valid_site(&self, platform: &PlatformSettings) -> Result<Site, CommandError> {
+        self.site(platform)?.map_err(|errors| {
             print(&error_lines(&self.site, &errors));
             CommandError::AlreadyPrinted
         })
     }
 
-    fn site(&self, of: &PlatformSettings) -> Result<Result<Site, Vec<ConfigError>>, CommandError> {
-        let platform = Platform { settings: &of.settings, names: &of.names };
+    /// Reads the site file; the inner result holds the errors that the check found in it.
+    fn site(&self, platform: &PlatformSettings) -> Result<Result<Site, Vec<ConfigError>>, CommandError> {
+        let platform = Platform { settings: &platform.settings, names: &platform.names };
         Ok(Site::read(&read_text(&self.site)?, platform))
     }
 }
 
-/// Prints to standard output; a reader that has gone is no failure.
+/// Prints a line to standard output.
 fn print(text: &str) {
     use std::io::Write;
-    // The reader's end of the pipe is closed: nobody is left to print to.
+    // A write fails if the reader has closed the pipe. That is no failure of the command.
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// Runs the command that the arguments ask for.
+/// Runs the command that the arguments select and returns its exit code: 0 for success, 1 if a file was rejected or the
+/// forwarder could not continue, 2 for wrong usage. The first argument is the name of the program.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(arguments) {
         Ok(cli) => cli,
-        Err(e) => {
-            // It is printed for a reader who may have gone; the exit code holds all the same.
-            let _ = e.print();
-            return ExitCode::from(e.exit_code() as u8);
+        Err(error) => {
+            // Printing fails if the reader has closed the pipe; the exit code is the same.
+            let _ = error.print();
+            return ExitCode::from(error.exit_code() as u8);
         }
     };
     let result = match cli.command {
@@ -166,11 +169,11 @@
         Some(Command::Check(args)) => args.run(),
         Some(Command::Explain(args)) => args.run(),
         Some(Command::Registry(args)) => args.run(),
-        Some(Command::Top { arguments }) => top(&arguments),
+        Some(Command::Top { arguments }) => exec_top(&arguments),
         Some(Command::Completions { shell }) => {
-            let mut out = Vec::new();
-            clap_complete::generate(shell, &mut Cli::command(), "cedarbridge", &mut out);
-            print(String::from_utf8_lossy(&out).trim_end());
+            let mut script = Vec::new();
+            clap_complete::generate(shell, &mut Cli::command(), "cedarbridge", &mut script);
+            print(String::from_utf8_lossy(&script).trim_end());
             Ok(())
         }
     };
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -1,4 +1,4 @@
-//! `registry`: what the forwarder would list of a registry, and why each entry is what it is.
+//! The `registry` commands: show which entries of a registry the forwarder would list as endpoints, and why.
 
 use super::{print, CommandError, Files};
 use crate::durations::{format_duration, parse_duration};
@@ -16,31 +16,32 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// The only source of the membership here.
 const REGISTRY: SourceId = SourceId(0);
 
 #[derive(Args)]
 pub struct RegistryArgs {
     #[command(subcommand)]
-    what: What,
+    command: RegistryCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Ask once, and list every entry with what the forwarder would make of it
+enum RegistryCommand {
+    /// Poll the registry once and list each entry with what the forwarder would make of it
     List(Files),
-    /// Ask as the forwarder does, and print each change
+    /// Poll the registry as the forwarder does and print each change
     Watch {
         #[command(flatten)]
         files: Files,
-        /// How long, such as 30s; without it, until the program is ended
+        /// How long to watch, such as 30s; by default until the program is stopped
         #[arg(long = "for", value_name = "TIME")]
-        lasts: Option<String>,
+        duration: Option<String>,
     },
-    /// Ask every address, and print where they differ
+    /// Poll every address of the registry and print the entries that differ
     Diff(Files),
 }
 
-/// A registry to be polled as the forwarder does, and how the result is printed.
+/// The registry to poll and the form in which the result is printed.
 struct RegistryQuery {
     settings: Arc<RegistrySettings>,
     names: Arc<Names>,
@@ -49,72 +50,78 @@
 
 impl Files {
     fn registry(&self) -> Result<RegistryQuery, CommandError> {
-        let of = self.platform()?;
-        let site = self.valid_site(&of)?;
-        let none = || CommandError::Rejected(format!("`{}` has no section `registry`", self.site.display()));
-        let settings = Arc::new(site.registry.ok_or_else(none)?);
-        Ok(RegistryQuery { settings, names: Arc::new(of.names), json: self.json })
+        let platform = self.platform()?;
+        let site = self.valid_site(&platform)?;
+        let no_registry =
+            || CommandError::Rejected(format!("`{}` has no section `registry`", self.site.display()));
+        let settings = Arc::new(site.registry.ok_or_else(no_registry)?);
+        Ok(RegistryQuery { settings, names: Arc::new(platform.names), json: self.json })
     }
 }
 
 fn change_json(change: &MembershipChange, names: &Names) -> Value {
-    let l = &change.listing;
+    let listing = &change.listing;
     let lifecycle = match change.lifecycle {
         Lifecycle::Listed => "listed",
         Lifecycle::Draining => "draining",
         Lifecycle::Removed => "gone",
     };
     json!({
-        "app": l.key.group, "id": l.key.id, "address": l.address.to_string(), "destination": l.destination.0,
-        "kind": names.kinds[l.kind.0], "zone": names.zones[l.zone.0], "weight": l.weight, "lifecycle": lifecycle,
+        "app": listing.key.group, "id": listing.key.id, "address": listing.address.to_string(),
+        "destination": listing.destination.0, "kind": names.kinds[listing.kind.0],
+        "zone": names.zones[listing.zone.0], "weight": listing.weight, "lifecycle": lifecycle,
         "why": change.reason,
     })
 }
 
-fn change_line(v: &Value) -> String {
-    let text = |key: &str| v[key].as_str().map_or_else(|| v[key].to_string(), str::to_owned);
-    let all = ["id", "address", "destination", "kind", "zone", "weight", "lifecycle", "why"];
-    all.map(|k| if k == "why" { format!("({})", text(k)) } else { text(k) }).join("  ")
+/// A change as one line of text, from the JSON of [`change_json`].
+fn change_line(change: &Value) -> String {
+    let text = |key: &str| change[key].as_str().map_or_else(|| change[key].to_string(), str::to_owned);
+    let keys = ["id", "address", "destination", "kind", "zone", "weight", "lifecycle", "why"];
+    keys.map(|key| if key == "why" { format!("({})", text(key)) } else { text(key) }).join("  ")
 }
 
 impl RegistryQuery {
-    fn show(&self, v: &Value) {
-        print(&if self.json { v.to_string() } else { change_line(v) });
+    /// Prints a change, as JSON or as a line of text.
+    fn print_change(&self, change: &Value) {
+        print(&if self.json { change.to_string() } else { change_line(change) });
     }
 
     fn membership(&self) -> Membership {
         Membership::new(vec![("registry", self.settings.source_policy())])
     }
 
-    fn print_skipped(&self, taken: &AppliedAnswer) {
-        for UnusableEntry { key, reason } in &taken.unusable_entries {
+    /// Prints the entries of an answer that cannot be used, each with the reason.
+    fn print_unusable(&self, answer: &AppliedAnswer) {
+        for UnusableEntry { key, reason } in &answer.unusable_entries {
             match self.json {
                 true => {
-                    self.show(&json!({"app": key.group, "id": key.id, "passed_over": reason.to_string()}));
+                    self.print_change(&json!({"app": key.group, "id": key.id, "passed_over": reason.to_string()}));
                 }
                 false => print(&format!("{}  passed over: {reason}", key.id)),
             }
         }
     }
 
+    /// Polls the addresses in order and prints the entries of the first that answers.
     async fn list(&self) -> Result<(), CommandError> {
         let clock = Clock::start();
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let mut failures = String::new();
         for address_index in 0..self.settings.addresses.len() {
             match registry.poll(address_index, PollKind::Complete).await {
-                Ok(taken) => {
-                    self.print_skipped(&taken);
-                    self.print_entries(&clock, taken.update);
+                Ok(answer) => {
+                    self.print_unusable(&answer);
+                    self.print_entries(&clock, answer.update);
                     return Ok(());
                 }
-                Err(e) => failures += &format!("\n{}: {e}", registry.address(address_index)),
+                Err(error) => failures += &format!("\n{}: {error}", registry.address(address_index)),
             }
         }
         Err(CommandError::Rejected(format!("no registry answered{failures}")))
     }
 
-    /// Prints every entry of an update: those of the merged list, and those that are not added to it.
+    /// Prints every entry of an update: those that the merged list has and those that are not added to it.
     fn print_entries(&self, clock: &Clock, update: SourceUpdate) {
         let mut printed: BTreeMap<_, Value> = BTreeMap::new();
         for listing in listings(&update) {
@@ -127,58 +134,72 @@
             let entry = change_json(&change, &self.names);
             printed.insert((change.listing.key.clone(), change.listing.address), entry);
         }
-        printed.values().for_each(|entry| self.show(entry));
+        printed.values().for_each(|entry| self.print_change(entry));
     }
 
-    async fn watch(&self, lasts: Option<u64>) -> Result<(), CommandError> {
+    /// Polls the registry as the forwarder does and prints each change. Ends after `duration` microseconds, or never if
+    /// it is `None`.
+    async fn watch(&self, duration: Option<u64>) -> Result<(), CommandError> {
         let clock = Clock::start();
-        let end = lasts.map(|l| clock.now() + l);
+        let end = duration.map(|duration| clock.now() + duration);
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let mut membership = self.membership();
-        let mut draws = fastrand::Rng::new();
+        let mut random = fastrand::Rng::new();
         loop {
-            let next = registry.poller.next_request();
-            let wake = membership.next_tick().map_or(next.at, |t| t.min(next.at));
-            if end.is_some_and(|e| wake >= e) {
+            let next_poll = registry.poller.next_request();
+            let wake_at = membership.next_tick().map_or(next_poll.at, |tick| tick.min(next_poll.at));
+            if end.is_some_and(|end| wake_at >= end) {
                 return Ok(());
             }
-            Timer::at(clock.at(wake)).await;
+            Timer::at(clock.at(wake_at)).await;
             let mut changes = membership.tick(clock.now());
-            if wake == next.at {
-                match registry.poll(next.address_index, next.kind).await {
-                    Ok(taken) => {
-                        self.print_skipped(&taken);
-                        changes.extend(membership.apply(clock.now(), REGISTRY, taken.update));
-                        let doubt = membership.needs_complete_poll(REGISTRY);
-                        registry.poller.succeeded(clock.now(), next.kind, taken.hash_matches, doubt);
+            if wake_at == next_poll.at {
+                match registry.poll(next_poll.address_index, next_poll.kind).await {
+                    Ok(answer) => {
+                        self.print_unusable(&answer);
+                        changes.extend(membership.apply(clock.now(), REGISTRY, answer.update));
+                        let needs_complete_poll = membership.needs_complete_poll(REGISTRY);
+                        registry.poller.succeeded(
+                            clock.now(),
+                            next_poll.kind,
+                            answer.hash_matches,
+                            needs_complete_poll,
+                        );
                     }
-                    Err(e) => {
-                        eprintln!("cedarbridge: {}: {e}", registry.address(next.address_index));
-                        registry.poller.failed(clock.now(), draws.f64());
+                    Err(error) => {
+                        eprintln!("cedarbridge: {}: {error}", registry.address(next_poll.address_index));
+                        registry.poller.failed(clock.now(), random.f64());
                     }
                 }
             }
-            changes.iter().for_each(|c| self.show(&change_json(c, &self.names)));
+            changes.iter().for_each(|change| self.print_change(&change_json(change, &self.names)));
         }
     }
 
+    /// Polls every address and prints the entries that are not the same at all of them. Fails if an address does not
+    /// answer.
     async fn diff(&self) -> Result<(), CommandError> {
         let clock = Clock::start();
         let mut states: StatesByEntry = BTreeMap::new();
-        let count = self.settings.addresses.len();
+        let address_count = self.settings.addresses.len();
         let mut registry = Registry::new(self.settings.clone(), self.names.clone(), clock.now());
         let (mut answered, mut failures) = (Vec::new(), Vec::new());
-        for address_index in 0..count {
+        for address_index in 0..address_count {
             match registry.poll(address_index, PollKind::Complete).await {
-                Ok(taken) => {
+                Ok(answer) => {
                     answered.push(address_index);
-                    for l in listings(&taken.update) {
-                        let state = format!("{} at {}, stamp {}", l.state.name(), l.address, l.stamp);
-                        let entry = format!("{}/{}", l.key.group, l.key.id);
+                    for listing in listings(&answer.update) {
+                        let state = format!(
+                            "{} at {}, stamp {}",
+                            listing.state.name(),
+                            listing.address,
+                            listing.stamp
+                        );
+                        let entry = format!("{}/{}", listing.key.group, listing.key.id);
                         states.entry(entry).or_default().insert(address_index, state);
                     }
                 }
-                Err(e) => failures.push(format!("{}: {e}", registry.address(address_index))),
+                Err(error) => failures.push(format!("{}: {error}", registry.address(address_index))),
             }
         }
         failures.iter().for_each(|failure| eprintln!("cedarbridge: {failure}"));
@@ -186,9 +207,13 @@
         if failures.is_empty() {
             return Ok(());
         }
-        Err(CommandError::Rejected(format!("{} of {count} registries did not answer", failures.len())))
+        Err(CommandError::Rejected(format!(
+            "{} of {address_count} registry addresses did not answer",
+            failures.len()
+        )))
     }
 
+    /// Prints each entry that differs between the addresses that answered, a line per address.
     fn print_differences(&self, registry: &Registry, answered: &[usize], states: &StatesByEntry) {
         for (entry, states) in states {
             let first = answered.first().and_then(|address_index| states.get(address_index));
@@ -207,10 +232,11 @@
     }
 }
 
-/// For each entry, its state by the index of the address that has it.
+/// For each entry, its state at each address, by the index of the address.
 type StatesByEntry = BTreeMap<String, BTreeMap<usize, String>>;
 
-/// An entry as it is shown if the merged list does not have it. What is not up is never added; it is shown all the same.
+/// The change that is shown for an entry that the merged list does not have: an entry that is not up is never added,
+/// and one at the address of another entry is not.
 fn not_added(listing: &Listing) -> MembershipChange {
     let reason = match listing.state {
         State::Up => "another stands at its address",
@@ -226,32 +252,32 @@
     }
 }
 
-fn listings(news: &SourceUpdate) -> impl Iterator<Item = &Listing> {
-    match news {
+fn listings(update: &SourceUpdate) -> impl Iterator<Item = &Listing> {
+    match update {
         SourceUpdate::Complete { listings, .. } | SourceUpdate::Patch { listings, .. } => listings.iter(),
     }
 }
 
 impl RegistryArgs {
     pub fn run(self) -> Result<(), CommandError> {
-        match self.what {
-            What::List(files) => {
+        match self.command {
+            RegistryCommand::List(files) => {
                 let query = files.registry()?;
                 async_io::block_on(query.list())
             }
-            What::Diff(files) => {
+            RegistryCommand::Diff(files) => {
                 let query = files.registry()?;
                 async_io::block_on(query.diff())
             }
-            What::Watch { files, lasts } => {
-                let read = |t: String| {
-                    parse_duration(&t).map_err(|error| CommandError::Usage(format!("--for: {error}")))
+            RegistryCommand::Watch { files, duration } => {
+                let parse = |text: String| {
+                    parse_duration(&text).map_err(|error| CommandError::Usage(format!("--for: {error}")))
                 };
-                let lasts = lasts.map(read).transpose()?;
+                let duration = duration.map(parse).transpose()?;
                 let query = files.registry()?;
-                let each = format_duration(query.settings.poll_interval);
-                eprintln!("cedarbridge: asking every {each}");
-                async_io::block_on(query.watch(lasts))
+                let interval = format_duration(query.settings.poll_interval);
+                eprintln!("cedarbridge: polling every {interval}");
+                async_io::block_on(query.watch(duration))
             }
         }
     }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -1,4 +1,4 @@
-//! `run`: the forwarder itself, with its log.
+//! The `run` command: loads the settings and runs the forwarder.
 
 use super::CommandError;
 use crate::net::config::Config;
@@ -14,43 +14,44 @@
 
 #[derive(Args)]
 pub struct RunArgs {
-    /// The platform's configuration (JSON); without it, the one that ROUTER_CONFIG names
+    /// The platform's configuration file (JSON), by default the one named in ROUTER_CONFIG
     config: Option<PathBuf>,
-    /// Our own settings (YAML), checked before anything starts; also CEDARBRIDGE_SITE
+    /// The site file (YAML), checked before anything starts; by default the one named in CEDARBRIDGE_SITE, if any
     #[arg(long, value_name = "FILE")]
     site: Option<PathBuf>,
-    /// How the log is written
+    /// The format of the log on standard error
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
-    /// The least severe entries that are logged
+    /// The least severe level that is logged
     #[arg(long, value_enum, default_value_t = LogLevel::Info)]
     log_level: LogLevel,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum LogFormat {
-    /// A line an entry, for people
+    /// One line of text per entry
     Text,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
 enum LogLevel {
-    /// Nothing but what ends the program
+    /// Only failures that end the program
     Critical,
-    /// What went wrong
+    /// Also other failures
     Error,
-    /// And what is odd
+    /// Also unusual conditions
     Warning,
-    /// And what happens
+    /// Also normal events
     Info,
-    /// And details
+    /// Also details
     Debug,
 }
 
-fn variable(name: &str) -> Option<String> {
-    std::env::var(name).ok().filter(|v| !v.is_empty())
+/// An environment variable; `None` if it is unset, empty or not Unicode.
+fn environment_variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
 fn logger(format: LogFormat, level: LogLevel) -> Logger {
@@ -63,8 +64,8 @@
     };
     match format {
         LogFormat::Text => {
-            let out = slog_term::PlainSyncDecorator::new(std::io::stderr());
-            let drain = slog_term::FullFormat::new(out).use_utc_timestamp().build().ignore_res();
+            let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
+            let drain = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().ignore_res();
             Logger::root(LevelFilter::new(drain, level).ignore_res(), o!())
         }
         LogFormat::Json => {
@@ -75,13 +76,12 @@
     }
 }
 
-/// Reads a file as text.
 fn read_file(file: &Path) -> Result<String, LoadError> {
     std::fs::read_to_string(file).map_err(|error| LoadError::Unreadable { file: file.to_owned(), error })
 }
 
-/// Puts what the site file says into the settings.
-fn with_site(file: &Path, config: &mut Config, settings: &mut Settings) -> Result<(), LoadError> {
+/// Reads a site file and sets its routes and its registry in the configuration and the settings.
+fn apply_site_file(file: &Path, config: &mut Config, settings: &mut Settings) -> Result<(), LoadError> {
     let text = read_file(file)?;
     let platform = Platform { settings, names: &config.names };
     let site =
@@ -93,19 +93,20 @@
 
 impl RunArgs {
     pub fn run(self) -> Result<(), CommandError> {
-        let path = self.config.or_else(|| variable("ROUTER_CONFIG").map(PathBuf::from));
-        let none = "no configuration: name its file as the argument or in ROUTER_CONFIG";
-        let path = path.ok_or_else(|| CommandError::Usage(none.into()))?;
-        let site = self.site.or_else(|| variable("CEDARBRIDGE_SITE").map(PathBuf::from));
+        let config_file = self.config.or_else(|| environment_variable("ROUTER_CONFIG").map(PathBuf::from));
+        let missing_config = "no configuration: give its file as the argument or in ROUTER_CONFIG";
+        let config_file = config_file.ok_or_else(|| CommandError::Usage(missing_config.into()))?;
+        let site_file = self.site.or_else(|| environment_variable("CEDARBRIDGE_SITE").map(PathBuf::from));
         let load = move |reading| {
-            let json = read_file(&path)?;
-            let startup_variable = |name: &str| {
-                variable(name).filter(|_| reading == Reading::Start || name != "ROUTER_DISCOVERY")
+            let json = read_file(&config_file)?;
+            // ROUTER_DISCOVERY applies only at the start. A reload reads the address from the file.
+            let variable = |name: &str| {
+                environment_variable(name).filter(|_| reading == Reading::Start || name != "ROUTER_DISCOVERY")
             };
-            let (mut config, mut settings) = Config::read(&json, startup_variable)
-                .map_err(|error| LoadError::Config { file: path.clone(), error })?;
-            if let Some(site) = &site {
-                with_site(site, &mut config, &mut settings)?;
+            let (mut config, mut settings) = Config::read(&json, variable)
+                .map_err(|error| LoadError::Config { file: config_file.clone(), error })?;
+            if let Some(site_file) = &site_file {
+                apply_site_file(site_file, &mut config, &mut settings)?;
             }
             Ok((config, settings))
         };
