--- a/src/bin/cedarbridge-simhost/main.rs
+++ b/src/bin/cedarbridge-simhost/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many forwarder instances on the simulator's wire: one JSON value a line in, one reply a line out.
+//! The simulator's adapter: hosts many forwarder instances in one process. It reads a batch of events as one line of
+//! JSON from standard input and writes one line with the instances' actions to standard output, until the input ends.
 
 mod wire;
 
@@ -7,35 +8,35 @@
 use thiserror::Error;
 use wire::{BatchError, Host};
 
-/// Why the host ends before its input does.
+/// Why the adapter ends before its input does.
 #[derive(Debug, Error)]
-enum ServeError {
+enum AdapterError {
     #[error("cannot read line {line}: {error}")]
     Read { line: usize, error: io::Error },
     #[error("line {line}: {error}")]
     Batch { line: usize, error: BatchError },
-    #[error("cannot reply: {0}")]
+    #[error("cannot write the reply: {0}")]
     Reply(#[from] io::Error),
 }
 
-fn serve() -> Result<(), ServeError> {
+fn run() -> Result<(), AdapterError> {
     let mut host = Host::default();
-    let mut out = BufWriter::new(io::stdout().lock());
+    let mut output = BufWriter::new(io::stdout().lock());
     for (index, text) in io::stdin().lock().lines().enumerate() {
         let line = index + 1;
-        let text = text.map_err(|error| ServeError::Read { line, error })?;
+        let text = text.map_err(|error| AdapterError::Read { line, error })?;
         if text.trim().is_empty() {
             continue;
         }
-        let reply = host.batch(&text).map_err(|error| ServeError::Batch { line, error })?;
-        writeln!(out, "{reply}")?;
-        out.flush()?;
+        let reply = host.process_batch(&text).map_err(|error| AdapterError::Batch { line, error })?;
+        writeln!(output, "{reply}")?;
+        output.flush()?;
     }
     Ok(())
 }
 
 fn main() -> ExitCode {
-    match serve() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("cedarbridge-simhost: {error}");
--- a/src/bin/cedarbridge-simhost/wire/error.rs
+++ b/src/bin/cedarbridge-simhost/wire/error.rs
@@ -1,28 +1,28 @@
-//! What is wrong with a line, from the batch down to the field.
+//! The errors of a line of input: of its batch, an event in it or a field of the event.
 
 use cedarbridge::settings_json::{DecodeError, UnknownName};
 use cedarbridge::SettingsError;
 use serde_json::Value;
 use thiserror::Error;
 
-/// A batch that cannot be answered.
+/// Why a batch cannot be processed.
 #[derive(Debug, Error)]
 pub enum BatchError {
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    #[error("a batch needs its clock `t`")]
+    #[error("the batch has no clock `t`")]
     NoClock,
     #[error("`t`: {0}")]
     Clock(#[source] DecodeError),
-    #[error("a batch needs an array `parts`")]
+    #[error("the batch has no array `parts`")]
     NoParts,
-    #[error("a part needs its `courier-id`")]
+    #[error("a part has no `courier-id`")]
     NoInstanceId,
     #[error("`courier-id`: {0}")]
     InstanceId(#[source] DecodeError),
-    #[error("a part needs an array `news`")]
+    #[error("a part has no array `news`")]
     NoEvents,
-    #[error("an event starts with its name")]
+    #[error("an event does not begin with its name")]
     NoEventName,
     #[error("event `{name}`: {error}")]
     Event {
@@ -32,12 +32,12 @@
     },
 }
 
-/// An event that cannot be taken.
+/// Why an event cannot be processed.
 #[derive(Debug, Error)]
 pub enum EventError {
     #[error("unknown event")]
     UnknownEvent,
-    #[error("no instance {0} was created")]
+    #[error("no instance {0} exists")]
     NoInstance(u64),
     #[error("missing field `{0}`")]
     MissingField(&'static str),
@@ -47,12 +47,12 @@
     UnknownName(#[from] UnknownName),
     #[error("`entries` is not an array")]
     EntriesNotAnArray,
-    #[error("`salt` is not whole")]
-    SeedNotWhole,
+    #[error("`salt` is not an integer")]
+    SeedNotAnInteger,
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("no catalog has number {0}")]
-    NoList(u64),
+    #[error("no endpoint list has number {0}")]
+    UnknownList(u64),
     #[error("unknown scope `{0}`")]
     UnknownScope(String),
     #[error("key {0} is not hexadecimal")]
--- a/src/bin/cedarbridge-simhost/wire/events.rs
+++ b/src/bin/cedarbridge-simhost/wire/events.rs
@@ -1,4 +1,4 @@
-//! From the events of the wire to those of the delivery policy.
+//! Parses the simulator's events into events of the delivery policy.
 
 use super::error::EventError;
 use super::fields::Fields;
@@ -12,24 +12,28 @@
 };
 use serde_json::Value;
 
-/// Bit of a message's attributes: it was taken over from a forwarder that died.
+/// The attribute bit of a message that was taken over from a forwarder that died.
 const FAILED_OVER: u64 = 16;
-/// Bit of a message's attributes: its client marked it as a retry.
+/// The attribute bit of a message that its client marked as a retry.
 const CLIENT_RETRY: u64 = 2;
 
-/// Reads an event for an instance; none if it means nothing to a delivery policy.
-pub fn read(
+/// Parses an event for an instance. `None` if the delivery policy has no use for it.
+///
+/// # Errors
+///
+/// If the event is unknown, or one of its fields is missing or invalid.
+pub fn parse(
     name: &str,
     fields: Fields,
     instance: &mut Instance,
     lists: &EndpointLists,
 ) -> Result<Option<Event>, EventError> {
     let event = match name {
-        "discovery" => Event::EndpointList(endpoint_list_update(fields, instance, lists)?),
-        "job-in" => Event::Message(new_message(fields, instance)?),
-        "head-received" => started(fields, instance)?,
-        "result" => attempt_ended(fields, instance)?,
-        "echo" => health_checked(fields)?,
+        "discovery" => Event::EndpointList(parse_endpoint_list_update(fields, instance, lists)?),
+        "job-in" => Event::Message(parse_new_message(fields, instance)?),
+        "head-received" => parse_started(fields, instance)?,
+        "result" => parse_attempt_ended(fields, instance)?,
+        "echo" => parse_health_checked(fields)?,
         "hangup" => Event::Withdrawn { id: instance.id_of(fields.string(1, "corr")?) },
         "bell" => Event::Timer { token: fields.unsigned(1, "ctx")? },
         "peer" => {
@@ -42,7 +46,7 @@
     Ok(Some(event))
 }
 
-fn endpoint_list_update(
+fn parse_endpoint_list_update(
     fields: Fields,
     instance: &Instance,
     lists: &EndpointLists,
@@ -53,8 +57,8 @@
         return Ok(EndpointListUpdate::WatchFailed);
     }
     let number = fields.unsigned(3, "bank")?;
-    let list = lists.get(&number).ok_or(EventError::NoList(number))?;
-    let entries = list.iter().map(|e| decode_endpoint_entry(e, &instance.names));
+    let list = lists.get(&number).ok_or(EventError::UnknownList(number))?;
+    let entries = list.iter().map(|entry| decode_endpoint_entry(entry, &instance.names));
     let entries = entries.collect::<Result<_, _>>()?;
     match scope.as_str() {
         "patch" => Ok(EndpointListUpdate::Patch(entries)),
@@ -64,17 +68,17 @@
     }
 }
 
-fn new_message(fields: Fields, instance: &mut Instance) -> Result<NewMessage, EventError> {
+fn parse_new_message(fields: Fields, instance: &mut Instance) -> Result<NewMessage, EventError> {
     let names = &instance.names;
     let class = index_of(&names.classes, &fields.string(2, "service")?, "class")?;
     let tenant = fields.optional(3).and_then(Value::as_str);
     let tenant = tenant.map(|name| index_of(&names.tenants, name, "tenant").map(TenantId)).transpose();
     let tenant = tenant?;
-    let key = fields.optional(4).map(order_key).transpose()?;
+    let key = fields.optional(4).map(parse_order_key).transpose()?;
     let name = fields.string(1, "corr")?;
     let attributes = fields.optional(8).map_or(Ok(0), unsigned)?;
     Ok(NewMessage {
-        id: instance.add(name),
+        id: instance.add_message(name),
         class: ClassId(class),
         tenant,
         key,
@@ -88,42 +92,42 @@
     })
 }
 
-fn order_key(value: &Value) -> Result<OrderKey, EventError> {
+fn parse_order_key(value: &Value) -> Result<OrderKey, EventError> {
     let digits = string(value)?;
     let key = u64::from_str_radix(&digits, 16);
     key.map(OrderKey).map_err(|_| EventError::KeyNotHexadecimal(value.clone()))
 }
 
-fn started(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
+fn parse_started(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
     fields.micros(2, "elapsed")?;
     fields.unsigned(3, "endpoint")?;
     fields.unsigned(4, "round-no")?;
     Ok(Event::Started { id: instance.id_of(fields.string(1, "corr")?) })
 }
 
-fn attempt_ended(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
+fn parse_attempt_ended(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
     Ok(Event::AttemptEnded {
         id: instance.id_of(fields.string(1, "corr")?),
         attempt: fields.unsigned(2, "round-no")? as u32,
         endpoint: fields.endpoint(3)?,
-        outcome: outcome(fields.required(4, "code")?, fields.optional(7))?,
+        outcome: parse_outcome(fields.required(4, "code")?, fields.optional(7))?,
         elapsed: fields.micros(5, "elapsed")?,
-        ended: fields.read(6, "ended", boolean)?,
-        report: load_report(fields.optional(8))?,
+        ended: fields.decode(6, "ended", boolean)?,
+        report: parse_load_report(fields.optional(8))?,
     })
 }
 
-fn health_checked(fields: Fields) -> Result<Event, EventError> {
+fn parse_health_checked(fields: Fields) -> Result<Event, EventError> {
     Ok(Event::HealthChecked {
         endpoint: fields.endpoint(1)?,
-        outcome: outcome(fields.required(2, "code")?, None)?,
+        outcome: parse_outcome(fields.required(2, "code")?, None)?,
         elapsed: fields.micros(3, "elapsed")?,
-        report: load_report(fields.optional(4))?,
+        report: parse_load_report(fields.optional(4))?,
     })
 }
 
-/// An outcome from its code; the note of a rejection is its retry-after, 0 for none.
-fn outcome(code: &Value, note: Option<&Value>) -> Result<Outcome, EventError> {
+/// Parses the outcome of an attempt from its code. The note of a rejection is its retry-after in milliseconds, 0 for none.
+fn parse_outcome(code: &Value, note: Option<&Value>) -> Result<Outcome, EventError> {
     let retry_after = note.map_or(Ok(0), micros_from_ms).map_err(EventError::Note)?;
     Ok(match unsigned(code)? {
         200 => Outcome::Ok,
@@ -138,8 +142,8 @@
     })
 }
 
-/// The load report of an answer: `x0` is the remaining share, `x1` the rate. None unless it has both.
-fn load_report(stats: Option<&Value>) -> Result<Option<LoadReport>, EventError> {
+/// Parses the load report of a response: `x0` is the remaining share, `x1` the rate. `None` unless both are there.
+fn parse_load_report(stats: Option<&Value>) -> Result<Option<LoadReport>, EventError> {
     let Some(stats) = stats else { return Ok(None) };
     let stats = stats.as_object().ok_or_else(|| EventError::StatsNotAnObject(stats.clone()))?;
     let (Some(share), Some(rate)) = (stats.get("x0"), stats.get("x1")) else { return Ok(None) };
--- a/src/bin/cedarbridge-simhost/wire/instance.rs
+++ b/src/bin/cedarbridge-simhost/wire/instance.rs
@@ -1,28 +1,28 @@
-//! One forwarder instance: its delivery policy, and the names that its messages have on the wire.
+//! One forwarder instance: its delivery policy, and the ids of its messages by the names that the simulator uses.
 
 use cedarbridge::settings_json::Names;
 use cedarbridge::{Action, DeliveryPolicy, Event, MessageId, Micros};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A forwarder instance.
+/// A forwarder instance. It assigns a message id to each name of a message on the wire.
 pub struct Instance {
     pub names: Names,
     policy: DeliveryPolicy,
     ids: BTreeMap<String, MessageId>,
-    messages: BTreeMap<MessageId, WireMessage>,
+    messages: BTreeMap<MessageId, NamedMessage>,
     last_id: u64,
 }
 
-/// A message by its name on the wire; forgotten once it is complete and none of its attempts is in flight.
-struct WireMessage {
+/// A message with its name on the wire. It is forgotten once it is complete and none of its attempts is in flight.
+struct NamedMessage {
     name: String,
     in_flight: u32,
     complete: bool,
 }
 
-impl WireMessage {
-    fn is_settled(&self) -> bool {
+impl NamedMessage {
+    fn is_finished(&self) -> bool {
         self.complete && self.in_flight == 0
     }
 }
@@ -32,13 +32,13 @@
         Instance { names, policy, ids: BTreeMap::new(), messages: BTreeMap::new(), last_id: 0 }
     }
 
-    /// The messages that are not forgotten.
-    #[allow(dead_code, reason = "for the test that messages are forgotten")]
+    /// The number of messages that are not forgotten yet.
+    #[allow(dead_code, reason = "used by tests/simhost_messages.rs")]
     pub fn message_count(&self) -> usize {
         self.messages.len()
     }
 
-    /// The id of a message. A name that is not known gets an id that nothing else has.
+    /// The id of the message with a name. For an unknown name it is a new id, which is not stored.
     pub fn id_of(&mut self, name: String) -> MessageId {
         if let Some(id) = self.ids.get(&name) {
             return *id;
@@ -47,27 +47,27 @@
         MessageId(self.last_id)
     }
 
-    /// The id of a new message, known from now on.
-    pub fn add(&mut self, name: String) -> MessageId {
+    /// Adds a message by its name and returns its id.
+    pub fn add_message(&mut self, name: String) -> MessageId {
         let id = self.id_of(name.clone());
         self.ids.insert(name.clone(), id);
-        self.messages.entry(id).or_insert(WireMessage { name, in_flight: 0, complete: false });
+        self.messages.entry(id).or_insert(NamedMessage { name, in_flight: 0, complete: false });
         id
     }
 
-    /// Steps the policy and returns its actions for the wire.
+    /// Steps the policy and returns its actions as the simulator reads them.
     pub fn step(&mut self, now: Micros, events: &[Event]) -> Vec<Value> {
         let mut actions = Vec::new();
         self.policy.step(now, events, &mut actions);
-        let written = actions.iter().map(|action| self.write(action)).collect();
-        self.forget_settled(events, &actions);
-        written
+        let encoded = actions.iter().map(|action| self.encode(action)).collect();
+        self.forget_finished(events, &actions);
+        encoded
     }
 
-    /// Counts the attempts in flight of each message, and forgets those that are settled.
-    fn forget_settled(&mut self, events: &[Event], actions: &[Action]) {
+    /// Updates the messages by the events and actions of a step, and forgets those that are finished.
+    fn forget_finished(&mut self, events: &[Event], actions: &[Action]) {
         let mut changed = Vec::new();
-        let mut update = |id: &MessageId, change: fn(&mut WireMessage)| {
+        let mut update = |id: &MessageId, change: fn(&mut NamedMessage)| {
             if let Some(message) = self.messages.get_mut(id) {
                 change(message);
                 changed.push(*id);
@@ -93,7 +93,7 @@
             }
         }
         for id in changed {
-            if self.messages.get(&id).is_some_and(WireMessage::is_settled) {
+            if self.messages.get(&id).is_some_and(NamedMessage::is_finished) {
                 if let Some(message) = self.messages.remove(&id) {
                     self.ids.remove(&message.name);
                 }
@@ -101,18 +101,18 @@
         }
     }
 
-    fn write(&self, action: &Action) -> Value {
+    fn encode(&self, action: &Action) -> Value {
         let name = |id: &MessageId| &self.messages[id].name;
         match action {
             Action::Send { id, endpoint, timeout_at, .. } => {
-                json!(["submit-to", name(id), millis(*timeout_at), endpoint.0])
+                json!(["submit-to", name(id), to_millis(*timeout_at), endpoint.0])
             }
             Action::Reject { id, retry_after, .. } => {
-                json!(["decline", name(id), retry_after.map_or(0.0, millis)])
+                json!(["decline", name(id), retry_after.map_or(0.0, to_millis)])
             }
             Action::Fail { id, .. } => json!(["finish-error", name(id)]),
             Action::Cancel { id, attempt } => json!(["drop-attempt", name(id), attempt]),
-            Action::Timer { delay, token } => json!(["arm", millis(*delay), token]),
+            Action::Timer { delay, token } => json!(["arm", to_millis(*delay), token]),
             Action::HealthCheck { endpoint } => json!(["ask-load", endpoint.0]),
             Action::CloseIdle { endpoint } => json!(["shut-idle", endpoint.0]),
             Action::Subscribe => json!(["observe", true]),
@@ -121,6 +121,7 @@
     }
 }
 
-fn millis(time: Micros) -> f64 {
+/// Converts microseconds to the milliseconds that the simulator uses.
+fn to_millis(time: Micros) -> f64 {
     time as f64 / 1000.0
 }
--- a/src/bin/cedarbridge-simhost/wire/mod.rs
+++ b/src/bin/cedarbridge-simhost/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire: batches of events in, replies of actions out.
+//! The simulator's protocol: a batch of events for some instances comes in, a reply with their actions goes out.
 
 mod error;
 mod events;
@@ -15,10 +15,10 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// Endpoint lists by number, which events refer to.
+/// Endpoint lists by the number by which events refer to them.
 type EndpointLists = BTreeMap<u64, Vec<Value>>;
 
-/// All instances of this process and the endpoint lists that were sent for them.
+/// All instances of this process, by id, and the endpoint lists that were sent for them.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
@@ -26,12 +26,12 @@
 }
 
 impl Host {
-    /// Answers one line.
+    /// Processes a batch, given as a line of JSON, and returns the reply as a line of JSON.
     ///
     /// # Errors
     ///
-    /// If the line is not a batch, or one of its events cannot be taken.
-    pub fn batch(&mut self, line: &str) -> Result<String, BatchError> {
+    /// If the line is not a batch, or one of its events cannot be processed.
+    pub fn process_batch(&mut self, line: &str) -> Result<String, BatchError> {
         let batch: Value = serde_json::from_str(line).map_err(BatchError::NotJson)?;
         let clock = batch.get("t").ok_or(BatchError::NoClock)?;
         let now = micros_from_ms(clock).map_err(BatchError::Clock)?;
@@ -40,7 +40,7 @@
         for part in parts {
             let id = part.get("courier-id").ok_or(BatchError::NoInstanceId)?;
             let id = unsigned(id).map_err(BatchError::InstanceId)?;
-            let events = self.read_events(id, part)?;
+            let events = self.parse_events(id, part)?;
             let Some(instance) = self.instances.get_mut(&id) else { continue };
             let outbox = instance.step(now, &events);
             if !outbox.is_empty() {
@@ -50,25 +50,26 @@
         Ok(json!({ "parts": replies }).to_string())
     }
 
-    /// The messages of an instance that are not forgotten.
-    #[allow(dead_code, reason = "for the test that messages are forgotten")]
+    /// The number of messages of an instance that are not forgotten yet; `None` if there is no such instance.
+    #[allow(dead_code, reason = "used by tests/simhost_messages.rs")]
     pub fn message_count(&self, id: u64) -> Option<usize> {
         self.instances.get(&id).map(Instance::message_count)
     }
 
-    /// The events of one instance for its policy; those that concern the host take effect at once.
-    fn read_events(&mut self, id: u64, part: &Value) -> Result<Vec<Event>, BatchError> {
+    /// Parses the events for the policy of an instance. Events that create or stop instances or store endpoint lists
+    /// take effect at once.
+    fn parse_events(&mut self, id: u64, part: &Value) -> Result<Vec<Event>, BatchError> {
         let news = part.get("news").and_then(Value::as_array).ok_or(BatchError::NoEvents)?;
         let mut events = Vec::new();
         for event in news {
             let name = event.get(0).and_then(Value::as_str).ok_or(BatchError::NoEventName)?;
-            self.read_event(id, name, Fields(event), &mut events)
+            self.parse_event(id, name, Fields(event), &mut events)
                 .map_err(|error| BatchError::Event { name: name.to_owned(), error })?;
         }
         Ok(events)
     }
 
-    fn read_event(
+    fn parse_event(
         &mut self,
         id: u64,
         name: &str,
@@ -77,7 +78,7 @@
     ) -> Result<(), EventError> {
         match name {
             "catalog" => self.store_list(fields)?,
-            // What an earlier instance of this id was sent does not concern the new one.
+            // Earlier events in the batch were for an earlier instance with this id.
             "create" => {
                 self.create(id, fields)?;
                 events.clear();
@@ -88,7 +89,7 @@
             }
             _ => {
                 let instance = self.instances.get_mut(&id).ok_or(EventError::NoInstance(id))?;
-                events.extend(events::read(name, fields, instance, &self.lists)?);
+                events.extend(events::parse(name, fields, instance, &self.lists)?);
             }
         }
         Ok(())
@@ -103,8 +104,8 @@
 
     fn create(&mut self, id: u64, fields: Fields) -> Result<(), EventError> {
         let seed = fields.required(1, "salt")?;
-        let seed = seed.as_u64().or(seed.as_i64().map(|n| n as u64)).ok_or(EventError::SeedNotWhole)?;
-        let (settings, names) = fields.read(2, "params", decode_settings)?;
+        let seed = seed.as_u64().or(seed.as_i64().map(|n| n as u64)).ok_or(EventError::SeedNotAnInteger)?;
+        let (settings, names) = fields.decode(2, "params", decode_settings)?;
         let policy = DeliveryPolicy::new(settings, seed)?;
         self.instances.insert(id, Instance::new(policy, names));
         Ok(())
--- a/tests/simhost_messages.rs
+++ b/tests/simhost_messages.rs
@@ -25,7 +25,7 @@
     // Plays a batch and returns how many messages the instance remembers.
     let mut batch = |t: u32, news: Value| {
         let line = json!({"t": t, "parts": [{"courier-id": INSTANCE, "news": news}]}).to_string();
-        host.batch(&line).expect("a reply");
+        host.process_batch(&line).expect("a reply");
         host.message_count(INSTANCE).expect("an instance")
     };
     let list = json!([[7, "east", "k", 1, "IN", 1.0, null]]);
