--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -34,7 +34,10 @@
         } else {
             print(&error_lines(&self.files.site, errors));
             let count = errors.len();
-            eprintln!("cedarbridge: {file}: rejected with {count} error{}", if count == 1 { "" } else { "s" });
+            eprintln!(
+                "cedarbridge: {file}: rejected with {count} error{}",
+                if count == 1 { "" } else { "s" }
+            );
         }
         site_result.map(drop).map_err(|_| CommandError::AlreadyPrinted)
     }
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -86,9 +86,8 @@
         let max_attempts =
             timing.max_attempts(self.platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
         let end = self.end();
-        let attempts = worst_case(&timing, timeout, max_attempts)
-            .into_iter()
-            .filter(|attempt| attempt.starts_at < end);
+        let attempts =
+            worst_case(&timing, timeout, max_attempts).into_iter().filter(|attempt| attempt.starts_at < end);
         attempts
             .map(|attempt| WorstCaseAttempt { abandoned_at: attempt.abandoned_at.min(end), ..attempt })
             .collect()
@@ -139,7 +138,7 @@
         let _ = write!(text, "\n  pause        {}", pause.unwrap_or_else(policy_default));
         let hedge = timing
             .hedge_after
-            .map(|after| format!("{} after an attempt began that was cut, elsewhere", format_duration(after)));
+            .map(|a| format!("{} after an attempt began that was cut, elsewhere", format_duration(a)));
         let _ = write!(text, "\n  second copy  {}", hedge.unwrap_or("none".into()));
         let _ = write!(
             text,
@@ -185,9 +184,8 @@
             kinds = listed.map_or(kinds, |kind| vec![kind.0]);
         }
         let plan = &site.routes;
-        let cases = kinds
-            .iter()
-            .flat_map(|kind| classes.iter().map(move |class| (KindId(*kind), ClassId(*class))));
+        let cases =
+            kinds.iter().flat_map(|kind| classes.iter().map(move |class| (KindId(*kind), ClassId(*class))));
         let cases: Vec<MessageCase<'_>> = cases
             .map(|(kind, class)| MessageCase {
                 destination: self.destination,
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -96,7 +96,9 @@
         for UnusableEntry { key, reason } in &answer.unusable_entries {
             match self.json {
                 true => {
-                    self.print_change(&json!({"app": key.group, "id": key.id, "passed_over": reason.to_string()}));
+                    self.print_change(
+                        &json!({"app": key.group, "id": key.id, "passed_over": reason.to_string()}),
+                    );
                 }
                 false => print(&format!("{}  passed over: {reason}", key.id)),
             }
--- a/src/journal/compaction.rs
+++ b/src/journal/compaction.rs
@@ -31,7 +31,9 @@
         loop {
             self.remove_unneeded_segments();
             let copy_size = self.segments.front().map_or(0, Segment::max_copy_size);
-            if self.disk_bytes() + additional_bytes + copy_size + RESERVED_BLOCKS * DISK_BLOCK_BYTES <= self.limit {
+            if self.disk_bytes() + additional_bytes + copy_size + RESERVED_BLOCKS * DISK_BLOCK_BYTES
+                <= self.limit
+            {
                 return Ok(());
             }
             let is_stuck = self.segments.front().is_none_or(|oldest| oldest.pinned);
@@ -107,7 +109,10 @@
         record
     });
     let Some(JournalRecord::Received(mut message)) = record else {
-        return Err(io::Error::new(io::ErrorKind::InvalidData, "a journal record was changed after it was written"));
+        return Err(io::Error::new(
+            io::ErrorKind::InvalidData,
+            "a journal record was changed after it was written",
+        ));
     };
     message.progress = live.progress.clone();
     Ok(message)
--- a/src/journal/recovery.rs
+++ b/src/journal/recovery.rs
@@ -49,7 +49,8 @@
                 Ok(bytes) => self.replay(number, &bytes, &mut recovery),
                 Err(error) if unreadable == UnreadableSegmentPolicy::Fail => return Err(error),
                 Err(error) => {
-                    let line = format!("segment {number} cannot be read and is left for a later start: {error}");
+                    let line =
+                        format!("segment {number} cannot be read and is left for a later start: {error}");
                     recovery.damage.push(line);
                     self.segments.push_back(Segment { number, size, pinned: true, ..Segment::default() });
                 }
