--- a/benches/many_endpoints.rs
+++ b/benches/many_endpoints.rs
@@ -1,5 +1,6 @@
-//! What a forwarder needs with 3,200 endpoints in place of 200, at the same traffic and capacity: CPU, memory, descriptors and
-//! connections, beside what the platform allows. One entry of the list changes every 250 ms.
+//! Compares what a forwarder uses with 200 and with 3,200 endpoints, at the same traffic and total capacity: CPU time,
+//! peak memory, file descriptors and connections. The last column is what the platform allows. One entry of the
+//! endpoint list changes every 250 ms.
 //!
 //! `cargo bench --bench many_endpoints [SECONDS]`
 #![allow(missing_docs)]
@@ -15,27 +16,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const USUAL_ENDPOINTS: usize = 200;
+const FEW_ENDPOINTS: usize = 200;
 const MANY_ENDPOINTS: usize = 3_200;
 const ENDPOINTS_PER_DESTINATION: usize = 2;
 const MESSAGES_PER_S: u32 = 48;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
-/// What all destinations take in a second.
+/// The number of messages that all destinations together accept in a second.
 const TOTAL_CAPACITY_PER_S: f64 = 2_000.0;
-/// What the entry that changes becomes, in turn.
+/// The states that the changing entry of the list takes in turn.
 const LIFECYCLES: [&str; 3] = ["leaving", "left", "active"];
-/// How long an endpoint works on a call.
-const WORK: Duration = Duration::from_millis(150);
+/// The time after which an endpoint answers a call.
+const ENDPOINT_LATENCY: Duration = Duration::from_millis(150);
 const CLIENTS: usize = 8;
 const DEFAULT_SECONDS: u64 = 20;
-/// Clock ticks a second in `/proc/PID/stat`.
+/// The clock ticks in a second of `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 
+/// What a forwarder used in one run.
 struct Usage {
+    /// CPU time in user and kernel mode, in seconds.
     cpu_s: f64,
+    /// Peak resident memory.
     memory_mb: f64,
+    /// Open file descriptors at the end.
     descriptors: usize,
+    /// Connections that it opened to endpoints.
     connections: u64,
+    /// Delivered messages.
     delivered: u64,
 }
 
@@ -52,7 +59,7 @@
     }
 }
 
-/// Reads a request or a response with its body; its head.
+/// Reads a request or a response with its body and returns its head. `None` at the end of the connection.
 fn read_message(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let head = read_head(reader)?;
     let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: ")?.parse().ok());
@@ -61,6 +68,8 @@
     Some(head)
 }
 
+/// Listens on an address and handles each connection on a thread of its own. Returns the address with the port that was
+/// bound.
 fn serve(address: SocketAddr, handle: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind(address).expect("an address");
     let bound = listener.local_addr().expect("bound");
@@ -78,14 +87,14 @@
     let mut writer = stream.try_clone().expect("a handle");
     let mut reader = BufReader::new(stream);
     while read_message(&mut reader).is_some() {
-        thread::sleep(WORK);
+        thread::sleep(ENDPOINT_LATENCY);
         if writer.write_all(response.as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// An entry of the list: each endpoint has a loopback address of its own, and all share a port.
+/// An entry of the endpoint list. Each endpoint has its own loopback address, and all have the same port.
 fn entry(number: usize, endpoints: usize, port: u16, lifecycle: &str) -> Value {
     let destinations = endpoints / ENDPOINTS_PER_DESTINATION;
     let weight = TOTAL_CAPACITY_PER_S / destinations as f64;
@@ -94,19 +103,20 @@
         "weight": weight, "startedAtMs": 0})
 }
 
-/// Sends the complete list, then one changed entry after the other.
+/// Answers a watch of the endpoint list: sends the complete list, then one changed entry per interval. A POST is a
+/// delivery report.
 fn watch(stream: TcpStream, endpoints: usize, port: u16) {
     let mut writer = stream.try_clone().expect("a handle");
     let mut reader = BufReader::new(stream);
     let Some(head) = read_message(&mut reader) else { return };
     if head.starts_with("POST") {
-        // Its connection is over then.
+        // The connection ends after the response, so a failed write needs no handling.
         let _ =
             writer.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
         return;
     }
-    let all: Vec<Value> = (0..endpoints).map(|number| entry(number, endpoints, port, "active")).collect();
-    let mut line = json!({"generation": 1, "reset": true, "instances": all}).to_string() + "\n";
+    let entries: Vec<Value> = (0..endpoints).map(|number| entry(number, endpoints, port, "active")).collect();
+    let mut line = json!({"generation": 1, "reset": true, "instances": entries}).to_string() + "\n";
     let mut sent = writer.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for generation in 2_usize.. {
         sent = sent.and_then(|()| write!(writer, "{:x}\r\n{line}\r\n", line.len()));
@@ -114,7 +124,7 @@
             return;
         }
         thread::sleep(CHANGE_INTERVAL);
-        // One endpoint after the other drains, is removed and comes back.
+        // One endpoint after the other drains, is removed and is added again.
         let lifecycle = LIFECYCLES[generation % LIFECYCLES.len()];
         let number = generation / LIFECYCLES.len() * 37 % endpoints;
         let changed = entry(number, endpoints, port, lifecycle);
@@ -135,7 +145,7 @@
     config
 }
 
-/// Starts the forwarder; its process and where clients connect.
+/// Starts the forwarder. Returns its process and the address to which clients connect.
 fn start(folder: &Path, platform: SocketAddr) -> (Child, SocketAddr) {
     let path = folder.join("config.json");
     fs::write(&path, configuration(folder, platform).to_string()).expect("written");
@@ -152,9 +162,9 @@
     (process, address.expect("a log line with its address"))
 }
 
-/// Draws destinations: a few get much of the traffic, each the more the lower its number.
+/// Draws destinations at random by Zipf's law: the traffic of a destination is inversely proportional to its rank.
 struct Destinations {
-    /// The share of all traffic that goes to a destination or one before it.
+    /// For each destination, the share of all traffic that goes to it and those before it.
     cumulative: Vec<f64>,
     random: fastrand::Rng,
 }
@@ -174,11 +184,11 @@
 
     fn draw(&mut self) -> usize {
         let share = self.random.f64();
-        self.cumulative.partition_point(|up_to| *up_to < share).min(self.cumulative.len() - 1)
+        self.cumulative.partition_point(|cumulative| *cumulative < share).min(self.cumulative.len() - 1)
     }
 }
 
-/// Sends messages at the client's share of the rate, over one connection that is opened again when it has ended.
+/// Sends messages at the client's share of the rate, over one connection that is opened again after it has ended.
 fn send_messages(client: usize, forwarder: SocketAddr, destinations: usize, until: Instant) {
     let mut destinations = Destinations::new(destinations, client as u64);
     let pause = Duration::from_secs(1) * CLIENTS as u32 / MESSAGES_PER_S;
@@ -223,9 +233,9 @@
     let folder: PathBuf = std::env::temp_dir().join(format!("cedarbridge-many-{}", std::process::id()));
     fs::create_dir_all(folder.join("state")).expect("a folder");
     let connections = Arc::new(AtomicU64::new(0));
-    let counted = connections.clone();
+    let connection_count = connections.clone();
     let endpoint = serve(SocketAddr::from(([0, 0, 0, 0], 0)), move |stream| {
-        counted.fetch_add(1, Ordering::Relaxed);
+        connection_count.fetch_add(1, Ordering::Relaxed);
         answer_all(stream, "HTTP/1.1 200 OK\r\nX-Load: x0=0.9,x1=100\r\nContent-Length: 0\r\n\r\n");
     });
     let platform = serve(SocketAddr::from(([127, 0, 0, 1], 0)), move |stream| {
@@ -242,15 +252,16 @@
     let descriptors = fs::read_dir(format!("/proc/{}/fd", process.id())).map_or(0, Iterator::count);
     let mut reader = BufReader::new(TcpStream::connect(forwarder).expect("it listens"));
     reader.get_mut().write_all(b"GET /_counters HTTP/1.1\r\nConnection: close\r\n\r\n").expect("written");
-    let mut report = String::new();
-    reader.read_to_string(&mut report).expect("the counters");
-    let report: Value = serde_json::from_str(report.split("\r\n\r\n").nth(1).expect("a body")).expect("JSON");
+    let mut response = String::new();
+    reader.read_to_string(&mut response).expect("the counters");
+    let counters: Value =
+        serde_json::from_str(response.split("\r\n\r\n").nth(1).expect("a body")).expect("JSON");
     let usage = Usage {
         cpu_s: cpu_s(&process),
         memory_mb: peak_memory_mb(&process),
         descriptors,
         connections: connections.load(Ordering::Relaxed),
-        delivered: report["delivered"].as_u64().unwrap_or_default(),
+        delivered: counters["delivered"].as_u64().unwrap_or_default(),
     };
     process.kill().and_then(|()| process.wait()).expect("it ends");
     fs::remove_dir_all(folder).expect("removed");
@@ -260,19 +271,19 @@
 fn main() {
     let seconds = std::env::args().filter_map(|argument| argument.parse().ok()).next();
     let seconds = seconds.unwrap_or(DEFAULT_SECONDS);
-    let usual = run(USUAL_ENDPOINTS, seconds);
+    let few = run(FEW_ENDPOINTS, seconds);
     let many = run(MANY_ENDPOINTS, seconds);
     let thousands = MANY_ENDPOINTS as f64 / 1_000.0;
     println!(
-        "{seconds} s, {MESSAGES_PER_S} messages/s; {USUAL_ENDPOINTS} endpoints, {MANY_ENDPOINTS}, allowed"
+        "{seconds} s, {MESSAGES_PER_S} messages/s; {FEW_ENDPOINTS} endpoints, {MANY_ENDPOINTS}, allowed"
     );
-    let allowed_cpu_s = 1.4 * usual.cpu_s + 0.02 + 0.03 * thousands;
-    println!("CPU s         {:8.2} {:8.2} {:8.2}", usual.cpu_s, many.cpu_s, allowed_cpu_s);
-    let allowed_mb = 1.5 * usual.memory_mb + 8.0 + 4.0 * thousands;
-    println!("peak MB       {:8.1} {:8.1} {:8.1}", usual.memory_mb, many.memory_mb, allowed_mb);
-    let allowed_descriptors = 2 * usual.descriptors + 40;
-    println!("descriptors   {:8} {:8} {:8}", usual.descriptors, many.descriptors, allowed_descriptors);
-    let allowed_connections = usual.connections * 5 / 2 + 40;
-    println!("connections   {:8} {:8} {:8}", usual.connections, many.connections, allowed_connections);
-    println!("delivered     {:8} {:8}", usual.delivered, many.delivered);
+    let allowed_cpu_s = 1.4 * few.cpu_s + 0.02 + 0.03 * thousands;
+    println!("CPU s         {:8.2} {:8.2} {:8.2}", few.cpu_s, many.cpu_s, allowed_cpu_s);
+    let allowed_mb = 1.5 * few.memory_mb + 8.0 + 4.0 * thousands;
+    println!("peak MB       {:8.1} {:8.1} {:8.1}", few.memory_mb, many.memory_mb, allowed_mb);
+    let allowed_descriptors = 2 * few.descriptors + 40;
+    println!("descriptors   {:8} {:8} {:8}", few.descriptors, many.descriptors, allowed_descriptors);
+    let allowed_connections = few.connections * 5 / 2 + 40;
+    println!("connections   {:8} {:8} {:8}", few.connections, many.connections, allowed_connections);
+    println!("delivered     {:8} {:8}", few.delivered, many.delivered);
 }
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -15,22 +15,22 @@
  {"instanceId":"s-2","hostPort":"127.0.0.1:8602","zone":"room","machineType":"small-partner","cell":2,
   "lifecycle":"active","weight":5.0,"startedAtMs":0}]}"#;
 
-/// A request.
+/// An HTTP request.
 struct Request {
-    /// Its request line.
+    /// The request line: method, path and version.
     line: String,
-    /// Its `X-Request-Id`, or `-`.
+    /// The value of `X-Request-Id`, or `-` without one.
     id: String,
     body: String,
 }
 
-/// Reads one request; none at the end of the connection, or if it is malformed.
-fn read_request(from: &mut BufReader<TcpStream>) -> Option<Request> {
+/// Reads one request. `None` at the end of the connection, or if the request is malformed.
+fn read_request(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let (mut request_line, mut id, mut length) = (String::new(), String::from("-"), 0);
-    from.read_line(&mut request_line).ok().filter(|n| *n > 0)?;
+    reader.read_line(&mut request_line).ok().filter(|length| *length > 0)?;
     loop {
         let mut line = String::new();
-        from.read_line(&mut line).ok()?;
+        reader.read_line(&mut line).ok()?;
         match line.trim().split_once(": ") {
             Some((name, value)) if name.eq_ignore_ascii_case("content-length") => {
                 length = value.parse().ok()?
@@ -41,24 +41,24 @@
         }
     }
     let mut body = vec![0; length];
-    from.read_exact(&mut body).ok()?;
+    reader.read_exact(&mut body).ok()?;
     let line = request_line.trim().to_owned();
     Some(Request { line, id, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
 /// Answers the requests of one connection until it ends.
-fn serve_connection(stream: TcpStream, answer: impl Fn(&Request) -> String) {
+fn serve_connection(stream: TcpStream, respond: impl Fn(&Request) -> String) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
     let mut stream = stream;
     while let Some(request) = read_request(&mut reader) {
-        if stream.write_all(answer(&request).as_bytes()).is_err() {
+        if stream.write_all(respond(&request).as_bytes()).is_err() {
             return;
         }
     }
 }
 
 fn serve(address: &'static str, handle: fn(TcpStream)) -> thread::JoinHandle<()> {
-    let listener = TcpListener::bind(address).unwrap_or_else(|e| panic!("{address}: {e}"));
+    let listener = TcpListener::bind(address).unwrap_or_else(|error| panic!("{address}: {error}"));
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             thread::spawn(move || handle(stream));
@@ -70,10 +70,11 @@
     let watch = Mutex::new(stream.try_clone().expect("a handle"));
     serve_connection(stream, |request| {
         if request.line.starts_with("POST /reports") {
-            request.body.lines().for_each(|l| println!("report: {l}"));
+            request.body.lines().for_each(|line| println!("report: {line}"));
             return "HTTP/1.1 204 No Content\r\n\r\n".into();
         }
-        // A watch lasts as long as its connection, with an empty line now and then.
+        // Any other request is a watch of the endpoint list. It stays open until the connection ends; an empty line
+        // every two seconds shows that the platform is alive.
         let list = LIST.replace('\n', "") + "\n";
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let mut watch = watch.lock().expect("unpoisoned");
@@ -89,8 +90,10 @@
 fn endpoint_one(stream: TcpStream) {
     serve_connection(stream, |Request { line, id, body }| {
         println!("endpoint 1: {line}: {id}: {}: delivered", body.replace("\r\n", " "));
-        let delivered =
-            body.lines().filter_map(|l| l.split_once(" ")).map(|l| format!("{} delivered\r\n", l.0));
+        let delivered = body
+            .lines()
+            .filter_map(|line| line.split_once(" "))
+            .map(|part| format!("{} delivered\r\n", part.0));
         let results: String = if line.contains(":batch") { delivered.collect() } else { String::new() };
         format!(
             "HTTP/1.1 200 OK\r\nX-Load: x0=0.9,x1=20\r\nContent-Length: {}\r\n\r\n{results}",
@@ -100,9 +103,9 @@
 }
 
 fn endpoint_two(stream: TcpStream) {
-    static SEEN: Mutex<Option<HashSet<String>>> = Mutex::new(None);
+    static SEEN_IDS: Mutex<Option<HashSet<String>>> = Mutex::new(None);
     serve_connection(stream, |Request { id, body, .. }| {
-        let is_first = SEEN.lock().expect("unpoisoned").get_or_insert_default().insert(id.to_owned());
+        let is_first = SEEN_IDS.lock().expect("unpoisoned").get_or_insert_default().insert(id.to_owned());
         println!("endpoint 2: {id}: {body}: {}", if is_first { "rejected" } else { "delivered" });
         let status = if is_first { "429 Later\r\nX-RateLimit-Wait-Ms: 1000" } else { "200 OK" };
         format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n")
--- a/fuzz/fuzz_targets/json.rs
+++ b/fuzz/fuzz_targets/json.rs
@@ -1,4 +1,4 @@
-//! The reader of a registry's answers in JSON takes any bytes.
+//! Fuzzes the parser of a registry's JSON responses, which must accept or reject any bytes without a panic.
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| {
