--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,20 +1,20 @@
-//! The pages stay true to the source: paths that they name exist, and `docs/logs.md` lists each log line.
+//! Checks the documentation against the source: paths that pages name exist, and `docs/logs.md` lists each log line.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders whose files the pages name by their path from the root.
-const ROOTS: [&str; 10] =
+/// The top folders. A word of a page that begins with one of them is a path from the root.
+const TOP_FOLDERS: [&str; 10] =
     [".ci", "benches", "crates", "deploy", "docs", "examples", "fuzz", "scenarios", "src", "tests"];
-/// Pages that tell of the past keep the paths of their time.
-const HISTORY: [&str; 2] = ["CHANGELOG.md", "incidents"];
+/// Pages and folders of pages about the past, which may name paths that no longer exist.
+const HISTORY_PAGES: [&str; 2] = ["CHANGELOG.md", "incidents"];
 
 fn root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// All files below a folder, in order.
+/// All files below a folder, sorted by path.
 fn files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
     let mut found: Vec<PathBuf> =
@@ -23,20 +23,21 @@
     found
 }
 
+/// The pages in the top folder and in `docs/`, without those about the past.
 fn pages() -> Vec<PathBuf> {
-    let top = fs::read_dir(root()).expect("a folder").map(|entry| entry.expect("an entry").path());
-    let all = top.filter(|path| path.is_file()).chain(files(&root().join("docs")));
-    let present = |path: &PathBuf| !HISTORY.iter().any(|past| path.iter().any(|part| part == *past));
-    all.filter(|path| path.extension().is_some_and(|e| e == "md")).filter(present).collect()
+    let top_entries = fs::read_dir(root()).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let candidates = top_entries.filter(|path| path.is_file()).chain(files(&root().join("docs")));
+    let is_current = |path: &PathBuf| !HISTORY_PAGES.iter().any(|past| path.iter().any(|part| part == *past));
+    candidates.filter(|path| path.extension().is_some_and(|e| e == "md")).filter(is_current).collect()
 }
 
-/// The path that a word of a page names, if it is one.
+/// The path in a word of a page, without an anchor or a line number; `None` if the word is not a path below a top folder.
 fn named_path(word: &str) -> Option<&str> {
     let path = word.split(['#', ':']).next()?;
-    let plain = path.chars().all(|c| c.is_ascii_alphanumeric() || "./_-".contains(c));
-    let below_root =
-        ROOTS.iter().any(|root| path.strip_prefix(root).is_some_and(|rest| rest.starts_with('/')));
-    (plain && below_root).then_some(path)
+    let is_plain = path.chars().all(|c| c.is_ascii_alphanumeric() || "./_-".contains(c));
+    let is_below_top_folder =
+        TOP_FOLDERS.iter().any(|folder| path.strip_prefix(folder).is_some_and(|rest| rest.starts_with('/')));
+    (is_plain && is_below_top_folder).then_some(path)
 }
 
 #[test]
@@ -57,7 +58,7 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
-/// A call of a log macro in the source.
+/// A call of a log macro in the source, as a table_row of the table in `docs/logs.md`.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogLine {
     message: String,
@@ -67,41 +68,41 @@
 }
 
 impl LogLine {
-    fn row(&self) -> String {
+    fn table_row(&self) -> String {
         let keys: Vec<String> = self.keys.iter().map(|key| format!("`{key}`")).collect();
         format!("| {} | {} | {} | `{}` |", self.message, self.level, keys.join(" "), self.file)
     }
 }
 
-/// The arguments of a macro whose bracket is open at the start of a text.
-fn arguments(text: &str) -> &str {
-    let (mut depth, mut quoted, mut escaped) = (1, false, false);
-    for (at, c) in text.char_indices() {
+/// The arguments of a macro call: the text up to the closing parenthesis. `text` starts after the opening one.
+fn macro_arguments(text: &str) -> &str {
+    let (mut depth, mut is_quoted, mut is_escaped) = (1, false, false);
+    for (offset, c) in text.char_indices() {
         match c {
-            _ if escaped => escaped = false,
-            '\\' if quoted => escaped = true,
-            '"' => quoted = !quoted,
-            '(' if !quoted => depth += 1,
-            ')' if !quoted => depth -= 1,
+            _ if is_escaped => is_escaped = false,
+            '\\' if is_quoted => is_escaped = true,
+            '"' => is_quoted = !is_quoted,
+            '(' if !is_quoted => depth += 1,
+            ')' if !is_quoted => depth -= 1,
             _ => {}
         }
         if depth == 0 {
-            return &text[..at];
+            return &text[..offset];
         }
     }
-    panic!("a macro without an end");
+    panic!("a macro call without a closing parenthesis");
 }
 
-/// The texts in quotes, each with what follows it.
-fn quoted(text: &str) -> Vec<(&str, &str)> {
-    let mut found = Vec::new();
+/// The string literals in a text, each with the text after it.
+fn string_literals(text: &str) -> Vec<(&str, &str)> {
+    let mut literals = Vec::new();
     let mut rest = text;
-    while let Some((_, more)) = rest.split_once('"') {
-        let Some((quote, behind)) = more.split_once('"') else { break };
-        found.push((quote, behind));
-        rest = behind;
+    while let Some((_, after_quote)) = rest.split_once('"') {
+        let Some((literal, after_literal)) = after_quote.split_once('"') else { break };
+        literals.push((literal, after_literal));
+        rest = after_literal;
     }
-    found
+    literals
 }
 
 fn log_lines() -> BTreeSet<LogLine> {
@@ -113,9 +114,9 @@
             for (_, call) in
                 text.match_indices(&format!("{level}!(")).map(|(at, call)| (at, &text[at + call.len()..]))
             {
-                let quotes = quoted(arguments(call));
-                let Some((message, _)) = quotes.first() else { continue };
-                let keys = quotes[1..].iter().filter(|(_, behind)| behind.trim_start().starts_with("=>"));
+                let literals = string_literals(macro_arguments(call));
+                let Some((message, _)) = literals.first() else { continue };
+                let keys = literals[1..].iter().filter(|(_, after)| after.trim_start().starts_with("=>"));
                 let keys = keys.map(|(key, _)| (*key).to_owned()).collect();
                 lines.insert(LogLine { message: (*message).to_owned(), level, keys, file: file.clone() });
             }
@@ -124,15 +125,15 @@
     lines
 }
 
-/// The table is written anew by `WRITE_LOG_TABLE=1 cargo test --test documentation`.
+/// `WRITE_LOG_TABLE=1 cargo test --test documentation` writes the table from the source.
 #[test]
 fn the_page_of_log_lines_lists_each_of_them() {
-    const HEAD: &str = "| message | level | keys | written in |\n| --- | --- | --- | --- |\n";
+    const TABLE_HEAD: &str = "| message | level | keys | written in |\n| --- | --- | --- | --- |\n";
     let page = root().join("docs/logs.md");
     let text = fs::read_to_string(&page).expect("read");
-    let start = text.find(HEAD).expect("the table") + HEAD.len();
+    let start = text.find(TABLE_HEAD).expect("the table") + TABLE_HEAD.len();
     let end = text[start..].find("\n\n").map_or(text.len(), |at| start + at + 1);
-    let rows: String = log_lines().iter().map(|line| line.row() + "\n").collect();
+    let rows: String = log_lines().iter().map(|line| line.table_row() + "\n").collect();
     if std::env::var_os("WRITE_LOG_TABLE").is_some() {
         fs::write(&page, format!("{}{rows}{}", &text[..start], &text[end..])).expect("written");
         return;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,7 +1,9 @@
-//! What leaves the process stays byte for byte what release 5c6b612 sent: responses to clients, calls to endpoints, requests to
-//! the platform, delivery reports, admin answers, the keys of the counters, and the JSON of the commands.
+//! Golden tests: what leaves the process is byte for byte what release 5c6b612 sent. They cover responses to clients, calls to
+//! endpoints, requests to the platform, delivery reports, responses to operators, the keys of the counters and what the
+//! commands print.
 //!
 //! `tests/data/golden/` was written by 5c6b612 itself: this file was put into a checkout of it and run with `WRITE_GOLDEN=1`.
+//! Since then only error texts in `commands.txt` were updated after they had been reworded.
 
 use serde_json::{json, Value};
 use std::fs;
@@ -13,24 +15,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a test waits for anything; every step of a sound program takes less.
-const PATIENCE: Duration = Duration::from_secs(15);
+/// How long a test waits for a step before it fails. A correct program needs less for each step.
+const TIMEOUT: Duration = Duration::from_secs(15);
 
-fn golden(name: &str, seen: &str) {
+/// Compares a transcript with a golden file line by line, or writes the file if `WRITE_GOLDEN` is set.
+fn assert_matches_golden_file(name: &str, transcript: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden").join(name);
     if std::env::var_os("WRITE_GOLDEN").is_some() {
-        fs::create_dir_all(path.parent().expect("a folder")).expect("made");
-        fs::write(path, seen).expect("written");
+        fs::create_dir_all(path.parent().expect("a folder")).expect("created");
+        fs::write(path, transcript).expect("written");
         return;
     }
-    let wanted = fs::read_to_string(path).expect("read");
-    for (number, (seen, wanted)) in seen.lines().zip(wanted.lines()).enumerate() {
-        assert_eq!(seen, wanted, "line {} of {name}", number + 1);
+    let expected = fs::read_to_string(path).expect("read");
+    for (index, (actual_line, expected_line)) in transcript.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(actual_line, expected_line, "line {} of {name}", index + 1);
     }
-    assert_eq!(seen.lines().count(), wanted.lines().count(), "lines of {name}");
+    assert_eq!(transcript.lines().count(), expected.lines().count(), "lines of {name}");
 }
 
-/// A command of the program, without the environment variables that it would read.
+/// A command that runs the program without the environment variables that it reads.
 fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge"));
     for name in ["NAME", "LISTEN", "DISCOVERY", "STATE", "CONFIG", "OPERATOR"] {
@@ -41,24 +44,25 @@
     command
 }
 
-struct Folder(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Folder {
+impl TestFolder {
     fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("cedarbridge-golden-{test}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TestFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// One HTTP message as received: its head, and its body by its length.
+/// Reads one HTTP message: its head, and as many bytes of body as its `Content-Length` says. `None` at the end of the
+/// connection.
 fn read_message(stream: &mut impl BufRead) -> Option<String> {
     let mut text = String::new();
     loop {
@@ -70,13 +74,14 @@
             break;
         }
     }
-    let length = text.lines().find_map(|l| l.strip_prefix("Content-Length: ")?.parse().ok()).unwrap_or(0);
+    let length =
+        text.lines().find_map(|line| line.strip_prefix("Content-Length: ")?.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(text + &String::from_utf8(body).expect("text"))
 }
 
-/// A listener that forwards each request to a channel, with the stream to respond on.
+/// Listens on a free port and sends each request to a channel, with the stream on which to respond.
 fn listen() -> (SocketAddr, Receiver<(String, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
@@ -87,8 +92,8 @@
             thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
                 while let Some(request) = read_message(&mut reader) {
-                    let answering = stream.try_clone().expect("a handle");
-                    if sender.send((request, answering)).is_err() {
+                    let response_stream = stream.try_clone().expect("a handle");
+                    if sender.send((request, response_stream)).is_err() {
                         return;
                     }
                 }
@@ -98,23 +103,24 @@
     (address, requests)
 }
 
-/// Everything that was recorded, with the values that change from run to run replaced by names.
+/// A record of everything that was received. Values that change from run to run are replaced by fixed names.
 #[derive(Default)]
 struct Transcript {
     text: String,
+    /// The values to replace, each with its fixed name.
     names: Vec<(String, &'static str)>,
 }
 
 impl Transcript {
-    fn add(&mut self, title: &str, seen: &str) {
-        let named =
+    fn add(&mut self, title: &str, received: &str) {
+        let replace_values =
             |text: &str| self.names.iter().fold(text.to_owned(), |text, (from, to)| text.replace(from, to));
-        let (title, seen) = (named(title), named(seen));
-        let lines = seen.split('\n').map(|line| {
+        let (title, received) = (replace_values(title), replace_values(received));
+        let lines = received.split('\n').map(|line| {
             let line = line.replace('\r', "\\r");
-            let Some((head, value)) = line.split_once("X-Deadline: ") else { return line };
+            let Some((before, value)) = line.split_once("X-Deadline: ") else { return line };
             let unit = value.trim_start_matches(|c: char| c.is_ascii_digit());
-            format!("{head}X-Deadline: N{unit}")
+            format!("{before}X-Deadline: N{unit}")
         });
         self.text += &format!("== {title}\n{}\n", lines.collect::<Vec<_>>().join("\n"));
     }
@@ -122,11 +128,14 @@
 
 struct Forwarder {
     program: Child,
+    /// The address for clients.
     client: SocketAddr,
+    /// The address for operators.
     operator: SocketAddr,
 }
 
 impl Forwarder {
+    /// Starts the program and reads its addresses from its log.
     fn start(config: &Path) -> Self {
         let mut program = program().arg(config).stderr(Stdio::piped()).spawn().expect("it starts");
         let lines = BufReader::new(program.stderr.take().expect("a pipe")).lines();
@@ -137,16 +146,16 @@
                 let _ = sender.send(line);
             });
         });
-        let address = |line: &str, what: &str| {
-            line.split_once(what).and_then(|l| l.1.split(',').next()?.trim().parse().ok())
+        let address = |line: &str, key: &str| {
+            line.split_once(key).and_then(|parts| parts.1.split(',').next()?.trim().parse().ok())
         };
         let (mut client, mut operator) = (None, None);
         while client.is_none() || operator.is_none() {
-            let line = log.recv_timeout(PATIENCE).expect("its addresses");
+            let line = log.recv_timeout(TIMEOUT).expect("its addresses");
             client = client.or_else(|| address(&line, "listen: ").filter(|_| line.contains("serving")));
             operator = operator.or_else(|| address(&line, "operator: "));
         }
-        Forwarder { program, client: client.expect("just seen"), operator: operator.expect("just seen") }
+        Forwarder { program, client: client.expect("just set"), operator: operator.expect("just set") }
     }
 }
 
@@ -160,7 +169,7 @@
 /// Sends a request on a connection of its own and returns the response.
 fn exchange(address: SocketAddr, request: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("set");
     stream.write_all(request.as_bytes()).expect("written");
     read_message(&mut BufReader::new(stream)).expect("a response")
 }
@@ -201,14 +210,14 @@
         "cell": destination, "lifecycle": "active", "weight": 50.0, "startedAtMs": 0})
 }
 
-fn wait_for(forwarder: &Forwarder, counter: &str, wanted: u64) {
+fn wait_for(forwarder: &Forwarder, counter: &str, expected: u64) {
     for _ in 0..1500 {
-        if counters(forwarder)[counter] == wanted {
+        if counters(forwarder)[counter] == expected {
             return;
         }
         thread::sleep(Duration::from_millis(10));
     }
-    panic!("{counter} never was {wanted}");
+    panic!("{counter} never was {expected}");
 }
 
 fn counters(forwarder: &Forwarder) -> Value {
@@ -216,10 +225,10 @@
     serde_json::from_str(response.split_once("\r\n\r\n").expect("a body").1).expect("JSON")
 }
 
-/// Each key with the kind of its value, in order.
+/// The path of each key with the type of its value, in order.
 fn keys(value: &Value, path: &str) -> Vec<String> {
     match value {
-        Value::Object(all) => all.iter().flat_map(|(k, v)| keys(v, &format!("{path}/{k}"))).collect(),
+        Value::Object(fields) => fields.iter().flat_map(|(k, v)| keys(v, &format!("{path}/{k}"))).collect(),
         Value::Array(_) => vec![format!("{path} list")],
         Value::Bool(_) => vec![format!("{path} bool")],
         Value::Number(_) => vec![format!("{path} number")],
@@ -229,9 +238,9 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one conversation, in its order")]
-fn everything_on_the_wire_is_as_the_release_in_service_sends_it() {
-    let folder = Folder::new("wire");
+#[expect(clippy::too_many_lines, reason = "the order of the whole exchange matters")]
+fn everything_on_the_wire_is_as_recorded() {
+    let folder = TestFolder::new("wire");
     let (platform, requests) = listen();
     let (first, first_calls) = listen();
     let (second, second_calls) = listen();
@@ -245,10 +254,10 @@
         (forwarder.client.to_string(), "CLIENT"),
         (forwarder.operator.to_string(), "OPERATOR"),
     ];
-    let mut seen = Transcript { names, ..Transcript::default() };
+    let mut transcript = Transcript { names, ..Transcript::default() };
 
-    let (request, mut watch) = requests.recv_timeout(PATIENCE).expect("a watch");
-    seen.add("watch", &request);
+    let (request, mut watch) = requests.recv_timeout(TIMEOUT).expect("a watch");
+    transcript.add("watch", &request);
     let list = json!({"generation": 7, "reset": true,
         "instances": [entry("e1", first, "one", 1), entry("e2", second, "many", 2)]});
     let line = list.to_string() + "\n";
@@ -256,76 +265,76 @@
     watch.write_all(format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes()).expect("written");
     wait_for(&forwarder, "lists", 1);
 
-    seen.add("accepted", &exchange(forwarder.client, &post("m1", "notice", 1)));
-    let (call, mut answering) = first_calls.recv_timeout(PATIENCE).expect("a call");
-    seen.add("call of one message", &call);
-    seen.add("duplicate", &exchange(forwarder.client, &post("m1", "notice", 1)));
-    answering.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+    transcript.add("accepted", &exchange(forwarder.client, &post("m1", "notice", 1)));
+    let (call, mut response_stream) = first_calls.recv_timeout(TIMEOUT).expect("a call");
+    transcript.add("call of one message", &call);
+    transcript.add("duplicate", &exchange(forwarder.client, &post("m1", "notice", 1)));
+    response_stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     wait_for(&forwarder, "delivered", 1);
-    // With all four call slots in use, the next messages wait and form a batch.
-    let mut answering: Vec<TcpStream> = Vec::new();
+    // While all four call slots are in use, further messages wait and form a batch.
+    let mut response_streams: Vec<TcpStream> = Vec::new();
     for id in ["b1", "b2", "b3", "b4"] {
         exchange(forwarder.client, &post(id, "notice", 2));
-        let (call, stream) = second_calls.recv_timeout(PATIENCE).expect("a call");
+        let (call, stream) = second_calls.recv_timeout(TIMEOUT).expect("a call");
         assert!(call.contains(id), "{call}");
-        answering.push(stream);
+        response_streams.push(stream);
     }
     exchange(forwarder.client, &post("b5", "notice", 2));
     exchange(forwarder.client, &post("b6", "free", 2));
-    for mut stream in answering {
+    for mut stream in response_streams {
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
     }
-    let (call, mut stream) = second_calls.recv_timeout(PATIENCE).expect("a call");
-    seen.add("call of a batch", &call);
+    let (call, mut stream) = second_calls.recv_timeout(TIMEOUT).expect("a call");
+    transcript.add("call of a batch", &call);
     let body = "b5 delivered\r\nb6 delivered\r\n";
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    stream.write_all(answer.as_bytes()).expect("written");
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    stream.write_all(response.as_bytes()).expect("written");
     wait_for(&forwarder, "delivered", 7);
-    seen.add("no retry mark", &exchange(forwarder.client, &post("m3", "once", 1)));
-    let (call, answering) = first_calls.recv_timeout(PATIENCE).expect("a call");
-    seen.add("call that must not be repeated", &call);
-    answering.shutdown(std::net::Shutdown::Both).expect("open");
-    let (report, mut answering) = requests.recv_timeout(PATIENCE).expect("a report");
-    seen.add("report of a failure", &report);
-    answering.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").expect("written");
+    transcript.add("no retry mark", &exchange(forwarder.client, &post("m3", "once", 1)));
+    let (call, response_stream) = first_calls.recv_timeout(TIMEOUT).expect("a call");
+    transcript.add("call that must not be repeated", &call);
+    response_stream.shutdown(std::net::Shutdown::Both).expect("open");
+    let (report, mut response_stream) = requests.recv_timeout(TIMEOUT).expect("a report");
+    transcript.add("report of a failure", &report);
+    response_stream.write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").expect("written");
     wait_for(&forwarder, "notices", 1);
 
-    let good = post("m9", "notice", 1);
+    let valid = post("m9", "notice", 1);
     for (title, request) in [
         ("health", "GET /_health HTTP/1.1\r\n\r\n".to_owned()),
         ("unknown path", "GET /nothing HTTP/1.1\r\n\r\n".to_owned()),
         ("wrong method", "GET /api HTTP/1.1\r\n\r\n".to_owned()),
         ("no HTTP", "nonsense\r\n\r\n".to_owned()),
-        ("unknown class", good.replace("notice", "nothing")),
-        ("unknown tenant", good.replace("acme", "nobody")),
-        ("unknown destination", good.replace("dest=1", "dest=77")),
-        ("no destination", good.replace("X-Addressing: dest=1\r\n", "")),
-        ("odd destination", good.replace("dest=1", "to=1")),
-        ("no id", good.replace("X-Request-Id: m9\r\n", "")),
-        ("empty id", good.replace("X-Request-Id: m9", "X-Request-Id: ")),
-        ("no class", good.replace("X-Class: notice\r\n", "")),
-        ("no tenant", good.replace("X-Tenant: acme\r\n", "")),
-        ("no key", good.replace("Idempotency-Key: key-m9\r\n", "")),
-        ("no deadline", good.replace("X-Deadline: 9000m\r\n", "")),
-        ("odd deadline", good.replace("9000m", "soon")),
-        ("no time left", good.replace("9000m", "0m")),
-        ("a header twice", good.replace("X-Class: notice\r\n", "X-Class: notice\r\nX-Class: notice\r\n")),
-        ("no length", good.replace("Content-Length: 3\r\n", "")),
-        ("odd length", good.replace("Content-Length: 3", "Content-Length: three")),
-        ("too large", good.replace("Content-Length: 3", "Content-Length: 99999999")),
-        ("chunked", good.replace("Content-Length: 3", "Transfer-Encoding: chunked")),
-        ("odd retry mark", good.replace("X-Class:", "X-Retry: maybe\r\nX-Class:")),
+        ("unknown class", valid.replace("notice", "nothing")),
+        ("unknown tenant", valid.replace("acme", "nobody")),
+        ("unknown destination", valid.replace("dest=1", "dest=77")),
+        ("no destination", valid.replace("X-Addressing: dest=1\r\n", "")),
+        ("odd destination", valid.replace("dest=1", "to=1")),
+        ("no id", valid.replace("X-Request-Id: m9\r\n", "")),
+        ("empty id", valid.replace("X-Request-Id: m9", "X-Request-Id: ")),
+        ("no class", valid.replace("X-Class: notice\r\n", "")),
+        ("no tenant", valid.replace("X-Tenant: acme\r\n", "")),
+        ("no key", valid.replace("Idempotency-Key: key-m9\r\n", "")),
+        ("no deadline", valid.replace("X-Deadline: 9000m\r\n", "")),
+        ("odd deadline", valid.replace("9000m", "soon")),
+        ("no time left", valid.replace("9000m", "0m")),
+        ("a header twice", valid.replace("X-Class: notice\r\n", "X-Class: notice\r\nX-Class: notice\r\n")),
+        ("no length", valid.replace("Content-Length: 3\r\n", "")),
+        ("odd length", valid.replace("Content-Length: 3", "Content-Length: three")),
+        ("too large", valid.replace("Content-Length: 3", "Content-Length: 99999999")),
+        ("chunked", valid.replace("Content-Length: 3", "Transfer-Encoding: chunked")),
+        ("odd retry mark", valid.replace("X-Class:", "X-Retry: maybe\r\nX-Class:")),
         ("HTTP/1.0", "GET /_health HTTP/1.0\r\n\r\n".to_owned()),
         ("asks to close", "GET /_health HTTP/1.1\r\nConnection: close\r\n\r\n".to_owned()),
     ] {
-        seen.add(title, &exchange(forwarder.client, &request));
+        transcript.add(title, &exchange(forwarder.client, &request));
     }
 
     let owner = fs::read_to_string(folder.0.join("state/owner")).expect("an owner");
     let owner: Value = serde_json::from_str(&owner).expect("JSON");
     let token = owner["token"].as_str().expect("a token");
-    let command = |what: &str, body: &str| {
-        format!("POST /admin/{what} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    let command = |name: &str, body: &str| {
+        format!("POST /admin/{name} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len())
     };
     let hand_over = |token: &str, format: u32| {
         format!("POST /admin/handover HTTP/1.1\r\nX-Token: {token}\r\nX-Format: {format}\r\nContent-Length: 0\r\n\r\n")
@@ -350,60 +359,60 @@
         ("hand-over with a wrong token", hand_over("guessed", 4)),
         ("hand-over in another format", hand_over(token, 3)),
     ] {
-        seen.add(title, &exchange(forwarder.operator, &request));
+        transcript.add(title, &exchange(forwarder.operator, &request));
     }
-    seen.add("counters", &keys(&counters(&forwarder), "").join("\n"));
-    golden("wire.txt", &seen.text);
+    transcript.add("counters", &keys(&counters(&forwarder), "").join("\n"));
+    assert_matches_golden_file("wire.txt", &transcript.text);
 }
 
 #[test]
-fn what_the_commands_print_is_as_the_release_in_service_prints_it() {
-    let folder = Folder::new("commands");
+fn the_commands_print_what_was_recorded() {
+    let folder = TestFolder::new("commands");
     let names = vec![(folder.0.display().to_string(), "FOLDER")];
-    let mut seen = Transcript { names, ..Transcript::default() };
-    let good = folder.0.join("good.yaml");
-    fs::copy(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden/site.yaml"), &good)
+    let mut transcript = Transcript { names, ..Transcript::default() };
+    let valid = folder.0.join("good.yaml");
+    fs::copy(Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/golden/site.yaml"), &valid)
         .expect("copied");
-    let bad = folder.0.join("bad.yaml");
+    let invalid = folder.0.join("bad.yaml");
     let text = "version: 1\nroutes:\n  - name: a\n    match: {kind: nothing, class: notice}\n    timeout: 6\n  - name: a\n    \
                 match: {class: notice}\n    timeout: 20s\n    attempts: 9\n    give-up: 99s\n    typo: 1\n";
-    fs::write(&bad, text).expect("written");
+    fs::write(&invalid, text).expect("written");
     let config = "tests/data/golden/config.json";
-    let (good, bad) = (good.display().to_string(), bad.display().to_string());
-    let (mut good_calls, mut bad_calls) = (Vec::new(), Vec::new());
-    good_calls.push(vec!["check", "--config", config, "--json", &good]);
-    good_calls.push(vec!["check", "--config", config, &good]);
-    for more in [
+    let (valid, invalid) = (valid.display().to_string(), invalid.display().to_string());
+    let (mut accepted_commands, mut rejected_commands) = (Vec::new(), Vec::new());
+    accepted_commands.push(vec!["check", "--config", config, "--json", &valid]);
+    accepted_commands.push(vec!["check", "--config", config, &valid]);
+    for options in [
         &["--kind", "cable-operator", "--class", "notice"][..],
         &["--kind", "small-partner", "--class", "notice"],
         &[],
     ] {
-        good_calls.push([&["explain", "--config", config, "--json", &good][..], more].concat());
-        good_calls.push([&["explain", "--config", config, &good][..], more].concat());
+        accepted_commands.push([&["explain", "--config", config, "--json", &valid][..], options].concat());
+        accepted_commands.push([&["explain", "--config", config, &valid][..], options].concat());
     }
-    bad_calls.push(vec!["check", "--config", config, "--json", &bad]);
-    bad_calls.push(vec!["check", "--config", config, &bad]);
-    bad_calls.push(vec![
+    rejected_commands.push(vec!["check", "--config", config, "--json", &invalid]);
+    rejected_commands.push(vec!["check", "--config", config, &invalid]);
+    rejected_commands.push(vec![
         "explain",
         "--config",
         config,
-        &bad,
+        &invalid,
         "--kind",
         "cable-operator",
         "--class",
         "notice",
     ]);
-    bad_calls.push(vec!["check", "--config", "tests/data/golden/missing.json", &good]);
-    bad_calls.push(vec!["run", "tests/data/golden/site.yaml"]);
-    bad_calls.push(vec!["run"]);
-    for call in good_calls.into_iter().chain(bad_calls) {
-        let output = program().args(&call).output().expect("it runs");
-        seen.add(&call.join(" "), &format!("exit {:?}", output.status.code()));
-        seen.add("standard output", &String::from_utf8(output.stdout).expect("text"));
+    rejected_commands.push(vec!["check", "--config", "tests/data/golden/missing.json", &valid]);
+    rejected_commands.push(vec!["run", "tests/data/golden/site.yaml"]);
+    rejected_commands.push(vec!["run"]);
+    for arguments in accepted_commands.into_iter().chain(rejected_commands) {
+        let output = program().args(&arguments).output().expect("it runs");
+        transcript.add(&arguments.join(" "), &format!("exit {:?}", output.status.code()));
+        transcript.add("standard output", &String::from_utf8(output.stdout).expect("text"));
         let errors = String::from_utf8(output.stderr).expect("text");
-        // A log line begins with the time.
-        let errors: Vec<_> = errors.lines().filter(|l| !l.contains(" INFO ")).collect();
-        seen.add("standard error", &errors.join("\n"));
+        // Log lines begin with the time, which changes from run to run.
+        let errors: Vec<_> = errors.lines().filter(|line| !line.contains(" INFO ")).collect();
+        transcript.add("standard error", &errors.join("\n"));
     }
-    golden("commands.txt", &seen.text);
+    assert_matches_golden_file("commands.txt", &transcript.text);
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What may be done now, and which violation is named when something was done that may not: each reason once, and nothing else.
+//! The safety checks and the ledger: each reason for a refusal and each violation occurs once, and what is allowed passes.
 
 use cedarbridge::invariants::connection::reusable_until;
 use cedarbridge::invariants::send::{latest_start, WRITE_DELAY_ALLOWANCE};
@@ -43,7 +43,7 @@
     assert!(may_send(&SendFacts { endpoint: draining(920_001), ..sendable() }).is_ok(), "within the grace");
     assert!(
         may_send(&SendFacts { endpoint: retry_after(1_000_000), ..sendable() }).is_ok(),
-        "the Retry-After is over"
+        "the time of the Retry-After has passed"
     );
     for grace in [0, 100_000, 250_000, 2_000_000] {
         assert!(latest_start(grace) == 0 || latest_start(grace) + WRITE_DELAY_ALLOWANCE <= grace);
@@ -86,9 +86,9 @@
         may_reuse(&IdleFacts { address_is_current: false, ..reusable }),
         Err(CloseReason::EndpointMoved)
     );
-    let disturbed = IdleFacts { peer_activity: Some("unasked"), ..reusable };
-    assert_eq!(may_reuse(&disturbed), Err(CloseReason::PeerActivity("unasked")));
-    assert_eq!(reusable_until(0, 100), 75, "of a short timeout a quarter is kept as margin");
+    let with_peer_activity = IdleFacts { peer_activity: Some("unasked"), ..reusable };
+    assert_eq!(may_reuse(&with_peer_activity), Err(CloseReason::PeerActivity("unasked")));
+    assert_eq!(reusable_until(0, 100), 75, "the margin of a short timeout is a quarter of it");
 }
 
 fn ledger(idempotency: Idempotency) -> Ledger {
@@ -99,7 +99,7 @@
     ledger
 }
 
-/// A first attempt of which the end is not known.
+/// A ledger with a message whose first attempt ended by a reset connection, so that it may have run.
 fn may_have_run(idempotency: Idempotency) -> Ledger {
     let mut ledger = ledger(idempotency);
     assert_eq!(ledger.attempt_started(ID, 0, 100, EAST), None);
@@ -107,23 +107,23 @@
     ledger
 }
 
-/// A check that cannot fail would prove nothing: each rule is broken once.
+/// Breaks each rule once, because a check that cannot fail proves nothing.
 #[test]
 fn each_broken_rule_is_reported_by_its_violation() {
-    let mut fresh = ledger(Idempotency::Idempotent);
-    assert_eq!(fresh.attempt_started(MessageId(2), 0, 0, EAST), Some(Violation::UnknownMessage));
-    assert_eq!(fresh.attempt_started(ID, 0, 0, EAST), None);
-    assert_eq!(fresh.attempt_started(ID, 1, 0, EAST), Some(Violation::TwoAttemptsInFlight));
-    fresh.attempt_ended(ID, 1, Outcome::Rejected(None));
-    assert_eq!(fresh.attempt_started(ID, 2, 0, EAST), None);
-    fresh.attempt_ended(ID, 2, Outcome::Rejected(None));
-    assert_eq!(fresh.attempt_started(ID, 3, 0, EAST), Some(Violation::TooManyAttempts));
-    fresh.attempt_ended(ID, 3, Outcome::Rejected(None));
-    assert_eq!(fresh.completed(ID, true), None);
-    assert_eq!(fresh.completed(ID, true), Some(Violation::CompletedTwice));
-    assert_eq!(fresh.attempt_started(ID, 4, 0, EAST), Some(Violation::AttemptAfterCompletion));
-    fresh.forget(ID);
-    assert!(fresh.is_empty());
+    let mut idempotent = ledger(Idempotency::Idempotent);
+    assert_eq!(idempotent.attempt_started(MessageId(2), 0, 0, EAST), Some(Violation::UnknownMessage));
+    assert_eq!(idempotent.attempt_started(ID, 0, 0, EAST), None);
+    assert_eq!(idempotent.attempt_started(ID, 1, 0, EAST), Some(Violation::TwoAttemptsInFlight));
+    idempotent.attempt_ended(ID, 1, Outcome::Rejected(None));
+    assert_eq!(idempotent.attempt_started(ID, 2, 0, EAST), None);
+    idempotent.attempt_ended(ID, 2, Outcome::Rejected(None));
+    assert_eq!(idempotent.attempt_started(ID, 3, 0, EAST), Some(Violation::TooManyAttempts));
+    idempotent.attempt_ended(ID, 3, Outcome::Rejected(None));
+    assert_eq!(idempotent.completed(ID, true), None);
+    assert_eq!(idempotent.completed(ID, true), Some(Violation::CompletedTwice));
+    assert_eq!(idempotent.attempt_started(ID, 4, 0, EAST), Some(Violation::AttemptAfterCompletion));
+    idempotent.forget(ID);
+    assert!(idempotent.is_empty());
 
     assert_eq!(
         may_have_run(Idempotency::NonIdempotent).attempt_started(ID, 1, 101, EAST),
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn what_is_allowed_is_no_violation() {
+fn allowed_attempts_and_completions_are_no_violation() {
     assert_eq!(may_have_run(Idempotency::WithKey).attempt_started(ID, 1, 1_099, EAST), None);
     assert_eq!(may_have_run(Idempotency::Idempotent).attempt_started(ID, 1, 9_999, WEST), None);
     assert_eq!(may_have_run(Idempotency::WithKey).completed(ID, false), None);
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal in a folder of its own: recovery after a crash and after damage, and a folder that is nearly full.
+//! The journal on real files: recovery after a crash and after damage, and its size limit.
 
 use cedarbridge::journal::encoding::encode;
 use cedarbridge::journal::record::{JournalRecord, ProgressStep};
@@ -11,7 +11,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-/// The platform counts files in whole blocks of this many bytes.
+/// The disk block size in bytes. The platform rounds file sizes up to whole blocks.
 const DISK_BLOCK_BYTES: u64 = 512;
 
 fn size_on_disk(size: u64) -> u64 {
@@ -22,16 +22,16 @@
     AttemptStart { started_at, zone: zone.into() }
 }
 
-/// The clocks as journals are opened and written here, unless a test says otherwise.
+/// The clocks when journals are opened and written, unless a test sets others.
 const NOW: ClockReading = ClockReading { boot_id: 7, monotonic_us: 1_000, wall_us: 5_000_000 };
 
-struct Folder(PathBuf);
+struct JournalFolder(PathBuf);
 
-impl Folder {
+impl JournalFolder {
     fn new(test: &str) -> Self {
         let path = std::env::temp_dir().join(format!("cedarbridge-{test}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        Folder(path)
+        JournalFolder(path)
     }
 
     fn open(&self, limit: u64) -> (Journal, RestoredJournal) {
@@ -45,36 +45,36 @@
     }
 
     fn files(&self) -> Vec<PathBuf> {
-        let mut all: Vec<_> =
-            fs::read_dir(&self.0).expect("a folder").map(|e| e.expect("an entry").path()).collect();
-        all.sort();
-        all
+        let mut files: Vec<_> =
+            fs::read_dir(&self.0).expect("a folder").map(|entry| entry.expect("an entry").path()).collect();
+        files.sort();
+        files
     }
 
-    fn size(&self) -> u64 {
-        self.files().iter().map(|f| size_on_disk(fs::metadata(f).expect("a file").len())).sum()
+    fn size_on_disk(&self) -> u64 {
+        self.files().iter().map(|file| size_on_disk(fs::metadata(file).expect("a file").len())).sum()
     }
 }
 
-impl Drop for Folder {
+impl Drop for JournalFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
 fn message(id: &str, size: usize) -> JournaledMessage {
-    let head = JournaledMessage {
+    let message = JournaledMessage {
         request_id: id.into(),
         class: "notice".into(),
         destination: 7,
         ..JournaledMessage::default()
     };
-    JournaledMessage { key: Some("k".into()), deadline: 99, body: vec![b'x'; size], ..head }
+    JournaledMessage { key: Some("k".into()), deadline: 99, body: vec![b'x'; size], ..message }
 }
 
 #[test]
 fn messages_that_are_not_completed_are_restored_with_their_attempts() {
-    let folder = Folder::new("unended");
+    let folder = JournalFolder::new("not-completed");
     let (mut journal, _) = folder.open(1 << 20);
     for id in 1..=4 {
         journal.record_received(id, &message(&format!("m{id}"), 10)).expect("space");
@@ -82,17 +82,18 @@
     journal.record_attempt(1, 0, attempt_start(5, "east")).expect("written");
     journal.record_never_ran(1, 0);
     journal.record_attempt(2, 0, attempt_start(6, "east")).expect("written");
-    // The second attempt was withdrawn before it was recorded: the first may still have run.
+    // Attempt 1 was not recorded yet, so this must not change attempt 0, which may have run.
     journal.record_never_ran(2, 1);
     journal.record_attempt(2, 1, attempt_start(7, "west")).expect("written");
     journal.record_end(3, ReportedEnd::Returned(Some(500)));
     journal.record_completed(4);
-    assert_eq!(journal.unwritten_records(), 0, "all is written");
+    assert_eq!(journal.unwritten_records(), 0, "all records are written");
     drop(journal);
     let (_, restored) = folder.open(1 << 20);
-    let found: Vec<_> = restored.messages.iter().map(|(id, m)| (*id, m.progress.clone())).collect();
+    let found: Vec<_> =
+        restored.messages.iter().map(|(id, message)| (*id, message.progress.clone())).collect();
     let report = Some(ReportedEnd::Returned(Some(500)));
-    // As it never ran, the first message's attempt does not bound repeats; the second message's first attempt does.
+    // The attempt of message 1 never ran and is not its `first_attempt`; attempt 0 of message 2 may have run.
     let expected = [
         (1, Progress { attempts: 1, ..Progress::default() }),
         (
@@ -111,10 +112,11 @@
     assert_eq!((restored.highest_id, restored.messages[0].1.body.len()), (4, 10));
 }
 
-/// Guards against a crash loop: a tail that a dying write or a bad block left must not stop the start.
+/// Guards against a crash loop: a last record that is torn by a kill or damaged by a bad disk block must not prevent the
+/// start.
 #[test]
 fn a_torn_or_damaged_tail_is_truncated_wherever_it_begins() {
-    let folder = Folder::new("torn");
+    let folder = JournalFolder::new("torn");
     let (mut journal, _) = folder.open(1 << 20);
     journal.record_received(1, &message("one", 40)).expect("space");
     let first_record_end =
@@ -123,36 +125,36 @@
     drop(journal);
     let file = folder.files().pop().expect("a segment");
     let bytes = fs::read(&file).expect("read");
-    for cut in first_record_end + 1..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[cut] ^= 0x40;
-        for damaged in [&bytes[..cut], &spoilt] {
+    for offset in first_record_end + 1..bytes.len() {
+        let mut flipped = bytes.clone();
+        flipped[offset] ^= 0x40;
+        for damaged in [&bytes[..offset], &flipped] {
             fs::write(&file, damaged).expect("written");
             let (mut journal, restored) = folder.open(1 << 20);
-            assert_eq!(restored.messages.iter().map(|k| k.0).collect::<Vec<_>>(), [1]);
+            assert_eq!(restored.messages.iter().map(|m| m.0).collect::<Vec<_>>(), [1]);
             assert_eq!(restored.damage.len(), 1);
             journal.record_received(3, &message("three", 40)).expect("space");
             drop(journal);
-            let (_, again) = folder.open(1 << 20);
-            assert_eq!((again.messages.len(), again.damage.len()), (2, 0));
-            for extra in folder.files().into_iter().filter(|f| f != &file) {
-                fs::remove_file(extra).expect("removed");
+            let (_, reopened) = folder.open(1 << 20);
+            assert_eq!((reopened.messages.len(), reopened.damage.len()), (2, 0));
+            for later_segment in folder.files().into_iter().filter(|f| f != &file) {
+                fs::remove_file(later_segment).expect("removed");
             }
         }
     }
 }
 
-/// Guards against messages that are lost behind one bad block: what follows it in the segment is complete.
+/// Guards against the loss of intact messages that follow a damaged record in the same segment.
 #[test]
-fn recovery_goes_on_behind_a_damaged_record() {
-    let folder = Folder::new("past");
+fn recovery_continues_after_a_damaged_record() {
+    let folder = JournalFolder::new("damaged-record");
     let (mut journal, _) = folder.open(1 << 20);
-    let file = folder.files();
-    assert!(file.is_empty(), "a segment is created by its first record");
+    let files = folder.files();
+    assert!(files.is_empty(), "a segment is created by its first record");
     journal.record_received(1, &message("one", 40)).expect("space");
     let file = folder.files().pop().expect("a segment");
     let first_record_end = fs::metadata(&file).expect("a file").len() as usize;
-    // Its body looks like a record of its own; without the segment's salt it is none.
+    // The body is an encoded record. It must not be taken for one, as its checksum does not start from the segment's salt.
     let forged = encode(0, 1, &JournalRecord::Completed);
     journal.record_received(2, &JournaledMessage { body: forged, ..message("two", 0) }).expect("space");
     journal.record_received(3, &message("three", 40)).expect("space");
@@ -165,11 +167,11 @@
     assert_eq!(restored.damage.len(), 1);
 }
 
-/// Guards against deadlines and windows that move with the wall clock.
+/// Guards against deadlines and deduplication windows that move when the wall clock is set.
 #[test]
 fn times_are_read_by_the_monotonic_clock_within_one_boot_and_else_by_the_wall_clock() {
-    let deadline = |boot, clock, wall| {
-        let folder = Folder::new(&format!("times-{boot}-{clock}"));
+    let restored_times = |boot, monotonic, wall| {
+        let folder = JournalFolder::new(&format!("times-{boot}-{monotonic}"));
         let (mut journal, _) =
             folder.open_at(1 << 20, ClockReading { boot_id: 7, monotonic_us: 1_000, wall_us: 5_000_000 });
         journal
@@ -178,7 +180,7 @@
         journal.record_attempt(1, 0, attempt_start(1_500, "east")).expect("written");
         drop(journal);
         let messages = folder
-            .open_at(1 << 20, ClockReading { boot_id: boot, monotonic_us: clock, wall_us: wall })
+            .open_at(1 << 20, ClockReading { boot_id: boot, monotonic_us: monotonic, wall_us: wall })
             .1
             .messages;
         (
@@ -187,18 +189,18 @@
         )
     };
     let same_boot = (9_000, 1_500);
-    assert_eq!(deadline(7, 2_000, 5_001_000), same_boot);
-    assert_eq!(deadline(7, 2_001, 9_999_999_999), same_boot, "the wall clock was set forward");
-    assert_eq!(deadline(7, 2_002, 1), same_boot, "and back");
-    // The machine was restarted and 3,000 us went by: 8,000 were left at first, so 5,000 are now.
-    assert_eq!(deadline(8, 200, 5_003_000), (5_200, 0));
-    assert_eq!(deadline(0, 100_000, 5_003_000), (105_000, 97_500), "the boot is not known");
+    assert_eq!(restored_times(7, 2_000, 5_001_000), same_boot);
+    assert_eq!(restored_times(7, 2_001, 9_999_999_999), same_boot, "the wall clock was set forward");
+    assert_eq!(restored_times(7, 2_002, 1), same_boot, "the wall clock was set back");
+    // The machine was restarted and 3,000 us have passed: of the 8,000 us until the deadline 5,000 us remain.
+    assert_eq!(restored_times(8, 200, 5_003_000), (5_200, 0));
+    assert_eq!(restored_times(0, 100_000, 5_003_000), (105_000, 97_500), "the boot is not known");
 }
 
-/// Segments of the older format keep Unix time and have no headers.
+/// Segments of the older format store Unix time and have no header.
 #[test]
 fn a_segment_of_the_older_format_is_read_by_the_wall_clock() {
-    let folder = Folder::new("older");
+    let folder = JournalFolder::new("older");
     fs::create_dir_all(&folder.0).expect("a folder");
     let received = JournaledMessage { deadline: 5_020_000, ..message("one", 4) };
     let mut bytes = encode(0, 4, &JournalRecord::Received(Box::new(received)));
@@ -206,65 +208,66 @@
     bytes.extend(encode(0, 4, &JournalRecord::Progressed(attempt)));
     fs::write(folder.0.join("0000000003.journal"), bytes).expect("written");
     let (mut journal, restored) = folder.open(60_000);
-    let (id, message_found) = &restored.messages[0];
+    let (id, restored_message) = &restored.messages[0];
     assert_eq!(
-        (*id, message_found.deadline, message_found.progress.first_attempt.clone()),
+        (*id, restored_message.deadline, restored_message.progress.first_attempt.clone()),
         (4, 21_000, Some(attempt_start(500, "west")))
     );
-    // Then the same after it was copied to a segment of the new format.
+    // Compaction copies the message to a segment of the new format, which must not change it.
     for id in 5..400 {
         journal.record_received(id, &message("other", 300)).expect("space");
         journal.record_completed(id);
     }
     drop(journal);
-    let (_, again) = folder.open(60_000);
-    assert_eq!(again.messages, restored.messages);
+    let (_, reopened) = folder.open(60_000);
+    assert_eq!(reopened.messages, restored.messages);
 }
 
-/// Guards against passing the limit during compaction, with bodies that are large against it.
+/// Guards against exceeding the limit during compaction if message bodies are large compared with it.
 #[test]
 fn the_folder_stays_under_its_limit_and_keeps_what_is_not_completed() {
     for (limit, body) in [(3_000_000u64, 65_536usize), (1_000_000, 65_536), (60_000, 300)] {
-        let folder = Folder::new(&format!("limit-{limit}"));
+        let folder = JournalFolder::new(&format!("limit-{limit}"));
         let (mut journal, _) = folder.open(limit);
         let (mut open_ids, mut rejected) = (VecDeque::new(), 0);
         for id in 1..600u64 {
             match journal.record_received(id, &message(&format!("m{id}"), body)) {
                 Ok(()) => open_ids.push_back(id),
-                Err(JournalError::Failing(e)) => panic!("{e}"),
+                Err(JournalError::Failing(error)) => panic!("{error}"),
                 Err(_) => {
                     rejected += 1;
-                    // The first of all stays open to the end, so that it has to be copied over and over.
+                    // The first message stays open to the end, so that compaction has to copy it again and again.
                     for _ in 0..2 {
-                        let completed = open_ids.remove(1).expect("several fit");
+                        let completed = open_ids.remove(1).expect("several messages fit");
                         journal
                             .record_attempt(completed, 0, attempt_start(1, "east"))
-                            .expect("there is always space for what follows");
+                            .expect("there is always space for an attempt");
                         journal.record_completed(completed);
                         assert_eq!(journal.unwritten_records(), 0, "there is always space for a completion");
                     }
                 }
             }
-            assert!(folder.size() <= limit, "{} of {limit} at {id}", folder.size());
+            assert!(folder.size_on_disk() <= limit, "{} of {limit} at {id}", folder.size_on_disk());
         }
         assert!(rejected > 0);
         drop(journal);
         let (_, restored) = folder.open(limit);
-        assert_eq!(restored.messages.iter().map(|k| k.0).collect::<VecDeque<_>>(), open_ids);
-        assert!(restored.messages.iter().all(|(id, k)| *k == message(&format!("m{id}"), body)));
+        assert_eq!(restored.messages.iter().map(|m| m.0).collect::<VecDeque<_>>(), open_ids);
+        assert!(restored.messages.iter().all(|(id, m)| *m == message(&format!("m{id}"), body)));
     }
 }
 
-/// Guards against repeats of a message whose record was copied to another segment, in a zone that does not drop them.
+/// Guards against a repeat in a zone that does not drop it: if compaction copies the record of a message, it must keep
+/// the zone of the first attempt.
 #[test]
 fn the_first_attempt_is_kept_through_compaction_and_later_attempts() {
-    let folder = Folder::new("first");
+    let folder = JournalFolder::new("first-attempt");
     let (mut journal, _) = folder.open(60_000);
     journal.record_received(1, &message("stays", 300)).expect("space");
     journal.record_attempt(1, 0, attempt_start(11, "north-hall")).expect("written");
     let first_segments = folder.files();
     let mut id = 1;
-    while folder.files().iter().any(|f| first_segments.contains(f)) {
+    while folder.files().iter().any(|file| first_segments.contains(file)) {
         id += 1;
         journal.record_received(id, &message(&format!("m{id}"), 300)).expect("space");
         journal.record_completed(id);
--- a/tests/journal_faults.rs
+++ b/tests/journal_faults.rs
@@ -1,6 +1,6 @@
-//! The journal on a storage that fails: each of its operations fails once, at each place, as SQLite's tests do; and for whole
-//! stretches, by a seed. After each run the process counts as killed, and the journal is opened again and compared with what
-//! was acknowledged.
+//! Fault injection for the journal's storage. As in SQLite's tests, each storage operation of a run fails once; further
+//! runs fail several operations in a row, chosen by a seed. After each run the journal is opened again, as after a
+//! kill, and compared with what was acknowledged.
 
 use cedarbridge::journal::storage::Storage;
 use cedarbridge::journal::{
@@ -13,19 +13,21 @@
 use std::rc::Rc;
 
 const NOW: ClockReading = ClockReading { boot_id: 7, monotonic_us: 1_000, wall_us: 5_000_000 };
+/// The size limit of the journal, in bytes.
 const LIMIT: u64 = 40_000;
-const STEPS: usize = 150;
+/// The number of messages that a run tries to record.
+const MESSAGES: usize = 150;
 
 /// How an operation fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// Nothing is done.
+    /// The operation changes nothing.
     Clean,
-    /// An append writes half, and the cut that follows fails too.
+    /// An append writes half of its bytes, and the truncation that follows fails too.
     Torn,
 }
 
-/// Which operations fail, counted from 0.
+/// The operations that fail: from `from` up to, but not including, `to`, counted from 0.
 #[derive(Clone, Copy, Debug)]
 struct FaultPlan {
     from: usize,
@@ -50,12 +52,12 @@
 }
 
 impl MemoryStorage {
-    /// Counts an operation; returns how it fails, if it does.
+    /// Counts an operation and returns its fault, if the plan has one for it.
     fn next_fault(&self) -> Option<Fault> {
         let mut disk = self.0.borrow_mut();
-        let at = disk.operations;
+        let operation = disk.operations;
         disk.operations += 1;
-        disk.plan.filter(|plan| (plan.from..plan.to).contains(&at)).map(|plan| plan.fault)
+        disk.plan.filter(|plan| (plan.from..plan.to).contains(&operation)).map(|plan| plan.fault)
     }
 
     fn fail_if_planned(&self) -> io::Result<()> {
@@ -82,7 +84,7 @@
     fn create(&mut self, name: &str) -> io::Result<()> {
         self.fail_if_planned()?;
         let mut disk = self.0.borrow_mut();
-        assert!(disk.files.insert(name.into(), Vec::new()).is_none(), "{name} was there");
+        assert!(disk.files.insert(name.into(), Vec::new()).is_none(), "{name} exists already");
         disk.newest = Some(name.into());
         Ok(())
     }
@@ -96,8 +98,8 @@
             None => bytes.len(),
         };
         disk.truncation_fails = fault == Some(Fault::Torn);
-        let newest = disk.newest.clone().expect("created");
-        disk.files.get_mut(&newest).expect("there").extend_from_slice(&bytes[..written]);
+        let newest = disk.newest.clone().expect("a file was created");
+        disk.files.get_mut(&newest).expect("the file exists").extend_from_slice(&bytes[..written]);
         fault.map_or(Ok(()), |_| Err(io_error()))
     }
 
@@ -107,14 +109,14 @@
         if std::mem::take(&mut disk.truncation_fails) {
             return Err(io_error());
         }
-        let newest = disk.newest.clone().expect("created");
-        disk.files.get_mut(&newest).expect("there").truncate(size as usize);
+        let newest = disk.newest.clone().expect("a file was created");
+        disk.files.get_mut(&newest).expect("the file exists").truncate(size as usize);
         Ok(())
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
         self.fail_if_planned()?;
-        self.0.borrow_mut().files.get_mut(name).expect("there").truncate(size as usize);
+        self.0.borrow_mut().files.get_mut(name).expect("the file exists").truncate(size as usize);
         Ok(())
     }
 
@@ -125,7 +127,7 @@
     }
 }
 
-/// What was acknowledged of a message that is not completed.
+/// The acknowledged state of a message that is not completed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Acknowledged {
     attempts: u32,
@@ -136,31 +138,31 @@
 type AcknowledgedMessages = BTreeMap<u64, Acknowledged>;
 
 fn message(id: u64, size: usize) -> JournaledMessage {
-    let head =
+    let message =
         JournaledMessage { request_id: format!("m{id}"), class: "notice".into(), ..Default::default() };
-    JournaledMessage { body: vec![b'x'; size], deadline: 9, ..head }
+    JournaledMessage { body: vec![b'x'; size], deadline: 9, ..message }
 }
 
-/// Records a random sequence by its seed; returns what must be there afterwards.
+/// Records a random sequence of messages and of what happens to them, chosen by the seed. Returns what was acknowledged.
 fn record_random_messages(
     journal: &mut Journal,
     seed: u64,
     mut after_each: impl FnMut(&mut Journal),
 ) -> AcknowledgedMessages {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut known = AcknowledgedMessages::new();
-    for id in 1..=STEPS as u64 {
+    let mut acknowledged = AcknowledgedMessages::new();
+    for id in 1..=MESSAGES as u64 {
         if journal.record_received(id, &message(id, random.usize(0..900))).is_ok() {
-            known.insert(id, Acknowledged::default());
+            acknowledged.insert(id, Acknowledged::default());
         }
         for _ in 0..2 {
-            let Some(id) = random.choice(known.keys().copied().collect::<Vec<_>>()) else { break };
-            let Acknowledged { attempts, attempt_in_flight, report } = known[&id];
+            let Some(id) = random.choice(acknowledged.keys().copied().collect::<Vec<_>>()) else { break };
+            let Acknowledged { attempts, attempt_in_flight, report } = acknowledged[&id];
             match random.u32(0..6) {
                 0 | 1 if report.is_none() => {
                     let start = AttemptStart { started_at: id, zone: "east".into() };
                     if journal.record_attempt(id, attempts, start).is_ok() {
-                        known.insert(
+                        acknowledged.insert(
                             id,
                             Acknowledged { attempts: attempts + 1, attempt_in_flight: true, report: None },
                         );
@@ -168,25 +170,25 @@
                 }
                 2 if attempt_in_flight => {
                     journal.record_never_ran(id, attempts - 1);
-                    known.insert(id, Acknowledged { attempts, attempt_in_flight: false, report });
+                    acknowledged.insert(id, Acknowledged { attempts, attempt_in_flight: false, report });
                 }
                 3 if report.is_none() => {
                     journal.record_end(id, ReportedEnd::Failed);
-                    known.insert(
+                    acknowledged.insert(
                         id,
                         Acknowledged { attempts, attempt_in_flight, report: Some(ReportedEnd::Failed) },
                     );
                 }
                 4 | 5 => {
                     journal.record_completed(id);
-                    known.remove(&id);
+                    acknowledged.remove(&id);
                 }
                 _ => {}
             }
         }
         after_each(journal);
     }
-    known
+    acknowledged
 }
 
 fn restored(memory: &MemoryStorage) -> AcknowledgedMessages {
@@ -199,16 +201,17 @@
     restored.messages.iter().map(|(id, message)| (*id, acknowledged(message))).collect()
 }
 
-/// What a run came to.
+/// The result of a run.
 struct FaultRun {
     acknowledged: AcknowledgedMessages,
-    /// What is there after a kill.
+    /// The messages that the journal restores when it is opened again.
     restored: AcknowledgedMessages,
-    /// Storage operations of the run.
+    /// The number of storage operations of the run.
     operations: usize,
 }
 
-/// Records a random sequence under a fault plan, then lets the storage work again, kills the process and opens the journal again.
+/// Records a random sequence while the storage fails by a plan. Then the storage works again, the journal is dropped as
+/// by a kill and opened again.
 fn run_with_faults(plan: FaultPlan, seed: u64) -> FaultRun {
     let memory = MemoryStorage::default();
     let (mut journal, _) = memory.open();
@@ -223,7 +226,7 @@
     FaultRun { acknowledged, restored: restored(&memory), operations }
 }
 
-/// Guards against what is acknowledged and then lost, and against what is rejected and then restored.
+/// Guards against the loss of an acknowledged record, and against restoring a rejected one, if an operation fails.
 #[test]
 fn what_was_acknowledged_is_restored_whichever_operation_fails_once() {
     for fault in [Fault::Clean, Fault::Torn] {
@@ -237,9 +240,9 @@
     }
 }
 
-/// The same for stretches in which nothing works.
+/// Guards against the same if several operations in a row fail.
 #[test]
-fn what_was_acknowledged_is_restored_after_stretches_of_failure() {
+fn what_was_acknowledged_is_restored_if_several_operations_in_a_row_fail() {
     for seed in 0..60 {
         let mut random = fastrand::Rng::with_seed(seed);
         let from = random.usize(0..400);
@@ -250,9 +253,9 @@
     }
 }
 
-/// Guards against a completion that is lost as it cannot be written: its message would be sent or failed once more.
+/// Guards against the loss of a completion that cannot be written at first: the message would be sent or failed once more.
 #[test]
-fn what_happens_while_the_journal_fails_is_written_once_it_works_again() {
+fn events_during_a_failure_are_written_once_the_journal_works_again() {
     let memory = MemoryStorage::default();
     let (mut journal, _) = memory.open();
     for id in 1..=3 {
@@ -269,9 +272,9 @@
     memory.0.borrow_mut().plan = None;
     assert!(
         journal.record_received(5, &message(5, 10)).is_err(),
-        "only a retry finds out that it works again"
+        "only a retry finds out that the storage works again"
     );
-    journal.retry().expect("it works again");
+    journal.retry().expect("the storage works again");
     drop(journal);
     let after_one_attempt = Acknowledged { attempts: 1, ..Acknowledged::default() };
     let failed = Acknowledged { report: Some(ReportedEnd::Failed), ..Acknowledged::default() };
--- a/tests/known_failures.rs
+++ b/tests/known_failures.rs
@@ -1,11 +1,13 @@
-//! The list of known failures: what `.ci/tests` passes over, prints and plays, with a stand-in for cargo.
+//! The list of known failures: which tests `.ci/tests` skips, prints and runs one by one. A shell script stands in for
+//! cargo.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// Answers as cargo does: `--list` names four tests, and a test run fails if it plays one whose name begins with `red`.
+/// The script in place of cargo: `--list` prints the tests, and the run of a single test fails if its name begins with
+/// `red`.
 const CARGO: &str = r#"#!/bin/sh
 echo "cargo $*" >>"$CALLS"
 case "$*" in
@@ -16,10 +18,15 @@
 esac
 "#;
 
-const RED: &str = "package file red_a; cargo test red_a, seed 7; ends 9 ms late; issue 34\n";
-const OFTEN_RED: &str = "package file red_b; cargo test red_b, seed 8; one run of six; issue 34; sometimes\n";
-const OFTEN_GREEN: &str =
+/// The entry of a test that always fails.
+const FAILING: &str = "package file red_a; cargo test red_a, seed 7; ends 9 ms late; issue 34\n";
+/// The entry of a test that fails sometimes, and fails here.
+const FLAKY_FAILING: &str =
+    "package file red_b; cargo test red_b, seed 8; one run of six; issue 34; sometimes\n";
+/// The entry of a test that fails sometimes, and passes here.
+const FLAKY_PASSING: &str =
     "package file green; cargo test green, seed 9; one run of nine; issue 34; sometimes\n";
+/// The entry of a soak run, which the script only prints.
 const SOAK: &str = "soak 41; soak-test run --seed 41; one message lost; issue 34; sometimes\n";
 
 struct Run {
@@ -29,7 +36,7 @@
     calls: String,
 }
 
-/// Runs the script on a list; the tests that it does not name pass or fail.
+/// Runs `.ci/tests` on a list of known failures. The tests that are not listed pass or fail as `others_pass` says.
 fn run(name: &str, list: &str, others_pass: bool) -> Run {
     let folder = std::env::temp_dir().join(format!("cedarbridge-known-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
@@ -56,34 +63,34 @@
 }
 
 #[test]
-fn an_empty_list_passes_over_nothing() {
-    let run_all = run("empty", "# a comment\n", true);
-    assert!(run_all.succeeded, "{}", run_all.printed);
-    assert!(!run_all.calls.contains("--skip"), "{}", run_all.calls);
+fn an_empty_list_skips_nothing() {
+    let empty = run("empty", "# a comment\n", true);
+    assert!(empty.succeeded, "{}", empty.printed);
+    assert!(!empty.calls.contains("--skip"), "{}", empty.calls);
 }
 
 #[test]
-fn listed_tests_are_passed_over_printed_and_must_fail() {
-    let four = run("four", &[RED, OFTEN_RED, OFTEN_GREEN, SOAK].concat(), true);
+fn listed_tests_are_skipped_printed_and_must_fail() {
+    let four = run("four", &[FAILING, FLAKY_FAILING, FLAKY_PASSING, SOAK].concat(), true);
     assert!(four.succeeded, "{}", four.printed);
     assert!(four.calls.contains("--exact --skip red_a --skip red_b --skip green\n"), "{}", four.calls);
-    for entry in [RED, OFTEN_RED, OFTEN_GREEN, SOAK] {
+    for entry in [FAILING, FLAKY_FAILING, FLAKY_PASSING, SOAK] {
         assert!(four.printed.contains(&format!("known to fail: {entry}")), "{}", four.printed);
     }
     assert!(four.printed.contains("passed this time: green"), "{}", four.printed);
-    assert!(!four.calls.contains("soak"), "a long soak is not played: {}", four.calls);
+    assert!(!four.calls.contains("soak"), "a soak run is not repeated: {}", four.calls);
 }
 
 #[test]
 fn a_listed_test_that_passes_fails_the_run_unless_it_fails_only_sometimes() {
-    let passes = run("passes", &OFTEN_GREEN.replace("; sometimes", ""), true);
+    let passes = run("passes", &FLAKY_PASSING.replace("; sometimes", ""), true);
     assert!(!passes.succeeded);
     assert!(passes.printed.contains("green passes: take it off"), "{}", passes.printed);
 }
 
 #[test]
 fn a_test_that_is_not_listed_fails_the_run() {
-    assert!(!run("unlisted", RED, false).succeeded);
+    assert!(!run("unlisted", FAILING, false).succeeded);
     assert!(!run("unlisted-empty", "", false).succeeded);
 }
 
@@ -91,19 +98,19 @@
 fn an_entry_that_is_incomplete_or_ambiguous_fails_the_run() {
     for (number, entry) in [
         "package file red_a; ends late; issue 34\n".to_owned(),
-        RED.replace("issue 34", "soon"),
-        RED.replace("ends 9 ms late", " "),
-        RED.replace("file red_a;", "red_a;"),
-        OFTEN_RED.replace("sometimes", "often"),
+        FAILING.replace("issue 34", "soon"),
+        FAILING.replace("ends 9 ms late", " "),
+        FAILING.replace("file red_a;", "red_a;"),
+        FLAKY_FAILING.replace("sometimes", "often"),
         SOAK.replace("soak 41", "soak late"),
-        RED.replace("red_a;", "twice;"),
-        RED.replace("red_a;", "unknown;"),
+        FAILING.replace("red_a;", "twice;"),
+        FAILING.replace("red_a;", "unknown;"),
     ]
     .iter()
     .enumerate()
     {
-        let refused = run(&format!("bad-{number}"), entry, true);
-        assert!(!refused.succeeded, "{entry}: {}", refused.printed);
-        assert!(!refused.calls.contains("--no-fail-fast"), "nothing is played: {entry}");
+        let rejected = run(&format!("bad-{number}"), entry, true);
+        assert!(!rejected.succeeded, "{entry}: {}", rejected.printed);
+        assert!(!rejected.calls.contains("--no-fail-fast"), "no test is run: {entry}");
     }
 }
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,5 +1,5 @@
-//! What a process restores from the journal after a kill, and what it does with a damaged or full one. Scenarios over
-//! sockets, in the language of `scenario/mod.rs`.
+//! Restarts after a kill: what the forwarder restores from its journal, and how it handles a damaged or a full one. The
+//! scenarios are played over sockets; `scenario/mod.rs` describes their language.
 
 mod scenario;
 
@@ -37,7 +37,7 @@
     );
 }
 
-/// Guards against unlimited attempts: those of earlier processes count.
+/// Guards against unlimited attempts of a message if the process is killed again and again.
 #[test]
 fn attempts_made_before_a_kill_count_toward_the_attempt_limit() {
     play(
@@ -121,7 +121,8 @@
     );
 }
 
-/// Guards against a 503 that is written before the withdrawal is on disk: after a kill the message was delivered.
+/// Guards against a 503 that is sent before the withdrawal is in the journal: after a kill the message would be
+/// restored and delivered.
 #[test]
 fn a_message_whose_client_half_closed_and_got_503_is_not_restored_after_a_kill() {
     play(
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,5 +1,5 @@
-//! What release 5c6b612 stored and handed over stays readable, with the same values. `tests/data/README.md` says how the
-//! data was made.
+//! Data that release 5c6b612 stored or handed over is still read with the same values. `tests/data/README.md` describes
+//! how the data was made.
 
 use cedarbridge::journal::{
     AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, RestoredJournal,
@@ -21,7 +21,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The moment at which the data was written.
+/// The clocks when the data was written.
 const WRITTEN: ClockReading =
     ClockReading { boot_id: 7, monotonic_us: 50_000_000, wall_us: 1_800_000_000_000_000 };
 
@@ -29,7 +29,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
-/// Opens a copy of a stored journal at a moment.
+/// Opens a copy of a stored journal by the given clocks.
 fn restored(name: &str, test: &str, now: ClockReading) -> RestoredJournal {
     let folder = std::env::temp_dir().join(format!("cedarbridge-stored-{test}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
@@ -43,6 +43,7 @@
     opened.1
 }
 
+/// A message of the stored journal; `shift` is added to its times, in microseconds.
 fn stored(id: &str, shift: u64, progress: Progress) -> JournaledMessage {
     JournaledMessage {
         request_id: id.into(),
@@ -60,22 +61,22 @@
     Some(AttemptStart { started_at: at, zone: zone.into() })
 }
 
-/// All messages in the journal, their times moved by so many microseconds.
+/// All messages of the stored journal; `shift` is added to their times, in microseconds.
 fn expected(shift: u64) -> Vec<(u64, JournaledMessage)> {
-    let none = Progress::default;
-    let ended = |end| Progress { report: Some(end), ..none() };
-    let plain = JournaledMessage { key: None, tenant: None, ..stored("plain", shift, none()) };
+    let no_progress = Progress::default;
+    let ended = |end| Progress { report: Some(end), ..no_progress() };
+    let plain = JournaledMessage { key: None, tenant: None, ..stored("plain", shift, no_progress()) };
     let sent = Progress {
         attempts: 1,
         attempt_in_flight: true,
         first_attempt: start(11_000_000 + shift, "east"),
-        ..none()
+        ..no_progress()
     };
     let retried = Progress {
         attempts: 2,
         earlier_attempt_may_have_run: true,
         first_attempt: start(13_000_000 + shift, "east"),
-        ..none()
+        ..no_progress()
     };
     let carried = Progress {
         attempts: 4,
@@ -85,10 +86,10 @@
         report: Some(ReportedEnd::Returned(Some(20))),
     };
     vec![
-        (1, stored("untried", shift, none())),
+        (1, stored("untried", shift, no_progress())),
         (2, plain),
         (3, stored("sent", shift, sent)),
-        (4, stored("never-ran", shift, Progress { attempts: 1, ..none() })),
+        (4, stored("never-ran", shift, Progress { attempts: 1, ..no_progress() })),
         (5, stored("retried", shift, retried)),
         (6, stored("failed", shift, ended(ReportedEnd::Failed))),
         (7, stored("returned", shift, ended(ReportedEnd::Returned(None)))),
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_stored_journal_of_the_form_before_heads_is_read_by_the_wall_clock() {
+fn a_stored_journal_without_segment_headers_is_read_by_the_wall_clock() {
     let progress = Progress { attempts: 1, attempt_in_flight: true, ..Progress::default() };
     let restored = restored("journal-headless", "headless", WRITTEN);
     assert_eq!(restored.messages, vec![(1, stored("headless", 0, progress))]);
@@ -142,8 +143,8 @@
 }
 
 #[test]
-fn the_stored_view_of_the_registry_is_read() {
-    let view = RegistrySnapshot::new(&data("")).read().expect("sound").expect("there");
+fn the_stored_registry_snapshot_is_read() {
+    let snapshot = RegistrySnapshot::new(&data("")).read().expect("sound").expect("there");
     let listing = |n: u16, state| Listing {
         key: Key { group: "PARTNER".into(), id: format!("partner-{n}") },
         address: ([127, 0, 0, 1], n).into(),
@@ -154,12 +155,12 @@
         state,
         stamp: 0,
     };
-    assert_eq!(view.written_at, 1_800_000_000_000_007);
-    assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Draining)]);
+    assert_eq!(snapshot.written_at, 1_800_000_000_000_007);
+    assert_eq!(snapshot.listings, [listing(4001, State::Up), listing(4002, State::Draining)]);
 }
 
 #[test]
-fn the_stored_owner_is_read_and_written_alike() {
+fn the_stored_owner_is_read_and_written_unchanged() {
     let owner = lock::read_owner(&data("")).expect("named");
     assert_eq!(owner.operator, ([127, 0, 0, 1], 4100).into());
     assert_eq!(owner.token, "0123456789abcdef");
@@ -171,9 +172,9 @@
     serde_json::from_slice(&fs::read(data(name)).expect("read")).expect("JSON")
 }
 
-/// Any name inside that changes without its stored name shows here.
+/// Guards against a field that is renamed without an attribute that keeps its stored name.
 #[test]
-fn the_state_of_the_decisions_is_read_and_written_alike() {
+fn the_policy_state_is_read_and_written_unchanged() {
     for name in ["policy-1.json", "policy-2.json"] {
         let stored = json(name);
         let policy: DeliveryPolicy = serde_json::from_value(stored.clone()).expect("read");
@@ -181,24 +182,24 @@
     }
 }
 
-/// The frames of a recorded hand-over, each with its body, behind the head of the HTTP message that they follow.
+/// The frames of a recorded hand-over, each with its body. They follow the head of an HTTP message.
 fn frames(name: &str) -> Vec<(Value, Vec<u8>)> {
     let bytes = fs::read(data("hand-over").join(name)).expect("read");
-    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("a head");
-    let mut rest = &bytes[end + 4..];
+    let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n").expect("a head");
+    let mut rest = &bytes[head_end + 4..];
     let mut frames = Vec::new();
-    while let Some((sizes, more)) = rest.split_first_chunk::<8>() {
-        let size = |at: usize| u32::from_le_bytes(sizes[at..at + 4].try_into().expect("four")) as usize;
-        let (head, more) = more.split_at(size(0));
-        let (body, more) = more.split_at(size(4));
-        frames.push((serde_json::from_slice(head).expect("JSON"), body.to_vec()));
-        rest = more;
+    while let Some((sizes, after_sizes)) = rest.split_first_chunk::<8>() {
+        let size = |at: usize| u32::from_le_bytes(sizes[at..at + 4].try_into().expect("four bytes")) as usize;
+        let (frame, after_frame) = after_sizes.split_at(size(0));
+        let (body, after_body) = after_frame.split_at(size(4));
+        frames.push((serde_json::from_slice(frame).expect("JSON"), body.to_vec()));
+        rest = after_body;
     }
     frames
 }
 
 #[test]
-fn the_state_that_was_handed_over_is_read_and_written_alike() {
+fn the_handed_over_state_is_read_and_written_unchanged() {
     let (frame, _) = frames("from-predecessor").remove(0);
     let state: HandOverState = serde_json::from_value(frame["State"].clone()).expect("read");
     assert_eq!((state.last_id, state.messages.len()), (3, 3));
@@ -212,14 +213,15 @@
     assert_eq!(FORMAT, 4);
 }
 
-/// Reads each frame as its type and writes it again.
+/// Decodes each frame and checks that it is encoded to the same JSON.
 fn round_trip<T: DeserializeOwned + Serialize>(frames: &[Value]) {
     for frame in frames {
-        let read: T = serde_json::from_value(frame.clone()).expect("read");
-        assert_eq!(serde_json::to_value(&read).expect("written"), *frame);
+        let decoded: T = serde_json::from_value(frame.clone()).expect("read");
+        assert_eq!(serde_json::to_value(&decoded).expect("written"), *frame);
     }
 }
 
+/// The names of the frame variants that occur.
 fn kinds(frames: &[Value]) -> BTreeSet<String> {
     let kind = |frame: &Value| match frame {
         Value::String(kind) => kind.clone(),
@@ -230,24 +232,24 @@
 }
 
 #[test]
-fn all_recorded_frames_are_read_and_written_alike() {
-    let heads = |name| frames(name).into_iter().map(|f| f.0).collect::<Vec<_>>();
-    let predecessor = heads("from-predecessor");
+fn all_recorded_frames_are_read_and_written_unchanged() {
+    let frames_without_bodies = |name| frames(name).into_iter().map(|f| f.0).collect::<Vec<_>>();
+    let predecessor = frames_without_bodies("from-predecessor");
     round_trip::<PredecessorFrame>(&predecessor);
-    let wanted = ["Granted", "Operate", "Passed", "State", "Take"].map(str::to_owned);
-    assert_eq!(kinds(&predecessor), wanted.into());
-    let successor = heads("from-successor");
+    let expected = ["Granted", "Operate", "Passed", "State", "Take"].map(str::to_owned);
+    assert_eq!(kinds(&predecessor), expected.into());
+    let successor = frames_without_bodies("from-successor");
     round_trip::<SuccessorFrame>(&successor);
-    let wanted = ["CallOff", "Operated", "Owns", "Reply"].map(str::to_owned);
-    assert_eq!(kinds(&successor), wanted.into());
+    let expected = ["CallOff", "Operated", "Owns", "Reply"].map(str::to_owned);
+    assert_eq!(kinds(&successor), expected.into());
     let bodies: Vec<_> =
         frames("from-predecessor").into_iter().map(|f| f.1).filter(|b| !b.is_empty()).collect();
     assert_eq!(bodies, [b"xxx", b"xxx"]);
 }
 
-/// Frames that the recorded hand-over does not contain, in the words of 5c6b612's types.
+/// Frames that the recorded hand-over does not contain, with the names that 5c6b612 gives them.
 #[test]
-fn frames_that_were_not_recorded_are_read_and_written_alike() {
+fn frames_that_were_not_recorded_are_read_and_written_unchanged() {
     round_trip::<PredecessorFrame>(&[
         json!({"Withdrawn": {"id": 7}}),
         json!({"Passed": {"endpoint": 3, "sent": 5, "parts": [[1, 0], [2, 1]], "ended": {
@@ -269,22 +271,22 @@
     ]);
 }
 
-/// A later frame, which is sent only to a successor that names it.
+/// This frame is newer than 5c6b612. It is sent only to a successor that lists it in a header.
 #[test]
-fn a_line_of_the_endpoint_list_is_framed_alike() {
+fn an_endpoint_list_line_frame_is_read_and_written_unchanged() {
     round_trip::<PredecessorFrame>(&[json!({"ListLine": {"received_at": 7, "address": "127.0.0.1:4001"}})]);
     assert_eq!((ACCEPTED_FRAMES_HEADER, LIST_LINE_FRAME), ("X-Accept-Frames", "list-line"));
 }
 
-/// The list with every form of an entry's name, as 5c6b612 writes it.
+/// An endpoint list with both forms of an endpoint's key, by name and by address, as 5c6b612 writes it.
 #[test]
-fn the_list_that_is_handed_over_is_read_and_written_alike() {
+fn the_handed_over_endpoint_list_is_read_and_written_unchanged() {
     let entry = json!({"key": {"group": "PARTNER", "id": "p1"}, "address": "127.0.0.1:4001", "destination": 7,
         "zone": 1, "kind": 0, "weight": 2.5, "state": "Leaving", "stamp": 3});
     let list = json!({
         "ids": [[{"Named": [0, {"group": "", "id": "e1"}]}, 1], [{"Placed": ["127.0.0.1:4001", "p1"]}, 2]],
         "last_id": 2, "views": [[], [entry]],
     });
-    let read: MembershipSnapshot = serde_json::from_value(list.clone()).expect("read");
-    assert_eq!(serde_json::to_value(&read).expect("written"), list);
+    let decoded: MembershipSnapshot = serde_json::from_value(list.clone()).expect("read");
+    assert_eq!(serde_json::to_value(&decoded).expect("written"), list);
 }
