--- a/src/bin/cedarbridge-simhost/wire/instance.rs
+++ b/src/bin/cedarbridge-simhost/wire/instance.rs
@@ -1,11 +1,11 @@
-//! One forwarder instance: its delivery policy, and the ids of its messages by the names that the simulator uses.
+//! One forwarder instance: its delivery policy, and the messages by the names that the simulator gives them.
 
 use cedarbridge::settings_json::Names;
 use cedarbridge::{Action, DeliveryPolicy, Event, MessageId, Micros};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 
-/// A forwarder instance. It assigns a message id to each name of a message on the wire.
+/// A forwarder instance. The simulator names messages by strings, the policy by numeric ids; an instance converts them.
 pub struct Instance {
     pub names: Names,
     policy: DeliveryPolicy,
@@ -14,7 +14,7 @@
     last_id: u64,
 }
 
-/// A message with its name on the wire. It is forgotten once it is complete and none of its attempts is in flight.
+/// A message with its name at the simulator. It is forgotten once it is complete and none of its attempts is in flight.
 struct NamedMessage {
     name: String,
     in_flight: u32,
--- a/src/bin/cedarbridge-simhost/wire/mod.rs
+++ b/src/bin/cedarbridge-simhost/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's protocol: a batch of events for some instances comes in, a reply with their actions goes out.
+//! The simulator's protocol: it sends batches of events for the instances and receives replies with their actions.
 
 mod error;
 mod events;
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -15,13 +15,13 @@
 pub struct ExplainArgs {
     #[command(flatten)]
     files: Files,
-    /// The number of the destination, by default one that no route names
+    /// The number of the destination; by default one that no route names
     #[arg(long, value_name = "N")]
     destination: Option<u64>,
-    /// The class, by default all of them
+    /// The class; by default all classes
     #[arg(long, value_name = "NAME")]
     class: Option<String>,
-    /// The kind, by default that of the destination if the configuration lists it, otherwise all of them
+    /// The kind; by default that of the destination if the configuration lists it, otherwise all kinds
     #[arg(long, value_name = "NAME")]
     kind: Option<String>,
 }
@@ -70,6 +70,7 @@
         self.plan.matching(destination, Some(self.kind), self.class)
     }
 
+    /// The timing of the route that applies; the default if no route matches.
     fn timing(&self) -> Timing {
         self.matching().first().map_or(Timing::default(), |route| route.timing)
     }
@@ -93,6 +94,7 @@
             .collect()
     }
 
+    /// The first line of the description: which messages the case stands for.
     fn title(&self) -> String {
         let (kinds, classes) = (&self.platform.names.kinds, &self.platform.names.classes);
         let destination = self
@@ -121,6 +123,7 @@
         reason
     }
 
+    /// The description of the case as text. `file` is the path of the site file.
     fn text(&self, file: &str) -> String {
         let (timing, mut text) = (self.timing(), self.title());
         let route = self.matching().first().map(|route| format!("`{}` ({file}:{})", route.name, route.line));
@@ -153,6 +156,7 @@
         text + "\n"
     }
 
+    /// The description of the case as JSON, its times in milliseconds.
     fn json(&self) -> Value {
         let timing = self.timing();
         let ms = |duration: Micros| duration as f64 / 1e3;
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -72,7 +72,7 @@
 /// The arguments of the commands that read a site file.
 #[derive(Args)]
 struct Files {
-    /// The platform's configuration (JSON), with whose settings the site file is checked
+    /// The platform's configuration file (JSON), against whose settings the site file is checked
     #[arg(long, value_name = "FILE", env = "ROUTER_CONFIG")]
     config: PathBuf,
     /// The site file (YAML)
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -237,8 +237,8 @@
 /// For each entry, its state at each address, by the index of the address.
 type StatesByEntry = BTreeMap<String, BTreeMap<usize, String>>;
 
-/// The change that is shown for an entry that the merged list does not have: an entry that is not up is never added,
-/// and one at the address of another entry is not.
+/// The change that is shown for an entry that is not in the merged list: either it is not up, or another entry has its
+/// address.
 fn not_added(listing: &Listing) -> MembershipChange {
     let reason = match listing.state {
         State::Up => "another stands at its address",
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -37,15 +37,15 @@
 
 #[derive(Clone, Copy, ValueEnum)]
 enum LogLevel {
-    /// Only failures that end the program
+    /// Failures that end the program
     Critical,
-    /// Also other failures
+    /// All failures
     Error,
-    /// Also unusual conditions
+    /// Failures and unusual conditions
     Warning,
-    /// Also normal events
+    /// Failures, unusual conditions and normal events
     Info,
-    /// Also details
+    /// All entries, including details
     Debug,
 }
 
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -53,7 +53,7 @@
     Unit = "unit",
     /// A duration is zero, negative or over a day.
     Time = "time",
-    /// There is no address of a registry, or one is given twice.
+    /// The address of a registry is invalid or given twice, or there is none.
     Address = "address",
     /// A lease ends before it is renewed.
     Lease = "lease",
@@ -61,15 +61,15 @@
     Pause = "pause",
     /// There are no attempts, or more than allowed.
     Attempts = "attempts",
-    /// A hedged request could be sent while the first attempt is in flight.
+    /// A hedged request could be sent while the attempt before it is in flight.
     HedgedRequest = "second-copy",
     /// More than one attempt may have run in a class that allows one.
     NonIdempotent = "side-effect",
     /// An attempt could start after the deduplication window of the first.
     DeduplicationWindow = "memory-span",
-    /// The attempts cannot end before the class's deadline, or the message would be abandoned after it.
+    /// The attempts could end after the class's deadline, or the message would be abandoned after it.
     Deadline = "deadline",
-    /// The attempts cannot end before the route itself abandons the message.
+    /// The attempts could end after the route abandons the message.
     AbandonAfter = "give-up",
     /// Two routes are equally specific, and both match some message.
     Overlap = "overlap",
--- a/src/invariants/connection.rs
+++ b/src/invariants/connection.rs
@@ -2,8 +2,7 @@
 
 use crate::Micros;
 
-/// How long before the endpoint may close an idle connection this program closes it, so that no request crosses the
-/// endpoint's close.
+/// An idle connection is closed this long before its endpoint may close it, so that no request crosses the endpoint's close.
 const IDLE_MARGIN: Micros = 250_000;
 
 /// The facts on which the reuse of an idle connection depends.
@@ -11,12 +10,12 @@
 pub struct IdleFacts {
     /// The current time.
     pub now: Micros,
-    /// The time from which on it must not be reused: see [`reusable_until`].
+    /// The time at which it stops being reusable: see [`reusable_until`].
     pub reusable_until: Micros,
     /// Whether it leads to the address that the endpoint list has for the endpoint.
     pub address_is_current: bool,
-    /// What the endpoint did on the idle connection, by its name in logs: it closed the connection, or sent bytes without a
-    /// request. `None` if it did nothing.
+    /// What the endpoint did on the idle connection, as it is named in logs: it closed the connection, or sent bytes
+    /// without a request. `None` if it did nothing.
     pub peer_activity: Option<&'static str>,
 }
 
--- a/src/invariants/ledger.rs
+++ b/src/invariants/ledger.rs
@@ -10,7 +10,7 @@
 pub struct RepeatPolicy {
     /// Whether a message may run more than once.
     pub idempotency: Idempotency,
-    /// Which endpoints share the memory by which repeats are dropped.
+    /// Which endpoints drop repeats: all of the destination, or those in the zone of the first attempt.
     pub dedup_scope: DedupScope,
     /// How long repeats are dropped, from the start of the first attempt that may have run.
     pub dedup_window: Micros,
@@ -122,7 +122,8 @@
         violation
     }
 
-    /// Records that an attempt has ended or its connection was closed. Only the attempt in flight counts.
+    /// Records that an attempt has ended or that its connection was closed. Has no effect unless the attempt is the one in
+    /// flight.
     pub fn attempt_ended(&mut self, id: MessageId, number: u32, outcome: Outcome) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if entry.message.in_flight != Some(number) {
@@ -162,7 +163,7 @@
         self.entries.remove(&id);
     }
 
-    /// The number of tracked messages. It is the number of messages that the program holds.
+    /// The number of tracked messages. Only messages that the program holds are tracked.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/src/invariants/send.rs
+++ b/src/invariants/send.rs
@@ -1,10 +1,10 @@
-//! The check whether the first byte of a call may be written now. It is made after the connection is established, because
-//! things may have changed since the policy decided on the call.
+//! The check whether the first byte of a call may be written now. It is made once the connection is established, because
+//! connecting takes time and the facts may have changed since the policy decided on the call.
 
 use crate::Micros;
 
-/// The delay between reading the clock and the write that the platform allows for, as a process may be stalled there.
-/// The grace of a draining endpoint has to include it.
+/// The longest time between reading the clock and writing the first byte that the platform allows for, because a process
+/// may be stalled in between. The grace of a draining endpoint includes this time.
 pub const WRITE_DELAY_ALLOWANCE: Micros = 150_000;
 
 /// The facts about the endpoint that is about to be called.
@@ -78,8 +78,8 @@
 #[derive(Debug)]
 pub struct SendPermit(());
 
-/// How long after an endpoint began to drain a call may still be started, so that its first byte is written within the
-/// grace. One fifth is subtracted, because the platform counts from slightly before this program learns of the drain.
+/// How long a call may still be started after this program learned that its endpoint is draining, so that the first byte
+/// is written within the grace. A fifth is subtracted, because the platform counts from slightly earlier.
 pub fn latest_start(drain_grace: Micros) -> Micros {
     drain_grace.saturating_sub(WRITE_DELAY_ALLOWANCE) * 4 / 5
 }
--- a/src/journal/compaction.rs
+++ b/src/journal/compaction.rs
@@ -36,8 +36,8 @@
             {
                 return Ok(());
             }
-            let is_stuck = self.segments.front().is_none_or(|oldest| oldest.pinned);
-            if remaining_rounds == 0 || is_stuck || self.compact_oldest().is_err() {
+            let must_keep_oldest = self.segments.front().is_none_or(|oldest| oldest.pinned);
+            if remaining_rounds == 0 || must_keep_oldest || self.compact_oldest().is_err() {
                 // Either compacting every segment once freed too little, or the oldest segment cannot be compacted. The
                 // bytes may still fit without the space for the next compaction.
                 let fits = self.disk_bytes() + additional_bytes + DISK_BLOCK_BYTES <= self.limit;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Removes the oldest segments as far as they have no live records, so that nothing has to be copied.
+    /// Removes segments from the oldest on that have no live records, so that nothing has to be copied. The newest stays.
     fn remove_unneeded_segments(&mut self) {
         let is_unneeded = |oldest: &Segment| oldest.live_records == 0 && !oldest.pinned;
         while self.segments.len() > 1 && self.segments.front().is_some_and(is_unneeded) {
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Copies the live records of the oldest segment to the newest one, then removes it.
     fn compact_oldest(&mut self) -> io::Result<()> {
         if self.segments.len() == 1 {
             // The oldest segment is also the newest one; the copies must go to a new segment.
--- a/src/journal/encoding.rs
+++ b/src/journal/encoding.rs
@@ -44,7 +44,7 @@
     hasher.finalize()
 }
 
-/// Encodes a record with its frame. `salt` is the segment's: the CRC-32 starts from it.
+/// Encodes a record with its frame. The segment's `salt` is the initial value of the CRC-32.
 pub fn encode(salt: u32, message_id: u64, record: &JournalRecord) -> Vec<u8> {
     let mut bytes = vec![0; FRAME_BYTES];
     bytes.extend_from_slice(&message_id.to_le_bytes());
@@ -87,7 +87,7 @@
     buffer.extend_from_slice(&message.destination.to_le_bytes());
     buffer.extend_from_slice(&message.deadline.to_le_bytes());
     buffer.extend_from_slice(&message.progress.attempts.to_le_bytes());
-    buffer.push(flags(message));
+    buffer.push(encode_flags(message));
     put_report(buffer, message.progress.report);
     put_bytes(buffer, message.request_id.as_bytes());
     put_bytes(buffer, message.class.as_bytes());
@@ -98,7 +98,7 @@
     put_attempt_start(buffer, message.progress.first_attempt.as_ref());
 }
 
-fn flags(message: &JournaledMessage) -> u8 {
+fn encode_flags(message: &JournaledMessage) -> u8 {
     let progress = &message.progress;
     let flags = [
         (FLAG_EARLIER_ATTEMPT_MAY_HAVE_RUN, progress.earlier_attempt_may_have_run),
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -1,8 +1,8 @@
 //! The journal stores each accepted message, its attempts and its completion in segment files of checksummed records.
 //!
 //! The oldest segment is always removed first, after its live records (those of messages that are not completed) were
-//! copied to the newest one. So the record of a message is removed before the record of its completion, never after it.
-//! The journal stays under its size limit at all times, also during compaction.
+//! copied to the newest one. So the record of a completion is never removed before the record of its message. The
+//! journal stays under its size limit at all times, also during compaction.
 //!
 //! After a failed write the journal is *failing*. Then it rejects a record that must be written before something starts
 //! (an accepted message, an attempt). A record of something that has already happened (a completion, a delivery report,
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Tries to write the queued records; if there are none and the journal is failing, a probe.
+    /// Tries to write the queued records. If there are none and the journal is failing, tries to write a probe.
     ///
     /// # Errors
     ///
--- a/src/journal/recovery.rs
+++ b/src/journal/recovery.rs
@@ -74,6 +74,7 @@
         Ok(segments)
     }
 
+    /// Adds a segment to the log and applies its records in order.
     fn replay(&mut self, number: u64, bytes: &[u8], recovery: &mut Recovery) {
         let decoded = segment::decode(bytes, &(self.read_clocks)());
         let (salt, time_shift) = (decoded.salt, decoded.time_shift);
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Truncates a segment after its last complete record and returns its size in bytes. This only avoids that the same
-    /// damage is reported at each start; if the storage cannot truncate the file, it stays as it is.
+    /// Truncates a segment after its last complete record and returns the size of the file in bytes. This only keeps the
+    /// damage from being reported again at each start, so a file that cannot be truncated stays as it is.
     fn truncate_torn_tail(&mut self, number: u64, bytes: &[u8], decoded: &DecodedSegment) -> usize {
         let records_end = decoded.end;
         let is_torn = records_end < bytes.len() && (records_end > 0 || bytes.len() <= segment::HEADER_BYTES);
@@ -125,6 +126,7 @@
         bytes.len()
     }
 
+    /// Removes the files of segments without any content, which a failed write may leave.
     fn remove_empty_segments(&mut self) {
         let storage = &mut self.storage;
         self.segments.retain(|segment| {
--- a/src/journal/segment.rs
+++ b/src/journal/segment.rs
@@ -59,7 +59,7 @@
     name.strip_suffix(".journal")?.parse().ok()
 }
 
-/// Encodes the header of a segment that is created at `created_at` and whose checksums start from `salt`.
+/// Encodes the header of a segment: its time of creation and the salt of its checksums.
 pub fn encode_header(created_at: &ClockReading, salt: u32) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend_from_slice(&created_at.boot_id.to_le_bytes());
@@ -181,8 +181,9 @@
     }
 }
 
-/// The offset of the next complete record at `from` or after it. The end of the segment if there is none, or if the search
-/// would checksum more than `search_budget` bytes, which is reduced by what was checksummed.
+/// Finds the first complete record at the offset `from` or later and returns its offset. Returns the end of the segment if
+/// there is none, or if more than `search_budget` bytes would have to be checksummed. The checksummed bytes are taken off
+/// the budget.
 fn find_next_record(salt: u32, bytes: &[u8], from: usize, search_budget: &mut usize) -> usize {
     for offset in from..bytes.len() {
         let Some(length) = claimed_content_length(&bytes[offset..]) else { continue };
--- a/src/journal/segment_log.rs
+++ b/src/journal/segment_log.rs
@@ -51,7 +51,7 @@
     pub live_records: usize,
     /// The size of the live records in bytes.
     pub live_size: u64,
-    /// Where the checksums of its records start from.
+    /// The initial value of its records' checksums.
     pub salt: u32,
     /// The shift that converts its times to the clock of this process, in microseconds.
     pub time_shift: i64,
@@ -109,12 +109,14 @@
         log
     }
 
+    /// Sets the size limit of the folder in bytes, and by it the size of new segments.
     pub fn set_limit(&mut self, limit: u64) {
         // Four blocks are left for the folder itself, in case the platform counts it as well.
         self.limit = limit.saturating_sub(4 * DISK_BLOCK_BYTES);
         self.segment_size = (limit / SEGMENTS_PER_LIMIT).max(8 * DISK_BLOCK_BYTES);
     }
 
+    /// The size of all files in the folder in bytes, each rounded up to whole disk blocks.
     pub fn disk_bytes(&self) -> u64 {
         self.other_files_size + self.segments.iter().map(|segment| size_on_disk(segment.size)).sum::<u64>()
     }
@@ -125,14 +127,17 @@
         self.live_size + record_size + LATER_RECORDS_BYTES <= available
     }
 
+    /// Whether a message is live.
     pub fn contains(&self, id: u64) -> bool {
         self.live.contains_key(&id)
     }
 
+    /// The progress of a message; `None` if it is not live.
     pub fn progress(&self, id: u64) -> Option<&Progress> {
         self.live.get(&id).map(|message| &message.progress)
     }
 
+    /// Applies a step to the progress of a live message. Does nothing for other messages.
     pub fn apply(&mut self, id: u64, step: &ProgressStep) {
         if let Some(message) = self.live.get_mut(&id) {
             message.progress.apply(step);
@@ -156,6 +161,7 @@
         self.live.insert(id, LiveMessage { location, progress, completed });
     }
 
+    /// Removes a message from the live ones, so that its record is no longer needed.
     pub fn remove_live(&mut self, id: u64) {
         let Some(LiveMessage { location, .. }) = self.live.remove(&id) else { return };
         self.live_size -= location.size + LATER_RECORDS_BYTES;
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden tests: what leaves the process is byte for byte what release 5c6b612 sent. They cover responses to clients, calls to
-//! endpoints, requests to the platform, delivery reports, responses to operators, the keys of the counters and what the
-//! commands print.
+//! Golden tests: what leaves the process is byte for byte what release 5c6b612 sent. They cover responses to clients,
+//! calls to endpoints, requests to the platform, delivery reports, responses to operators, the keys of the counters and
+//! what the commands print.
 //!
-//! `tests/data/golden/` was written by 5c6b612 itself: this file was put into a checkout of it and run with `WRITE_GOLDEN=1`.
-//! Since then only error texts in `commands.txt` were updated after they had been reworded.
+//! `tests/data/golden/` was written by 5c6b612 itself: this file was put into a checkout of it and run with
+//! `WRITE_GOLDEN=1`. Since then only error texts in `commands.txt` were updated after they had been reworded.
 
 use serde_json::{json, Value};
 use std::fs;
--- a/tests/known_failures.rs
+++ b/tests/known_failures.rs
@@ -8,7 +8,7 @@
 
 /// The script in place of cargo: `--list` prints the tests, and the run of a single test fails if its name begins with
 /// `red`.
-const CARGO: &str = r#"#!/bin/sh
+const CARGO_STAND_IN: &str = r#"#!/bin/sh
 echo "cargo $*" >>"$CALLS"
 case "$*" in
 *--list*) printf 'red_a: test\nred_b: test\ngreen: test\ntwice: test\ntwice: test\n' ;;
@@ -41,7 +41,7 @@
     let folder = std::env::temp_dir().join(format!("cedarbridge-known-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     let cargo = folder.join("cargo");
-    fs::write(&cargo, CARGO).expect("written");
+    fs::write(&cargo, CARGO_STAND_IN).expect("written");
     fs::set_permissions(&cargo, fs::Permissions::from_mode(0o755)).expect("executable");
     fs::write(folder.join("list"), list).expect("written");
     let output = Command::new(script())
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -22,10 +22,11 @@
 use std::path::{Path, PathBuf};
 
 /// The clocks when the data was written.
-const WRITTEN: ClockReading =
+const WRITTEN_AT: ClockReading =
     ClockReading { boot_id: 7, monotonic_us: 50_000_000, wall_us: 1_800_000_000_000_000 };
 
-fn data(name: &str) -> PathBuf {
+/// The path of a file or folder with stored data.
+fn data_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
@@ -35,7 +36,7 @@
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     let segment = "0000000001.journal";
-    fs::copy(data(name).join(segment), folder.join(segment)).expect("copied");
+    fs::copy(data_path(name).join(segment), folder.join(segment)).expect("copied");
     let storage = FolderStorage::open(&folder).expect("a folder");
     let opened = Journal::open(Box::new(storage), 1 << 20, move || now, 1, UnreadableSegmentPolicy::Fail)
         .expect("opens");
@@ -57,7 +58,7 @@
     }
 }
 
-fn start(at: u64, zone: &str) -> Option<AttemptStart> {
+fn attempt_start(at: u64, zone: &str) -> Option<AttemptStart> {
     Some(AttemptStart { started_at: at, zone: zone.into() })
 }
 
@@ -69,20 +70,20 @@
     let sent = Progress {
         attempts: 1,
         attempt_in_flight: true,
-        first_attempt: start(11_000_000 + shift, "east"),
+        first_attempt: attempt_start(11_000_000 + shift, "east"),
         ..no_progress()
     };
     let retried = Progress {
         attempts: 2,
         earlier_attempt_may_have_run: true,
-        first_attempt: start(13_000_000 + shift, "east"),
+        first_attempt: attempt_start(13_000_000 + shift, "east"),
         ..no_progress()
     };
     let carried = Progress {
         attempts: 4,
         earlier_attempt_may_have_run: true,
         attempt_in_flight: false,
-        first_attempt: start(9_000_000 + shift, "west"),
+        first_attempt: attempt_start(9_000_000 + shift, "west"),
         report: Some(ReportedEnd::Returned(Some(20))),
     };
     vec![
@@ -100,7 +101,7 @@
 
 #[test]
 fn a_stored_journal_is_read_with_every_record() {
-    let restored = restored("journal", "whole", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
+    let restored = restored("journal", "whole", ClockReading { monotonic_us: 60_000_000, ..WRITTEN_AT });
     assert_eq!(restored.messages, expected(0));
     assert_eq!((restored.highest_id, restored.damage), (10, vec![]));
 }
@@ -108,14 +109,14 @@
 /// After a reboot only the wall clock shows how much time has passed.
 #[test]
 fn a_stored_journal_is_read_on_another_boot_with_its_times_moved() {
-    let now = ClockReading { boot_id: 8, monotonic_us: 70_000_000, wall_us: WRITTEN.wall_us + 5_000_000 };
+    let now = ClockReading { boot_id: 8, monotonic_us: 70_000_000, wall_us: WRITTEN_AT.wall_us + 5_000_000 };
     assert_eq!(restored("journal", "boot", now).messages, expected(15_000_000));
 }
 
 #[test]
 fn a_stored_journal_with_a_flipped_bit_loses_that_message_alone() {
     let restored =
-        restored("journal-flipped", "flipped", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
+        restored("journal-flipped", "flipped", ClockReading { monotonic_us: 60_000_000, ..WRITTEN_AT });
     let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 2).collect();
     assert_eq!(restored.messages, rest);
     assert_eq!(restored.damage.len(), 1);
@@ -123,7 +124,7 @@
 
 #[test]
 fn a_stored_journal_that_is_cut_loses_its_last_record_alone() {
-    let restored = restored("journal-cut", "cut", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
+    let restored = restored("journal-cut", "cut", ClockReading { monotonic_us: 60_000_000, ..WRITTEN_AT });
     let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 10).collect();
     assert_eq!(restored.messages, rest);
     assert_eq!(restored.damage.len(), 1);
@@ -132,19 +133,19 @@
 #[test]
 fn a_stored_journal_without_segment_headers_is_read_by_the_wall_clock() {
     let progress = Progress { attempts: 1, attempt_in_flight: true, ..Progress::default() };
-    let restored = restored("journal-headless", "headless", WRITTEN);
+    let restored = restored("journal-headless", "headless", WRITTEN_AT);
     assert_eq!(restored.messages, vec![(1, stored("headless", 0, progress))]);
 }
 
 #[test]
 fn stored_cordons_are_read() {
-    let cordons = Cordons::new(&data("")).read().expect("read");
+    let cordons = Cordons::new(&data_path("")).read().expect("read");
     assert_eq!(cordons, ["e1", "payments/e2"]);
 }
 
 #[test]
 fn the_stored_registry_snapshot_is_read() {
-    let snapshot = RegistrySnapshot::new(&data("")).read().expect("sound").expect("there");
+    let snapshot = RegistrySnapshot::new(&data_path("")).read().expect("sound").expect("there");
     let listing = |n: u16, state| Listing {
         key: Key { group: "PARTNER".into(), id: format!("partner-{n}") },
         address: ([127, 0, 0, 1], n).into(),
@@ -161,15 +162,15 @@
 
 #[test]
 fn the_stored_owner_is_read_and_written_unchanged() {
-    let owner = lock::read_owner(&data("")).expect("named");
+    let owner = lock::read_owner(&data_path("")).expect("named");
     assert_eq!(owner.operator, ([127, 0, 0, 1], 4100).into());
     assert_eq!(owner.token, "0123456789abcdef");
-    let text = fs::read_to_string(data("owner")).expect("read");
+    let text = fs::read_to_string(data_path("owner")).expect("read");
     assert_eq!(serde_json::to_string(&owner).expect("JSON"), text);
 }
 
 fn json(name: &str) -> Value {
-    serde_json::from_slice(&fs::read(data(name)).expect("read")).expect("JSON")
+    serde_json::from_slice(&fs::read(data_path(name)).expect("read")).expect("JSON")
 }
 
 /// Guards against a field that is renamed without an attribute that keeps its stored name.
@@ -184,7 +185,7 @@
 
 /// The frames of a recorded hand-over, each with its body. They follow the head of an HTTP message.
 fn frames(name: &str) -> Vec<(Value, Vec<u8>)> {
-    let bytes = fs::read(data("hand-over").join(name)).expect("read");
+    let bytes = fs::read(data_path("hand-over").join(name)).expect("read");
     let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n").expect("a head");
     let mut rest = &bytes[head_end + 4..];
     let mut frames = Vec::new();
