--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -1,8 +1,8 @@
-//! What release 5c6b612 stored and handed over stays readable, with the same values. `tests/data/README.md` says how the
-//! data was made.
+//! Data that release 5c6b612 stored or handed over is still read with the same values. `tests/data/README.md` describes
+//! how the data was made.
 
 use cedarbridge::journal::{
-    AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, Restored,
+    AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, RestoredJournal,
     UnreadableSegmentPolicy,
 };
 use cedarbridge::membership::{Key, Listing, MembershipSnapshot, State};
@@ -21,21 +21,22 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// The moment at which the data was written.
-const WRITTEN: ClockReading =
+/// The clocks when the data was written.
+const WRITTEN_AT: ClockReading =
     ClockReading { boot_id: 7, monotonic_us: 50_000_000, wall_us: 1_800_000_000_000_000 };
 
-fn data(name: &str) -> PathBuf {
+/// The path of a file or folder with stored data.
+fn data_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data").join(name)
 }
 
-/// Opens a copy of a stored journal at a moment.
-fn restored(name: &str, test: &str, now: ClockReading) -> Restored {
+/// Opens a copy of a stored journal by the given clocks.
+fn restored(name: &str, test: &str, now: ClockReading) -> RestoredJournal {
     let folder = std::env::temp_dir().join(format!("cedarbridge-stored-{test}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     let segment = "0000000001.journal";
-    fs::copy(data(name).join(segment), folder.join(segment)).expect("copied");
+    fs::copy(data_path(name).join(segment), folder.join(segment)).expect("copied");
     let storage = FolderStorage::open(&folder).expect("a folder");
     let opened = Journal::open(Box::new(storage), 1 << 20, move || now, 1, UnreadableSegmentPolicy::Fail)
         .expect("opens");
@@ -43,6 +44,7 @@
     opened.1
 }
 
+/// A message of the stored journal; `shift` is added to its times, in microseconds.
 fn stored(id: &str, shift: u64, progress: Progress) -> JournaledMessage {
     JournaledMessage {
         request_id: id.into(),
@@ -56,39 +58,39 @@
     }
 }
 
-fn start(at: u64, zone: &str) -> Option<AttemptStart> {
+fn attempt_start(at: u64, zone: &str) -> Option<AttemptStart> {
     Some(AttemptStart { started_at: at, zone: zone.into() })
 }
 
-/// All messages in the journal, their times moved by so many microseconds.
+/// All messages of the stored journal; `shift` is added to their times, in microseconds.
 fn expected(shift: u64) -> Vec<(u64, JournaledMessage)> {
-    let none = Progress::default;
-    let ended = |end| Progress { report: Some(end), ..none() };
-    let plain = JournaledMessage { key: None, tenant: None, ..stored("plain", shift, none()) };
+    let no_progress = Progress::default;
+    let ended = |end| Progress { report: Some(end), ..no_progress() };
+    let plain = JournaledMessage { key: None, tenant: None, ..stored("plain", shift, no_progress()) };
     let sent = Progress {
         attempts: 1,
         attempt_in_flight: true,
-        first_attempt: start(11_000_000 + shift, "east"),
-        ..none()
+        first_attempt: attempt_start(11_000_000 + shift, "east"),
+        ..no_progress()
     };
     let retried = Progress {
         attempts: 2,
         earlier_attempt_may_have_run: true,
-        first_attempt: start(13_000_000 + shift, "east"),
-        ..none()
+        first_attempt: attempt_start(13_000_000 + shift, "east"),
+        ..no_progress()
     };
     let carried = Progress {
         attempts: 4,
         earlier_attempt_may_have_run: true,
         attempt_in_flight: false,
-        first_attempt: start(9_000_000 + shift, "west"),
+        first_attempt: attempt_start(9_000_000 + shift, "west"),
         report: Some(ReportedEnd::Returned(Some(20))),
     };
     vec![
-        (1, stored("untried", shift, none())),
+        (1, stored("untried", shift, no_progress())),
         (2, plain),
         (3, stored("sent", shift, sent)),
-        (4, stored("never-ran", shift, Progress { attempts: 1, ..none() })),
+        (4, stored("never-ran", shift, Progress { attempts: 1, ..no_progress() })),
         (5, stored("retried", shift, retried)),
         (6, stored("failed", shift, ended(ReportedEnd::Failed))),
         (7, stored("returned", shift, ended(ReportedEnd::Returned(None)))),
@@ -99,7 +101,7 @@
 
 #[test]
 fn a_stored_journal_is_read_with_every_record() {
-    let restored = restored("journal", "whole", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
+    let restored = restored("journal", "whole", ClockReading { monotonic_us: 60_000_000, ..WRITTEN_AT });
     assert_eq!(restored.messages, expected(0));
     assert_eq!((restored.highest_id, restored.damage), (10, vec![]));
 }
@@ -107,14 +109,14 @@
 /// After a reboot only the wall clock shows how much time has passed.
 #[test]
 fn a_stored_journal_is_read_on_another_boot_with_its_times_moved() {
-    let now = ClockReading { boot_id: 8, monotonic_us: 70_000_000, wall_us: WRITTEN.wall_us + 5_000_000 };
+    let now = ClockReading { boot_id: 8, monotonic_us: 70_000_000, wall_us: WRITTEN_AT.wall_us + 5_000_000 };
     assert_eq!(restored("journal", "boot", now).messages, expected(15_000_000));
 }
 
 #[test]
 fn a_stored_journal_with_a_flipped_bit_loses_that_message_alone() {
     let restored =
-        restored("journal-flipped", "flipped", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
+        restored("journal-flipped", "flipped", ClockReading { monotonic_us: 60_000_000, ..WRITTEN_AT });
     let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 2).collect();
     assert_eq!(restored.messages, rest);
     assert_eq!(restored.damage.len(), 1);
@@ -122,28 +124,28 @@
 
 #[test]
 fn a_stored_journal_that_is_cut_loses_its_last_record_alone() {
-    let restored = restored("journal-cut", "cut", ClockReading { monotonic_us: 60_000_000, ..WRITTEN });
+    let restored = restored("journal-cut", "cut", ClockReading { monotonic_us: 60_000_000, ..WRITTEN_AT });
     let rest: Vec<_> = expected(0).into_iter().filter(|m| m.0 != 10).collect();
     assert_eq!(restored.messages, rest);
     assert_eq!(restored.damage.len(), 1);
 }
 
 #[test]
-fn a_stored_journal_of_the_form_before_heads_is_read_by_the_wall_clock() {
+fn a_stored_journal_without_segment_headers_is_read_by_the_wall_clock() {
     let progress = Progress { attempts: 1, attempt_in_flight: true, ..Progress::default() };
-    let restored = restored("journal-headless", "headless", WRITTEN);
+    let restored = restored("journal-headless", "headless", WRITTEN_AT);
     assert_eq!(restored.messages, vec![(1, stored("headless", 0, progress))]);
 }
 
 #[test]
 fn stored_cordons_are_read() {
-    let cordons = Cordons::new(&data("")).read().expect("read");
+    let cordons = Cordons::new(&data_path("")).read().expect("read");
     assert_eq!(cordons, ["e1", "payments/e2"]);
 }
 
 #[test]
-fn the_stored_view_of_the_registry_is_read() {
-    let view = RegistrySnapshot::new(&data("")).read().expect("sound").expect("there");
+fn the_stored_registry_snapshot_is_read() {
+    let snapshot = RegistrySnapshot::new(&data_path("")).read().expect("sound").expect("there");
     let listing = |n: u16, state| Listing {
         key: Key { group: "PARTNER".into(), id: format!("partner-{n}") },
         address: ([127, 0, 0, 1], n).into(),
@@ -154,26 +156,26 @@
         state,
         stamp: 0,
     };
-    assert_eq!(view.written_at, 1_800_000_000_000_007);
-    assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Draining)]);
+    assert_eq!(snapshot.written_at, 1_800_000_000_000_007);
+    assert_eq!(snapshot.listings, [listing(4001, State::Up), listing(4002, State::Draining)]);
 }
 
 #[test]
-fn the_stored_owner_is_read_and_written_alike() {
-    let owner = lock::read_owner(&data("")).expect("named");
+fn the_stored_owner_is_read_and_written_unchanged() {
+    let owner = lock::read_owner(&data_path("")).expect("named");
     assert_eq!(owner.operator, ([127, 0, 0, 1], 4100).into());
     assert_eq!(owner.token, "0123456789abcdef");
-    let text = fs::read_to_string(data("owner")).expect("read");
+    let text = fs::read_to_string(data_path("owner")).expect("read");
     assert_eq!(serde_json::to_string(&owner).expect("JSON"), text);
 }
 
 fn json(name: &str) -> Value {
-    serde_json::from_slice(&fs::read(data(name)).expect("read")).expect("JSON")
+    serde_json::from_slice(&fs::read(data_path(name)).expect("read")).expect("JSON")
 }
 
-/// Any name inside that changes without its stored name shows here.
+/// Guards against a field that is renamed without an attribute that keeps its stored name.
 #[test]
-fn the_state_of_the_decisions_is_read_and_written_alike() {
+fn the_policy_state_is_read_and_written_unchanged() {
     for name in ["policy-1.json", "policy-2.json"] {
         let stored = json(name);
         let policy: DeliveryPolicy = serde_json::from_value(stored.clone()).expect("read");
@@ -181,24 +183,24 @@
     }
 }
 
-/// The frames of a recorded hand-over, each with its body, behind the head of the HTTP message that they follow.
+/// The frames of a recorded hand-over, each with its body. They follow the head of an HTTP message.
 fn frames(name: &str) -> Vec<(Value, Vec<u8>)> {
-    let bytes = fs::read(data("hand-over").join(name)).expect("read");
-    let end = bytes.windows(4).position(|w| w == b"\r\n\r\n").expect("a head");
-    let mut rest = &bytes[end + 4..];
+    let bytes = fs::read(data_path("hand-over").join(name)).expect("read");
+    let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n").expect("a head");
+    let mut rest = &bytes[head_end + 4..];
     let mut frames = Vec::new();
-    while let Some((sizes, more)) = rest.split_first_chunk::<8>() {
-        let size = |at: usize| u32::from_le_bytes(sizes[at..at + 4].try_into().expect("four")) as usize;
-        let (head, more) = more.split_at(size(0));
-        let (body, more) = more.split_at(size(4));
-        frames.push((serde_json::from_slice(head).expect("JSON"), body.to_vec()));
-        rest = more;
+    while let Some((sizes, after_sizes)) = rest.split_first_chunk::<8>() {
+        let size = |at: usize| u32::from_le_bytes(sizes[at..at + 4].try_into().expect("four bytes")) as usize;
+        let (frame, after_frame) = after_sizes.split_at(size(0));
+        let (body, after_body) = after_frame.split_at(size(4));
+        frames.push((serde_json::from_slice(frame).expect("JSON"), body.to_vec()));
+        rest = after_body;
     }
     frames
 }
 
 #[test]
-fn the_state_that_was_handed_over_is_read_and_written_alike() {
+fn the_handed_over_state_is_read_and_written_unchanged() {
     let (frame, _) = frames("from-predecessor").remove(0);
     let state: HandOverState = serde_json::from_value(frame["State"].clone()).expect("read");
     assert_eq!((state.last_id, state.messages.len()), (3, 3));
@@ -212,14 +214,15 @@
     assert_eq!(FORMAT, 4);
 }
 
-/// Reads each frame as its type and writes it again.
+/// Decodes each frame and checks that it is encoded to the same JSON.
 fn round_trip<T: DeserializeOwned + Serialize>(frames: &[Value]) {
     for frame in frames {
-        let read: T = serde_json::from_value(frame.clone()).expect("read");
-        assert_eq!(serde_json::to_value(&read).expect("written"), *frame);
+        let decoded: T = serde_json::from_value(frame.clone()).expect("read");
+        assert_eq!(serde_json::to_value(&decoded).expect("written"), *frame);
     }
 }
 
+/// The names of the frame variants that occur.
 fn kinds(frames: &[Value]) -> BTreeSet<String> {
     let kind = |frame: &Value| match frame {
         Value::String(kind) => kind.clone(),
@@ -230,24 +233,24 @@
 }
 
 #[test]
-fn all_recorded_frames_are_read_and_written_alike() {
-    let heads = |name| frames(name).into_iter().map(|f| f.0).collect::<Vec<_>>();
-    let predecessor = heads("from-predecessor");
+fn all_recorded_frames_are_read_and_written_unchanged() {
+    let frames_without_bodies = |name| frames(name).into_iter().map(|f| f.0).collect::<Vec<_>>();
+    let predecessor = frames_without_bodies("from-predecessor");
     round_trip::<PredecessorFrame>(&predecessor);
-    let wanted = ["Granted", "Operate", "Passed", "State", "Take"].map(str::to_owned);
-    assert_eq!(kinds(&predecessor), wanted.into());
-    let successor = heads("from-successor");
+    let expected = ["Granted", "Operate", "Passed", "State", "Take"].map(str::to_owned);
+    assert_eq!(kinds(&predecessor), expected.into());
+    let successor = frames_without_bodies("from-successor");
     round_trip::<SuccessorFrame>(&successor);
-    let wanted = ["CallOff", "Operated", "Owns", "Reply"].map(str::to_owned);
-    assert_eq!(kinds(&successor), wanted.into());
+    let expected = ["CallOff", "Operated", "Owns", "Reply"].map(str::to_owned);
+    assert_eq!(kinds(&successor), expected.into());
     let bodies: Vec<_> =
         frames("from-predecessor").into_iter().map(|f| f.1).filter(|b| !b.is_empty()).collect();
     assert_eq!(bodies, [b"xxx", b"xxx"]);
 }
 
-/// Frames that the recorded hand-over does not contain, in the words of 5c6b612's types.
+/// Frames that the recorded hand-over does not contain, with the names that 5c6b612 gives them.
 #[test]
-fn frames_that_were_not_recorded_are_read_and_written_alike() {
+fn frames_that_were_not_recorded_are_read_and_written_unchanged() {
     round_trip::<PredecessorFrame>(&[
         json!({"Withdrawn": {"id": 7}}),
         json!({"Passed": {"endpoint": 3, "sent": 5, "parts": [[1, 0], [2, 1]], "ended": {
@@ -269,22 +272,22 @@
     ]);
 }
 
-/// A later frame, which is sent only to a successor that names it.
+/// This frame is newer than 5c6b612. It is sent only to a successor that lists it in a header.
 #[test]
-fn a_line_of_the_endpoint_list_is_framed_alike() {
+fn an_endpoint_list_line_frame_is_read_and_written_unchanged() {
     round_trip::<PredecessorFrame>(&[json!({"ListLine": {"received_at": 7, "address": "127.0.0.1:4001"}})]);
     assert_eq!((ACCEPTED_FRAMES_HEADER, LIST_LINE_FRAME), ("X-Accept-Frames", "list-line"));
 }
 
-/// The list with every form of an entry's name, as 5c6b612 writes it.
+/// An endpoint list with both forms of an endpoint's key, by name and by address, as 5c6b612 writes it.
 #[test]
-fn the_list_that_is_handed_over_is_read_and_written_alike() {
+fn the_handed_over_endpoint_list_is_read_and_written_unchanged() {
     let entry = json!({"key": {"group": "PARTNER", "id": "p1"}, "address": "127.0.0.1:4001", "destination": 7,
         "zone": 1, "kind": 0, "weight": 2.5, "state": "Leaving", "stamp": 3});
     let list = json!({
         "ids": [[{"Named": [0, {"group": "", "id": "e1"}]}, 1], [{"Placed": ["127.0.0.1:4001", "p1"]}, 2]],
         "last_id": 2, "views": [[], [entry]],
     });
-    let read: MembershipSnapshot = serde_json::from_value(list.clone()).expect("read");
-    assert_eq!(serde_json::to_value(&read).expect("written"), list);
+    let decoded: MembershipSnapshot = serde_json::from_value(list.clone()).expect("read");
+    assert_eq!(serde_json::to_value(&decoded).expect("written"), list);
 }
