--- a/src/api.rs
+++ b/src/api.rs
@@ -1,5 +1,5 @@
-//! The interface of the delivery policy: settings, events, actions and the ids they name.
-//! Types only; every decision is in `policy`.
+//! The interface of the delivery policy: its settings, events and actions, and the ids that occur in them.
+//! This module has only types; all decisions are in `policy`.
 
 mod ids;
 mod settings;
@@ -11,14 +11,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What the endpoint list says of an endpoint; nothing about its health.
+/// The state of an endpoint in the endpoint list. It says nothing about the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
     /// In service.
     Listed,
-    /// Send nothing new.
+    /// In service, but no new call may be sent to it.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     #[serde(rename = "Gone")]
     Removed,
 }
@@ -26,180 +26,186 @@
 /// An entry of the endpoint list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint.
     pub endpoint: EndpointId,
-    /// The destination it belongs to.
+    /// The destination to which it belongs.
     pub destination: DestinationId,
-    /// Its failure domain.
+    /// The failure domain in which it runs.
     pub zone: ZoneId,
     /// The kind of its destination.
     pub kind: KindId,
-    /// In service, draining or removed.
+    /// Whether it is in service, draining or removed.
     pub lifecycle: Lifecycle,
-    /// See [`WeightSource`].
+    /// The calls per second that it takes from all forwarders; [`WeightSource`] says how exact this is. 0 if
+    /// unknown.
     pub weight: f64,
 }
 
 /// An update of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum EndpointListUpdate {
-    /// Changed entries only.
+    /// The entries that changed.
     Patch(Vec<EndpointEntry>),
-    /// The complete list; what is not in it was removed.
+    /// The complete list. An endpoint that is not in it was removed.
     Complete(Vec<EndpointEntry>),
-    /// The complete list as cached before a restart; possibly stale.
+    /// The complete list as cached before a restart. It may be outdated.
     Cached(Vec<EndpointEntry>),
-    /// A poll for the list failed or the subscription broke.
+    /// A poll for the list failed, or the subscription broke.
     WatchFailed,
 }
 
 /// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Delivered.
+    /// The endpoint accepted the message.
     Ok,
-    /// Answered with an error; it may have taken effect.
+    /// The endpoint answered with an error. The attempt may have taken effect.
     Error,
-    /// Rejected for lack of capacity, with the retry-after if any; it never ran.
+    /// The endpoint rejected the message for lack of capacity, with a retry-after in microseconds if it gave
+    /// one. The attempt had no effect.
     #[serde(rename = "Full")]
     Rejected(Option<Micros>),
-    /// No answer in time; it may have taken effect or still do so.
+    /// No answer arrived within the timeout. The attempt may have taken effect, or still take effect.
     TimedOut,
-    /// No connection was made; it never ran.
+    /// No connection could be made. The attempt had no effect.
     ConnectFailed,
-    /// The connection broke; it may have taken effect.
+    /// The connection broke. The attempt may have taken effect.
     Reset,
-    /// A reused connection broke before any answer began; it may have taken effect.
+    /// A reused connection broke before any part of an answer arrived. The attempt may have taken effect.
     #[serde(rename = "Stale")]
     StaleConnection,
-    /// Cancelled; it may have taken effect.
+    /// The attempt was cancelled. It may have taken effect.
     Cancelled,
-    /// Not sent; it never ran.
+    /// The attempt was not sent, so it had no effect.
     #[serde(rename = "Moot")]
     NotSent,
-    /// Not sent, as it could not be journaled; it never ran, and counts as no attempt.
+    /// The attempt was not sent because it could not be journaled. It had no effect and does not count as an
+    /// attempt.
     #[serde(rename = "Unsent")]
     NotJournaled,
 }
 
-/// What an answer reports of the endpoint's rate limit.
+/// The rate limit of an endpoint as an answer reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Share of the quota that is left, from 0 to 1.
+    /// The share of the quota that is left, from 0 to 1.
     #[serde(rename = "left")]
     pub remaining_share: f64,
-    /// Calls a second that the limit allows; 0 if there is none.
+    /// The calls per second that the limit allows; 0 if there is no limit.
     pub rate: f64,
 }
 
 /// A message to deliver.
 #[derive(Clone, Debug)]
 pub struct NewMessage {
-    /// Its id.
+    /// The id under which the caller refers to it.
     pub id: MessageId,
-    /// Its class.
+    /// Its class, which determines its deadline, value and idempotency.
     pub class: ClassId,
-    /// The tenant that it counts for.
+    /// The tenant to whose quota it counts; `None` if it counts to no quota.
     pub tenant: Option<TenantId>,
-    /// Its order key.
+    /// Messages of an ordered class with the same key are sent one at a time, in order.
     pub key: Option<OrderKey>,
-    /// How long it may still be delivered.
+    /// The time in which it may still be delivered.
     pub time_left: Micros,
-    /// What it is addressed to.
+    /// The destination to which it is addressed.
     pub destination: DestinationId,
     /// It was taken over from a forwarder that died and may have sent it.
     pub failed_over: bool,
-    /// When and where the first attempt was sent that may have taken effect, if that is known.
+    /// When and to which zone the first attempt was sent that may have taken effect; `None` if that is
+    /// unknown.
     pub first_attempt: Option<(Micros, ZoneId)>,
-    /// Its client marked it as a retry; see [`Settings::clients_mark_retries`].
+    /// Its client marked it as a retry. See [`Settings::clients_mark_retries`].
     pub client_retry: bool,
-    /// It was received by an earlier process, so its delivery is owed.
+    /// It was received by an earlier process of this forwarder, which acknowledged it, so it has to be
+    /// delivered.
     pub restored: bool,
-    /// Attempts made before this forwarder received it; they count against [`Settings::max_attempts`].
+    /// The number of attempts made before this forwarder received it. They count against
+    /// [`Settings::max_attempts`].
     pub attempts: u32,
 }
 
-/// What happened since the last step.
+/// An event that happened since the last step of the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointList(EndpointListUpdate),
-    /// New settings, with the same classes, tenants, zones and kinds.
+    /// New settings, which have the same classes, tenants, zones and kinds as those before.
     Settings(Box<Settings>),
     /// A message was received.
     Message(NewMessage),
-    /// An answer has begun to stream; the attempt's timeout does not apply any more.
+    /// An answer has begun to arrive, so the timeout of the attempt no longer applies.
     Started {
-        /// Which message.
+        /// The message.
         id: MessageId,
     },
     /// An attempt ended; each send has exactly one such event.
     AttemptEnded {
-        /// Which message.
+        /// The message.
         id: MessageId,
-        /// Which attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// Where it went.
+        /// The endpoint to which it was sent.
         endpoint: EndpointId,
-        /// Its outcome.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: Micros,
-        /// Nothing more is owed for the message.
+        /// The message is complete and is not to be sent again.
         ended: bool,
-        /// What the answer reports of the endpoint's rate limit.
+        /// The rate limit that the answer reports; `None` if it reports none.
         report: Option<LoadReport>,
     },
     /// A health check ended.
     HealthChecked {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Its outcome.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// How long it took.
+        /// The duration of the health check.
         elapsed: Micros,
-        /// What the answer reports of the endpoint's rate limit.
+        /// The rate limit that the answer reports; `None` if it reports none.
         report: Option<LoadReport>,
     },
-    /// An answer that rejected no message asks for a pause.
+    /// An answer that rejected no message carried a retry-after.
     RetryAfter {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How long nothing more is to be sent there.
+        /// The time in which no further call may be sent to the endpoint.
         retry_after: Micros,
     },
-    /// Whether the journal can be written: while it cannot, no attempt may begin.
+    /// The journal has become writable or unwritable. While it is unwritable, no attempt may start.
     JournalStatus {
-        /// It can be written.
+        /// Whether the journal can be written.
         writable: bool,
     },
-    /// The client withdrew a message.
+    /// The client withdrew a message, so it must not be sent again.
     Withdrawn {
-        /// Which message.
+        /// The message.
         id: MessageId,
     },
     /// A timer fired.
     Timer {
-        /// As given in [`Action::Timer`].
+        /// The token given in [`Action::Timer`].
         token: u64,
     },
 }
 
-/// The states of a circuit breaker, from healthy to worst.
+/// The state of a circuit breaker. The states are ordered from healthy to worst.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum BreakerState {
-    /// Calls go out.
+    /// Calls are sent.
     #[default]
     Closed,
-    /// One trial call at a time goes out.
+    /// Only one trial call at a time is sent.
     #[serde(rename = "Half")]
     HalfOpen,
-    /// Nothing goes out until its next trial call.
+    /// No call is sent until it is time for the next trial call.
     Open,
 }
 
 impl BreakerState {
-    /// Its name in reports.
+    /// The name of the state in reports.
     pub fn name(self) -> &'static str {
         match self {
             BreakerState::Closed => "closed",
@@ -212,31 +218,33 @@
 /// The status of a destination, for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DestinationStatus {
-    /// Which destination.
+    /// The destination.
     pub destination: DestinationId,
-    /// Its circuit breaker.
+    /// The state of its circuit breaker; where each endpoint has its own breaker, the worst of these states.
     pub breaker: BreakerState,
-    /// Messages that wait to be sent to it.
+    /// The number of messages that wait to be sent to it.
     pub waiting: usize,
-    /// Calls in flight.
+    /// The number of calls in flight to it.
     pub in_flight: usize,
-    /// What is left of a retry-after, or of the backoff after a rejection without one.
+    /// The remaining time of a retry-after, or of the backoff after a rejection without one; 0 if there is
+    /// none.
     pub retry_after: Micros,
-    /// It is in slow start.
+    /// Whether it is in slow start.
     pub warming_up: bool,
-    /// The average latency of its answers, in microseconds.
+    /// The average latency of its answers in microseconds; `None` before the first answer.
     pub latency: Option<f64>,
-    /// Its reported rate limit: the last remaining share and the average rate.
+    /// Its reported rate limit, with the last remaining share and the average rate; `None` before the first
+    /// report.
     pub limit: Option<LoadReport>,
 }
 
-/// Why a message is abandoned.
+/// The reason why a message is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AbandonReason {
-    /// Its deadline has passed, or the time in which it may be retried.
+    /// Its deadline, or the time in which it may be retried, has passed.
     #[serde(rename = "TimeUp")]
     DeadlineExceeded,
-    /// Its destination takes no calls before that.
+    /// Its destination accepts no call before that time.
     #[serde(rename = "Blocked")]
     DestinationUnavailable,
     /// It has had all its attempts.
@@ -248,7 +256,7 @@
 }
 
 impl AbandonReason {
-    /// Its name in log lines.
+    /// The name of the reason in log lines.
     pub fn name(self) -> &'static str {
         match self {
             AbandonReason::DeadlineExceeded => "time-up",
@@ -259,71 +267,73 @@
     }
 }
 
-/// What the caller is to do, in order.
+/// What the caller has to do. Actions are executed in order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Send a message to an endpoint.
     Send {
-        /// Which message.
+        /// The message.
         id: MessageId,
-        /// Where to.
+        /// The endpoint to which it is sent.
         endpoint: EndpointId,
-        /// The call that carries it: the sends of one number, all of one step, travel together.
+        /// The number of the call that carries it. All sends with the same number are in the actions of one
+        /// step, and are sent in one request.
         call: u64,
         /// When this attempt times out.
         #[serde(rename = "cut_at")]
         timeout_at: Micros,
-        /// Its first byte must not be written later: it could take effect twice, or would be too late.
+        /// The latest time for writing its first byte. After that it could take effect twice, or arrive too
+        /// late.
         send_by: Micros,
-        /// The timeout is the message's end: it will not be sent again.
+        /// This is the last attempt of the message, as the timeout is the time at which the message expires.
         #[serde(rename = "last")]
         final_attempt: bool,
     },
     /// Reject a message; the client may safely retry.
     #[serde(rename = "Refuse")]
     Reject {
-        /// Which message.
+        /// The message.
         id: MessageId,
-        /// When the client should retry.
+        /// The time after which the client should retry; `None` if it gets no such advice.
         retry_after: Option<Micros>,
-        /// Why.
+        /// The reason.
         reason: AbandonReason,
     },
-    /// Fail a message; it may or may not have taken effect.
+    /// Report a message as failed. It may or may not have taken effect.
     Fail {
-        /// Which message.
+        /// The message.
         id: MessageId,
-        /// Why.
+        /// The reason.
         reason: AbandonReason,
     },
-    /// Cancel an attempt; its [`Event::AttemptEnded`] follows.
+    /// Cancel an attempt. Its [`Event::AttemptEnded`] follows.
     Cancel {
-        /// Which message.
+        /// The message.
         id: MessageId,
-        /// Which attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// Ask for [`Event::Timer`].
+    /// Start a timer that ends with [`Event::Timer`].
     Timer {
-        /// Time until it fires.
+        /// The time until the timer fires.
         delay: Micros,
-        /// Returned with the event.
+        /// A token that the event returns.
         token: u64,
     },
     /// Send a health check to an endpoint.
     #[serde(rename = "Probe")]
     HealthCheck {
-        /// Where to.
+        /// The endpoint to which the health check is sent.
         endpoint: EndpointId,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// Which endpoint.
+        /// The endpoint.
         endpoint: EndpointId,
     },
     /// Subscribe to the endpoint list.
     #[serde(rename = "Watch")]
     Subscribe,
-    /// A line for the on-call log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,4 +1,5 @@
-//! Times, and the ids by which the delivery policy and its caller name things.
+//! The time type, and the ids by which the delivery policy and its caller refer to messages, endpoints and
+//! other things.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,11 +13,11 @@
         pub struct $name(pub $inner);
     };
 }
-id!(/** A message, numbered by the caller; never used twice by one forwarder. */ MessageId(u64));
-id!(/** An address that takes calls. */ EndpointId(u32));
-id!(/** What a message is addressed to; it has one or several endpoints. */ DestinationId(u64));
-id!(/** Messages of an ordered class with the same key are delivered in order. */ OrderKey(u64));
-id!(/** Index into [`super::Settings::classes`]. */ ClassId(usize));
-id!(/** Index into [`super::Settings::tenants`]. */ TenantId(usize));
-id!(/** Index into [`super::Settings::zone_costs`]; a failure domain. */ ZoneId(usize));
-id!(/** Index into [`super::Settings::kinds`]. */ KindId(usize));
+id!(/** The id of a message, assigned by the caller. A forwarder never uses an id twice. */ MessageId(u64));
+id!(/** The id of an endpoint, an address to which calls are sent. */ EndpointId(u32));
+id!(/** The id of a destination, to which messages are addressed. It has one or more endpoints. */ DestinationId(u64));
+id!(/** An order key. Messages of an ordered class with the same key are delivered in order. */ OrderKey(u64));
+id!(/** The index of a class in [`super::Settings::classes`]. */ ClassId(usize));
+id!(/** The index of a tenant in [`super::Settings::tenants`]. */ TenantId(usize));
+id!(/** The index of a zone, a failure domain, in [`super::Settings::zone_costs`]. */ ZoneId(usize));
+id!(/** The index of a kind of destination in [`super::Settings::kinds`]. */ KindId(usize));
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,189 +1,196 @@
-//! The settings that the delivery policy decides by.
+//! The settings of the delivery policy.
 
 use super::ids::{Micros, ZoneId};
 use crate::routes::Plan;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// What a repeat of a message may do at its destination.
+/// The effect of sending a message to its destination a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Idempotency {
-    /// May be repeated at will.
+    /// The message may be sent any number of times.
     #[serde(rename = "Safe")]
     Idempotent,
-    /// The destination drops repeats of an idempotency key within a deduplication window.
+    /// The message has an idempotency key, and the destination drops a repeat of a key within a deduplication
+    /// window.
     #[serde(rename = "Keyed")]
     WithKey,
-    /// Must never take effect twice.
+    /// The message must not be sent again once it may have taken effect.
     #[serde(rename = "Unsafe")]
     NonIdempotent,
 }
 
-/// Which endpoints of a destination drop repeats of an idempotency key.
+/// The endpoints of a destination that drop repeats of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DedupScope {
-    /// All of the destination's endpoints.
+    /// All endpoints of the destination.
     All,
-    /// Only those in the zone of the first attempt.
+    /// Only the endpoints in the zone of the first attempt.
     Zone,
 }
 
-/// How the value of a message decays after its latency objective.
+/// How the value of a message decreases after its latency objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Decay {
-    /// Evenly, down to the weight at the deadline.
+    /// Linearly, down to the weight at the deadline.
     #[default]
     Linear,
-    /// By half with each further latency objective, not below the weight at the deadline.
+    /// By half with each further latency objective, but not below the weight at the deadline.
     Halving,
 }
 
 /// A class of messages.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Class {
-    /// What a repeat may do.
+    /// Whether and how a message of this class may be sent again.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// Where repeats of an idempotency key are dropped.
+    /// The endpoints that drop repeats of an idempotency key.
     pub dedup_scope: DedupScope,
-    /// For how long repeats are dropped, from the send of the first attempt that may have taken effect.
+    /// The time in which repeats are dropped, in microseconds from the send of the first attempt that may
+    /// have taken effect.
     #[serde(rename = "memory_span")]
     pub deduplication_window: Micros,
-    /// Delivered within this time, a message has its full value.
+    /// A message that is delivered within this time of its receipt, in microseconds, has its full value.
     #[serde(rename = "aim")]
     pub latency_objective: Micros,
-    /// How long a message may be delivered, from when it was first received.
+    /// The time in which a message may be delivered, in microseconds from its first receipt.
     pub deadline: Micros,
-    /// Value of a message that is delivered in time.
+    /// The value of a message that is delivered within the latency objective.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Share of that value which is left at the deadline.
+    /// The share of that value, from 0 to 1, that is left at the deadline.
     #[serde(rename = "late_worth")]
     pub weight_at_deadline: f64,
-    /// Messages with the same order key go in order, one at a time.
+    /// Whether messages with the same order key are sent one at a time, in order.
     pub ordered: bool,
 }
 
 /// A customer whose traffic has an agreed quota.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Messages a second, over all forwarders, that are within the quota.
+    /// The quota in messages per second, over all forwarders.
     pub quota_per_s: f64,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Kind {
-    /// Each endpoint has its own circuit breaker and limit, and not the destination.
+    /// Whether each endpoint has its own circuit breaker and rate limit, instead of the destination.
     #[serde(rename = "apart")]
     pub per_endpoint_breaker: bool,
-    /// Messages that one call may carry.
+    /// The number of messages that one call may carry.
     #[serde(rename = "per_call")]
     pub messages_per_call: usize,
 }
 
-/// What the weight of a list entry says.
+/// The meaning of an endpoint's weight in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WeightSource {
-    /// Nothing.
+    /// The weight has no meaning.
     #[default]
     Off,
-    /// Calls a second that the destination (or an endpoint with its own limit) takes from all forwarders.
+    /// The weight is the number of calls per second that the destination (or an endpoint with its own limit)
+    /// takes from all forwarders.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The weight means the same as in [`WeightSource::Nominal`], but may be up to half too high or too low.
     Rough,
 }
 
-/// The settings of a forwarder. The default is empty, and is an error.
+/// The settings of a forwarder. The default value is not valid, as it has no classes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Settings {
-    /// Forwarders that share the traffic, this one included.
+    /// The number of forwarders that share the traffic, including this one.
     pub forwarders: usize,
-    /// This forwarder's index among them, from 0; without one its time slots are random.
+    /// This forwarder's index among them, from 0. Without an index, its time slots are random.
     #[serde(rename = "number")]
     pub forwarder_index: Option<u64>,
-    /// What the wall clock, which all forwarders read, showed when this one's own clock showed 0.
+    /// The wall-clock time, in microseconds, at which this forwarder's own clock showed 0. All forwarders
+    /// share the wall clock.
     #[serde(rename = "ahead")]
     pub wall_clock_offset: Micros,
-    /// Where this forwarder runs.
+    /// The zone in which this forwarder runs.
     pub zone: ZoneId,
-    /// For each zone: cost if every message went to an endpoint there that has its own limit.
+    /// The cost of each zone, indexed by [`ZoneId`]: what it would cost if every message went to an endpoint
+    /// there that has its own limit.
     #[serde(rename = "tolls")]
     pub zone_costs: Vec<f64>,
-    /// Cost if every attempt crossed zones once.
+    /// What it would cost if every attempt crossed zones once.
     #[serde(rename = "cross_zone_fee")]
     pub cross_zone_cost: f64,
-    /// Cost if every message needed a new connection.
+    /// What it would cost if every message needed a new connection.
     #[serde(rename = "handshake_fee")]
     pub connection_cost: f64,
-    /// The classes.
+    /// The classes of messages, indexed by [`super::ClassId`].
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants, indexed by [`super::TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Share of its priority weight that a message beyond its tenant's quota keeps.
+    /// The share of its priority weight that a message beyond its tenant's quota keeps.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
-    /// The kinds of destination.
+    /// The kinds of destination, indexed by [`super::KindId`].
     pub kinds: Vec<Kind>,
-    /// How the value of a message decays after its latency objective.
+    /// How the value of a message decreases after its latency objective.
     pub decay: Decay,
-    /// What the weights of list entries say.
+    /// The meaning of the weights in the endpoint list.
     pub weights: WeightSource,
-    /// Calls in flight at once.
+    /// The number of calls that may be in flight at once.
     #[serde(rename = "slots")]
     pub max_concurrent_calls: usize,
-    /// Messages that are not complete, in flight or not.
+    /// The number of messages that may be held at once without being complete, in flight or not.
     #[serde(rename = "max_open")]
     pub max_open_messages: usize,
-    /// Attempts for one message.
+    /// The number of attempts that a message may have, including the first.
     pub max_attempts: u32,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     #[serde(rename = "cancel")]
     pub may_cancel: bool,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     #[serde(rename = "marks_retry")]
     pub clients_mark_retries: bool,
-    /// Health checks are allowed.
+    /// Whether health checks may be sent.
     #[serde(rename = "probing")]
     pub may_health_check: bool,
-    /// Rejections may carry a retry-after.
+    /// Whether rejections of messages may carry a retry-after.
     #[serde(rename = "retry_after")]
     pub may_send_retry_after: bool,
-    /// The platform allows two attempts of a message in flight at once (hedged requests). Not used.
+    /// Whether the platform allows two attempts of a message in flight at once (hedged requests). Not used.
     #[serde(rename = "second_copies")]
     pub may_hedge: bool,
-    /// The longest retry-after that clients follow.
+    /// The longest retry-after that clients obey, in microseconds.
     pub max_retry_after: Micros,
-    /// The endpoint list must be polled or subscribed to.
+    /// Whether the endpoint list must be polled or subscribed to. If not, the platform pushes it.
     #[serde(rename = "ask_for_list")]
     pub poll_endpoint_list: bool,
-    /// Without a subscription, the longest time between two polls for the list.
+    /// The longest time between two polls for the endpoint list without a subscription, in microseconds.
     #[serde(rename = "must_ask_in")]
     pub max_poll_interval: Micros,
-    /// The shortest time between two steps.
+    /// The shortest time between two steps of the policy, in microseconds.
     #[serde(rename = "granularity")]
     pub min_step_interval: Micros,
-    /// A destination in slow start that gets more than this multiple of its present capacity ...
+    /// A destination in slow start fails again if it gets more than this multiple of its present capacity for
+    /// [`Settings::overload_window`].
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long fails again.
+    /// The time, in microseconds, for which a destination in slow start tolerates an overload.
     #[serde(rename = "fall")]
     pub overload_window: Micros,
-    /// How long a returning destination takes to reach its full capacity.
+    /// The time in which a recovering destination reaches its full capacity, in microseconds.
     #[serde(rename = "cold")]
     pub slow_start: Micros,
-    /// Share of its capacity that a returning destination has at first.
+    /// The share of its capacity that a recovering destination has at first, above 0 and up to 1.
     #[serde(rename = "cold_from")]
     pub slow_start_floor: f64,
-    /// How long an order key pauses after an attempt that may still be running.
+    /// The time for which an order key pauses after an attempt that may still be running, in microseconds.
     #[serde(rename = "key_rest")]
     pub order_key_pause: Micros,
-    /// Timeouts and attempts by route, from the routes file; without one the policy's own apply.
+    /// The timeouts and attempts of each route, from the routes file. `None` leaves them to the policy's own
+    /// rules.
     #[serde(skip)]
     pub routes: Option<Arc<Plan>>,
 }
 
-/// Settings that make no sense.
+/// A setting that is missing, inconsistent or out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("bad settings: {0}")]
 pub struct SettingsError(pub String);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control of a destination or an endpoint: whether a call may go out now, by circuit breaker, pace
-//! and slow start, and what the outcomes of calls change in them.
+//! Admission control of a destination or an endpoint: decides by circuit breaker, pacing and slow start
+//! whether a call may be sent now, and updates all three from the outcomes of calls.
 
 use super::circuit_breaker::{Admission, CircuitBreaker};
 use super::constants::*;
@@ -8,7 +8,7 @@
 use crate::time_slots::SlotSchedule;
 use serde::{Deserialize, Serialize};
 
-/// A finished call, as the records see it that it counts for.
+/// The facts about a finished call that update the records of its endpoint and destination.
 #[derive(Clone, Copy)]
 pub(super) struct FinishedCall {
     pub(super) sent_at: Micros,
@@ -17,14 +17,14 @@
     pub(super) outcome: Outcome,
 }
 
-/// The slow start of a destination or an endpoint.
+/// The slow-start state of a destination or an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct SlowStart {
-    /// Seconds between two calls of this forwarder at which all forwarders' calls fit the capacity that a
-    /// returning destination has.
+    /// The interval between two calls of this forwarder, in seconds, at which the calls of all forwarders
+    /// together just fit the full capacity of the recovering destination.
     #[serde(rename = "spread")]
     pub(super) return_interval_s: f64,
-    /// When it returned; none once it is warm.
+    /// When the destination recovered; `None` when it is not in slow start.
     #[serde(rename = "cold_since")]
     pub(super) warming_since: Option<Micros>,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// What is kept for a destination or an endpoint.
+/// The circuit breaker, pacer, slow start and latency of a destination or an endpoint.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct AdmissionControl {
     #[serde(flatten)]
@@ -44,7 +44,7 @@
     pub(super) pacer: Pacer,
     #[serde(flatten)]
     pub(super) slow_start: SlowStart,
-    /// Average latency of its answers in microseconds; none before the first.
+    /// Average latency of its responses in microseconds; `None` before the first response.
     #[serde(rename = "latency")]
     pub(super) mean_latency_us: Option<f64>,
 }
@@ -55,7 +55,7 @@
         AdmissionControl { circuit, pacer, ..AdmissionControl::default() }
     }
 
-    /// Asks the circuit breaker, and keeps to a retry-after or backoff in any of its states.
+    /// Checks the circuit breaker. A retry-after or backoff forbids calls in any state of the breaker.
     pub(super) fn check_circuit(&mut self, now: Micros) -> Admission {
         if now < self.pacer.paused_until {
             return Admission::NotBefore(self.pacer.paused_until);
@@ -63,7 +63,7 @@
         self.circuit.check(now)
     }
 
-    /// Asks the circuit breaker and, but for the first trial call after an outage, the pacer.
+    /// Checks the circuit breaker and the pacer. The first trial call after an outage is not paced.
     pub(super) fn check(&mut self, now: Micros, settings: &Settings) -> Admission {
         let admission = self.check_circuit(now);
         let paced = match admission {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Takes a finished call into account. Its latency is averaged from the given one if it is the first.
+    /// Updates the records from a finished call. `default_latency_us` is the mean latency assumed before the
+    /// first sample.
     pub(super) fn record(
         &mut self,
         now: Micros,
@@ -93,14 +94,16 @@
         if call.outcome == Outcome::Ok {
             self.circuit.last_success_sent_at = self.circuit.last_success_sent_at.max(call.sent_at);
         }
-        // A later call was answered: the connection is dead or the work long, but the endpoint is not down.
+        // The endpoint answered a call that was sent later, so it is not down: the connection of this call is
+        // dead or its processing takes long.
         let isolated = matches!(call.outcome, Outcome::TimedOut | Outcome::Cancelled)
             && call.sent_at < self.circuit.last_success_sent_at;
         match call.outcome {
             _ if isolated => {}
             Outcome::Ok => self.record_success(now, settings),
             Outcome::Rejected(_) => self.record_rejection(now, call, settings, slot),
-            // A stale connection says nothing of the destination; the next call does.
+            // A stale connection is no evidence of an outage; the next call shows the state of the
+            // destination.
             Outcome::NotSent | Outcome::NotJournaled | Outcome::StaleConnection => {}
             _ => self.record_failure(now, call, settings, slot),
         }
@@ -123,9 +126,10 @@
         let failing_since = self.circuit.count_failure(now);
         let closed = self.circuit.state == BreakerState::Closed;
         let trips = closed && self.circuit.has_reached_threshold(call.outcome == Outcome::Reset);
-        // In a large fleet second calls are as many as first ones, and a returning destination gets them all
-        // at once: a forwarder that seldom calls waits for a slot first. This
-        // also helps against short congestion; a single lost call costs such a forwarder that wait.
+        // In a large fleet there are as many second calls as first ones, and a recovering destination would
+        // get them all at once. A forwarder that seldom calls therefore waits for its time slot before the
+        // second call. This also helps against short congestion; the price is that such a forwarder waits
+        // after a single lost call.
         let calls_seldom = || self.own_rate(now, settings) * (OPEN_TIMEOUT as f64) < SECOND as f64;
         if closed && !trips && calls_seldom() {
             let period = self.update_return_interval(now, OPEN_TIMEOUT, settings);
@@ -140,8 +144,8 @@
         }
     }
 
-    /// A rejection for lack of capacity. It is a failure only if nothing else was answered for
-    /// [`OPEN_TIMEOUT`].
+    /// Records a rejection for lack of capacity. It counts as a failure only if it rejects a trial call, or
+    /// if no call succeeded for [`OPEN_TIMEOUT`] since the first failure or rejection.
     fn record_rejection(
         &mut self,
         now: Micros,
@@ -150,7 +154,7 @@
         slot: SlotSchedule,
     ) {
         let failing_since = *self.circuit.failing_since.get_or_insert(now);
-        // Rejections of calls that were in flight together count once.
+        // Calls that were already in flight at the last rejection do not lower the rate again.
         if call.sent_at >= self.pacer.last_rejected_at {
             self.back_off(now, failing_since, call.outcome, settings, slot);
         }
@@ -159,8 +163,9 @@
         }
     }
 
-    /// Lowers the rate and pauses. A large fleet would call again all at once: each forwarder waits for its
-    /// slot in the time in which all may call once, and longer if it is rejected again.
+    /// Lowers the rate and pauses after a rejection. The forwarders of a large fleet would otherwise all call
+    /// again at the same time, so each waits for its time slot in a period in which every forwarder may call
+    /// once. The period is longer if the rejections continue.
     fn back_off(
         &mut self,
         now: Micros,
@@ -184,7 +189,8 @@
         let takes_slots = stands_for > 1.0 && 2.0 * even_interval > pause as f64;
         let wait = if takes_slots { slot.delay_to_slot(period) } else { pause };
         self.pacer.paused_until = self.pacer.paused_until.max(now) + wait;
-        // Tokens that build up in a pause would all be spent at its end, and the calls rejected again.
+        // Tokens accumulated during a pause would all be spent at its end, and those calls would be rejected
+        // again.
         if !self.circuit.in_outage {
             self.pacer.bucket.limit_to(1.0, self.pacer.paused_until);
         }
--- a/src/policy/call_rate.rs
+++ b/src/policy/call_rate.rs
@@ -1,5 +1,5 @@
-//! The rate at which this forwarder may call a destination or an endpoint, and when its pace allows the next
-//! call.
+//! The rate at which this forwarder may call a destination or an endpoint, and the time at which the pacer
+//! allows the next call.
 
 use super::admission::AdmissionControl;
 use super::circuit_breaker::Admission;
@@ -7,16 +7,16 @@
 use crate::api::*;
 
 impl AdmissionControl {
-    /// Calls a second that count as this forwarder's own: the rate it delivered while the destination was
-    /// healthy, which the destination can take however traffic is spread over forwarders, or its even share
-    /// if that is more.
+    /// The calls per second that this forwarder is entitled to. This is the rate that it delivered while the
+    /// destination was healthy, which the destination can sustain whatever the distribution of traffic among
+    /// forwarders, or its even share of the fleet's rate if that is higher.
     pub(super) fn own_rate(&self, now: Micros, settings: &Settings) -> f64 {
         let delivered = self.pacer.delivered.per_second(self.circuit.healthy_for(now), OPEN_TIMEOUT);
         let fleet_rate = self.pacer.fleet_rate(settings);
         fleet_rate.map_or(delivered, |rate| delivered.max(rate / settings.forwarders as f64))
     }
 
-    /// Calls a second that this forwarder may send.
+    /// The calls per second that this forwarder may send now.
     pub(super) fn rate(&mut self, now: Micros, settings: &Settings) -> f64 {
         if let Some(rate) = self.slow_start_rate(now, settings) {
             return rate;
@@ -29,16 +29,17 @@
         let demand = &pacer.demand;
         let demanded = demand.count.min(1.0) * demand.per_second(now - demand.updated_at, OPEN_TIMEOUT);
         let wanted = (self.own_rate(now, settings).max(demanded) * overcommit).max(min_rate);
-        // Rejections take away what a forwarder had beyond its even share: that share is its own.
+        // Rejections lower only the part of the rate that exceeds the forwarder's even share of the fleet's
+        // rate.
         (wanted * pacer.rate_factor).max(pacer.even_rate(settings) * SLOW_START_UTILIZATION)
     }
 
-    /// Refills the token bucket and says when it holds a token.
+    /// Refills the token bucket and checks whether it holds a token for a call.
     pub(super) fn check_pace(&mut self, now: Micros, settings: &Settings) -> Admission {
         let tokens_per_us = self.rate(now, settings) / SECOND as f64;
         let bucket = &mut self.pacer.bucket;
         bucket.refill(now, tokens_per_us);
-        // A token that is short by a rounding error of the refill counts.
+        // A token that is incomplete only by a rounding error of the refill counts as complete.
         if bucket.tokens >= 1.0 - 1e-6 {
             return Admission::Admitted;
         }
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -1,17 +1,18 @@
-//! The circuit breaker: closed while calls succeed, open in an outage, half-open while a trial call decides.
+//! The circuit breaker: closed while calls succeed, open in an outage, half-open while the outcome of a trial
+//! call is awaited.
 
 use super::constants::*;
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 
-/// Whether a call may go out.
+/// Whether a call may be sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// It may.
+    /// A call may be sent.
     Admitted,
-    /// One may, as the trial call of a half-open breaker.
+    /// One call may be sent, as the trial call of a half-open breaker.
     Trial,
-    /// None may before this time.
+    /// No call may be sent before this time.
     NotBefore(Micros),
 }
 
@@ -20,26 +21,28 @@
 pub(super) struct CircuitBreaker {
     #[serde(rename = "status")]
     pub(super) state: BreakerState,
-    /// Consecutive failures.
+    /// The number of consecutive failures.
     pub(super) failure_count: u32,
     /// When an open breaker becomes half-open.
     #[serde(rename = "next_attempt")]
     pub(super) next_trial_at: Micros,
-    /// The one trial call of a half-open breaker is in flight.
+    /// The trial call of a half-open breaker is in flight; there is only one at a time.
     #[serde(rename = "trial")]
     pub(super) trial_in_flight: bool,
     #[serde(rename = "last_ok")]
     last_success_at: Micros,
-    /// When the latest call was sent that succeeded: a call sent before it isn't stuck on a dead endpoint.
+    /// The latest send time of a call that succeeded. A call that was sent earlier and is still unanswered is
+    /// stuck for another reason than a dead endpoint.
     #[serde(rename = "ok_sent")]
     pub(super) last_success_sent_at: Micros,
-    /// Failures were seen that may be an outage, and no success since.
+    /// An outage is assumed: calls failed, and none has succeeded since.
     #[serde(rename = "outage")]
     pub(super) in_outage: bool,
-    /// From the last opening, or the last pause for a failure, to the next trial.
+    /// The time from the last opening of the breaker, or from the last pause after a failure, to the next
+    /// trial call.
     #[serde(rename = "gap")]
     pub(super) open_duration: Micros,
-    /// The first failure or rejection since the last success.
+    /// The time of the first failure or rejection since the last success; `None` if there was none.
     #[serde(rename = "trouble_since")]
     pub(super) failing_since: Option<Micros>,
 }
@@ -49,7 +52,8 @@
         CircuitBreaker { last_success_at: now, ..CircuitBreaker::default() }
     }
 
-    /// Whether a call may go out; an open breaker becomes half-open when it is time.
+    /// Checks whether a call may be sent. An open breaker becomes half-open once its open duration has
+    /// passed.
     pub(super) fn check(&mut self, now: Micros) -> Admission {
         if self.state == BreakerState::Open && now >= self.next_trial_at {
             self.state = BreakerState::HalfOpen;
@@ -63,12 +67,13 @@
         }
     }
 
-    /// It failed or is in an outage, and is not yet known to be healthy again.
+    /// The last call failed or an outage is assumed, and no call has succeeded since.
     pub(super) fn is_suspect(&self) -> bool {
         self.failure_count > 0 || self.in_outage
     }
 
-    /// How long it has been healthy since the last success: up to now, or to the first failure after it.
+    /// How long the destination was healthy since the last success: up to now, or up to the first failure
+    /// after it.
     pub(super) fn healthy_for(&self, now: Micros) -> Micros {
         self.failing_since.unwrap_or(now).saturating_sub(self.last_success_at)
     }
@@ -85,18 +90,19 @@
         }
     }
 
-    /// Counts a failure and returns when the failures began.
+    /// Counts a failure and returns the time of the first failure since the last success.
     pub(super) fn count_failure(&mut self, now: Micros) -> Micros {
         self.failure_count += 1;
         *self.failing_since.get_or_insert(now)
     }
 
-    /// Enough failures to open; a connection reset needs one more.
+    /// Whether there were enough failures to open the breaker. One more is needed if the last one was a
+    /// connection reset.
     pub(super) fn has_reached_threshold(&self, connection_reset: bool) -> bool {
         self.failure_count >= FAILURE_THRESHOLD + u32::from(connection_reset)
     }
 
-    /// Assumes an outage after a failure, without opening; calls pause for this long.
+    /// Assumes an outage after a failure without opening the breaker. `pause` is the time to the next call.
     pub(super) fn suspend(&mut self, pause: Micros) {
         self.in_outage = true;
         self.open_duration = pause;
@@ -109,7 +115,7 @@
         self.next_trial_at = now + duration;
     }
 
-    /// Until when an open breaker keeps calls back; 0 in other states.
+    /// When an open breaker allows the next call; 0 in the other states.
     pub(super) fn blocked_until(&self) -> Micros {
         if self.state == BreakerState::Open {
             self.next_trial_at
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -1,5 +1,5 @@
-//! Which idle connections are closed: those that may have died unnoticed, and those that keep others from
-//! connecting.
+//! Decides which idle connections are closed: those that are probably dead without a notification, and those
+//! that prevent other forwarders from connecting.
 
 use super::constants::*;
 use super::may_still_run;
@@ -8,7 +8,7 @@
 use crate::api::*;
 use serde::{Deserialize, Serialize};
 
-/// Share of the calls that got no answer, by connection.
+/// Moving averages of the share of unanswered calls, on new and on reused connections.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub(super) struct ConnectionLoss {
@@ -18,7 +18,8 @@
 stored_as_array!(ConnectionLoss { on_fresh: f64, on_reused: f64 });
 
 impl ConnectionLoss {
-    /// Calls on reused connections go unanswered so much more often that idle ones are likely stale.
+    /// Calls on reused connections remain unanswered so much more often than on new ones that idle
+    /// connections are probably stale.
     pub(super) fn is_high_on_reused(&self) -> bool {
         self.on_reused - self.on_fresh > STALE_EXCESS_LOSS
     }
@@ -32,13 +33,13 @@
     }
 }
 
-/// How scarce connections are to endpoints of one kind.
+/// How scarce connections are at the endpoints of one kind.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub(super) struct ConnectionScarcity {
-    /// Share of the calls that got no connection.
+    /// Moving average of the share of calls for which no connection could be made.
     connect_failure_share: f64,
-    /// 1 after a failed connect that counts, decaying with each further call.
+    /// Set to 1 by a failed connection attempt that counts; decays with each further call.
     scarcity: f64,
 }
 stored_as_array!(ConnectionScarcity { connect_failure_share: f64, scarcity: f64 });
@@ -58,15 +59,17 @@
 }
 
 impl DeliveryPolicy {
-    /// Learns from a call how connections fare. Guards against idle connections that die unnoticed: calls on
-    /// reused ones go unanswered far more often. And against endpoints whose connections are all taken by the
-    /// idle ones of many forwarders: once a connect failed, those of that kind are closed for a while.
+    /// Updates the connection statistics from a finished call, to detect two faults. First, idle connections
+    /// that died without a notification: calls on reused connections then remain unanswered far more often.
+    /// Second, endpoints whose connections are all held idle by other forwarders: after a failed connection
+    /// attempt, this forwarder closes its idle connections to endpoints of that kind for a while.
     pub(super) fn record_connection(&mut self, id: EndpointId, outcome: Outcome, reused: Option<bool>) {
         if outcome == Outcome::NotJournaled {
             return;
         }
         let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected(_) | Outcome::Error);
-        // A connection that breaks at once costs no more than the next call: nothing is learned from it.
+        // A reused connection that breaks at once costs no more than the next call, so it does not count as
+        // unanswered.
         let tells = outcome != Outcome::StaleConnection && (answered || may_still_run(outcome));
         if let Some(reused) = reused.filter(|_| tells) {
             self.connection_loss.record(reused, answered);
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Whether a new call goes out on a reused connection; none if others are in flight there, as it is not
-    /// known then. Closes idle connections that are likely stale first.
+    /// Returns whether a new call will use a reused connection, or `None` if that is unknown because other
+    /// calls to the endpoint are in flight. Closes the idle connections first if they are probably stale.
     pub(super) fn prepare_connection(&mut self, id: EndpointId) -> Option<bool> {
         if self.calls.values().any(|c| c.endpoint == id) {
             return None;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: what its updates change, and when it is polled.
+//! Applies updates of the endpoint list and polls for it.
 
 use super::admission::AdmissionControl;
 use super::constants::*;
@@ -19,13 +19,13 @@
         };
         self.subscribed |= !matches!(update, EndpointListUpdate::Cached(_));
         if is_complete {
-            // What is still there is listed again just below.
+            // Endpoints that are still in the list are marked as listed again below.
             self.endpoints.values_mut().for_each(|e| e.entry.lifecycle = Lifecycle::Removed);
         }
         for entry in entries {
             self.apply_entry(now, entry);
         }
-        // Thousands of endpoints are not gone through at each change.
+        // A patch without removals does not need a scan of all endpoints, of which there may be thousands.
         let removes = entries.iter().any(|e| e.lifecycle == Lifecycle::Removed);
         if is_complete || removes || self.keeps_removed {
             self.forget_removed(now);
@@ -69,8 +69,9 @@
         }
     }
 
-    /// Forgets what was removed, but for an endpoint with a retry-after (rule 6) and a destination that is in
-    /// an outage or in slow start (rule 4).
+    /// Deletes the records of removed endpoints and of destinations without endpoints. An endpoint with a
+    /// pending retry-after is kept (rule 6), and so is a destination that has waiting messages, recent
+    /// failures or is in slow start (rule 4).
     fn forget_removed(&mut self, now: Micros) {
         let is_removed = |e: &Endpoint| e.entry.lifecycle == Lifecycle::Removed;
         self.endpoints.retain(|_, e| !is_removed(e) || now < e.admission.pacer.paused_until);
@@ -88,7 +89,7 @@
             || self.destinations.values().any(|d| d.endpoints.is_empty());
     }
 
-    /// Asks for the endpoint list when it is due, unless updates come by subscription.
+    /// Requests the endpoint list when a poll is due, unless updates arrive through a subscription.
     pub(super) fn poll_endpoint_list(&mut self, now: Micros) {
         if !self.settings.poll_endpoint_list || self.subscribed {
             return;
--- a/src/policy/enqueue.rs
+++ b/src/policy/enqueue.rs
@@ -1,4 +1,5 @@
-//! Receives a message: its age, its weight within its tenant's quota, and the queues that it joins.
+//! Receives a message: determines its time of receipt and its priority weight under its tenant's quota, and
+//! adds it to its queues.
 
 use super::constants::*;
 use super::records::{destination, Message, PossibleEffect};
@@ -14,8 +15,8 @@
         let received_at = self.first_received_at(now, deadline, new);
         let priority_weight = self.weight_within_quota(now, new);
         let class = &self.settings.classes[new.class.0];
-        // A message with an idempotency key that a dead forwarder had counts as sent when it was first
-        // received, unless that one's journal says more.
+        // A message with an idempotency key that was taken over from a dead forwarder is assumed to have been
+        // sent when it was first received, unless that forwarder's journal shows when it was.
         let may_have_been_sent = new.failed_over && class.idempotency == Idempotency::WithKey;
         let assumed = may_have_been_sent.then_some(PossibleEffect { sent_at: received_at, zone: None });
         let journaled = new.first_attempt.map(|(sent_at, zone)| PossibleEffect { sent_at, zone: Some(zone) });
@@ -40,8 +41,9 @@
         self.open_messages += 1;
     }
 
-    /// Less time left than the latency objective: the client wants it for that time only, and it is no repeat
-    /// unless it says so.
+    /// When the message was first received, by this forwarder or another. If clients do not mark their
+    /// retries, a message counts as a retry unless it has less time left than the latency objective: a client
+    /// that needs an answer that soon gave it little time from the start.
     fn first_received_at(&self, now: Micros, deadline: Micros, new: &NewMessage) -> Micros {
         let class = &self.settings.classes[new.class.0];
         let is_first = !new.failed_over
@@ -67,7 +69,8 @@
         }
     }
 
-    /// Queues a message at its destination, and counts it as demand for that and its endpoints.
+    /// Adds a message to the queue of its destination, and counts it as demand for the destination and its
+    /// endpoints.
     fn record_demand(&mut self, now: Micros, new: &NewMessage) {
         let destination = destination(&mut self.destinations, now, new.destination);
         destination.waiting.push(new.id);
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -1,4 +1,4 @@
-//! The end of messages: deadlines, completion, and the final answer to those that are given up.
+//! The end of messages: expiry, completion, and the final result of those that are abandoned.
 
 use super::constants::*;
 use super::records::Message;
@@ -6,13 +6,14 @@
 use crate::api::*;
 
 impl DeliveryPolicy {
-    /// When a message expires; no longer put off once its last attempt is in flight up to that time.
+    /// When a message expires. Later settings cannot postpone this once the message's last attempt, which may
+    /// take until then, is in flight.
     pub(super) fn end_of(&self, message: &Message) -> Micros {
         let end = self.timing(message).ends_at(message.received_at, message.deadline);
         message.final_deadline.map_or(end, |fixed| end.min(fixed))
     }
 
-    /// Nothing more is owed for a message.
+    /// Marks a message as complete.
     pub(super) fn complete(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(&id).filter(|m| !m.complete) else { return };
         message.complete = true;
@@ -20,7 +21,8 @@
         self.forget_if_settled(id);
     }
 
-    /// Forgets a complete message once none of its attempts is in flight; the next one of its key follows.
+    /// Deletes a complete message once none of its attempts is in flight, so that the next message with its
+    /// order key may be sent.
     pub(super) fn forget_if_settled(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if let Some(destination) = self.destinations.get_mut(&message.destination) {
@@ -35,8 +37,8 @@
         self.messages.remove(&id);
     }
 
-    /// Gives the final answer to a message that is abandoned. Rule 2: it is rejected only if no attempt may
-    /// have taken effect or if it is idempotent, and fails otherwise. Does nothing while one is in flight.
+    /// Abandons a message and gives its final result. Rule 2: the message is rejected if it is idempotent or
+    /// if no attempt can have taken effect, and fails otherwise. Does nothing while an attempt is in flight.
     pub(super) fn abandon(&mut self, now: Micros, id: MessageId, reason: AbandonReason) {
         let Some(message) = self.messages.get(&id).filter(|m| m.is_waiting()) else { return };
         if message.first_effect.is_none() || self.idempotency(id) == Idempotency::Idempotent {
@@ -49,7 +51,8 @@
         self.complete(id);
     }
 
-    /// Abandons what can no longer be delivered, and asks to be woken for what is next.
+    /// Abandons the messages that can no longer be delivered, and requests a step for the time at which this
+    /// may change for one of the others.
     pub(super) fn abandon_undeliverable(&mut self, now: Micros) {
         self.order_keys.retain(|_, key| !key.queue.is_empty() || now < key.paused_until);
         let mut undeliverable = Vec::new();
@@ -79,7 +82,8 @@
         (blocked_until >= latest_send).then_some(AbandonReason::DestinationUnavailable)
     }
 
-    /// When a waiting message may be retried if it pauses, or else when it expires.
+    /// The end of a waiting message's pause, or the time from which it may no longer be sent, whichever is
+    /// first.
     fn next_change_of(&self, now: Micros, message: &Message) -> Micros {
         let key = message.order_key.and_then(|k| self.order_keys.get(&k));
         let paused_until = key.map_or(0, |k| k.paused_until).max(message.retry_at);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: near its capacity the forwarder rejects the messages with the least expected value. Also
-//! what waiting costs a message, and how long it is expected to wait.
+//! Load shedding: when the forwarder is nearly full, it rejects the messages with the least expected value.
+//! This module also estimates how long a message will wait and what the delay costs.
 
 use super::admission::AdmissionControl;
 use super::constants::*;
@@ -10,8 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl DeliveryPolicy {
-    /// Keeps part of the capacity free for messages to come: beyond it, those with the least expected value
-    /// are rejected at once.
+    /// Keeps part of the capacity free for new messages by rejecting those with the least expected value.
     pub(super) fn shed_load(&mut self, now: Micros) {
         let max_open = self.settings.max_open_messages;
         let limit = max_open - (max_open / CAPACITY_RESERVE_DIVISOR).min(max_open - 1);
@@ -21,9 +20,9 @@
         }
     }
 
-    /// The waiting message with the least expected value; of several, the latest.
+    /// The waiting message with the least expected value; of several, the one that was received last.
     fn least_valuable(&self, now: Micros) -> Option<MessageId> {
-        // A message restored at the start was received long ago: its client does not repeat it unasked.
+        // A message restored at the start was received long ago, so its client will not retry it on its own.
         let sheddable = || self.messages.iter().filter(|(_, m)| m.is_waiting() && !m.restored);
         let destinations: BTreeSet<_> = sheddable().map(|(_, m)| m.destination).collect();
         let waits: BTreeMap<_, _> =
@@ -36,7 +35,8 @@
         least.map(|(_, Reverse(id))| id)
     }
 
-    /// Until when nothing at all can go to a destination.
+    /// The time before which a destination gets no call because of a pause or an open circuit breaker. It may
+    /// lie in the past.
     pub(super) fn blocked_until(&self, destination: &Destination) -> Micros {
         let blocked_until = |a: &AdmissionControl| a.pacer.paused_until.max(a.circuit.blocked_until());
         if !destination.per_endpoint_breaker {
@@ -47,13 +47,13 @@
         listed.map(|e| blocked_until(&e.admission)).min().unwrap_or(0)
     }
 
-    /// An estimate of how long a new message for a destination would wait.
+    /// Estimates how long a new message for a destination would wait.
     pub(super) fn expected_wait(&self, now: Micros, id: DestinationId) -> Micros {
         let Some(destination) = self.destinations.get(&id) else { return 0 };
         self.blocked_until(destination).saturating_sub(now) + self.drain_time(now, destination)
     }
 
-    /// An estimate of how long a destination's queue takes at its present rate.
+    /// Estimates how long it takes to send all messages in a destination's queue at its present rate.
     pub(super) fn drain_time(&self, now: Micros, destination: &Destination) -> Micros {
         let rate_of = |a: &AdmissionControl| a.clone().rate(now, &self.settings);
         let rate = if destination.per_endpoint_breaker {
@@ -65,8 +65,8 @@
         (destination.waiting.len() as f64 / rate.max(0.1) * SECOND as f64) as Micros
     }
 
-    /// Value of a message if it were answered at a time: its priority weight, less after the latency
-    /// objective, none after the deadline.
+    /// The value of a message if it were delivered at a given time: its priority weight up to the latency
+    /// objective, less after it, and nothing after the deadline.
     pub(super) fn value_at(&self, message: &Message, at: Micros) -> f64 {
         let class = &self.settings.classes[message.class.0];
         let age = at.saturating_sub(message.received_at);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,8 +1,10 @@
-//! Every decision on where, when and whether a message goes. Its types and events are in `src/api.rs`.
+//! The delivery policy: decides where, when and whether a message is sent. Its types and events are defined
+//! in `src/api.rs`.
 //!
-//! The ordinary path: a circuit breaker for each destination (or for each endpoint of it, by its kind), and a
-//! free call slot for the waiting destination that was dispatched to least recently. `docs/design.md` says
-//! what departs from it. No I/O; time and chance come in as arguments.
+//! In the ordinary case each destination (or each endpoint, where its kind says so) has a circuit breaker,
+//! and a free call slot goes to the waiting destination that was dispatched to least recently.
+//! `docs/design.md` describes the exceptions. The policy does no I/O; the time and the random seed are passed
+//! in.
 
 mod admission;
 mod call_rate;
@@ -31,7 +33,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The decisions of one forwarder. Instances share nothing; the same events give the same actions.
+/// The delivery policy of one forwarder. Instances share no state, and the same events produce the same
+/// actions.
 #[derive(Default, Serialize, Deserialize)]
 pub struct DeliveryPolicy {
     #[serde(rename = "s")]
@@ -39,58 +42,60 @@
     endpoints: BTreeMap<EndpointId, Endpoint>,
     destinations: Destinations,
     messages: BTreeMap<MessageId, Message>,
-    /// The calls in flight, by number.
+    /// The calls in flight, by call number.
     calls: BTreeMap<u64, Call>,
     #[serde(rename = "lines")]
     order_keys: BTreeMap<OrderKey, KeyQueue>,
-    /// By tenant.
+    /// The quota of each tenant, indexed by [`TenantId`].
     #[serde(rename = "buckets")]
     tenant_quotas: Vec<QuotaBucket>,
-    /// Messages that are not complete.
+    /// The number of messages that are not complete.
     #[serde(rename = "open")]
     open_messages: usize,
-    /// Over all endpoints.
+    /// Average latency of the calls to all endpoints, in microseconds.
     #[serde(rename = "latency")]
     mean_latency_us: f64,
-    /// By class: how long a call lasts, as a multiple of its endpoint's mean latency.
+    /// Indexed by [`ClassId`]: the average duration of a call, as a multiple of the mean latency of its
+    /// endpoint.
     #[serde(rename = "paces")]
     class_durations: Vec<f64>,
-    /// By kind of destination.
+    /// Indexed by [`KindId`].
     #[serde(rename = "crowded")]
     connection_scarcity: Vec<ConnectionScarcity>,
     #[serde(rename = "lost")]
     connection_loss: ConnectionLoss,
     next_call: u64,
-    /// Calls dispatched so far.
+    /// The number of calls dispatched so far.
     #[serde(rename = "next_slot")]
     dispatch_count: u64,
-    /// Updates of the endpoint list come by themselves.
+    /// Updates of the endpoint list arrive through a subscription, so it need not be polled.
     subscribed: bool,
     #[serde(rename = "ask_at")]
     next_poll_at: Micros,
-    /// When the timer fires that was asked for last.
+    /// When the pending timer fires; `None` if no timer is pending.
     #[serde(rename = "armed")]
     timer_at: Option<Micros>,
-    /// When the next step is due without any event, as far as this one knows.
+    /// When the next step is due if no event arrives before, as far as the current step has found.
     #[serde(rename = "wake")]
     next_wake: Micros,
     #[serde(rename = "turns")]
     slots: SlotAllocator,
-    /// Something is kept that the endpoint list does not name any more.
+    /// Some endpoints or destinations are still kept although the endpoint list no longer names them.
     #[serde(rename = "leftovers")]
     keeps_removed: bool,
     actions: Vec<Action>,
-    /// Nothing can be journaled: no attempt may begin.
+    /// The journal cannot be written, so no attempt may start.
     #[serde(rename = "unwritable")]
     journal_unwritable: bool,
 }
 
 impl DeliveryPolicy {
-    /// A forwarder that has seen nothing yet. The seed spreads its trial calls; give each forwarder its own.
+    /// Creates the policy of a forwarder that has received no event yet. The seed randomizes the times of its
+    /// trial calls where the forwarder has no index in the fleet, so each forwarder needs its own seed.
     ///
     /// # Errors
     ///
-    /// If the settings make no sense.
+    /// Returns an error if a setting is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(DeliveryPolicy {
@@ -104,7 +109,8 @@
         })
     }
 
-    /// Takes a batch of events, then sends what may go; appends what the caller is to do.
+    /// Processes a batch of events, then dispatches the messages that may be sent now. Appends to `actions`
+    /// what the caller has to do. `now` must not be earlier than in the step before.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.next_wake = NEVER;
         self.timer_at = self.timer_at.filter(|at| *at > now);
@@ -122,7 +128,8 @@
         actions.append(&mut self.actions);
     }
 
-    /// What operators are shown of each destination; where each endpoint has its own breaker, the worst one.
+    /// Returns the status of each destination, for operators. Where each endpoint has its own circuit
+    /// breaker, the status is that of the endpoint whose breaker is in the worst state.
     pub fn status(&self, now: Micros) -> impl Iterator<Item = DestinationStatus> + '_ {
         self.destinations.iter().map(move |(id, destination)| self.destination_status(now, *id, destination))
     }
@@ -149,12 +156,12 @@
         }
     }
 
-    /// Asks for a step at a time, unless one is due sooner.
+    /// Requests a step at the given time, unless an earlier one is already requested.
     fn wake_at(&mut self, at: Micros) {
         self.next_wake = self.next_wake.min(at);
     }
 
-    /// Asks for a timer, unless one fires in time.
+    /// Starts a timer for the next requested step, unless a pending timer fires in time.
     fn set_timer(&mut self, now: Micros) {
         if self.next_wake == NEVER || self.timer_at.is_some_and(|at| self.next_wake >= at) {
             return;
@@ -192,20 +199,20 @@
         }
     }
 
-    /// What a repeat of a message may do; of one that is not known any more, nothing.
+    /// The idempotency of a message's class. A message that is no longer known counts as idempotent.
     fn idempotency(&self, id: MessageId) -> Idempotency {
         let class = self.messages.get(&id).map(|m| &self.settings.classes[m.class.0]);
         class.map_or(Idempotency::Idempotent, |class| class.idempotency)
     }
 }
 
-/// The longest timeout of an attempt where its route says nothing. It is twice as long for a non-idempotent
-/// message, which is lost when its attempt times out.
+/// The longest timeout of an attempt whose route sets none, in microseconds. It is twice as long for a
+/// non-idempotent message, because such a message cannot be retried after a timeout.
 pub fn max_attempt_timeout(idempotency: Idempotency) -> Micros {
     ATTEMPT_TIMEOUT_MAX * if idempotency == Idempotency::NonIdempotent { 2 } else { 1 }
 }
 
-/// The attempt may still be running.
+/// Whether the endpoint may still be processing an attempt that ended with this outcome.
 fn may_still_run(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::StaleConnection | Outcome::Cancelled)
 }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -1,4 +1,5 @@
-//! What the outcome of a call says of its endpoint and destination: circuit breaker, pace and latency.
+//! Applies the outcomes of calls to the circuit breakers, pacers and latencies of their endpoints and
+//! destinations.
 
 use super::admission::{AdmissionControl, FinishedCall};
 use super::constants::*;
@@ -7,8 +8,8 @@
 use crate::api::*;
 use std::collections::BTreeMap;
 
-/// The records that an outcome at an endpoint counts for: its own and that of its destination, unless each
-/// endpoint has its own breaker.
+/// The records to which an outcome at an endpoint applies: that of the endpoint, and that of its destination
+/// unless each endpoint has its own circuit breaker.
 fn affected<'a>(
     endpoints: &'a mut BTreeMap<EndpointId, Endpoint>,
     destinations: &'a mut Destinations,
@@ -22,15 +23,16 @@
 }
 
 impl DeliveryPolicy {
-    /// The load report of an answer.
+    /// Updates the estimated rate limit from the load report of a response.
     pub(super) fn observe_load_report(&mut self, id: EndpointId, report: Option<LoadReport>) {
         for admission in affected(&mut self.endpoints, &mut self.destinations, id) {
             admission.pacer.limit.observe(report);
         }
     }
 
-    /// Rule 6: a retry-after binds in any state, and each message of a call may come back with its own. One
-    /// more millisecond makes up for the fraction of one that was cut off.
+    /// Applies a retry-after to an endpoint. Rule 6: it is obeyed in any state of the circuit breaker, and
+    /// each message of a call may get its own. One millisecond is added because the time was rounded down to
+    /// milliseconds.
     pub(super) fn observe_retry_after(&mut self, now: Micros, id: EndpointId, retry_after: Micros) {
         for admission in affected(&mut self.endpoints, &mut self.destinations, id) {
             let until = now.saturating_add(retry_after + MS);
@@ -38,8 +40,8 @@
         }
     }
 
-    /// The retry-after of an endpoint that was removed since binds its destination, unless each endpoint has
-    /// its own breaker.
+    /// Applies the retry-after of an endpoint that has been removed to its destination, unless each endpoint
+    /// has its own circuit breaker.
     pub(super) fn observe_retry_after_of_removed(
         &mut self,
         now: Micros,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Takes a token for a call that goes out, and if it is a trial call, takes that of the breakers.
+    /// Takes a token for a call that is sent and, if it is a trial call, marks the trial as in flight.
     pub(super) fn record_call_start(&mut self, now: Micros, id: EndpointId, is_trial: bool) {
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.last_used_at = now;
@@ -65,7 +67,8 @@
         }
     }
 
-    /// Takes a finished call into account wherever it counts. Logs the last breaker that changed.
+    /// Updates all records to which a finished call applies. Logs a state change of a circuit breaker; if two
+    /// changed, that of the destination.
     pub(super) fn record_outcome(&mut self, now: Micros, id: EndpointId, call: &FinishedCall) {
         let destination = self.endpoints.get(&id).map_or(0, |e| e.entry.destination.0);
         let wall_clock = now.saturating_add(self.settings.wall_clock_offset);
@@ -87,7 +90,7 @@
         }
     }
 
-    /// How long calls of a class last, as a multiple of their endpoint's mean latency.
+    /// Updates the average duration of a class's calls, as a multiple of the mean latency of their endpoints.
     pub(super) fn record_class_duration(
         &mut self,
         class: ClassId,
@@ -102,7 +105,8 @@
     }
 }
 
-/// An outcome in the text of a transition. The simulator's adapter sends that text: its names are fixed.
+/// The name of an outcome in the log line of a state change. The simulator's adapter sends that line, so
+/// these names must not change.
 fn outcome_name(outcome: Outcome) -> String {
     match outcome {
         Outcome::Rejected(retry_after) => format!("Full({retry_after:?})"),
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -1,12 +1,12 @@
-//! The pacer: what the rate of calls is reckoned from (the reported limit or weight, what was delivered so
-//! far, rejections), and the token bucket that holds calls to it.
+//! The pacer: the data from which the rate of calls is computed (reported limit, listed weight, recent
+//! deliveries, rejections), and the token bucket that enforces it.
 
 use super::constants::*;
 use crate::api::*;
 use crate::rates::{DecayingRate, RateLimitEstimate};
 use serde::{Deserialize, Serialize};
 
-/// A token bucket; each call takes one token.
+/// A token bucket. Each call takes one token.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct TokenBucket {
     pub(super) tokens: f64,
@@ -15,7 +15,7 @@
 }
 
 impl TokenBucket {
-    /// Keeps no more than this many tokens, and refills from a time on.
+    /// Discards the tokens above a number, and starts refilling at the given time.
     pub(super) fn limit_to(&mut self, tokens: f64, refilled_at: Micros) {
         self.tokens = self.tokens.min(tokens);
         self.refilled_at = refilled_at;
@@ -29,26 +29,27 @@
     }
 }
 
-/// What the rate of calls to a destination or an endpoint is reckoned from.
+/// The data from which the rate of calls to a destination or an endpoint is computed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct Pacer {
-    /// Calls that succeeded while it was healthy.
+    /// The rate of successful calls, counted over the time in which the destination was healthy.
     pub(super) delivered: DecayingRate,
-    /// Messages that were received for it.
+    /// The rate of messages received for it.
     #[serde(rename = "asked")]
     pub(super) demand: DecayingRate,
-    /// Calls a second by the endpoint list; 0 if it does not say.
+    /// The calls per second that the endpoint list gives for all forwarders; 0 if it gives none.
     pub(super) weight: f64,
-    /// No call before this, by a retry-after or the backoff after a rejection without one.
+    /// No call may be sent before this time, because of a retry-after or the backoff after a rejection
+    /// without one.
     #[serde(rename = "wait_until")]
     pub(super) paused_until: Micros,
-    /// The pause after the next rejection without a retry-after.
+    /// The length of the pause after the next rejection without a retry-after.
     pub(super) backoff: Micros,
     #[serde(rename = "paused_at")]
     pub(super) last_rejected_at: Micros,
     #[serde(flatten)]
     pub(super) bucket: TokenBucket,
-    /// Cut by rejections, raised by successes; multiplies the rate.
+    /// A factor applied to the rate, which rejections lower and successes raise.
     #[serde(rename = "trim")]
     pub(super) rate_factor: f64,
     pub(super) limit: RateLimitEstimate,
@@ -65,43 +66,45 @@
         }
     }
 
-    /// Part of a message was received for it.
+    /// Records the receipt of a message, or of the share of it that counts for one endpoint of several.
     pub(super) fn record_demand(&mut self, now: Micros, messages: f64, settings: &Settings) {
         self.demand.record(messages, now - self.demand.updated_at, settings.slow_start);
         self.demand.updated_at = now;
     }
 
-    /// A call was delivered after the destination was healthy for so long.
+    /// Records a successful call. `healthy_for` is how long the destination was healthy since the success
+    /// before.
     pub(super) fn record_success(&mut self, healthy_for: Micros, settings: &Settings) {
         self.delivered.record(1.0, healthy_for, settings.slow_start);
         self.backoff = BACKOFF_INITIAL;
         self.rate_factor = (self.rate_factor * RATE_FACTOR_GAIN).min(RATE_FACTOR_MAX);
     }
 
-    /// Lowers the rate for a rejection that stands for so many.
+    /// Lowers the rate after a rejection that counts as this many.
     pub(super) fn cut_rate(&mut self, stands_for: f64) {
         let cut = self.rate_factor * RATE_FACTOR_CUT.powf(stands_for);
         self.rate_factor = cut.max(RATE_FACTOR_MIN.powf(stands_for));
     }
 
-    /// Calls a second that all forwarders together may send, as far as it is known.
+    /// The calls per second that all forwarders together may send; `None` if that is unknown.
     pub(super) fn fleet_rate(&self, settings: &Settings) -> Option<f64> {
         let reported = self.limit.current.map(|limit| limit.rate).filter(|rate| *rate > 0.0);
         let listed = Some(self.weight).filter(|w| *w > 0.0 && settings.weights != WeightSource::Off);
         reported.or(listed)
     }
 
-    /// Seconds in which each forwarder may make one call; 0 if that is not known.
+    /// The number of seconds in which each forwarder may make one call; 0 if that is unknown.
     pub(super) fn even_interval_s(&self, settings: &Settings) -> f64 {
         self.fleet_rate(settings).map_or(0.0, |rate| settings.forwarders as f64 / rate)
     }
 
-    /// This forwarder's even share of the fleet's rate; 0 if that is not known.
+    /// This forwarder's even share of the fleet's rate, in calls per second; 0 if that is unknown.
     pub(super) fn even_rate(&self, settings: &Settings) -> f64 {
         self.fleet_rate(settings).map_or(0.0, |rate| rate / settings.forwarders as f64)
     }
 
-    /// The least rate at which calls go even if the limit is lower, but not after recent rejections.
+    /// The calls per second that are always allowed, even if the limit is lower. After recent rejections this
+    /// is 0.
     pub(super) fn min_rate(&self, now: Micros, settings: &Settings, has_limit: bool) -> f64 {
         let recently_rejected = now < self.last_rejected_at + REJECTION_MEMORY_BACKOFFS * self.backoff;
         if self.rate_factor < 1.0 && (has_limit || recently_rejected) {
--- a/src/policy/records.rs
+++ b/src/policy/records.rs
@@ -1,5 +1,5 @@
-//! What the delivery policy keeps: endpoints, destinations, messages and calls. Stored names are those of
-//! earlier releases, as the state is part of the hand-over.
+//! The state that the delivery policy keeps: endpoints, destinations, messages and calls. The state is passed
+//! to the successor process at a hand-over, so its serialized names are those of earlier releases.
 
 use super::admission::AdmissionControl;
 use super::constants::SECOND;
@@ -7,7 +7,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Stores a struct of two fields as a JSON array, the form in which earlier releases hand it over.
+/// Converts a struct of two fields from and to a tuple, so that it is serialized as a JSON array as in
+/// earlier releases.
 macro_rules! stored_as_array {
     ($name:ident { $first:ident: $first_type:ty, $second:ident: $second_type:ty }) => {
         impl From<($first_type, $second_type)> for $name {
@@ -24,7 +25,7 @@
 }
 pub(super) use stored_as_array;
 
-/// An endpoint of the list.
+/// An endpoint of the endpoint list.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Endpoint {
     pub(super) entry: EndpointEntry,
@@ -32,18 +33,18 @@
     pub(super) admission: AdmissionControl,
     #[serde(rename = "last_used")]
     pub(super) last_used_at: Micros,
-    /// The last call was answered, so an idle connection is there to be reused.
+    /// The last call was answered, so there should be an idle connection to reuse.
     #[serde(rename = "reusable")]
     pub(super) has_idle_connection: bool,
 }
 
-/// A destination: its endpoints and its queue.
+/// A destination with its endpoints and its queue.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct Destination {
-    /// Each endpoint has its own circuit breaker and limit; that of the destination is not asked.
+    /// Each endpoint has its own circuit breaker and limit, and those of the destination are not used.
     #[serde(rename = "apart")]
     pub(super) per_endpoint_breaker: bool,
-    /// Known once the list has named an endpoint.
+    /// The kind of the destination; `None` until the list has named one of its endpoints.
     pub(super) kind: Option<KindId>,
     #[serde(rename = "per_call")]
     pub(super) messages_per_call: usize,
@@ -51,7 +52,7 @@
     #[serde(rename = "breaker")]
     pub(super) admission: AdmissionControl,
     pub(super) waiting: Vec<MessageId>,
-    /// Number of its last dispatch; the destination with the lowest goes first.
+    /// The number of its last dispatch. The destination with the lowest number is served first.
     #[serde(rename = "last_slot")]
     pub(super) last_dispatch: u64,
 }
@@ -70,35 +71,36 @@
     pub(super) received_at: Micros,
     pub(super) deadline: Micros,
     pub(super) attempts: u32,
-    /// The first attempt that may have taken effect.
+    /// The first attempt that may have taken effect; `None` while there is none.
     #[serde(rename = "may_have_run")]
     pub(super) first_effect: Option<PossibleEffect>,
     #[serde(rename = "out")]
     pub(super) in_flight: Option<InFlightAttempt>,
-    /// Where the last attempt went.
+    /// The zone to which the last attempt was sent.
     #[serde(rename = "sent_zone")]
     pub(super) last_zone: ZoneId,
-    /// Nothing more is owed for it.
+    /// It has its final result, or was withdrawn by its client.
     #[serde(rename = "over")]
     pub(super) complete: bool,
-    /// No further attempt before this, by its route's settings.
+    /// The next attempt is not sent before this time, by the pause or hedging delay of its route.
     #[serde(rename = "rest_until")]
     pub(super) retry_at: Micros,
-    /// Where an attempt timed out whose hedged repeat is to go elsewhere.
+    /// The endpoint at which an attempt timed out, if the next one is a hedged request, which must go
+    /// elsewhere.
     #[serde(rename = "avoid")]
     pub(super) avoid_endpoint: Option<EndpointId>,
-    /// Its end, fixed once an attempt is in flight that lasts up to it.
+    /// When it expires, fixed while its last attempt is in flight; that attempt may take until then.
     #[serde(rename = "last_until")]
     pub(super) final_deadline: Option<Micros>,
-    /// It was received by an earlier process.
+    /// It was received by an earlier process of this forwarder.
     pub(super) restored: bool,
-    /// Attempts that count as none, as they could not be journaled.
+    /// The number of attempts that do not count because they could not be journaled.
     #[serde(rename = "unsent")]
     pub(super) uncounted_attempts: u32,
 }
 
 impl Message {
-    /// It is to be sent: neither complete nor in flight.
+    /// It is to be sent: it is neither complete nor in flight.
     pub(super) fn is_waiting(&self) -> bool {
         !self.complete && self.in_flight.is_none()
     }
@@ -109,7 +111,7 @@
 #[serde(from = "(Micros, Option<ZoneId>)", into = "(Micros, Option<ZoneId>)")]
 pub(super) struct PossibleEffect {
     pub(super) sent_at: Micros,
-    /// Not known of an attempt of another forwarder.
+    /// The zone to which it was sent; `None` if another forwarder sent it and the zone is unknown.
     pub(super) zone: Option<ZoneId>,
 }
 stored_as_array!(PossibleEffect { sent_at: Micros, zone: Option<ZoneId> });
@@ -130,16 +132,16 @@
     pub(super) destination: DestinationId,
     #[serde(rename = "sent")]
     pub(super) sent_at: Micros,
-    /// The trial call of a half-open breaker.
+    /// It is the trial call of a half-open breaker.
     #[serde(rename = "trial")]
     pub(super) is_trial: bool,
-    /// The attempts whose result is outstanding.
+    /// The attempts that have not ended yet.
     #[serde(rename = "parts")]
     pub(super) attempts: Vec<CallAttempt>,
-    /// The outcome of one attempt was recorded; the others tell nothing new of the endpoint.
+    /// The outcome of one attempt was recorded. The others of the call say nothing new about the endpoint.
     #[serde(rename = "judged")]
     pub(super) outcome_recorded: bool,
-    /// Whether it went out on a reused connection; none if that is not known.
+    /// Whether it was sent on a reused connection; `None` if that is unknown.
     #[serde(rename = "reused")]
     pub(super) connection_reused: Option<bool>,
     #[serde(rename = "called_off")]
@@ -155,11 +157,11 @@
 }
 stored_as_array!(CallAttempt { id: MessageId, attempt: u32 });
 
-/// The messages of one order key, which go one at a time.
+/// The messages of one order key, which are sent one at a time.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct KeyQueue {
     pub(super) queue: VecDeque<MessageId>,
-    /// The next message waits until then, as the last attempt may still be running.
+    /// The next message waits until this time, because the last attempt may still be running.
     #[serde(rename = "rest_until")]
     pub(super) paused_until: Micros,
 }
@@ -174,13 +176,13 @@
 stored_as_array!(QuotaBucket { tokens: f64, refilled_at: Micros });
 
 impl QuotaBucket {
-    /// A full one: the first refill brings it down to its size.
+    /// Creates a full bucket. The first refill reduces the tokens to the capacity.
     pub(super) fn full() -> Self {
         QuotaBucket { tokens: f64::MAX, refilled_at: 0 }
     }
 
-    /// Refills the bucket up to now, one token and those of one second at most, and takes one out.
-    /// Returns false if there was none.
+    /// Refills the bucket and takes one token out. The bucket holds one token and the refill of one second at
+    /// most. Returns `false` if there was no token.
     pub(super) fn take(&mut self, now: Micros, tokens_per_us: f64) -> bool {
         let refilled = self.tokens + tokens_per_us * (now - self.refilled_at) as f64;
         self.tokens = refilled.min(1.0 + tokens_per_us * SECOND as f64);
@@ -195,7 +197,7 @@
 
 pub(super) type Destinations = BTreeMap<DestinationId, Destination>;
 
-/// The record of a destination, made if there is none.
+/// Returns the record of a destination, which is created if it does not exist.
 pub(super) fn destination(
     destinations: &mut Destinations,
     now: Micros,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,5 +1,5 @@
-//! What follows the end of an attempt: the message is complete, or is queued again for a retry. Also whether
-//! and until when a message may be sent.
+//! Handles the end of an attempt: the message is complete, or is queued for a retry. Also decides whether and
+//! until when a message may be sent.
 
 use super::admission::FinishedCall;
 use super::constants::*;
@@ -9,39 +9,39 @@
 use crate::api::*;
 use crate::routes::Timing;
 
-/// The end of one message's attempt.
+/// How an attempt of one message ended.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptResult {
     pub(super) id: MessageId,
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub(super) elapsed: Micros,
-    /// Nothing more is owed for the message.
+    /// The message is complete with this attempt.
     pub(super) completes_message: bool,
 }
 
-/// When and where an attempt was sent, as far as its call is known.
+/// When and where an attempt was sent. The endpoint is `None` if the call of the attempt is unknown.
 struct SentAttempt {
     sent_at: Micros,
     endpoint: Option<EndpointId>,
 }
 
 impl DeliveryPolicy {
-    /// The settings of its route for a message's attempts.
+    /// The timing that the route of a message sets for its attempts.
     pub(super) fn timing(&self, message: &Message) -> Timing {
         let Some(routes) = self.settings.routes.as_ref() else { return Timing::default() };
         let kind = self.destinations.get(&message.destination).and_then(|d| d.kind);
         routes.timing(message.destination, kind, message.class)
     }
 
-    /// It has had all the attempts that it may have.
+    /// Whether a message has had all the attempts that it may have.
     pub(super) fn has_spent_attempts(&self, message: &Message) -> bool {
         let max_attempts = self.timing(message).max_attempts(self.settings.max_attempts);
         message.attempts - message.uncounted_attempts >= max_attempts
     }
 
-    /// The time up to which a message may still be sent.
+    /// The time before which a message has to be sent. It is 0 if the message must not be sent again.
     pub(super) fn latest_send(&self, message: &Message) -> Micros {
         let class = &self.settings.classes[message.class.0];
         let min_step = self.settings.min_step_interval;
@@ -55,8 +55,8 @@
         }
     }
 
-    /// The guard of every send: rules 1 (not complete), 2 (no effect twice), 3 (drains), 5 (order) and 6
-    /// (retry-after).
+    /// Whether a message may be sent to an endpoint now. Every send is checked here against rules 1 (nothing
+    /// is sent for a complete message), 2 (no second effect), 3 (drains), 5 (order) and 6 (retry-after).
     pub(super) fn may_send(&self, now: Micros, id: MessageId, endpoint: EndpointId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         message.is_waiting()
@@ -74,7 +74,8 @@
         message.order_key.and_then(|k| self.order_keys.get(&k)).is_none_or(is_first)
     }
 
-    /// Whether a message may go to an endpoint, as far as the two are concerned.
+    /// Whether a message may be sent to an endpoint, by the state of the endpoint and its destination, the
+    /// avoided endpoint of a hedged request and the scope of deduplication.
     fn may_use(&self, now: Micros, message: &Message, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let Some(destination) = self.destinations.get(&message.destination) else { return false };
@@ -88,7 +89,7 @@
         {
             return false;
         }
-        // A hedged repeat goes elsewhere, if another endpoint is healthy.
+        // A hedged request goes to another endpoint if one is healthy.
         let is_healthy = |other: &EndpointId| {
             self.endpoints.get(other).is_some_and(|e| {
                 e.entry.lifecycle == Lifecycle::Listed && e.admission.circuit.state == BreakerState::Closed
@@ -102,7 +103,7 @@
         self.drops_repeat(message, entry.zone)
     }
 
-    /// A repeat in this zone has no second effect, as far as the scope of deduplication goes.
+    /// Whether an endpoint in this zone would drop a repeat of the message, by the scope of deduplication.
     fn drops_repeat(&self, message: &Message, zone: ZoneId) -> bool {
         let class = &self.settings.classes[message.class.0];
         if class.idempotency != Idempotency::WithKey || class.dedup_scope != DedupScope::Zone {
@@ -111,7 +112,7 @@
         message.first_effect.and_then(|first| first.zone).is_none_or(|first| first == zone)
     }
 
-    /// Takes the end of an attempt; one that is not in flight is ignored.
+    /// Handles the end of an attempt. One that is not in flight is ignored.
     pub(super) fn on_attempt_ended(&mut self, now: Micros, result: AttemptResult) {
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         let Some(in_flight) = message.in_flight.filter(|a| a.attempt == result.attempt) else { return };
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Takes an attempt out of its call. The first one that ends speaks for the call.
+    /// Removes an attempt from its call. The outcome of the first attempt that ends counts as that of the
+    /// call.
     fn finish_call_attempt(
         &mut self,
         now: Micros,
@@ -165,7 +167,8 @@
         SentAttempt { sent_at: finished.sent_at, endpoint: Some(endpoint) }
     }
 
-    /// Remembers the first attempt that may have taken effect, and pauses its order key while it may run.
+    /// Records the first attempt that may have taken effect, and pauses the message's order key if the
+    /// attempt may still be running.
     fn record_possible_effect(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros) {
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         let may_run = may_still_run(result.outcome);
@@ -178,7 +181,7 @@
         }
     }
 
-    /// Queues a message again.
+    /// Queues a message for a retry.
     fn schedule_retry(&mut self, now: Micros, result: &AttemptResult, sent: SentAttempt) {
         let timing = self.timing(&self.messages[&result.id]);
         let Some(message) = self.messages.get_mut(&result.id) else { return };
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,5 +1,6 @@
-//! Selection: a free call slot goes to the waiting destination that was dispatched to least recently; there
-//! to the endpoint with the least load, with the message that gains most.
+//! Selection of the next call. A free call slot goes to the waiting destination that was dispatched to least
+//! recently, there to the endpoint with the lowest cost and load, and to the message that gains most by being
+//! sent now.
 
 use super::circuit_breaker::Admission;
 use super::constants::*;
@@ -19,29 +20,29 @@
     pub(super) is_trial: bool,
 }
 
-/// How a destination admits a call.
+/// How a destination admits its next call.
 #[derive(Clone, Copy)]
 struct DestinationAdmission {
-    /// As the trial call of its own breaker, which goes to any endpoint.
+    /// The call is the trial call of the destination's own breaker, which may go to any of its endpoints.
     is_trial: bool,
     is_suspect: bool,
     per_endpoint_breaker: bool,
 }
 
-/// An endpoint that a call may go to.
+/// An endpoint to which the next call of a destination may go.
 struct Candidate {
     endpoint: EndpointId,
-    /// The cost of its zone, in whole multiples of one part in [`VALUE_SCALE`].
+    /// The cost of its zone in units of one part in [`VALUE_SCALE`].
     zone_cost: i64,
     load: usize,
     last_used_at: Micros,
     is_trial: bool,
-    /// The message cheapest to lose goes first.
+    /// The call is likely to fail, so it carries the message whose loss costs least.
     is_risky: bool,
 }
 
 impl DeliveryPolicy {
-    /// Sends what may go now.
+    /// Sends calls while messages may be sent and call slots are free.
     pub(super) fn dispatch(&mut self, now: Micros) {
         let waiting = self.messages.values().filter(|m| m.is_waiting()).map(|m| m.destination);
         let mut order: BTreeSet<_> = waiting.map(|d| (self.destinations[&d].last_dispatch, d)).collect();
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The next call to a destination, if its breaker, pace and endpoints allow one.
+    /// The next call to a destination, or `None` if its circuit breaker, pacer or endpoints allow none now.
     fn select_call(&mut self, now: Micros, id: DestinationId) -> Option<NextCall> {
         let admission = self.admit_destination(now, id)?;
         let endpoints = self.destinations.get(&id)?.endpoints.clone();
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Asks the destination's own breaker and pacer, unless each endpoint has its own.
+    /// Checks the destination's own circuit breaker and pacer, unless each endpoint has its own.
     fn admit_destination(&mut self, now: Micros, id: DestinationId) -> Option<DestinationAdmission> {
         let destination = self.destinations.get_mut(&id)?;
         if destination.per_endpoint_breaker {
@@ -91,15 +92,15 @@
             }
         };
         let is_suspect = destination.admission.circuit.is_suspect();
-        // A suspect destination gets one call at a time.
+        // A destination with recent failures gets one call at a time.
         if !is_trial && is_suspect && self.calls.values().any(|c| c.destination == id) {
             return None;
         }
         Some(DestinationAdmission { is_trial, is_suspect, per_endpoint_breaker: false })
     }
 
-    /// An endpoint as a candidate, if it is listed and its breaker and pace allow a call. A trial call of the
-    /// destination goes to any endpoint, the least suspect first.
+    /// Returns an endpoint as a candidate if it is listed and its circuit breaker and pacer allow a call. A
+    /// trial call of the destination may go to any listed endpoint, and prefers one without failures.
     fn admit_endpoint(
         &mut self,
         now: Micros,
@@ -116,7 +117,8 @@
         let verdict = if is_paced {
             admission.check(now, &self.settings)
         } else {
-            // Calls made while it was not paced are no debt: that would be paid off after an outage.
+            // Calls that were sent while the endpoint was not paced leave no debt of tokens, which would slow
+            // it down after an outage.
             admission.pacer.bucket.tokens = admission.pacer.bucket.tokens.max(0.0);
             admission.check_circuit(now)
         };
@@ -143,21 +145,24 @@
         })
     }
 
-    /// In whole multiples of one part in [`VALUE_SCALE`].
+    /// The cost of an endpoint's zone in units of one part in [`VALUE_SCALE`].
     fn zone_cost(&self, endpoint: &Endpoint) -> i64 {
         let cost = self.settings.zone_costs.get(endpoint.entry.zone.0);
         cost.map_or(0, |cost| (cost * VALUE_SCALE) as i64)
     }
 
-    /// Rises with the endpoint's failures, then with its calls in flight, then if it is in another zone.
+    /// The load of an endpoint, by which the candidates are compared: first by failures, then by calls in
+    /// flight, then by whether the endpoint is in another zone.
     fn load(&self, endpoint: &Endpoint, in_flight: usize) -> usize {
         let failures = endpoint.admission.circuit.failure_count.min(9) as usize;
         let crosses_zones = self.settings.cross_zone_cost > 0.0 && endpoint.entry.zone != self.settings.zone;
         4 * failures + 2 * in_flight + usize::from(crosses_zones)
     }
 
-    /// The message that gains most by going now: by the value it loses over the time that the queue takes. If
-    /// the call is risky, the message cheapest to lose. A call carries only messages of one timeout.
+    /// The waiting message that gains most by being sent now, which is the value that it would lose in the
+    /// time that the queue takes. For a risky call it is the message whose loss costs least. All messages of
+    /// a call have the same timeout, so `same_timeout_as` restricts the choice for the second and later
+    /// messages.
     pub(super) fn select_message(
         &self,
         now: Micros,
@@ -182,8 +187,8 @@
         candidates.min_by_key(rank).copied()
     }
 
-    /// What a message gains by going now and not at the horizon, in whole multiples of one part in
-    /// [`VALUE_SCALE`].
+    /// The value that a message gains by being sent now instead of at the end of the horizon, in units of one
+    /// part in [`VALUE_SCALE`].
     fn gain_now(&self, now: Micros, horizon: Micros, message: &Message) -> i64 {
         let value = self.value_at(message, now);
         let value_later = self.value_at(message, now + horizon);
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -1,4 +1,5 @@
-//! Sends a call: its connection, the messages it carries, and when each attempt times out.
+//! Sends a call: prepares its connection, selects the messages that it carries, and sets the timeout of each
+//! attempt.
 
 use super::constants::*;
 use super::records::{Call, CallAttempt, InFlightAttempt};
@@ -70,7 +71,7 @@
     }
 }
 
-/// The timeout of an attempt where its route says nothing, by the mean latency.
+/// The timeout, in microseconds, of an attempt whose route sets none. It depends on the mean latency.
 fn adaptive_timeout(mean_latency_us: f64, idempotency: Idempotency) -> Micros {
     let timeout = (mean_latency_us * ATTEMPT_TIMEOUT_LATENCY_MULTIPLE) as Micros;
     let longer_by = max_attempt_timeout(idempotency) / ATTEMPT_TIMEOUT_MAX;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,32 +1,36 @@
-//! Slow start: a destination that returns from an outage has little of its capacity at first, and gets calls
-//! accordingly.
+//! Slow start: a destination that recovers from an outage has little of its capacity at first, so the rate of
+//! calls to it rises gradually.
 
 use super::admission::AdmissionControl;
 use super::constants::*;
 use crate::api::*;
 
 impl AdmissionControl {
-    /// The first success after an outage.
+    /// Starts the slow start at the first success after an outage.
     pub(super) fn start_warming_up(&mut self, now: Micros) {
         let open_duration = self.circuit.open_duration;
-        // It returned at some time since the last trial, half way on average.
+        // The destination recovered at some time since the last trial call, on average half-way.
         self.slow_start.warming_since = Some(now - open_duration.saturating_sub(OPEN_TIMEOUT) / 2);
         self.pacer.rate_factor = self.pacer.rate_factor.min(1.0);
-        // A burst of the slow-start rate is saved up, none by a large fleet.
+        // The bucket accumulates a burst at the slow-start rate. In a large fleet, which has a longer open
+        // duration, it does not, as the bursts would add up.
         let saves_up = open_duration <= OPEN_TIMEOUT * 5 / 4;
         let refilled_at = if saves_up { self.pacer.bucket.refilled_at } else { now };
         self.pacer.bucket.limit_to(0.0, refilled_at);
     }
 
-    /// The endpoint list named it as draining and now lists it again: it may have been restarted meanwhile.
+    /// Starts the slow start of an endpoint that the endpoint list showed as draining and now lists again, as
+    /// it may have been restarted meanwhile.
     pub(super) fn return_from_drain(&mut self, now: Micros, settings: &Settings) {
         self.update_return_interval(now, OPEN_TIMEOUT, settings);
         self.slow_start.warming_since = Some(now);
         self.pacer.bucket.limit_to(1.0, now);
     }
 
-    /// The time in microseconds in which each forwarder may call once so that the calls of all that have seen
-    /// failures for this long fit: as many as messages arrived in it, but not more than there are forwarders.
+    /// Updates the recovery interval and returns the period, in microseconds, in which each forwarder may
+    /// make one call to a recovering destination. The calls of all forwarders that noticed the failures then
+    /// fit its capacity. Those forwarders are as many as messages arrived in `failing_for`, but no more than
+    /// there are.
     pub(super) fn update_return_interval(
         &mut self,
         now: Micros,
@@ -42,7 +46,8 @@
             * SECOND as f64
     }
 
-    /// Share of its capacity that a returning destination can be counted on to have; none when it is warm.
+    /// The share of its capacity that a recovering destination is assumed to have; `None` if it is not in
+    /// slow start.
     fn warm_share(&mut self, now: Micros, settings: &Settings) -> Option<f64> {
         if self.circuit.in_outage {
             return Some(settings.slow_start_floor);
@@ -54,7 +59,7 @@
         Some(floor + (1.0 - floor) * warming_for / settings.slow_start as f64)
     }
 
-    /// Calls a second that this forwarder may send in an outage or in slow start; none when it is warm.
+    /// The calls per second that this forwarder may send in an outage or in slow start; `None` otherwise.
     pub(super) fn slow_start_rate(&mut self, now: Micros, settings: &Settings) -> Option<f64> {
         let share = self.warm_share(now, settings)?;
         let returning = self.pacer.rate_factor.min(1.0) / self.slow_start.return_interval_s;
--- a/src/policy/stuck_calls.rs
+++ b/src/policy/stuck_calls.rs
@@ -1,4 +1,5 @@
-//! Calls that are in flight for too long: which are cancelled, and which endpoints get no more calls.
+//! Calls that are in flight for too long: decides which of them are cancelled, and which endpoints get no
+//! more calls.
 
 use super::constants::*;
 use super::records::{Call, CallAttempt, Endpoint};
@@ -6,8 +7,8 @@
 use crate::api::*;
 
 impl DeliveryPolicy {
-    /// All call slots are taken while an admitted call waits: cancels the one call that is most overdue at
-    /// an endpoint that has answered nothing sent later.
+    /// Frees a slot when all call slots are taken and an admitted call waits: cancels the one call that is
+    /// most overdue, at an endpoint that has answered no later call.
     pub(super) fn cancel_to_free_slot(&mut self, now: Micros) {
         if !self.settings.may_cancel || self.calls.values().any(|c| c.cancelled) {
             return;
@@ -20,13 +21,13 @@
         let candidates = self.calls.iter().filter_map(|(number, call)| Some((overdue(call)?, *number)));
         match candidates.max_by(|a, b| a.0.total_cmp(&b.0)) {
             Some((_, number)) => self.cancel_call(number),
-            // Look again soon: a call becomes overdue without any event.
+            // A call becomes overdue without any event, so this is checked again soon.
             None => self.wake_at(now + STUCK_MIN_AGE / 2),
         }
     }
 
-    /// Cancels calls that are long overdue at an endpoint that has answered what was sent later: each is
-    /// stuck on its own connection, and would occupy a slot and its messages up to its timeout.
+    /// Cancels calls that are long overdue at an endpoint that has answered a later call. Such a call is
+    /// stuck on its own connection, and would hold a slot and its messages until its timeout.
     pub(super) fn cancel_isolated_calls(&mut self, now: Micros) {
         if !self.settings.may_cancel {
             return;
@@ -54,14 +55,15 @@
         self.actions.extend(call.attempts.iter().map(cancel));
     }
 
-    /// Something that was sent to its endpoint after this call was answered.
+    /// Whether the endpoint has answered a call that was sent after this one.
     fn has_answered_later_call(&self, call: &Call) -> bool {
         let endpoint = self.endpoints.get(&call.endpoint);
         endpoint.is_some_and(|e| call.sent_at < e.admission.circuit.last_success_sent_at)
     }
 
-    /// The age of a call as a multiple of its patience, which is longer for classes whose calls take longer
-    /// and for non-idempotent ones. None if it was cancelled or its endpoint is unknown.
+    /// The age of a call as a multiple of the time after which it counts as stuck. That time is longer for
+    /// classes whose calls take longer and for non-idempotent messages. `None` if the call was cancelled or
+    /// its endpoint is unknown.
     fn patience_used(&self, now: Micros, call: &Call) -> Option<f64> {
         let endpoint = self.endpoints.get(&call.endpoint).filter(|_| !call.cancelled)?;
         let is_risky = call.attempts.iter().any(|a| self.idempotency(a.id) == Idempotency::NonIdempotent);
@@ -71,8 +73,8 @@
         Some((now - call.sent_at) as f64 / (self.patience(endpoint) as f64 * allowed))
     }
 
-    /// Two calls to this endpoint are in flight for too long and nothing sent after them was answered. It
-    /// gets no more calls until they end, so that others keep the slots.
+    /// Whether two calls to an endpoint are stuck and no later call was answered. Such an endpoint gets no
+    /// more calls until they end, so that the slots remain free for other endpoints.
     pub(super) fn is_stalled(&self, now: Micros, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let patience = self.patience(endpoint);
@@ -81,14 +83,15 @@
         self.calls.values().filter(|c| c.endpoint == id).filter(is_stuck).count() > 1
     }
 
-    /// Mean latency of an endpoint in microseconds, or else of its destination, or else of all calls.
+    /// The mean latency of an endpoint in microseconds, or else that of its destination, or else that of all
+    /// calls.
     pub(super) fn latency_of(&self, endpoint: &Endpoint) -> f64 {
         let destination = self.destinations.get(&endpoint.entry.destination);
         let shared = destination.and_then(|d| d.admission.mean_latency_us);
         endpoint.admission.mean_latency_us.or(shared).unwrap_or(self.mean_latency_us)
     }
 
-    /// How long a call may be in flight before it counts as stuck.
+    /// The time in flight, in microseconds, after which a call to an endpoint counts as stuck.
     fn patience(&self, endpoint: &Endpoint) -> Micros {
         ((self.latency_of(endpoint) * STUCK_LATENCY_MULTIPLE) as Micros).max(STUCK_MIN_AGE)
     }
--- a/src/rates.rs
+++ b/src/rates.rs
@@ -1,27 +1,28 @@
-//! Estimates of rates: of what happened lately, by counts that decay, and of a reported limit, whose readings are late
-//! and noisy. They decide nothing, and time is an argument.
+//! Estimates of rates: the recent rate of an event, from a decaying count, and a reported rate limit, whose
+//! readings are late and noisy. This module decides nothing, and the time is passed in.
 
 use crate::{LoadReport, Micros};
 use serde::{Deserialize, Serialize};
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// How often something happened lately: a count over a time window, which decays when the window grows too long.
+/// The recent rate of an event: a count over a time window. When the window exceeds its longest length, the
+/// count decays.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct DecayingRate {
-    /// Events in the window; not whole once they decay.
+    /// The number of events in the window. It is fractional once it has decayed.
     pub count: f64,
-    /// Length of the window.
+    /// The length of the window, in microseconds.
     #[serde(rename = "over")]
     pub window: Micros,
-    /// When an event was recorded last, if the caller sets it.
+    /// When an event was last recorded; 0 if the caller does not set it.
     #[serde(rename = "at")]
     pub updated_at: Micros,
 }
 
 impl DecayingRate {
-    /// Records events, and the time that has gone by since those before. The count of a window longer than the longest
-    /// is scaled down to that.
+    /// Records events, and the time that has passed since the events before. If the window becomes longer
+    /// than `max_window`, it is cut to that length and the count is scaled down in proportion.
     pub fn record(&mut self, events: f64, elapsed: Micros, max_window: Micros) {
         self.window += elapsed;
         if self.window > max_window {
@@ -31,25 +32,27 @@
         self.count += events;
     }
 
-    /// Events a second, over the window and the time since, but no shorter a time than the least. One event at least is
-    /// assumed, as a forwarder of many seldom saw more.
+    /// The events per second, over the window and the time since. That time counts as `min_window` at least.
+    /// The count is taken as one at least, because one forwarder of a large fleet often has seen no event.
     pub fn per_second(&self, elapsed: Micros, min_window: Micros) -> f64 {
         self.count.max(1.0) * MICROS_PER_SECOND / (self.window + elapsed).max(min_window) as f64
     }
 }
 
-/// Weight of a new reading of a limit in its average. Readings of one limit were seen to vary by a third.
+/// The weight of a new reading in the average of a limit. Readings of the same limit were seen to vary by a
+/// third.
 const LIMIT_SMOOTHING: f64 = 0.3;
-/// A reading below this multiple of the average is no noise: the limit itself has changed.
+/// A reading below this multiple of the average is not noise: the limit itself has changed.
 const MIN_NOISE_RATIO: f64 = 0.7;
-/// A reading above this multiple of the average is no noise either.
+/// A reading above this multiple of the average is not noise either.
 const MAX_NOISE_RATIO: f64 = 1.5;
 
-/// A reported limit: the average of noisy readings, which follows a change of the limit at once. A forwarder that calls
-/// seldom would otherwise rely for seconds on a single reading that is a third too high or too low.
+/// An estimate of a reported rate limit: the average of noisy readings, which follows a change of the limit
+/// at once. Without the average, a forwarder that seldom calls would rely for seconds on a single reading
+/// that is a third too high or too low.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct RateLimitEstimate {
-    /// The remaining share as last reported, and the average rate; none before the first report.
+    /// The last reported remaining share together with the average rate; `None` before the first report.
     #[serde(rename = "held")]
     pub current: Option<LoadReport>,
     #[serde(rename = "last")]
@@ -57,8 +60,8 @@
 }
 
 impl RateLimitEstimate {
-    /// Takes in the load report of an answer, if it has one. The messages of one call all come back with the same
-    /// report, which counts once.
+    /// Updates the estimate from the load report of a response; `None` if the response has none. All messages
+    /// of a call come with the same report, which counts once.
     pub fn observe(&mut self, report: Option<LoadReport>) {
         let Some(report) = report.filter(|_| report != self.last_report) else { return };
         self.last_report = Some(report);
@@ -70,7 +73,8 @@
     }
 }
 
-/// Whether a reading differs from the average by no more than noise. There is none about a limit of zero.
+/// Whether a reading differs from the average by no more than noise. Around an average of zero nothing counts
+/// as noise.
 fn is_noise(average: f64, reading: f64) -> bool {
     let noise = average * MIN_NOISE_RATIO..=average * MAX_NOISE_RATIO;
     average > 0.0 && noise.contains(&reading)
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,9 @@
-//! Range checks of the settings.
+//! Checks that the values of the settings are in range.
 
 use crate::api::{Class, Settings, SettingsError, Tenant};
 use std::fmt;
 
-/// The values that a setting may have.
+/// The range of values that a setting may have. Infinity and NaN are in none.
 #[derive(Clone, Copy)]
 enum Range {
     Any,
@@ -49,11 +49,11 @@
 }
 
 impl Settings {
-    /// Checks that a forwarder can work with these settings.
+    /// Checks that all settings are in range and consistent.
     ///
     /// # Errors
     ///
-    /// Names the first setting at fault.
+    /// Returns an error that names the first setting that is wrong.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError("setting `categories`: there must be one at least".into()));
--- a/src/settings_json/decode.rs
+++ b/src/settings_json/decode.rs
@@ -1,70 +1,70 @@
-//! Decoding of single JSON values, with errors that name the setting at fault.
+//! Decoders for single JSON values. Their errors name the setting that is wrong.
 
 use crate::Micros;
 use serde_json::Value;
 
-/// The first time in milliseconds that is too long to be meant.
+/// Times of this many milliseconds or more are rejected, as they must be mistakes.
 const TIME_LIMIT_MS: f64 = 1e15;
 
-/// A name that the settings do not list.
+/// The error for a name that the settings do not list.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {what} `{name}`")]
 pub struct UnknownName {
-    /// What is named, such as a class.
+    /// What the name refers to, such as a class.
     pub what: &'static str,
-    /// The name.
+    /// The unknown name.
     pub name: String,
 }
 
-/// Why a JSON value could not be decoded.
+/// The reason why a JSON value could not be decoded.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum DecodeError {
-    /// A value of another type or range.
+    /// A value has the wrong type or is out of range.
     #[error("expected {expected}, got {found}")]
     Unexpected {
-        /// What it should be.
+        /// A description of the valid values.
         expected: &'static str,
-        /// What it is.
+        /// The value.
         found: Value,
     },
-    /// A field that must be there is missing.
+    /// A required field is missing.
     #[error("missing setting `{0}`")]
     Missing(String),
     /// The value of a field could not be decoded.
     #[error("setting `{key}`: {error}")]
     InField {
-        /// The field.
+        /// The name of the field.
         key: String,
-        /// Why not.
+        /// The reason why the value of the field could not be decoded.
         error: Box<DecodeError>,
     },
-    /// A value that is no list.
+    /// A value is not an array.
     #[error("not a list")]
     NotAList,
-    /// A text that is none of the words that are known.
+    /// A string is none of the valid values.
     #[error("unknown word `{0}`")]
     UnknownWord(String),
-    /// A name that the settings do not list.
+    /// A name is not listed in the settings.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// The number of this forwarder is not under the count of all.
+    /// The index of this forwarder is not below the number of forwarders.
     #[error("{index} is not under the count of {forwarders}")]
     ForwarderIndex {
-        /// Its number.
+        /// The index of this forwarder.
         index: u64,
-        /// The count.
+        /// The number of forwarders.
         forwarders: u64,
     },
-    /// An entry of the endpoint list that is no array.
+    /// An entry of the endpoint list is not an array.
     #[error("a list entry is not an array")]
     EntryNotAnArray,
-    /// The number of an endpoint that is too large.
+    /// The number of an endpoint is too large.
     #[error("an endpoint is a number below 2^32")]
     EndpointTooLarge,
 }
 
 impl DecodeError {
-    /// The same error, as one of a field's value.
+    /// Adds the name of the field that contains the value.
     fn in_field(self, key: &str) -> DecodeError {
         DecodeError::InField { key: key.to_owned(), error: Box::new(self) }
     }
@@ -74,91 +74,91 @@
     decoded.ok_or_else(|| DecodeError::Unexpected { expected, found: value.clone() })
 }
 
-/// A value as a string.
+/// Decodes a string.
 ///
 /// # Errors
 ///
-/// If it is of another type.
+/// Returns an error if the value has another type.
 pub fn string(value: &Value) -> Result<String, DecodeError> {
     expect("a text", value.as_str().map(str::to_owned), value)
 }
 
-/// A value as a number.
+/// Decodes a number.
 ///
 /// # Errors
 ///
-/// If it is of another type.
+/// Returns an error if the value has another type.
 pub fn number(value: &Value) -> Result<f64, DecodeError> {
     expect("a number", value.as_f64(), value)
 }
 
-/// A value as an unsigned integer.
+/// Decodes an unsigned integer.
 ///
 /// # Errors
 ///
-/// If it is of another type, negative or fractional.
+/// Returns an error if the value has another type, is negative or is fractional.
 pub fn unsigned(value: &Value) -> Result<u64, DecodeError> {
     expect("a whole number", value.as_u64(), value)
 }
 
-/// A value as true or false.
+/// Decodes a boolean.
 ///
 /// # Errors
 ///
-/// If it is of another type.
+/// Returns an error if the value has another type.
 pub fn boolean(value: &Value) -> Result<bool, DecodeError> {
     expect("true or false", value.as_bool(), value)
 }
 
-/// A time in milliseconds as microseconds.
+/// Decodes a time in milliseconds. Returns it in microseconds.
 ///
 /// # Errors
 ///
-/// If it is of another type, negative or longer than any time that is meant.
+/// Returns an error if the value has another type, is negative or is 10^15 milliseconds or more.
 pub fn micros_from_ms(value: &Value) -> Result<Micros, DecodeError> {
     let ms = Some(number(value)?).filter(|ms| (0.0..TIME_LIMIT_MS).contains(ms));
     Ok((expect("a time", ms, value)? * 1000.0).round() as Micros)
 }
 
-/// A number of megabytes as bytes.
+/// Decodes a size in megabytes. Returns it in bytes.
 ///
 /// # Errors
 ///
-/// If it is of another type, negative or larger than any disk.
+/// Returns an error if the value has another type, is negative or is 10^12 megabytes or more.
 pub fn bytes_from_mb(value: &Value) -> Result<u64, DecodeError> {
     let mb = Some(number(value)?).filter(|mb| (0.0..1e12).contains(mb));
     Ok((expect("megabytes", mb, value)? * 1e6) as u64)
 }
 
-/// The position of a name in a list of names.
+/// The index of a name in a list of names.
 ///
 /// # Errors
 ///
-/// If the list does not have it.
+/// Returns an error if the list does not contain the name.
 pub fn index_of(names: &[String], name: &str, what: &'static str) -> Result<usize, UnknownName> {
     let index = names.iter().position(|known| known == name);
     index.ok_or_else(|| UnknownName { what, name: name.to_owned() })
 }
 
-/// A field that may be missing or null.
+/// Returns a field of an object, or `None` if it is missing or null.
 pub fn optional_field<'a>(object: &'a Value, key: &str) -> Option<&'a Value> {
     object.get(key).filter(|value| !value.is_null())
 }
 
-/// A field that must be there.
+/// Returns a required field of an object.
 ///
 /// # Errors
 ///
-/// If it is missing or null.
+/// Returns an error if the field is missing or null.
 pub fn required_field<'a>(object: &'a Value, key: &str) -> Result<&'a Value, DecodeError> {
     optional_field(object, key).ok_or_else(|| DecodeError::Missing(key.to_owned()))
 }
 
-/// A field that must be there, decoded.
+/// Decodes a required field of an object.
 ///
 /// # Errors
 ///
-/// If it is missing or cannot be decoded.
+/// Returns an error if the field is missing or null, or cannot be decoded.
 pub fn required<T>(
     object: &Value,
     key: &str,
@@ -167,11 +167,11 @@
     decode(required_field(object, key)?).map_err(|error| error.in_field(key))
 }
 
-/// A field that may be missing, decoded.
+/// Decodes an optional field of an object. Returns `None` if it is missing or null.
 ///
 /// # Errors
 ///
-/// If it is there and cannot be decoded.
+/// Returns an error if the field is present and cannot be decoded.
 pub fn optional<T>(
     object: &Value,
     key: &str,
@@ -181,11 +181,11 @@
     decoded.map_err(|error| error.in_field(key))
 }
 
-/// A field that may be missing, zero or false then.
+/// Decodes an optional field of an object. Returns the default value of its type if it is missing or null.
 ///
 /// # Errors
 ///
-/// If it is there and cannot be decoded.
+/// Returns an error if the field is present and cannot be decoded.
 pub fn or_default<T: Default>(
     object: &Value,
     key: &str,
@@ -194,21 +194,21 @@
     Ok(optional(object, key, decode)?.unwrap_or_default())
 }
 
-/// The items of a list that must be there.
+/// Returns the items of a required array.
 ///
 /// # Errors
 ///
-/// If it is missing or no list.
+/// Returns an error if the field is missing, null or not an array.
 pub fn required_items<'a>(object: &'a Value, key: &str) -> Result<&'a [Value], DecodeError> {
     let list = required_field(object, key)?.as_array();
     list.map(Vec::as_slice).ok_or_else(|| DecodeError::NotAList.in_field(key))
 }
 
-/// The items of a list that must be there, each decoded.
+/// Decodes the items of a required array.
 ///
 /// # Errors
 ///
-/// If it is missing, no list, or one of its items cannot be decoded.
+/// Returns an error if the field is missing, null or not an array, or if an item cannot be decoded.
 pub fn required_list<T>(
     object: &Value,
     key: &str,
@@ -218,11 +218,11 @@
     items.iter().map(|item| decode(item).map_err(|error| error.in_field(key))).collect()
 }
 
-/// The items of a list that may be missing, each decoded; none then.
+/// Decodes the items of an optional array. Returns no items if it is missing or null.
 ///
 /// # Errors
 ///
-/// If it is there and no list, or one of its items cannot be decoded.
+/// Returns an error if the field is present and not an array, or if an item cannot be decoded.
 pub fn optional_list<T>(
     object: &Value,
     key: &str,
--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -1,7 +1,8 @@
-//! The settings of an instance, from the platform's JSON to the interface's types. The simulator's wire and the forwarder's
-//! configuration hold the same object.
+//! Decodes the settings of an instance from the platform's JSON into the types of the policy's interface. The
+//! simulator's messages and the forwarder's configuration file contain the same object.
 //!
-//! Errors are found in a fixed order and with fixed texts, as operators and scripts read them; hence a decoder by hand.
+//! Operators and scripts read the errors, so their order and texts are fixed. That is why this is not a
+//! derived decoder.
 
 mod decode;
 
@@ -17,20 +18,21 @@
 use decode::{optional, optional_list, or_default, required_items, required_list};
 use serde_json::Value;
 
-/// Names that the settings list, by which the platform refers to classes, tenants, zones and kinds.
+/// The names of classes, tenants, zones and kinds that the settings list. The platform refers to them by
+/// these names.
 #[derive(Debug, Default, PartialEq)]
 pub struct Names {
-    /// By [`crate::ClassId`].
+    /// The names of the classes, indexed by [`crate::ClassId`].
     pub classes: Vec<String>,
-    /// By [`crate::TenantId`].
+    /// The names of the tenants, indexed by [`crate::TenantId`].
     pub tenants: Vec<String>,
-    /// By [`ZoneId`].
+    /// The names of the zones, indexed by [`ZoneId`].
     pub zones: Vec<String>,
-    /// By [`KindId`].
+    /// The names of the kinds of destination, indexed by [`KindId`].
     pub kinds: Vec<String>,
 }
 
-/// The sections of the settings.
+/// The JSON object of the settings and its sections.
 struct Sections<'a> {
     root: &'a Value,
     specifics: &'a Value,
@@ -55,7 +57,7 @@
 ///
 /// # Errors
 ///
-/// The first setting that is missing or cannot be decoded.
+/// Returns the error of the first setting that is missing or cannot be decoded.
 pub fn decode_settings(json: &Value) -> Result<(Settings, Names), DecodeError> {
     let sections = Sections::of(json)?;
     let zones = required_list(json, "azs", string)?;
@@ -105,11 +107,12 @@
     Ok((settings, Names { classes, tenants, zones, kinds }))
 }
 
-/// The number of this forwarder among all.
+/// The index of this forwarder among all, from 0.
 ///
 /// # Errors
 ///
-/// If it has none that can be used; it then takes its turns by chance.
+/// Returns an error if the index is missing, cannot be decoded or is not below the number of forwarders. The
+/// time slots of the forwarder are random then.
 pub fn forwarder_index(settings: &Value) -> Result<u64, DecodeError> {
     let index = required(settings, "me", unsigned)?;
     let forwarders = required(settings, "balancers", unsigned)?;
@@ -124,8 +127,8 @@
     objects.iter().map(|object| required(object, "name", string)).collect()
 }
 
-/// The settings of each kind. Lists that are shorter than the kinds leave the others with the limits of their destination and
-/// one message a call.
+/// Decodes the settings of each kind. The lists may be shorter than the list of kinds: for the remaining
+/// kinds the circuit breaker is that of the destination, and a call carries one message.
 fn decode_kinds(specifics: &Value, kinds: usize) -> Result<Vec<Kind>, DecodeError> {
     let per_endpoint_breaker = optional_list(specifics, "own-limits", boolean)?;
     let messages_per_call = optional_list(specifics, "per-call", unsigned)?;
@@ -174,7 +177,7 @@
 
 fn dedup_scope(json: &Value) -> Result<DedupScope, DecodeError> {
     match string(json)?.as_str() {
-        // A cell is a destination, so all of its endpoints drop repeats.
+        // The platform calls a destination a cell, so all of its endpoints drop repeats.
         "" | "all" | "cell" => Ok(DedupScope::All),
         "zone" => Ok(DedupScope::Zone),
         other => Err(DecodeError::UnknownWord(other.to_owned())),
@@ -215,11 +218,12 @@
     }
 }
 
-/// Decodes an entry of the endpoint list, an array, by the names of the instance it goes to.
+/// Decodes an entry of the endpoint list, which is an array. Its names are looked up in those of the
+/// instance.
 ///
 /// # Errors
 ///
-/// If a value is missing, of another type, or a name that is not listed.
+/// Returns an error if a value is missing, has another type or is a name that is not listed.
 pub fn decode_endpoint_entry(json: &Value, names: &Names) -> Result<EndpointEntry, DecodeError> {
     let values = json.as_array().ok_or(DecodeError::EntryNotAnArray)?;
     let value = |index: usize| values.get(index).unwrap_or(&Value::Null);
--- a/src/time_slots/mod.rs
+++ b/src/time_slots/mod.rs
@@ -1,31 +1,34 @@
-//! Time-division slots (as in TDMA): each forwarder of a fleet has its own slot in a period, computed alike by all from
-//! their indexes and the wall clock, so that what each does once a period comes evenly from all of them together. It
-//! decides when, never whether; it does no I/O, and the clock comes in as an argument.
+//! Time-division slots, as in TDMA: each forwarder of a fleet has its own slot in a period, so that calls
+//! which every forwarder makes once a period are spread evenly over the period. Each forwarder computes its
+//! slot from its index and the wall clock, without communication. This module decides when a call is made,
+//! never whether. It does no I/O, and the time is passed in.
 //!
-//! The offset of a forwarder's slot in a period is the fractional part of its index times the golden ratio, shifted for
-//! each destination by a hash of the destination's number. Any range of successive indexes then lies evenly: the gaps
-//! between neighbours have two or three lengths, of which the longest is 2.62 times the shortest at most. The count of
-//! forwarders is not needed, so a wrong count moves no slot, and one forwarder more or less moves none of the others.
+//! The offset of a forwarder's slot within a period is the fractional part of its index times the golden
+//! ratio, shifted for each destination by a hash of the destination's number. The slots of any range of
+//! successive indexes are then spread evenly: the gaps between neighbours have two or three different
+//! lengths, of which the longest is at most 2.62 times the shortest. The number of forwarders is not used, so
+//! a wrong number moves no slot, and adding or removing a forwarder moves none of the others.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The golden ratio less one, as parts of 2^64: the distance of successive indexes' slots. No other figure keeps them as
-/// far apart (Weyl's sequence; Steinhaus' three gaps).
+/// The golden ratio minus one, as a fraction of 2^64: the distance between the slots of successive indexes.
+/// No other value keeps them as far apart (Weyl's sequence, three-gap theorem of Steinhaus).
 const GOLDEN_RATIO_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Periods are rounded up to lengths of which there are this many in an octave (a factor of two). Forwarders that
-/// compute nearly the same period, as each has its own reading of a limit, would soon be in different periods, and the
-/// order between them would be chance.
+/// Periods are rounded up to one of this many lengths per octave (a factor of two). Forwarders compute
+/// slightly different periods, as each has its own reading of a limit. Without the rounding they would soon
+/// be in different periods, and their slots would be in random order.
 const PERIODS_PER_OCTAVE: f64 = 4.0;
-/// No period is shorter than a millisecond, in microseconds.
+/// The shortest period, one millisecond, in microseconds.
 const MIN_PERIOD_US: f64 = 1e3;
-/// No period is longer than an hour, in microseconds, so that nothing overflows.
+/// The longest period, one hour, in microseconds. It prevents overflows.
 const MAX_PERIOD_US: f64 = 3.6e9;
-/// A period longer than a rounded one by this part of the distance to the next is rounded down, as rounded periods are
-/// whole microseconds.
+/// A period that exceeds a rounded one by no more than this part of a rounding step is rounded down to it,
+/// because rounded periods are whole microseconds and must remain the same when they are rounded again.
 const ROUNDING_TOLERANCE: f64 = 0.01;
 
-/// Allocates slots to one forwarder, by its index in the fleet or, where that is not known, at random.
+/// Allocates time slots to one forwarder: fixed ones by its index in the fleet, or random ones if it has no
+/// index.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct SlotAllocator {
     /// State of the random number generator (SplitMix64).
@@ -33,33 +36,34 @@
     random_state: u64,
 }
 
-/// A forwarder's slots towards one destination, as seen at one moment.
+/// A forwarder's slots for calls to one destination, as seen at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotSchedule {
-    /// The wall clock, which all forwarders read.
+    /// The time of the wall clock, which all forwarders share, in microseconds.
     now: Micros,
     offset: SlotOffset,
 }
 
-/// Where in a period a slot lies.
+/// The position of a slot in a period.
 #[derive(Clone, Copy, Debug)]
 enum SlotOffset {
-    /// As parts of 2^64 of any period.
+    /// A fixed position, as a fraction of 2^64 of a period of any length.
     Fixed(u64),
-    /// A random number from 0 to 1.
+    /// A random position, as a fraction from 0 to 1 of the period.
     Random(f64),
 }
 
-/// The last steps of SplitMix64: a hash of a number.
+/// The output function of SplitMix64, used as a hash.
 fn splitmix64(number: u64) -> u64 {
     let z = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
 }
 
-/// Rounds a period in microseconds up to one of `PERIODS_PER_OCTAVE` lengths in an octave, in whole microseconds.
+/// Rounds a period in microseconds up to one of `PERIODS_PER_OCTAVE` lengths per octave, in whole
+/// microseconds.
 pub fn rounded_period(period_us: f64) -> Micros {
-    // The calls of a limit of zero have an endless period, and one that is not a number is as good as that.
+    // A limit of zero calls gives an infinite period, and NaN is treated in the same way.
     let period_us =
         if period_us.is_nan() { MAX_PERIOD_US } else { period_us.clamp(MIN_PERIOD_US, MAX_PERIOD_US) };
     let step = (period_us.log2() * PERIODS_PER_OCTAVE - ROUNDING_TOLERANCE).ceil();
@@ -67,12 +71,13 @@
 }
 
 impl SlotAllocator {
-    /// With a seed for slots allocated at random.
+    /// Creates an allocator. The seed determines the random slots of a forwarder without an index.
     pub fn new(seed: u64) -> Self {
         SlotAllocator { random_state: seed }
     }
 
-    /// The slots towards a destination, at a time of the wall clock; at random if the forwarder has no index.
+    /// Returns the slots for calls to a destination. `now` is the wall-clock time in microseconds. The slots
+    /// are random if the forwarder has no index.
     pub fn schedule(&mut self, now: Micros, forwarder_index: Option<u64>, destination: u64) -> SlotSchedule {
         self.random_state = self.random_state.wrapping_add(GOLDEN_RATIO_STEP);
         let offset = match forwarder_index {
@@ -87,7 +92,7 @@
 }
 
 impl SlotSchedule {
-    /// How long until the forwarder's slot, for what all do once within a period.
+    /// The time in microseconds until the forwarder's next slot, for a call that every forwarder makes once.
     pub fn delay_to_slot(&self, period_us: f64) -> Micros {
         match self.offset {
             SlotOffset::Random(fraction) => (period_us.clamp(0.0, MAX_PERIOD_US) * fraction) as Micros,
@@ -95,8 +100,9 @@
         }
     }
 
-    /// How long until the forwarder's first slot after a least delay, for what all do again and again, once a period.
-    /// A random delay has to be twice as long in the mean, as the next one may be short.
+    /// The time in microseconds until the forwarder's first slot that is at least `min_delay` away, for calls
+    /// that every forwarder repeats once a period. A random delay is drawn from twice the rest of the period,
+    /// so that the calls are one period apart on average.
     pub fn delay_to_slot_after(&self, period_us: f64, min_delay: Micros) -> Micros {
         match self.offset {
             SlotOffset::Random(fraction) => {
@@ -111,7 +117,8 @@
     }
 }
 
-/// From a moment to the next time at which an offset comes in periods of that length; less than one period.
+/// The time from `now` to the next occurrence of an offset in periods of the given length; less than one
+/// period.
 fn delay_to_offset(now: Micros, offset: u64, period: Micros) -> Micros {
     let slot_at = ((u128::from(offset) * u128::from(period)) >> 64) as Micros;
     let elapsed = now % period;
