--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -192,5 +192,5 @@
 
 /// A setting that is missing, inconsistent or out of range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("bad settings: {0}")]
+#[error("invalid settings: {0}")]
 pub struct SettingsError(pub String);
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -23,7 +23,7 @@
     /// The interval between two calls of this forwarder, in seconds, at which the calls of all forwarders
     /// together just fit the full capacity of the recovering destination.
     #[serde(rename = "spread")]
-    pub(super) return_interval_s: f64,
+    pub(super) recovery_interval_s: f64,
     /// When the destination recovered; `None` when it is not in slow start.
     #[serde(rename = "cold_since")]
     pub(super) warming_since: Option<Micros>,
@@ -132,14 +132,14 @@
         // after a single lost call.
         let calls_seldom = || self.own_rate(now, settings) * (OPEN_TIMEOUT as f64) < SECOND as f64;
         if closed && !trips && calls_seldom() {
-            let period = self.update_return_interval(now, OPEN_TIMEOUT, settings);
+            let period = self.update_recovery_interval(now, OPEN_TIMEOUT, settings);
             let wait = slot.delay_to_slot_after(period, 0);
             self.pacer.paused_until = self.pacer.paused_until.max(now + wait);
-            self.circuit.suspend(wait);
+            self.circuit.assume_outage(wait);
         }
         if trips || self.circuit.state == BreakerState::HalfOpen && call.is_trial {
             let failing_for = now - failing_since + OPEN_TIMEOUT;
-            let period = self.update_return_interval(now, failing_for, settings).max(OPEN_TIMEOUT as f64);
+            let period = self.update_recovery_interval(now, failing_for, settings).max(OPEN_TIMEOUT as f64);
             self.circuit.open(now, slot.delay_to_slot_after(period, MIN_OPEN_DURATION));
         }
     }
@@ -176,18 +176,18 @@
     ) {
         self.pacer.last_rejected_at = now;
         let even_interval = self.pacer.even_interval_s(settings) * SECOND as f64;
-        let stands_for = (even_interval / BACKOFF_INITIAL as f64).max(1.0);
-        self.pacer.cut_rate(stands_for);
+        let rejection_weight = (even_interval / BACKOFF_INITIAL as f64).max(1.0);
+        self.pacer.cut_rate(rejection_weight);
         let has_retry_after = matches!(outcome, Outcome::Rejected(Some(_)));
         let pause = if has_retry_after { 0 } else { self.pacer.backoff };
         let was_healthy = !self.circuit.in_outage && !self.slow_start.is_active() && failing_since == now;
         let period = if was_healthy {
             even_interval.min(MAX_REJECTION_SPREAD_US)
         } else {
-            self.update_return_interval(now, now - failing_since + OPEN_TIMEOUT / 2, settings)
+            self.update_recovery_interval(now, now - failing_since + OPEN_TIMEOUT / 2, settings)
         };
-        let takes_slots = stands_for > 1.0 && 2.0 * even_interval > pause as f64;
-        let wait = if takes_slots { slot.delay_to_slot(period) } else { pause };
+        let uses_time_slot = rejection_weight > 1.0 && 2.0 * even_interval > pause as f64;
+        let wait = if uses_time_slot { slot.delay_to_slot(period) } else { pause };
         self.pacer.paused_until = self.pacer.paused_until.max(now) + wait;
         // Tokens accumulated during a pause would all be spent at its end, and those calls would be rejected
         // again.
--- a/src/policy/call_rate.rs
+++ b/src/policy/call_rate.rs
@@ -23,15 +23,15 @@
         }
         let pacer = &self.pacer;
         let limit = pacer.limit.current.filter(|limit| limit.rate > 0.0);
-        let is_low = limit.is_some_and(|limit| limit.remaining_share < LOW_REMAINING_SHARE);
-        let overcommit = if is_low { 1.0 } else { OVERCOMMIT_RATIO };
+        let is_nearly_used_up = limit.is_some_and(|limit| limit.remaining_share < LOW_REMAINING_SHARE);
+        let overcommit = if is_nearly_used_up { 1.0 } else { OVERCOMMIT_RATIO };
         let min_rate = pacer.min_rate(now, settings, limit.is_some());
         let demand = &pacer.demand;
-        let demanded = demand.count.min(1.0) * demand.per_second(now - demand.updated_at, OPEN_TIMEOUT);
-        let wanted = (self.own_rate(now, settings).max(demanded) * overcommit).max(min_rate);
+        let demand_rate = demand.count.min(1.0) * demand.per_second(now - demand.updated_at, OPEN_TIMEOUT);
+        let target_rate = (self.own_rate(now, settings).max(demand_rate) * overcommit).max(min_rate);
         // Rejections lower only the part of the rate that exceeds the forwarder's even share of the fleet's
         // rate.
-        (wanted * pacer.rate_factor).max(pacer.even_rate(settings) * SLOW_START_UTILIZATION)
+        (target_rate * pacer.rate_factor).max(pacer.even_rate(settings) * SLOW_START_UTILIZATION)
     }
 
     /// Refills the token bucket and checks whether it holds a token for a call.
--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -103,7 +103,7 @@
     }
 
     /// Assumes an outage after a failure without opening the breaker. `pause` is the time to the next call.
-    pub(super) fn suspend(&mut self, pause: Micros) {
+    pub(super) fn assume_outage(&mut self, pause: Micros) {
         self.in_outage = true;
         self.open_duration = pause;
     }
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -12,20 +12,20 @@
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub(super) struct ConnectionLoss {
-    on_fresh: f64,
+    on_new: f64,
     on_reused: f64,
 }
-stored_as_array!(ConnectionLoss { on_fresh: f64, on_reused: f64 });
+stored_as_array!(ConnectionLoss { on_new: f64, on_reused: f64 });
 
 impl ConnectionLoss {
     /// Calls on reused connections remain unanswered so much more often than on new ones that idle
     /// connections are probably stale.
     pub(super) fn is_high_on_reused(&self) -> bool {
-        self.on_reused - self.on_fresh > STALE_EXCESS_LOSS
+        self.on_reused - self.on_new > STALE_EXCESS_LOSS
     }
 
     fn record(&mut self, reused: bool, answered: bool) {
-        let loss = if reused { &mut self.on_reused } else { &mut self.on_fresh };
+        let loss = if reused { &mut self.on_reused } else { &mut self.on_new };
         *loss += CONNECTION_LOSS_SMOOTHING * (f64::from(!answered) - *loss);
         if answered && !reused {
             self.on_reused *= REUSED_LOSS_DECAY;
@@ -70,15 +70,15 @@
         let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected(_) | Outcome::Error);
         // A reused connection that breaks at once costs no more than the next call, so it does not count as
         // unanswered.
-        let tells = outcome != Outcome::StaleConnection && (answered || may_still_run(outcome));
-        if let Some(reused) = reused.filter(|_| tells) {
+        let is_evidence = outcome != Outcome::StaleConnection && (answered || may_still_run(outcome));
+        if let Some(reused) = reused.filter(|_| is_evidence) {
             self.connection_loss.record(reused, answered);
         }
         let Some(endpoint) = self.endpoints.get_mut(&id) else { return };
         endpoint.has_idle_connection = answered;
-        let Some(kind) = self.connection_scarcity.get_mut(endpoint.entry.kind.0) else { return };
-        kind.record(outcome == Outcome::ConnectFailed, self.settings.connection_cost);
-        if kind.is_scarce() && !self.calls.values().any(|c| c.endpoint == id) {
+        let Some(scarcity) = self.connection_scarcity.get_mut(endpoint.entry.kind.0) else { return };
+        scarcity.record(outcome == Outcome::ConnectFailed, self.settings.connection_cost);
+        if scarcity.is_scarce() && !self.calls.values().any(|c| c.endpoint == id) {
             endpoint.has_idle_connection = false;
             self.actions.push(Action::CloseIdle { endpoint: id });
         }
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -63,7 +63,7 @@
 pub(super) const STUCK_MIN_AGE: Micros = 400 * MS;
 /// A non-idempotent call counts as stuck only after this multiple of the usual time, because its message
 /// cannot be retried after a cancellation.
-pub(super) const NON_IDEMPOTENT_PATIENCE: f64 = 3.0;
+pub(super) const NON_IDEMPOTENT_STUCK_MULTIPLE: f64 = 3.0;
 /// A call may be cancelled to free its slot once its age is this multiple of the time after which it counts
 /// as stuck.
 pub(super) const CANCEL_TO_FREE_SLOT_MULTIPLE: f64 = 1.2;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use super::admission::AdmissionControl;
 use super::constants::*;
-use super::records::{destination, Destination, Endpoint};
+use super::records::{get_or_create_destination, Destination, Endpoint};
 use super::DeliveryPolicy;
 use crate::api::*;
 
@@ -26,15 +26,15 @@
             self.apply_entry(now, entry);
         }
         // A patch without removals does not need a scan of all endpoints, of which there may be thousands.
-        let removes = entries.iter().any(|e| e.lifecycle == Lifecycle::Removed);
-        if is_complete || removes || self.keeps_removed {
-            self.forget_removed(now);
+        let has_removals = entries.iter().any(|e| e.lifecycle == Lifecycle::Removed);
+        if is_complete || has_removals || self.retains_removed {
+            self.purge_removed(now);
         }
     }
 
     fn apply_entry(&mut self, now: Micros, entry: &EndpointEntry) {
         let kind = self.settings.kinds.get(entry.kind.0);
-        let destination = destination(&mut self.destinations, now, entry.destination);
+        let destination = get_or_create_destination(&mut self.destinations, now, entry.destination);
         destination.per_endpoint_breaker = kind.is_some_and(|k| k.per_endpoint_breaker);
         destination.messages_per_call = kind.map_or(1, |k| k.messages_per_call);
         destination.kind = Some(entry.kind);
@@ -44,11 +44,11 @@
         }
         let lifecycle_of =
             |id: &EndpointId| self.endpoints.get(id).map_or(Lifecycle::Removed, |e| e.entry.lifecycle);
-        let is_only_one = !destination
+        let is_only_listed = !destination
             .endpoints
             .iter()
             .any(|other| *other != entry.endpoint && lifecycle_of(other) == Lifecycle::Listed);
-        let returns =
+        let ends_drain =
             lifecycle_of(&entry.endpoint) == Lifecycle::Draining && entry.lifecycle == Lifecycle::Listed;
         let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(|| Endpoint {
             entry: entry.clone(),
@@ -58,13 +58,14 @@
         });
         endpoint.entry = entry.clone();
         let weight = if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 0.0 };
-        let sharing = if destination.per_endpoint_breaker { 1.0 } else { destination.endpoints.len() as f64 };
+        let weight_divisor =
+            if destination.per_endpoint_breaker { 1.0 } else { destination.endpoints.len() as f64 };
         destination.admission.pacer.weight = weight;
-        endpoint.admission.pacer.weight = weight / sharing;
-        if returns {
+        endpoint.admission.pacer.weight = weight / weight_divisor;
+        if ends_drain {
             endpoint.admission.return_from_drain(now, &self.settings);
         }
-        if returns && is_only_one {
+        if ends_drain && is_only_listed {
             destination.admission.return_from_drain(now, &self.settings);
         }
     }
@@ -72,7 +73,7 @@
     /// Deletes the records of removed endpoints and of destinations without endpoints. An endpoint with a
     /// pending retry-after is kept (rule 6), and so is a destination that has waiting messages, recent
     /// failures or is in slow start (rule 4).
-    fn forget_removed(&mut self, now: Micros) {
+    fn purge_removed(&mut self, now: Micros) {
         let is_removed = |e: &Endpoint| e.entry.lifecycle == Lifecycle::Removed;
         self.endpoints.retain(|_, e| !is_removed(e) || now < e.admission.pacer.paused_until);
         for destination in self.destinations.values_mut() {
@@ -85,7 +86,7 @@
                 && !d.admission.slow_start.is_active()
         };
         self.destinations.retain(|_, d| !is_unused(d));
-        self.keeps_removed = self.endpoints.values().any(is_removed)
+        self.retains_removed = self.endpoints.values().any(is_removed)
             || self.destinations.values().any(|d| d.endpoints.is_empty());
     }
 
--- a/src/policy/enqueue.rs
+++ b/src/policy/enqueue.rs
@@ -2,7 +2,7 @@
 //! adds it to its queues.
 
 use super::constants::*;
-use super::records::{destination, Message, PossibleEffect};
+use super::records::{get_or_create_destination, Message, PossibleEffect};
 use super::DeliveryPolicy;
 use crate::api::*;
 
@@ -33,7 +33,7 @@
             received_at,
             deadline,
             attempts: new.attempts,
-            first_effect: journaled.or(assumed),
+            first_possible_effect: journaled.or(assumed),
             restored: new.restored,
             ..Message::default()
         };
@@ -46,10 +46,10 @@
     /// that needs an answer that soon gave it little time from the start.
     fn first_received_at(&self, now: Micros, deadline: Micros, new: &NewMessage) -> Micros {
         let class = &self.settings.classes[new.class.0];
-        let is_first = !new.failed_over
+        let is_first_attempt = !new.failed_over
             && !new.client_retry
             && (self.settings.clients_mark_retries || new.time_left <= class.latency_objective);
-        if is_first {
+        if is_first_attempt {
             now
         } else {
             deadline.saturating_sub(class.deadline)
@@ -72,7 +72,7 @@
     /// Adds a message to the queue of its destination, and counts it as demand for the destination and its
     /// endpoints.
     fn record_demand(&mut self, now: Micros, new: &NewMessage) {
-        let destination = destination(&mut self.destinations, now, new.destination);
+        let destination = get_or_create_destination(&mut self.destinations, now, new.destination);
         destination.waiting.push(new.id);
         let per_endpoint = destination.per_endpoint_breaker;
         let share = if per_endpoint { 1.0 / destination.endpoints.len().max(1) as f64 } else { 1.0 };
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -8,7 +8,7 @@
 impl DeliveryPolicy {
     /// When a message expires. Later settings cannot postpone this once the message's last attempt, which may
     /// take until then, is in flight.
-    pub(super) fn end_of(&self, message: &Message) -> Micros {
+    pub(super) fn expiry_of(&self, message: &Message) -> Micros {
         let end = self.timing(message).ends_at(message.received_at, message.deadline);
         message.final_deadline.map_or(end, |fixed| end.min(fixed))
     }
@@ -18,12 +18,12 @@
         let Some(message) = self.messages.get_mut(&id).filter(|m| !m.complete) else { return };
         message.complete = true;
         self.open_messages -= 1;
-        self.forget_if_settled(id);
+        self.remove_if_settled(id);
     }
 
     /// Deletes a complete message once none of its attempts is in flight, so that the next message with its
     /// order key may be sent.
-    pub(super) fn forget_if_settled(&mut self, id: MessageId) {
+    pub(super) fn remove_if_settled(&mut self, id: MessageId) {
         let Some(message) = self.messages.get(&id) else { return };
         if let Some(destination) = self.destinations.get_mut(&message.destination) {
             destination.waiting.retain(|waiting| *waiting != id);
@@ -41,7 +41,7 @@
     /// if no attempt can have taken effect, and fails otherwise. Does nothing while an attempt is in flight.
     pub(super) fn abandon(&mut self, now: Micros, id: MessageId, reason: AbandonReason) {
         let Some(message) = self.messages.get(&id).filter(|m| m.is_waiting()) else { return };
-        if message.first_effect.is_none() || self.idempotency(id) == Idempotency::Idempotent {
+        if message.first_possible_effect.is_none() || self.idempotency(id) == Idempotency::Idempotent {
             let wait = self.expected_wait(now, message.destination).min(self.settings.max_retry_after);
             let retry_after = (self.settings.may_send_retry_after && wait > 0).then_some(wait);
             self.actions.push(Action::Reject { id, retry_after, reason });
@@ -74,7 +74,7 @@
         if now >= latest_send {
             return Some(AbandonReason::DeadlineExceeded);
         }
-        if self.has_spent_attempts(message) {
+        if self.has_exhausted_attempts(message) {
             return Some(AbandonReason::AttemptsExhausted);
         }
         let destination = self.destinations.get(&message.destination);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -25,10 +25,10 @@
         // A message restored at the start was received long ago, so its client will not retry it on its own.
         let sheddable = || self.messages.iter().filter(|(_, m)| m.is_waiting() && !m.restored);
         let destinations: BTreeSet<_> = sheddable().map(|(_, m)| m.destination).collect();
-        let waits: BTreeMap<_, _> =
+        let expected_waits: BTreeMap<_, _> =
             destinations.into_iter().map(|d| (d, self.expected_wait(now, d))).collect();
         let expected_value = |message: &Message| {
-            let delivered_at = now + waits[&message.destination];
+            let delivered_at = now + expected_waits[&message.destination];
             (self.value_at(message, delivered_at) * VALUE_SCALE) as i64
         };
         let least = sheddable().map(|(id, m)| (expected_value(m), Reverse(*id))).min();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -82,7 +82,7 @@
     slots: SlotAllocator,
     /// Some endpoints or destinations are still kept although the endpoint list no longer names them.
     #[serde(rename = "leftovers")]
-    keeps_removed: bool,
+    retains_removed: bool,
     actions: Vec<Action>,
     /// The journal cannot be written, so no attempt may start.
     #[serde(rename = "unwritable")]
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -3,14 +3,14 @@
 
 use super::admission::{AdmissionControl, FinishedCall};
 use super::constants::*;
-use super::records::{destination, Destinations, Endpoint};
+use super::records::{get_or_create_destination, Destinations, Endpoint};
 use super::DeliveryPolicy;
 use crate::api::*;
 use std::collections::BTreeMap;
 
 /// The records to which an outcome at an endpoint applies: that of the endpoint, and that of its destination
 /// unless each endpoint has its own circuit breaker.
-fn affected<'a>(
+fn affected_records<'a>(
     endpoints: &'a mut BTreeMap<EndpointId, Endpoint>,
     destinations: &'a mut Destinations,
     id: EndpointId,
@@ -25,7 +25,7 @@
 impl DeliveryPolicy {
     /// Updates the estimated rate limit from the load report of a response.
     pub(super) fn observe_load_report(&mut self, id: EndpointId, report: Option<LoadReport>) {
-        for admission in affected(&mut self.endpoints, &mut self.destinations, id) {
+        for admission in affected_records(&mut self.endpoints, &mut self.destinations, id) {
             admission.pacer.limit.observe(report);
         }
     }
@@ -34,7 +34,7 @@
     /// each message of a call may get its own. One millisecond is added because the time was rounded down to
     /// milliseconds.
     pub(super) fn observe_retry_after(&mut self, now: Micros, id: EndpointId, retry_after: Micros) {
-        for admission in affected(&mut self.endpoints, &mut self.destinations, id) {
+        for admission in affected_records(&mut self.endpoints, &mut self.destinations, id) {
             let until = now.saturating_add(retry_after + MS);
             admission.pacer.paused_until = admission.pacer.paused_until.max(until);
         }
@@ -48,7 +48,7 @@
         id: DestinationId,
         retry_after: Micros,
     ) {
-        let destination = destination(&mut self.destinations, now, id);
+        let destination = get_or_create_destination(&mut self.destinations, now, id);
         if !destination.per_endpoint_breaker {
             let until = now.saturating_add(retry_after + MS);
             let paused_until = &mut destination.admission.pacer.paused_until;
@@ -61,7 +61,7 @@
         if let Some(endpoint) = self.endpoints.get_mut(&id) {
             endpoint.last_used_at = now;
         }
-        for admission in affected(&mut self.endpoints, &mut self.destinations, id) {
+        for admission in affected_records(&mut self.endpoints, &mut self.destinations, id) {
             admission.pacer.bucket.tokens -= 1.0;
             admission.circuit.trial_in_flight |= is_trial;
         }
@@ -75,7 +75,7 @@
         let slot = self.slots.schedule(wall_clock, self.settings.forwarder_index, destination);
         let overall_latency_us = self.mean_latency_us;
         let mut transition = None;
-        for admission in affected(&mut self.endpoints, &mut self.destinations, id) {
+        for admission in affected_records(&mut self.endpoints, &mut self.destinations, id) {
             let before = admission.circuit.state;
             admission.record(now, call, overall_latency_us, &self.settings, slot);
             let (state, count) = (admission.circuit.state, admission.circuit.failure_count);
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -81,9 +81,9 @@
     }
 
     /// Lowers the rate after a rejection that counts as this many.
-    pub(super) fn cut_rate(&mut self, stands_for: f64) {
-        let cut = self.rate_factor * RATE_FACTOR_CUT.powf(stands_for);
-        self.rate_factor = cut.max(RATE_FACTOR_MIN.powf(stands_for));
+    pub(super) fn cut_rate(&mut self, rejection_weight: f64) {
+        let cut = self.rate_factor * RATE_FACTOR_CUT.powf(rejection_weight);
+        self.rate_factor = cut.max(RATE_FACTOR_MIN.powf(rejection_weight));
     }
 
     /// The calls per second that all forwarders together may send; `None` if that is unknown.
--- a/src/policy/records.rs
+++ b/src/policy/records.rs
@@ -73,7 +73,7 @@
     pub(super) attempts: u32,
     /// The first attempt that may have taken effect; `None` while there is none.
     #[serde(rename = "may_have_run")]
-    pub(super) first_effect: Option<PossibleEffect>,
+    pub(super) first_possible_effect: Option<PossibleEffect>,
     #[serde(rename = "out")]
     pub(super) in_flight: Option<InFlightAttempt>,
     /// The zone to which the last attempt was sent.
@@ -198,7 +198,7 @@
 pub(super) type Destinations = BTreeMap<DestinationId, Destination>;
 
 /// Returns the record of a destination, which is created if it does not exist.
-pub(super) fn destination(
+pub(super) fn get_or_create_destination(
     destinations: &mut Destinations,
     now: Micros,
     id: DestinationId,
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -4,7 +4,7 @@
 use super::admission::FinishedCall;
 use super::constants::*;
 use super::may_still_run;
-use super::records::{destination, KeyQueue, Message, PossibleEffect};
+use super::records::{get_or_create_destination, KeyQueue, Message, PossibleEffect};
 use super::DeliveryPolicy;
 use crate::api::*;
 use crate::routes::Timing;
@@ -36,7 +36,7 @@
     }
 
     /// Whether a message has had all the attempts that it may have.
-    pub(super) fn has_spent_attempts(&self, message: &Message) -> bool {
+    pub(super) fn has_exhausted_attempts(&self, message: &Message) -> bool {
         let max_attempts = self.timing(message).max_attempts(self.settings.max_attempts);
         message.attempts - message.uncounted_attempts >= max_attempts
     }
@@ -45,8 +45,8 @@
     pub(super) fn latest_send(&self, message: &Message) -> Micros {
         let class = &self.settings.classes[message.class.0];
         let min_step = self.settings.min_step_interval;
-        let end = self.end_of(message).saturating_sub(MIN_DELIVERY_TIME + 2 * min_step);
-        match (class.idempotency, message.first_effect) {
+        let end = self.expiry_of(message).saturating_sub(MIN_DELIVERY_TIME + 2 * min_step);
+        match (class.idempotency, message.first_possible_effect) {
             (_, None) | (Idempotency::Idempotent, _) => end,
             (Idempotency::WithKey, Some(first)) => {
                 end.min(first.sent_at + class.deduplication_window.saturating_sub(min_step))
@@ -60,7 +60,7 @@
     pub(super) fn may_send(&self, now: Micros, id: MessageId, endpoint: EndpointId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         message.is_waiting()
-            && !self.has_spent_attempts(message)
+            && !self.has_exhausted_attempts(message)
             && now < self.latest_send(message)
             && now >= message.retry_at
             && self.is_first_of_its_key(now, id, message)
@@ -83,9 +83,9 @@
         if entry.destination != message.destination || entry.lifecycle != Lifecycle::Listed {
             return false;
         }
-        let pauses = |at: Micros| now < at;
-        if pauses(endpoint.admission.pacer.paused_until)
-            || !destination.per_endpoint_breaker && pauses(destination.admission.pacer.paused_until)
+        let is_in_future = |at: Micros| now < at;
+        if is_in_future(endpoint.admission.pacer.paused_until)
+            || !destination.per_endpoint_breaker && is_in_future(destination.admission.pacer.paused_until)
         {
             return false;
         }
@@ -100,16 +100,16 @@
         {
             return false;
         }
-        self.drops_repeat(message, entry.zone)
+        self.is_in_dedup_scope(message, entry.zone)
     }
 
     /// Whether an endpoint in this zone would drop a repeat of the message, by the scope of deduplication.
-    fn drops_repeat(&self, message: &Message, zone: ZoneId) -> bool {
+    fn is_in_dedup_scope(&self, message: &Message, zone: ZoneId) -> bool {
         let class = &self.settings.classes[message.class.0];
         if class.idempotency != Idempotency::WithKey || class.dedup_scope != DedupScope::Zone {
             return true;
         }
-        message.first_effect.and_then(|first| first.zone).is_none_or(|first| first == zone)
+        message.first_possible_effect.and_then(|first| first.zone).is_none_or(|first| first == zone)
     }
 
     /// Handles the end of an attempt. One that is not in flight is ignored.
@@ -121,7 +121,7 @@
         let sent = self.finish_call_attempt(now, in_flight.call, class, &result);
         self.record_possible_effect(now, &result, sent.sent_at);
         if self.messages[&result.id].complete {
-            self.forget_if_settled(result.id);
+            self.remove_if_settled(result.id);
         } else if result.completes_message || result.outcome == Outcome::Ok {
             self.complete(result.id);
         } else {
@@ -172,8 +172,8 @@
     fn record_possible_effect(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros) {
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         let may_run = may_still_run(result.outcome);
-        if (may_run || result.outcome == Outcome::Error) && message.first_effect.is_none() {
-            message.first_effect = Some(PossibleEffect { sent_at, zone: Some(message.last_zone) });
+        if (may_run || result.outcome == Outcome::Error) && message.first_possible_effect.is_none() {
+            message.first_possible_effect = Some(PossibleEffect { sent_at, zone: Some(message.last_zone) });
         }
         let key = message.order_key.filter(|_| may_run);
         if let Some(key) = key.and_then(|k| self.order_keys.get_mut(&k)) {
@@ -194,6 +194,6 @@
             let hedges = was_cut_short && timing.hedge_after.is_some();
             message.avoid_endpoint = sent.endpoint.filter(|_| hedges);
         }
-        destination(&mut self.destinations, now, message.destination).waiting.push(result.id);
+        get_or_create_destination(&mut self.destinations, now, message.destination).waiting.push(result.id);
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -4,7 +4,7 @@
 
 use super::circuit_breaker::Admission;
 use super::constants::*;
-use super::records::{destination, Endpoint, Message};
+use super::records::{get_or_create_destination, Endpoint, Message};
 use super::DeliveryPolicy;
 use crate::api::*;
 use crate::routes::Timing;
@@ -54,7 +54,7 @@
             }
             self.send(now, next);
             self.dispatch_count += 1;
-            let destination = destination(&mut self.destinations, now, id);
+            let destination = get_or_create_destination(&mut self.destinations, now, id);
             destination.last_dispatch = self.dispatch_count;
             if !destination.waiting.is_empty() {
                 order.insert((self.dispatch_count, id));
@@ -114,7 +114,7 @@
         let is_paced = destination.per_endpoint_breaker
             || admission.circuit.in_outage
             || admission.slow_start.is_active();
-        let verdict = if is_paced {
+        let decision = if is_paced {
             admission.check(now, &self.settings)
         } else {
             // Calls that were sent while the endpoint was not paced leave no debt of tokens, which would slow
@@ -122,12 +122,12 @@
             admission.pacer.bucket.tokens = admission.pacer.bucket.tokens.max(0.0);
             admission.check_circuit(now)
         };
-        let is_trial = match verdict {
+        let is_trial = match decision {
             Admission::NotBefore(at) if !destination.is_trial => {
                 self.wake_at(at);
                 return None;
             }
-            verdict => destination.is_trial || verdict == Admission::Trial,
+            decision => destination.is_trial || decision == Admission::Trial,
         };
         let is_suspect = admission.circuit.is_suspect();
         if !destination.is_trial && (is_stalled || is_suspect && !is_trial && in_flight > 0) {
@@ -151,8 +151,8 @@
         cost.map_or(0, |cost| (cost * VALUE_SCALE) as i64)
     }
 
-    /// The load of an endpoint, by which the candidates are compared: first by failures, then by calls in
-    /// flight, then by whether the endpoint is in another zone.
+    /// The load by which endpoints are compared: a sum in which each recent failure counts as two calls in
+    /// flight, and a location in another zone counts as half a call if crossing zones has a cost.
     fn load(&self, endpoint: &Endpoint, in_flight: usize) -> usize {
         let failures = endpoint.admission.circuit.failure_count.min(9) as usize;
         let crosses_zones = self.settings.cross_zone_cost > 0.0 && endpoint.entry.zone != self.settings.zone;
@@ -177,7 +177,7 @@
             let message = &self.messages[id];
             let idempotency = self.settings.classes[message.class.0].idempotency;
             let risk = if is_risky { idempotency } else { Idempotency::Idempotent };
-            (risk, Reverse(self.gain_now(now, horizon, message)), message.deadline, **id)
+            (risk, Reverse(self.gain_of_sending_now(now, horizon, message)), message.deadline, **id)
         };
         let fits = |id: &MessageId| {
             same_timeout_as.is_none_or(|timing| self.timing(&self.messages[id]).timeout == timing.timeout)
@@ -189,7 +189,7 @@
 
     /// The value that a message gains by being sent now instead of at the end of the horizon, in units of one
     /// part in [`VALUE_SCALE`].
-    fn gain_now(&self, now: Micros, horizon: Micros, message: &Message) -> i64 {
+    fn gain_of_sending_now(&self, now: Micros, horizon: Micros, message: &Message) -> i64 {
         let value = self.value_at(message, now);
         let value_later = self.value_at(message, now + horizon);
         ((value - value_later + PRESENT_VALUE_WEIGHT * value) * VALUE_SCALE) as i64
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -50,7 +50,7 @@
         mean_latency_us: f64,
     ) -> CallAttempt {
         let message = &self.messages[&id];
-        let (end, send_by) = (self.end_of(message), self.latest_send(message));
+        let (end, send_by) = (self.expiry_of(message), self.latest_send(message));
         let idempotency = self.settings.classes[message.class.0].idempotency;
         let adaptive_timeout = adaptive_timeout(mean_latency_us, idempotency);
         let latest_timeout = end.saturating_sub(self.settings.min_step_interval);
@@ -74,6 +74,6 @@
 /// The timeout, in microseconds, of an attempt whose route sets none. It depends on the mean latency.
 fn adaptive_timeout(mean_latency_us: f64, idempotency: Idempotency) -> Micros {
     let timeout = (mean_latency_us * ATTEMPT_TIMEOUT_LATENCY_MULTIPLE) as Micros;
-    let longer_by = max_attempt_timeout(idempotency) / ATTEMPT_TIMEOUT_MAX;
-    timeout.clamp(ATTEMPT_TIMEOUT_MIN, ATTEMPT_TIMEOUT_MAX) * longer_by
+    let idempotency_factor = max_attempt_timeout(idempotency) / ATTEMPT_TIMEOUT_MAX;
+    timeout.clamp(ATTEMPT_TIMEOUT_MIN, ATTEMPT_TIMEOUT_MAX) * idempotency_factor
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -14,15 +14,15 @@
         self.pacer.rate_factor = self.pacer.rate_factor.min(1.0);
         // The bucket accumulates a burst at the slow-start rate. In a large fleet, which has a longer open
         // duration, it does not, as the bursts would add up.
-        let saves_up = open_duration <= OPEN_TIMEOUT * 5 / 4;
-        let refilled_at = if saves_up { self.pacer.bucket.refilled_at } else { now };
+        let accumulates_burst = open_duration <= OPEN_TIMEOUT * 5 / 4;
+        let refilled_at = if accumulates_burst { self.pacer.bucket.refilled_at } else { now };
         self.pacer.bucket.limit_to(0.0, refilled_at);
     }
 
     /// Starts the slow start of an endpoint that the endpoint list showed as draining and now lists again, as
     /// it may have been restarted meanwhile.
     pub(super) fn return_from_drain(&mut self, now: Micros, settings: &Settings) {
-        self.update_return_interval(now, OPEN_TIMEOUT, settings);
+        self.update_recovery_interval(now, OPEN_TIMEOUT, settings);
         self.slow_start.warming_since = Some(now);
         self.pacer.bucket.limit_to(1.0, now);
     }
@@ -31,7 +31,7 @@
     /// make one call to a recovering destination. The calls of all forwarders that noticed the failures then
     /// fit its capacity. Those forwarders are as many as messages arrived in `failing_for`, but no more than
     /// there are.
-    pub(super) fn update_return_interval(
+    pub(super) fn update_recovery_interval(
         &mut self,
         now: Micros,
         failing_for: Micros,
@@ -41,7 +41,7 @@
         let interval_s = failing_for_s
             .max(self.pacer.fleet_rate(settings).map_or(0.0, |rate| 1.0 / rate))
             .min(1.0 / self.own_rate(now, settings));
-        self.slow_start.return_interval_s = interval_s;
+        self.slow_start.recovery_interval_s = interval_s;
         interval_s / (settings.slow_start_floor * settings.overload_multiple * SLOW_START_UTILIZATION)
             * SECOND as f64
     }
@@ -62,8 +62,8 @@
     /// The calls per second that this forwarder may send in an outage or in slow start; `None` otherwise.
     pub(super) fn slow_start_rate(&mut self, now: Micros, settings: &Settings) -> Option<f64> {
         let share = self.warm_share(now, settings)?;
-        let returning = self.pacer.rate_factor.min(1.0) / self.slow_start.return_interval_s;
+        let recovery_rate = self.pacer.rate_factor.min(1.0) / self.slow_start.recovery_interval_s;
         let usable = share * settings.overload_multiple * SLOW_START_UTILIZATION;
-        Some(usable * returning.max(self.pacer.even_rate(settings)))
+        Some(usable * recovery_rate.max(self.pacer.even_rate(settings)))
     }
 }
--- a/src/policy/stuck_calls.rs
+++ b/src/policy/stuck_calls.rs
@@ -14,7 +14,7 @@
             return;
         }
         let overdue = |call: &Call| {
-            let multiple = self.patience_used(now, call)?;
+            let multiple = self.overdue_ratio(now, call)?;
             (multiple > CANCEL_TO_FREE_SLOT_MULTIPLE && !self.has_answered_later_call(call))
                 .then_some(multiple)
         };
@@ -33,7 +33,7 @@
             return;
         }
         let isolated = |call: &Call| {
-            let multiple = self.patience_used(now, call)?;
+            let multiple = self.overdue_ratio(now, call)?;
             self.has_answered_later_call(call).then_some(multiple)
         };
         let isolated: Vec<_> =
@@ -64,22 +64,24 @@
     /// The age of a call as a multiple of the time after which it counts as stuck. That time is longer for
     /// classes whose calls take longer and for non-idempotent messages. `None` if the call was cancelled or
     /// its endpoint is unknown.
-    fn patience_used(&self, now: Micros, call: &Call) -> Option<f64> {
+    fn overdue_ratio(&self, now: Micros, call: &Call) -> Option<f64> {
         let endpoint = self.endpoints.get(&call.endpoint).filter(|_| !call.cancelled)?;
-        let is_risky = call.attempts.iter().any(|a| self.idempotency(a.id) == Idempotency::NonIdempotent);
+        let is_non_idempotent =
+            call.attempts.iter().any(|a| self.idempotency(a.id) == Idempotency::NonIdempotent);
         let classes = call.attempts.iter().filter_map(|a| Some(self.messages.get(&a.id)?.class));
         let slowest_class = classes.map(|class| self.class_durations[class.0]).fold(1.0, f64::max);
-        let allowed = slowest_class * if is_risky { NON_IDEMPOTENT_PATIENCE } else { 1.0 };
-        Some((now - call.sent_at) as f64 / (self.patience(endpoint) as f64 * allowed))
+        let threshold_multiple =
+            slowest_class * if is_non_idempotent { NON_IDEMPOTENT_STUCK_MULTIPLE } else { 1.0 };
+        Some((now - call.sent_at) as f64 / (self.stuck_threshold(endpoint) as f64 * threshold_multiple))
     }
 
     /// Whether two calls to an endpoint are stuck and no later call was answered. Such an endpoint gets no
     /// more calls until they end, so that the slots remain free for other endpoints.
     pub(super) fn is_stalled(&self, now: Micros, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
-        let patience = self.patience(endpoint);
+        let stuck_threshold = self.stuck_threshold(endpoint);
         let last_success_sent_at = endpoint.admission.circuit.last_success_sent_at;
-        let is_stuck = |c: &&Call| c.sent_at >= last_success_sent_at && now - c.sent_at > patience;
+        let is_stuck = |c: &&Call| c.sent_at >= last_success_sent_at && now - c.sent_at > stuck_threshold;
         self.calls.values().filter(|c| c.endpoint == id).filter(is_stuck).count() > 1
     }
 
@@ -92,7 +94,7 @@
     }
 
     /// The time in flight, in microseconds, after which a call to an endpoint counts as stuck.
-    fn patience(&self, endpoint: &Endpoint) -> Micros {
+    fn stuck_threshold(&self, endpoint: &Endpoint) -> Micros {
         ((self.latency_of(endpoint) * STUCK_LATENCY_MULTIPLE) as Micros).max(STUCK_MIN_AGE)
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -32,11 +32,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Range::Any => "a number",
-            Range::AtLeastZero => "0 at least",
-            Range::AtLeastOne => "1 at least",
+            Range::AtLeastZero => "at least 0",
+            Range::AtLeastOne => "at least 1",
             Range::AboveZero => "above 0",
             Range::ZeroToOne => "from 0 to 1",
-            Range::AboveZeroToOne => "above 0 and 1 at most",
+            Range::AboveZeroToOne => "above 0 and at most 1",
         })
     }
 }
@@ -56,10 +56,10 @@
     /// Returns an error that names the first setting that is wrong.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return Err(SettingsError("setting `categories`: there must be one at least".into()));
+            return Err(SettingsError("setting `categories`: at least one category is required".into()));
         }
         if self.zone.0 >= self.zone_costs.len() {
-            return Err(SettingsError("setting `zone`: it is not among the zones".into()));
+            return Err(SettingsError("setting `zone`: it is not one of the zones in `azs`".into()));
         }
         self.check_general()?;
         for kind in &self.kinds {
@@ -104,7 +104,8 @@
             return Ok(());
         }
         let (objective_ms, deadline_ms) = (self.latency_objective / 1000, self.deadline / 1000);
-        let text = format!("setting `promise`: {objective_ms} ms is past the deadline of {deadline_ms} ms");
-        Err(SettingsError(text))
+        let message =
+            format!("setting `promise`: {objective_ms} ms is longer than the deadline of {deadline_ms} ms");
+        Err(SettingsError(message))
     }
 }
--- a/src/settings_json/decode.rs
+++ b/src/settings_json/decode.rs
@@ -43,7 +43,7 @@
     NotAList,
     /// A string is none of the valid values.
     #[error("unknown word `{0}`")]
-    UnknownWord(String),
+    UnknownVariant(String),
     /// A name is not listed in the settings.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -171,7 +171,7 @@
         "pure" => Ok(Idempotency::Idempotent),
         "token" => Ok(Idempotency::WithKey),
         "side_effect" => Ok(Idempotency::NonIdempotent),
-        other => Err(DecodeError::UnknownWord(other.to_owned())),
+        other => Err(DecodeError::UnknownVariant(other.to_owned())),
     }
 }
 
@@ -180,7 +180,7 @@
         // The platform calls a destination a cell, so all of its endpoints drop repeats.
         "" | "all" | "cell" => Ok(DedupScope::All),
         "zone" => Ok(DedupScope::Zone),
-        other => Err(DecodeError::UnknownWord(other.to_owned())),
+        other => Err(DecodeError::UnknownVariant(other.to_owned())),
     }
 }
 
@@ -188,7 +188,7 @@
     match string(json)?.as_str() {
         "linear" => Ok(Decay::Linear),
         "halving" => Ok(Decay::Halving),
-        other => Err(DecodeError::UnknownWord(other.to_owned())),
+        other => Err(DecodeError::UnknownVariant(other.to_owned())),
     }
 }
 
@@ -197,7 +197,7 @@
         "off" => Ok(WeightSource::Off),
         "nominal" => Ok(WeightSource::Nominal),
         "rough" => Ok(WeightSource::Rough),
-        other => Err(DecodeError::UnknownWord(other.to_owned())),
+        other => Err(DecodeError::UnknownVariant(other.to_owned())),
     }
 }
 
@@ -205,7 +205,7 @@
     match string(json)?.as_str() {
         "pushed" => Ok(false),
         "on_request" => Ok(true),
-        other => Err(DecodeError::UnknownWord(other.to_owned())),
+        other => Err(DecodeError::UnknownVariant(other.to_owned())),
     }
 }
 
