--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A harness for the delivery policy: scripted events for one destination or a few, and a clock set by hand.
+//! A test harness for the delivery policy, with scripted events for a few destinations and a clock set by
+//! hand.
 #![allow(dead_code)]
 
 use cedarbridge::*;
@@ -6,7 +7,7 @@
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// Classes of [`settings`], by index.
+/// The indexes of the classes in [`settings`].
 pub const IDEMPOTENT: usize = 0;
 pub const WITH_KEY: usize = 1;
 pub const NON_IDEMPOTENT: usize = 2;
@@ -69,31 +70,31 @@
     }
 }
 
-/// Forwarders of a large fleet.
+/// The number of forwarders in a large fleet.
 pub const LARGE_FLEET: usize = 250;
 
-/// Settings of one forwarder of a large fleet.
+/// The settings of one forwarder of a large fleet.
 pub fn large_fleet() -> Settings {
     Settings { forwarders: LARGE_FLEET, ..settings() }
 }
 
-/// The list entry of endpoint 7 of destination 1, with a weight.
+/// The list entry of endpoint 7 of destination 1, with the given weight.
 pub fn entry_with_weight(weight: f64) -> EndpointEntry {
     EndpointEntry { weight, ..entry(7, 1, 0) }
 }
 
-/// A policy of one destination, 1, with one endpoint, 7.
+/// A policy with one destination, 1, which has one endpoint, 7.
 pub fn one_destination() -> PolicyHarness {
     PolicyHarness::new(settings(), vec![entry(7, 1, 0)])
 }
 
-/// A delivery policy with its clock.
+/// A delivery policy and its clock.
 pub struct PolicyHarness {
     pub policy: DeliveryPolicy,
     pub now: Micros,
-    /// The id of the last message.
+    /// The id of the message created last.
     pub last_id: u64,
-    /// Attempts of each message so far, as [`PolicyHarness::next_attempt`] counts them.
+    /// The number of attempts of each message so far, as counted by [`PolicyHarness::next_attempt`].
     pub attempts: BTreeMap<MessageId, u32>,
 }
 
@@ -106,20 +107,20 @@
         harness
     }
 
-    /// Steps at the present time.
+    /// Runs a step at the present time and returns its actions.
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.policy.step(self.now, &events, &mut actions);
         actions
     }
 
-    /// Moves the clock and steps.
+    /// Advances the clock and runs a step.
     pub fn step_after(&mut self, delay: Micros, events: Vec<Event>) -> Vec<Action> {
         self.now += delay;
         self.step(events)
     }
 
-    /// A message that the policy has not received yet.
+    /// Creates a message that the policy has not received yet.
     pub fn new_message(&mut self, class: usize, destination: u64) -> NewMessage {
         self.last_id += 1;
         NewMessage {
@@ -137,21 +138,21 @@
         }
     }
 
-    /// The number of a message's next attempt; call it once for each.
+    /// Returns the number of a message's next attempt. Must be called once for each attempt.
     pub fn next_attempt(&mut self, id: MessageId) -> u32 {
         let next = self.attempts.entry(id).or_default();
         *next += 1;
         *next - 1
     }
 
-    /// Has the policy receive a message and expects it to be sent at once.
+    /// Passes a new message to the policy and expects it to be sent at once.
     pub fn send_one(&mut self, class: usize, destination: u64) -> (MessageId, EndpointId) {
         let message = self.new_message(class, destination);
         let actions = self.step(vec![Event::Message(message)]);
         *sends(&actions).last().expect("a send")
     }
 
-    /// Has the policy receive a message and expects it to be sent in the given time.
+    /// Passes a new message to the policy and expects it to be sent within the given time.
     pub fn send_one_within(
         &mut self,
         time: Micros,
@@ -167,10 +168,10 @@
         *sends(&actions).last().expect("a send")
     }
 
-    /// Fails idempotent messages until the circuit breaker must be open.
+    /// Fails two idempotent messages, after which the circuit breaker must be open.
     pub fn open_breaker(&mut self, destination: u64) {
         for _ in 0..2 {
-            // A forwarder that seldom calls waits for a slot after the first failure.
+            // A forwarder that seldom calls waits for its time slot after the first failure.
             let (id, endpoint) = self.send_one_within(15 * SECOND, IDEMPOTENT, destination);
             self.step_after(
                 10 * MS,
@@ -180,13 +181,13 @@
     }
 }
 
-/// An attempt that ended after 10 ms, without a load report.
+/// The event for an attempt that ended after 10 ms, without a load report.
 pub fn attempt_ended(id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> Event {
     let ended = outcome == Outcome::Ok;
     Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed: 10 * MS, ended, report: None }
 }
 
-/// The messages that are sent, and where.
+/// The messages that are sent, with their endpoints.
 pub fn sends(actions: &[Action]) -> Vec<(MessageId, EndpointId)> {
     let send = |a: &Action| match a {
         Action::Send { id, endpoint, .. } => Some((*id, *endpoint)),
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: subscriptions, removed and replaced endpoints, odd entries.
+//! Tests of the endpoint list: subscriptions, removed and replaced endpoints, and unusual entries.
 
 mod common;
 use cedarbridge::*;
@@ -21,10 +21,10 @@
 
 #[test]
 fn a_removed_endpoint_is_forgotten_except_for_its_retry_after() {
-    let removed = |e: &EndpointEntry| {
+    let removed = |listed: &EndpointEntry| {
         Event::EndpointList(EndpointListUpdate::Patch(vec![EndpointEntry {
             lifecycle: Lifecycle::Removed,
-            ..e.clone()
+            ..listed.clone()
         }]))
     };
     let listed = entry(7, 1, 1);
@@ -32,12 +32,12 @@
     harness.open_breaker(1);
     harness
         .step(vec![removed(&listed), Event::EndpointList(EndpointListUpdate::Patch(vec![listed.clone()]))]);
-    let (id, e) = harness.send_one(IDEMPOTENT, 1);
-    harness.step_after(10 * MS, vec![attempt_ended(id, 0, e, Outcome::Rejected(Some(SECOND)))]);
+    let (id, endpoint) = harness.send_one(IDEMPOTENT, 1);
+    harness.step_after(10 * MS, vec![attempt_ended(id, 0, endpoint, Outcome::Rejected(Some(SECOND)))]);
     harness.step(vec![removed(&listed), Event::EndpointList(EndpointListUpdate::Patch(vec![listed]))]);
-    let m = harness.new_message(IDEMPOTENT, 1);
+    let message = harness.new_message(IDEMPOTENT, 1);
     assert!(
-        sends(&harness.step_after(500 * MS, vec![Event::Message(m)])).is_empty(),
+        sends(&harness.step_after(500 * MS, vec![Event::Message(message)])).is_empty(),
         "within the retry-after"
     );
 }
@@ -50,8 +50,8 @@
     harness.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![old]))]);
     let new = EndpointEntry { endpoint: EndpointId(8), ..entry_with_weight(25.0) };
     harness.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![new]))]);
-    let many: Vec<Event> = (0..5).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
-    assert!(sends(&harness.step(many)).is_empty());
+    let messages: Vec<Event> = (0..5).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
+    assert!(sends(&harness.step(messages)).is_empty());
 }
 
 #[test]
@@ -59,24 +59,24 @@
     for weight in [0.0, -3.0, f64::NAN, f64::INFINITY] {
         let mut harness =
             PolicyHarness::new(large_fleet(), vec![entry_with_weight(weight), entry_with_weight(weight)]);
-        let (id, e) = harness.send_one(IDEMPOTENT, 1);
-        harness.step_after(10 * MS, vec![attempt_ended(id, 0, e, Outcome::Rejected(None))]);
+        let (id, endpoint) = harness.send_one(IDEMPOTENT, 1);
+        harness.step_after(10 * MS, vec![attempt_ended(id, 0, endpoint, Outcome::Rejected(None))]);
         let mut sent = 0;
         for _ in 0..190 {
             sent += sends(&harness.step_after(100 * MS, vec![])).len();
         }
         assert!(sent > 0, "stalls with a weight of {weight}");
     }
-    // A limit so small that the next call lies past the end of the clock.
+    // The limit is so small that the next call lies beyond the largest time.
     let mut harness = PolicyHarness::new(large_fleet(), vec![entry_with_weight(f64::MIN_POSITIVE)]);
-    let two: Vec<Event> = (0..2).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
-    let (id, e) = sends(&harness.step(two))[0];
-    harness.step_after(10 * MS, vec![attempt_ended(id, 0, e, Outcome::Rejected(None))]);
+    let messages: Vec<Event> = (0..2).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
+    let (id, endpoint) = sends(&harness.step(messages))[0];
+    harness.step_after(10 * MS, vec![attempt_ended(id, 0, endpoint, Outcome::Rejected(None))]);
     harness.step_after(4 * SECOND, vec![]);
-    // An endpoint that moves to another destination takes calls for that one only.
+    // An endpoint that moves to another destination gets only the calls for that one.
     let mut harness = PolicyHarness::new(settings(), vec![entry(7, 1, 0)]);
     harness.step(vec![Event::EndpointList(EndpointListUpdate::Patch(vec![entry(7, 2, 0)]))]);
-    let m = harness.new_message(IDEMPOTENT, 1);
-    assert!(sends(&harness.step(vec![Event::Message(m)])).is_empty());
+    let message = harness.new_message(IDEMPOTENT, 1);
+    assert!(sends(&harness.step(vec![Event::Message(message)])).is_empty());
     harness.send_one(IDEMPOTENT, 2);
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,8 +1,8 @@
-//! The form of the policy modules and of the deploy file.
+//! Checks of the form of the policy modules and of the deploy file.
 
 use std::path::Path;
 
-/// The files that the deploy file names as the policy.
+/// The paths of the policy files that the deploy file lists.
 fn policy_files() -> Vec<String> {
     let text = include_str!("../deploy/balancer.toml");
     let list = text.split("policy = [").nth(1).and_then(|rest| rest.split(']').next()).expect("a list");
@@ -13,8 +13,9 @@
     std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(path)).expect("a file")
 }
 
-/// In place of a limit of 1,000 lines for one file, which the operators have withdrawn: each policy module stays small,
-/// says what it is, and has no clock, random numbers, files or sockets of its own.
+/// This replaces a limit of 1,000 lines for a single file, which the operators have withdrawn. Each policy
+/// module is small, starts with a module comment, and has no clock, random numbers, files or sockets of its
+/// own.
 #[test]
 fn policy_modules_are_small_and_have_no_input_or_output() {
     assert!(policy_files().len() > 3);
--- a/tests/load_shedding.rs
+++ b/tests/load_shedding.rs
@@ -1,4 +1,4 @@
-//! Load shedding: which messages are rejected near the capacity.
+//! Tests of load shedding: which messages are rejected near the capacity.
 
 mod common;
 use cedarbridge::*;
@@ -8,8 +8,8 @@
 fn beyond_the_capacity_messages_are_rejected_at_once_with_a_retry_after() {
     let mut harness = one_destination();
     harness.open_breaker(1);
-    let flood: Vec<Event> = (0..150).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
-    let actions = harness.step(flood);
+    let messages: Vec<Event> = (0..150).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
+    let actions = harness.step(messages);
     let has_retry_after =
         |a: &&Action| matches!(a, Action::Reject { retry_after: Some(t), .. } if *t <= 2 * SECOND);
     let open = 150 - actions.iter().filter(has_retry_after).count();
@@ -29,12 +29,13 @@
     let mut events = vec![Event::Message(urgent)];
     events.extend((0..31).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))));
     let actions = harness.step(events);
-    let ended = |a: &&Action| matches!(a, Action::Reject { .. });
-    assert!(actions.iter().filter(ended).count() > 0 && !is_rejected(&actions, id));
+    let is_rejection = |a: &&Action| matches!(a, Action::Reject { .. });
+    assert!(actions.iter().filter(is_rejection).count() > 0 && !is_rejected(&actions, id));
 }
 
-/// Guards against messages received long ago being shed, without an attempt, for new ones that can still be rejected
-/// harmlessly: after a restart 5 to 6 of a hundred were.
+/// Guards against shedding messages that were received long ago, without an attempt, in favour of new ones
+/// that can still be rejected without harm. After a restart, 5 to 6 of 100 restored messages were lost in
+/// this way.
 #[test]
 fn messages_restored_at_a_restart_are_not_shed_for_new_ones() {
     let mut harness = PolicyHarness::new(
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The delivery policy as a function of its events, and its settings.
+//! Tests of the delivery policy as a deterministic function of its events, and of its settings.
 
 mod common;
 use cedarbridge::*;
@@ -7,11 +7,11 @@
 #[test]
 fn unknown_messages_and_endpoints_and_a_clock_that_jumps_are_tolerated() {
     let mut harness = PolicyHarness::new(settings(), vec![]);
-    let m = harness.new_message(IDEMPOTENT, 42);
-    let id = m.id;
+    let message = harness.new_message(IDEMPOTENT, 42);
+    let id = message.id;
     let unknown = MessageId(9_999);
     let events = vec![
-        Event::Message(m),
+        Event::Message(message),
         Event::Withdrawn { id: unknown },
         Event::Started { id: unknown },
         attempt_ended(unknown, 3, EndpointId(5), Outcome::Ok),
@@ -19,7 +19,7 @@
         Event::Timer { token: 1 },
     ];
     assert!(sends(&harness.step(events)).is_empty());
-    // A clock that jumps far ahead.
+    // The clock jumps far ahead.
     assert!(is_rejected(&harness.step_after(1_000_000 * SECOND, vec![]), id));
 }
 
@@ -33,8 +33,9 @@
     assert!(error.to_string().contains("setting `balancers`: 0 is out of range"));
 }
 
-/// The actions of one script; with `beside`, a second instance takes other events in between.
-fn run_script(beside: bool) -> Vec<Action> {
+/// Runs one script of events and returns the actions. If `beside` is set, a second policy instance processes
+/// other events between the steps.
+fn run_script(beside_another: bool) -> Vec<Action> {
     let mut harness = PolicyHarness::new(settings(), (0..6).map(|i| entry(i, u64::from(i) / 2, 0)).collect());
     let mut other = one_destination();
     let mut all = Vec::new();
@@ -42,15 +43,18 @@
     for round in 0..300u64 {
         events.push(Event::Message(harness.new_message((round % 3) as usize, round % 3)));
         let actions = harness.step_after(37 * MS, std::mem::take(&mut events));
-        if beside {
-            let (id, e) = (other.new_message(IDEMPOTENT, 1), EndpointId(7));
+        if beside_another {
+            let (message, endpoint) = (other.new_message(IDEMPOTENT, 1), EndpointId(7));
             other.step_after(
                 37 * MS,
-                vec![Event::Message(id.clone()), attempt_ended(id.id, 0, e, Outcome::TimedOut)],
+                vec![
+                    Event::Message(message.clone()),
+                    attempt_ended(message.id, 0, endpoint, Outcome::TimedOut),
+                ],
             );
         }
-        for a in &actions {
-            if let Action::Send { id, endpoint, .. } = a {
+        for action in &actions {
+            if let Action::Send { id, endpoint, .. } = action {
                 let outcome = if (round / 40) % 3 == 1 { Outcome::ConnectFailed } else { Outcome::Ok };
                 if let Some(attempt) = attempt_of(&all, &actions, *id) {
                     events.push(attempt_ended(*id, attempt, *endpoint, outcome));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings that lack something, have it of a wrong kind or out of range: one line that names it, and no start;
-//! at a reload the old ones hold.
+//! Tests of settings that are missing, of the wrong type or out of range. At a start, one line names the
+//! wrong setting and the program exits; at a reload, the previous settings remain in use.
 
 mod scenario;
 
@@ -8,7 +8,7 @@
 use scenario::process::program;
 use serde_json::{json, Value};
 
-/// A configuration with every setting, none of them at its limit.
+/// A valid configuration that contains every setting, with no value at its limit.
 fn complete_config() -> Value {
     let class = |name: &str, semantics: &str, promise: f64, deadline: f64, late: f64| {
         json!({"name": name, "semantics": semantics, "promise": promise, "deadline": deadline, "gain": 1.0,
@@ -36,9 +36,9 @@
     })
 }
 
-fn with(place: &str, value: Value) -> String {
+fn config_with(pointer: &str, value: Value) -> String {
     let mut config = complete_config();
-    *config.pointer_mut(place).unwrap_or_else(|| panic!("no {place}")) = value;
+    *config.pointer_mut(pointer).unwrap_or_else(|| panic!("no {pointer}")) = value;
     config.to_string()
 }
 
@@ -47,7 +47,7 @@
     error.to_string()
 }
 
-/// What must be there, and what is wrong for it.
+/// The required settings as JSON pointers, each with invalid values.
 fn required() -> Vec<(&'static str, Vec<Value>)> {
     let word = || vec![json!(7), json!("no such word")];
     let time = || vec![json!("soon"), json!(-1.0)];
@@ -97,7 +97,7 @@
     ]
 }
 
-/// What may be absent, and what is wrong for it if it is there.
+/// The optional settings as JSON pointers, each with invalid values.
 fn optional() -> Vec<(&'static str, Vec<Value>)> {
     let flag = || vec![json!("yes"), json!(1)];
     let time = || vec![json!("soon"), json!(-1.0)];
@@ -126,38 +126,38 @@
 #[test]
 fn each_setting_that_is_missing_or_wrong_is_named() {
     Config::read(&complete_config().to_string(), |_| None).map(|_| ()).expect("the complete one is accepted");
-    for (place, wrong) in required() {
-        let name = place.rsplit('/').next().expect("a name");
-        let error = error_of(&with(place, Value::Null));
-        assert!(error.contains(&format!("`{name}`")) && error.contains("missing"), "{place}: {error}");
-        for value in wrong {
-            let error = error_of(&with(place, value.clone()));
-            // Of an object that is no object, the first thing missing in it is named.
-            let object = complete_config().pointer(place).is_some_and(Value::is_object);
-            assert!(object || error.contains(name), "{place} {value}: {error}");
+    for (pointer, invalid_values) in required() {
+        let name = pointer.rsplit('/').next().expect("a name");
+        let error = error_of(&config_with(pointer, Value::Null));
+        assert!(error.contains(&format!("`{name}`")) && error.contains("missing"), "{pointer}: {error}");
+        for value in invalid_values {
+            let error = error_of(&config_with(pointer, value.clone()));
+            // If a section is not an object, the error names the first setting that is missing in it.
+            let is_section = complete_config().pointer(pointer).is_some_and(Value::is_object);
+            assert!(is_section || error.contains(name), "{pointer} {value}: {error}");
             assert_eq!(error.lines().count(), 1, "{error}");
         }
     }
-    for (place, wrong) in optional() {
-        let name = place.rsplit('/').next().expect("a name");
-        if let Err(error) = Config::read(&with(place, Value::Null), |_| None) {
-            panic!("{place} may be absent: {error}");
+    for (pointer, invalid_values) in optional() {
+        let name = pointer.rsplit('/').next().expect("a name");
+        if let Err(error) = Config::read(&config_with(pointer, Value::Null), |_| None) {
+            panic!("{pointer} may be absent: {error}");
         }
-        for value in wrong {
-            let error = error_of(&with(place, value.clone()));
-            assert!(error.contains(name), "{place} {value}: {error}");
+        for value in invalid_values {
+            let error = error_of(&config_with(pointer, value.clone()));
+            assert!(error.contains(name), "{pointer} {value}: {error}");
         }
     }
 }
 
 #[test]
 fn unknown_settings_are_ignored() {
-    for place in
+    for pointer in
         ["", "/settings", "/settings/permissions", "/settings/categories/0", "/settings/specifics", "/limits"]
     {
         let mut config = complete_config();
-        config.pointer_mut(place).expect("an object")["of-next-year"] = json!({"any": [1, "thing"]});
-        assert!(Config::read(&config.to_string(), |_| None).is_ok(), "{place}");
+        config.pointer_mut(pointer).expect("an object")["of-next-year"] = json!({"any": [1, "thing"]});
+        assert!(Config::read(&config.to_string(), |_| None).is_ok(), "{pointer}");
     }
 }
 
@@ -166,21 +166,24 @@
     let folder = std::env::temp_dir().join(format!("cedarbridge-settings-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("config.json");
-    for (place, value, wanted) in [
+    for (pointer, value, expected) in [
         ("/settings/permissions/max-open", Value::Null, "max-open"),
         ("/settings/rules/drain-grace", json!("500"), "drain-grace"),
         ("/settings/rules/cold-from", json!(17), "cold-from"),
         ("/settings/specifics/per-call", json!([5, 0]), "per-call"),
     ] {
-        std::fs::write(&path, with(place, value)).expect("written");
-        let out = program().arg(&path).output().expect("it runs");
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success() && said.lines().count() == 1 && said.contains(wanted), "{said}");
+        std::fs::write(&path, config_with(pointer, value)).expect("written");
+        let output = program().arg(&path).output().expect("it runs");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        assert!(
+            !output.status.success() && stderr.lines().count() == 1 && stderr.contains(expected),
+            "{stderr}"
+        );
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Guards against a reload that takes a part of a file whose other part is wrong, or that ends the program.
+/// Guards against a reload that applies part of a file whose other part is invalid, or that ends the program.
 #[test]
 fn a_reload_with_a_wrong_setting_changes_nothing() {
     play(
