--- a/crates/rehearsal/src/forwarder_config.rs
+++ b/crates/rehearsal/src/forwarder_config.rs
@@ -47,7 +47,7 @@
             "permissions": {"max-open": s.max_open_messages, "max-attempts": s.max_attempts, "cancel": s.may_cancel,
                 "retry-after": s.may_send_retry_after, "max-retry-after": ms(s.max_retry_after), "conn-idle": 5000.0,
                 "dial-timeout": 1500.0},
-            "rules": {"fall-multiple": s.overload_multiple, "fall": ms(s.overload_window), "cold": ms(s.slow_start),
+            "rules": {"fall-multiple": s.overload_multiple, "fall": ms(s.overload_window), "cold": ms(s.slow_start_duration),
                 "cold-from": s.slow_start_floor, "drain-grace": 250.0},
             "specifics": {"call-slots": s.max_concurrent_calls, "late": "halving",
                 "per-call": s.kinds.iter().map(|k| k.messages_per_call).collect::<Vec<_>>()},
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -266,7 +266,7 @@
                     endpoint: EndpointId(endpoint as u32 + 1),
                     outcome,
                     elapsed: self.now - sent,
-                    ended,
+                    completes_message: ended,
                     report,
                 },
             );
--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -95,7 +95,7 @@
             id: MessageId(id as u64),
             class: CLASS,
             tenant: Some(TenantId(request.tenant)),
-            key: None,
+            order_key: None,
             time_left: deadline.saturating_sub(self.now),
             destination: DestinationId(request.destination as u64),
             failed_over,
--- a/crates/rehearsal/src/world.rs
+++ b/crates/rehearsal/src/world.rs
@@ -243,7 +243,7 @@
         min_step_interval: 5 * MS,
         overload_multiple: 2.0,
         overload_window: 3 * SECOND,
-        slow_start: 9400 * MS,
+        slow_start_duration: 9400 * MS,
         slow_start_floor: 0.23,
         ..Settings::default()
     };
--- a/src/api.rs
+++ b/src/api.rs
@@ -105,7 +105,7 @@
     /// The tenant to whose quota it counts; `None` if it counts to no quota.
     pub tenant: Option<TenantId>,
     /// Messages of an ordered class with the same key are sent one at a time, in order.
-    pub key: Option<OrderKey>,
+    pub order_key: Option<OrderKey>,
     /// The time in which it may still be delivered.
     pub time_left: Micros,
     /// The destination to which it is addressed.
@@ -135,7 +135,7 @@
     /// A message was received.
     Message(NewMessage),
     /// An answer has begun to arrive, so the timeout of the attempt no longer applies.
-    Started {
+    ResponseStarted {
         /// The message.
         id: MessageId,
     },
@@ -152,7 +152,7 @@
         /// The time since the attempt was sent.
         elapsed: Micros,
         /// The message is complete and is not to be sent again.
-        ended: bool,
+        completes_message: bool,
         /// The rate limit that the answer reports; `None` if it reports none.
         report: Option<LoadReport>,
     },
@@ -232,10 +232,10 @@
     /// Whether it is in slow start.
     pub warming_up: bool,
     /// The average latency of its answers in microseconds; `None` before the first answer.
-    pub latency: Option<f64>,
+    pub mean_latency_us: Option<f64>,
     /// Its reported rate limit, with the last remaining share and the average rate; `None` before the first
     /// report.
-    pub limit: Option<LoadReport>,
+    pub rate_limit: Option<LoadReport>,
 }
 
 /// The reason why a message is abandoned.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -177,7 +177,7 @@
     pub overload_window: Micros,
     /// The time in which a recovering destination reaches its full capacity, in microseconds.
     #[serde(rename = "cold")]
-    pub slow_start: Micros,
+    pub slow_start_duration: Micros,
     /// The share of its capacity that a recovering destination has at first, above 0 and up to 1.
     #[serde(rename = "cold_from")]
     pub slow_start_floor: f64,
--- a/src/bin/cedarbridge-simhost/wire/events.rs
+++ b/src/bin/cedarbridge-simhost/wire/events.rs
@@ -70,14 +70,14 @@
     let tenant = fields.optional(3).and_then(Value::as_str);
     let tenant = tenant.map(|name| index_of(&names.tenants, name, "tenant").map(TenantId)).transpose();
     let tenant = tenant?;
-    let key = fields.optional(4).map(order_key).transpose()?;
+    let order_key = fields.optional(4).map(order_key).transpose()?;
     let name = fields.string(1, "corr")?;
     let attributes = fields.optional(8).map_or(Ok(0), unsigned)?;
     Ok(NewMessage {
         id: instance.add(name),
         class: ClassId(class),
         tenant,
-        key,
+        order_key,
         time_left: fields.micros(5, "time-left")?,
         destination: DestinationId(fields.unsigned(7, "terminates-at")?),
         failed_over: attributes & FAILED_OVER != 0,
@@ -98,7 +98,7 @@
     fields.micros(2, "elapsed")?;
     fields.unsigned(3, "endpoint")?;
     fields.unsigned(4, "round-no")?;
-    Ok(Event::Started { id: instance.id_of(fields.string(1, "corr")?) })
+    Ok(Event::ResponseStarted { id: instance.id_of(fields.string(1, "corr")?) })
 }
 
 fn attempt_ended(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
@@ -108,7 +108,7 @@
         endpoint: fields.endpoint(3)?,
         outcome: outcome(fields.required(4, "code")?, fields.optional(7))?,
         elapsed: fields.micros(5, "elapsed")?,
-        ended: fields.read(6, "ended", boolean)?,
+        completes_message: fields.read(6, "ended", boolean)?,
         report: load_report(fields.optional(8))?,
     })
 }
--- a/src/bin/cedarbridge-simhost/wire/instance.rs
+++ b/src/bin/cedarbridge-simhost/wire/instance.rs
@@ -75,9 +75,9 @@
         };
         for event in events {
             match event {
-                Event::AttemptEnded { id, ended, .. } => {
+                Event::AttemptEnded { id, completes_message, .. } => {
                     update(id, |m| m.in_flight = m.in_flight.saturating_sub(1));
-                    if *ended {
+                    if *completes_message {
                         update(id, |m| m.complete = true);
                     }
                 }
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -138,7 +138,7 @@
             endpoint,
             outcome,
             elapsed,
-            ended,
+            completes_message: ended,
             report,
         });
     }
--- a/src/net/delivery/status.rs
+++ b/src/net/delivery/status.rs
@@ -26,8 +26,8 @@
         "out": status.in_flight,
         "wait_ms": retry_after(status.retry_after),
         "cold": status.warming_up,
-        "answer_ms": status.latency.map(ms),
-        "limit_per_s": status.limit.map(|limit| limit.rate),
-        "limit_left": status.limit.map(|limit| limit.remaining_share),
+        "answer_ms": status.mean_latency_us.map(ms),
+        "limit_per_s": status.rate_limit.map(|limit| limit.rate),
+        "limit_left": status.rate_limit.map(|limit| limit.remaining_share),
     })
 }
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -94,7 +94,7 @@
             id: self.id,
             class: self.request.class,
             tenant: self.request.tenant,
-            key: None,
+            order_key: None,
             time_left: self.request.deadline.saturating_sub(now),
             destination: self.request.destination,
             failed_over: self.request.failed_over,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -151,8 +151,8 @@
             in_flight: self.calls.values().filter(|c| c.destination == id).count(),
             retry_after: worst.pacer.paused_until.saturating_sub(now),
             warming_up: worst.slow_start.is_active(),
-            latency: worst.mean_latency_us,
-            limit: worst.pacer.limit.current,
+            mean_latency_us: worst.mean_latency_us,
+            rate_limit: worst.pacer.limit.current,
         }
     }
 
@@ -177,7 +177,7 @@
             Event::Settings(settings) => self.settings = (**settings).clone(),
             Event::JournalStatus { writable } => self.journal_unwritable = !writable,
             Event::Message(message) => self.enqueue(now, message),
-            Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report } => {
+            Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, completes_message, report } => {
                 self.observe_load_report(*endpoint, *report);
                 if let Outcome::Rejected(Some(retry_after)) = outcome {
                     self.observe_retry_after(now, *endpoint, *retry_after);
@@ -187,7 +187,7 @@
                     attempt: *attempt,
                     outcome: *outcome,
                     elapsed: *elapsed,
-                    completes_message: *ended,
+                    completes_message: *completes_message,
                 };
                 self.on_attempt_ended(now, result);
             }
@@ -195,7 +195,7 @@
                 self.observe_retry_after(now, *endpoint, *retry_after);
             }
             Event::Withdrawn { id } => self.complete(*id),
-            Event::Started { .. } | Event::HealthChecked { .. } | Event::Timer { .. } => {}
+            Event::ResponseStarted { .. } | Event::HealthChecked { .. } | Event::Timer { .. } => {}
         }
     }
 
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -68,14 +68,14 @@
 
     /// Records the receipt of a message, or of the share of it that counts for one endpoint of several.
     pub(super) fn record_demand(&mut self, now: Micros, messages: f64, settings: &Settings) {
-        self.demand.record(messages, now - self.demand.updated_at, settings.slow_start);
+        self.demand.record(messages, now - self.demand.updated_at, settings.slow_start_duration);
         self.demand.updated_at = now;
     }
 
     /// Records a successful call. `healthy_for` is how long the destination was healthy since the success
     /// before.
     pub(super) fn record_success(&mut self, healthy_for: Micros, settings: &Settings) {
-        self.delivered.record(1.0, healthy_for, settings.slow_start);
+        self.delivered.record(1.0, healthy_for, settings.slow_start_duration);
         self.backoff = BACKOFF_INITIAL;
         self.rate_factor = (self.rate_factor * RATE_FACTOR_GAIN).min(RATE_FACTOR_MAX);
     }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -52,11 +52,11 @@
         if self.circuit.in_outage {
             return Some(settings.slow_start_floor);
         }
-        let still_warming = |since: &Micros| now < since + settings.slow_start;
+        let still_warming = |since: &Micros| now < since + settings.slow_start_duration;
         self.slow_start.warming_since = self.slow_start.warming_since.filter(still_warming);
         let warming_for = (now - self.slow_start.warming_since?) as f64;
         let floor = settings.slow_start_floor;
-        Some(floor + (1.0 - floor) * warming_for / settings.slow_start as f64)
+        Some(floor + (1.0 - floor) * warming_for / settings.slow_start_duration as f64)
     }
 
     /// The calls per second that this forwarder may send in an outage or in slow start; `None` otherwise.
--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -97,7 +97,7 @@
         min_step_interval: required(root, "granularity", micros_from_ms)?,
         overload_multiple: required(rules, "fall-multiple", number)?,
         overload_window: required(rules, "fall", micros_from_ms)?,
-        slow_start: required(rules, "cold", micros_from_ms)?,
+        slow_start_duration: required(rules, "cold", micros_from_ms)?,
         slow_start_floor: required(rules, "cold-from", number)?,
         order_key_pause: or_default(rules, "key-rest", micros_from_ms)?,
         routes: None,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -52,7 +52,7 @@
         min_step_interval: 5 * MS,
         overload_multiple: 2.0,
         overload_window: 2 * SECOND,
-        slow_start: 10 * SECOND,
+        slow_start_duration: 10 * SECOND,
         slow_start_floor: 0.2,
         order_key_pause: 300 * MS,
         ..Settings::default()
@@ -127,7 +127,7 @@
             id: MessageId(self.last_id),
             class: ClassId(class),
             tenant: None,
-            key: None,
+            order_key: None,
             time_left: 20 * SECOND,
             destination: DestinationId(destination),
             failed_over: false,
@@ -183,8 +183,8 @@
 
 /// The event for an attempt that ended after 10 ms, without a load report.
 pub fn attempt_ended(id: MessageId, attempt: u32, endpoint: EndpointId, outcome: Outcome) -> Event {
-    let ended = outcome == Outcome::Ok;
-    Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed: 10 * MS, ended, report: None }
+    let completes_message = outcome == Outcome::Ok;
+    Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed: 10 * MS, completes_message, report: None }
 }
 
 /// The messages that are sent, with their endpoints.
--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -34,9 +34,9 @@
 fn after_an_outage_earlier_rejections_do_not_lower_the_even_share_of_a_reported_limit() {
     let mut harness = PolicyHarness::new(Settings { forwarders: 2, ..settings() }, vec![entry(7, 1, 0)]);
     let with_report = |event| match event {
-        Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, .. } => {
+        Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, completes_message, .. } => {
             let report = Some(LoadReport { remaining_share: 0.0, rate: 20.0 });
-            Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report }
+            Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, completes_message, report }
         }
         other => other,
     };
@@ -117,7 +117,7 @@
         endpoint: endpoint_id,
         outcome,
         elapsed: 0,
-        ended: false,
+        completes_message: false,
         report,
     }];
     let mut attempts = std::collections::BTreeMap::from([(id, 1u32)]);
@@ -132,7 +132,7 @@
                 endpoint,
                 outcome: Outcome::Ok,
                 elapsed: 100 * MS,
-                ended: true,
+                completes_message: true,
                 report,
             });
             *attempt += 1;
@@ -209,9 +209,17 @@
             calls += 1;
             calls_after += usize::from(unrejected_since.is_some());
             let outcome = if calls < 60 && calls % 2 == 0 { Outcome::Rejected(None) } else { Outcome::Ok };
-            let (ended, attempt) = (outcome == Outcome::Ok, harness.next_attempt(id));
+            let (completes_message, attempt) = (outcome == Outcome::Ok, harness.next_attempt(id));
             let elapsed = 10 * MS;
-            new_events.push(Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report });
+            new_events.push(Event::AttemptEnded {
+                id,
+                attempt,
+                endpoint,
+                outcome,
+                elapsed,
+                completes_message,
+                report,
+            });
         }
         if tick % 25 == 0 {
             new_events.push(Event::Message(harness.new_message(IDEMPOTENT, 1)));
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -13,7 +13,7 @@
     let events = vec![
         Event::Message(message),
         Event::Withdrawn { id: unknown },
-        Event::Started { id: unknown },
+        Event::ResponseStarted { id: unknown },
         attempt_ended(unknown, 3, EndpointId(5), Outcome::Ok),
         Event::HealthChecked { endpoint: EndpointId(5), outcome: Outcome::Error, elapsed: 0, report: None },
         Event::Timer { token: 1 },
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -59,15 +59,24 @@
             }
             for (id, endpoint) in sends(&harness.step_after(STEP, std::mem::take(&mut new_events[i]))) {
                 calls_in_second += 1;
-                let ended = calls_in_second <= rate;
+                let completes_message = calls_in_second <= rate;
                 let retry_after = SECOND - now % SECOND;
-                let outcome = if ended { Outcome::Ok } else { Outcome::Rejected(Some(retry_after)) };
-                run.delivered += usize::from(ended);
-                run.rejected += usize::from(!ended);
+                let outcome =
+                    if completes_message { Outcome::Ok } else { Outcome::Rejected(Some(retry_after)) };
+                run.delivered += usize::from(completes_message);
+                run.rejected += usize::from(!completes_message);
                 let (attempt, elapsed) = (harness.next_attempt(id), 5 * STEP);
                 due_events[i].push_back((
                     tick + 5,
-                    Event::AttemptEnded { id, attempt, endpoint, outcome, elapsed, ended, report },
+                    Event::AttemptEnded {
+                        id,
+                        attempt,
+                        endpoint,
+                        outcome,
+                        elapsed,
+                        completes_message,
+                        report,
+                    },
                 ));
             }
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -234,7 +234,7 @@
 // Rule 5: messages with the same order key are delivered in order.
 
 fn with_order_key(harness: &mut PolicyHarness) -> NewMessage {
-    NewMessage { key: Some(OrderKey(5)), ..harness.new_message(ORDERED, 1) }
+    NewMessage { order_key: Some(OrderKey(5)), ..harness.new_message(ORDERED, 1) }
 }
 
 #[test]
--- a/tests/stuck_calls.rs
+++ b/tests/stuck_calls.rs
@@ -30,8 +30,15 @@
         for (class, elapsed) in [(IDEMPOTENT, 100 * MS), (WITH_KEY, 500 * MS)] {
             let (id, endpoint) = harness.send_one(class, 1);
             let (outcome, report) = (Outcome::Ok, None);
-            let answer =
-                Event::AttemptEnded { id, attempt: 0, endpoint, outcome, elapsed, ended: true, report };
+            let answer = Event::AttemptEnded {
+                id,
+                attempt: 0,
+                endpoint,
+                outcome,
+                elapsed,
+                completes_message: true,
+                report,
+            };
             harness.step_after(elapsed, vec![answer]);
         }
     }
