--- a/src/api.rs
+++ b/src/api.rs
@@ -57,7 +57,7 @@
 /// The outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The endpoint accepted the message.
+    /// The message was delivered.
     Ok,
     /// The endpoint answered with an error. The attempt may have taken effect.
     Error,
@@ -104,7 +104,8 @@
     pub class: ClassId,
     /// The tenant to whose quota it counts; `None` if it counts to no quota.
     pub tenant: Option<TenantId>,
-    /// Messages of an ordered class with the same key are sent one at a time, in order.
+    /// Its order key, if it has one. Messages of an ordered class with the same key are sent one at a time,
+    /// in order.
     pub order_key: Option<OrderKey>,
     /// The time in which it may still be delivered.
     pub time_left: Micros,
@@ -112,8 +113,7 @@
     pub destination: DestinationId,
     /// It was taken over from a forwarder that died and may have sent it.
     pub failed_over: bool,
-    /// When and to which zone the first attempt was sent that may have taken effect; `None` if that is
-    /// unknown.
+    /// The send time and the zone of the first attempt that may have taken effect; `None` if that is unknown.
     pub first_attempt: Option<(Micros, ZoneId)>,
     /// Its client marked it as a retry. See [`Settings::clients_mark_retries`].
     pub client_retry: bool,
@@ -244,7 +244,7 @@
     /// Its deadline, or the time in which it may be retried, has passed.
     #[serde(rename = "TimeUp")]
     DeadlineExceeded,
-    /// Its destination accepts no call before that time.
+    /// Its destination accepts no call before the message expires.
     #[serde(rename = "Blocked")]
     DestinationUnavailable,
     /// It has had all its attempts.
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -13,7 +13,7 @@
 /// connection reset, which may be caused by the network. One success closes the breaker.
 pub(super) const FAILURE_THRESHOLD: u32 = 2;
 /// The time from opening a circuit breaker to its trial call. With a shorter time the trial calls cost more
-/// than the waiting saves; with a longer time outages are prolonged.
+/// than the wait; with a longer time outages last longer.
 pub(super) const OPEN_TIMEOUT: Micros = 2 * SECOND;
 /// The trial call is sent in the forwarder's own time slot, but not earlier than this after the breaker
 /// opened.
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -6,8 +6,8 @@
 use crate::api::*;
 
 impl DeliveryPolicy {
-    /// When a message expires. Later settings cannot postpone this once the message's last attempt, which may
-    /// take until then, is in flight.
+    /// When a message expires. Once its last attempt is in flight, which may take until then, new settings
+    /// cannot postpone this time.
     pub(super) fn expiry_of(&self, message: &Message) -> Micros {
         let end = self.timing(message).ends_at(message.received_at, message.deadline);
         message.final_deadline.map_or(end, |fixed| end.min(fixed))
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Records the receipt of a message, or of the share of it that counts for one endpoint of several.
+    /// Records the receipt of a message. `messages` is 1, or a fraction where several endpoints with limits
+    /// of their own share the demand.
     pub(super) fn record_demand(&mut self, now: Micros, messages: f64, settings: &Settings) {
         self.demand.record(messages, now - self.demand.updated_at, settings.slow_start_duration);
         self.demand.updated_at = now;
@@ -80,7 +81,7 @@
         self.rate_factor = (self.rate_factor * RATE_FACTOR_GAIN).min(RATE_FACTOR_MAX);
     }
 
-    /// Lowers the rate after a rejection that counts as this many.
+    /// Lowers the rate after a rejection. `rejection_weight` is the number of rejections for which it counts.
     pub(super) fn cut_rate(&mut self, rejection_weight: f64) {
         let cut = self.rate_factor * RATE_FACTOR_CUT.powf(rejection_weight);
         self.rate_factor = cut.max(RATE_FACTOR_MIN.powf(rejection_weight));
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,6 +1,6 @@
 //! Selection of the next call. A free call slot goes to the waiting destination that was dispatched to least
-//! recently, there to the endpoint with the lowest cost and load, and to the message that gains most by being
-//! sent now.
+//! recently. The call is sent to the endpoint with the lowest cost and load, and the first message that it
+//! carries is the one that gains most by being sent now.
 
 use super::circuit_breaker::Admission;
 use super::constants::*;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -29,8 +29,8 @@
 
     /// Updates the recovery interval and returns the period, in microseconds, in which each forwarder may
     /// make one call to a recovering destination. The calls of all forwarders that noticed the failures then
-    /// fit its capacity. Those forwarders are as many as messages arrived in `failing_for`, but no more than
-    /// there are.
+    /// fit its capacity. The number of these forwarders is taken as the number of messages that arrived in
+    /// `failing_for`, but no more than all forwarders.
     pub(super) fn update_recovery_interval(
         &mut self,
         now: Micros,
--- a/src/rates.rs
+++ b/src/rates.rs
@@ -60,8 +60,8 @@
 }
 
 impl RateLimitEstimate {
-    /// Updates the estimate from the load report of a response; `None` if the response has none. All messages
-    /// of a call come with the same report, which counts once.
+    /// Updates the estimate from the load report of a response; `None`, for a response without one, changes
+    /// nothing. All messages of a call come with the same report, which counts once.
     pub fn observe(&mut self, report: Option<LoadReport>) {
         let Some(report) = report.filter(|_| report != self.last_report) else { return };
         self.last_report = Some(report);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -31,7 +31,7 @@
 impl fmt::Display for Range {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Range::Any => "a number",
+            Range::Any => "a finite number",
             Range::AtLeastZero => "at least 0",
             Range::AtLeastOne => "at least 1",
             Range::AboveZero => "above 0",
@@ -45,7 +45,7 @@
     if range.contains(value) {
         return Ok(());
     }
-    Err(SettingsError(format!("setting `{setting}`: {value} is out of range, which is {range}")))
+    Err(SettingsError(format!("setting `{setting}`: {value} is out of range, it must be {range}")))
 }
 
 impl Settings {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -74,7 +74,7 @@
     panic!("the message was never rejected");
 }
 
-// Rule 2: no message takes effect twice.
+// Rule 2: no side effect happens twice.
 
 #[test]
 fn a_non_idempotent_message_is_retried_only_if_the_attempt_cannot_have_taken_effect() {
