--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list: what its updates change, and when it is polled.
+//! Applies updates of the endpoint list and polls for it.
 
 use super::admission::AdmissionControl;
 use super::constants::*;
-use super::records::{destination, Destination, Endpoint};
+use super::records::{get_or_create_destination, Destination, Endpoint};
 use super::DeliveryPolicy;
 use crate::api::*;
 
@@ -19,22 +19,22 @@
         };
         self.subscribed |= !matches!(update, EndpointListUpdate::Cached(_));
         if is_complete {
-            // What is still there is listed again just below.
+            // Endpoints that are still in the list are marked as listed again below.
             self.endpoints.values_mut().for_each(|e| e.entry.lifecycle = Lifecycle::Removed);
         }
         for entry in entries {
             self.apply_entry(now, entry);
         }
-        // Thousands of endpoints are not gone through at each change.
-        let removes = entries.iter().any(|e| e.lifecycle == Lifecycle::Removed);
-        if is_complete || removes || self.keeps_removed {
-            self.forget_removed(now);
+        // A patch without removals does not need a scan of all endpoints, of which there may be thousands.
+        let has_removals = entries.iter().any(|e| e.lifecycle == Lifecycle::Removed);
+        if is_complete || has_removals || self.retains_removed {
+            self.purge_removed(now);
         }
     }
 
     fn apply_entry(&mut self, now: Micros, entry: &EndpointEntry) {
         let kind = self.settings.kinds.get(entry.kind.0);
-        let destination = destination(&mut self.destinations, now, entry.destination);
+        let destination = get_or_create_destination(&mut self.destinations, now, entry.destination);
         destination.per_endpoint_breaker = kind.is_some_and(|k| k.per_endpoint_breaker);
         destination.messages_per_call = kind.map_or(1, |k| k.messages_per_call);
         destination.kind = Some(entry.kind);
@@ -44,11 +44,11 @@
         }
         let lifecycle_of =
             |id: &EndpointId| self.endpoints.get(id).map_or(Lifecycle::Removed, |e| e.entry.lifecycle);
-        let is_only_one = !destination
+        let is_only_listed = !destination
             .endpoints
             .iter()
             .any(|other| *other != entry.endpoint && lifecycle_of(other) == Lifecycle::Listed);
-        let returns =
+        let ends_drain =
             lifecycle_of(&entry.endpoint) == Lifecycle::Draining && entry.lifecycle == Lifecycle::Listed;
         let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(|| Endpoint {
             entry: entry.clone(),
@@ -58,20 +58,22 @@
         });
         endpoint.entry = entry.clone();
         let weight = if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 0.0 };
-        let sharing = if destination.per_endpoint_breaker { 1.0 } else { destination.endpoints.len() as f64 };
+        let weight_divisor =
+            if destination.per_endpoint_breaker { 1.0 } else { destination.endpoints.len() as f64 };
         destination.admission.pacer.weight = weight;
-        endpoint.admission.pacer.weight = weight / sharing;
-        if returns {
+        endpoint.admission.pacer.weight = weight / weight_divisor;
+        if ends_drain {
             endpoint.admission.return_from_drain(now, &self.settings);
         }
-        if returns && is_only_one {
+        if ends_drain && is_only_listed {
             destination.admission.return_from_drain(now, &self.settings);
         }
     }
 
-    /// Forgets what was removed, but for an endpoint with a retry-after (rule 6) and a destination that is in
-    /// an outage or in slow start (rule 4).
-    fn forget_removed(&mut self, now: Micros) {
+    /// Deletes the records of removed endpoints and of destinations without endpoints. An endpoint with a
+    /// pending retry-after is kept (rule 6), and so is a destination that has waiting messages, recent
+    /// failures or is in slow start (rule 4).
+    fn purge_removed(&mut self, now: Micros) {
         let is_removed = |e: &Endpoint| e.entry.lifecycle == Lifecycle::Removed;
         self.endpoints.retain(|_, e| !is_removed(e) || now < e.admission.pacer.paused_until);
         for destination in self.destinations.values_mut() {
@@ -84,11 +86,11 @@
                 && !d.admission.slow_start.is_active()
         };
         self.destinations.retain(|_, d| !is_unused(d));
-        self.keeps_removed = self.endpoints.values().any(is_removed)
+        self.retains_removed = self.endpoints.values().any(is_removed)
             || self.destinations.values().any(|d| d.endpoints.is_empty());
     }
 
-    /// Asks for the endpoint list when it is due, unless updates come by subscription.
+    /// Requests the endpoint list when a poll is due, unless updates arrive through a subscription.
     pub(super) fn poll_endpoint_list(&mut self, now: Micros) {
         if !self.settings.poll_endpoint_list || self.subscribed {
             return;
--- a/src/policy/enqueue.rs
+++ b/src/policy/enqueue.rs
@@ -1,7 +1,8 @@
-//! Receives a message: its age, its weight within its tenant's quota, and the queues that it joins.
+//! Receives a message: determines its time of receipt and its priority weight under its tenant's quota, and
+//! adds it to its queues.
 
 use super::constants::*;
-use super::records::{destination, Message, PossibleEffect};
+use super::records::{get_or_create_destination, Message, PossibleEffect};
 use super::DeliveryPolicy;
 use crate::api::*;
 
@@ -14,12 +15,12 @@
         let received_at = self.first_received_at(now, deadline, new);
         let priority_weight = self.weight_within_quota(now, new);
         let class = &self.settings.classes[new.class.0];
-        // A message with an idempotency key that a dead forwarder had counts as sent when it was first
-        // received, unless that one's journal says more.
+        // A message with an idempotency key that was taken over from a dead forwarder is assumed to have been
+        // sent when it was first received, unless that forwarder's journal shows when it was.
         let may_have_been_sent = new.failed_over && class.idempotency == Idempotency::WithKey;
         let assumed = may_have_been_sent.then_some(PossibleEffect { sent_at: received_at, zone: None });
         let journaled = new.first_attempt.map(|(sent_at, zone)| PossibleEffect { sent_at, zone: Some(zone) });
-        let order_key = new.key.filter(|_| class.ordered);
+        let order_key = new.order_key.filter(|_| class.ordered);
         if let Some(key) = order_key {
             self.order_keys.entry(key).or_default().queue.push_back(new.id);
         }
@@ -32,7 +33,7 @@
             received_at,
             deadline,
             attempts: new.attempts,
-            first_effect: journaled.or(assumed),
+            first_possible_effect: journaled.or(assumed),
             restored: new.restored,
             ..Message::default()
         };
@@ -40,14 +41,15 @@
         self.open_messages += 1;
     }
 
-    /// Less time left than the latency objective: the client wants it for that time only, and it is no repeat
-    /// unless it says so.
+    /// When the message was first received, by this forwarder or another. If clients do not mark their
+    /// retries, a message counts as a retry unless it has less time left than the latency objective: a client
+    /// that needs an answer that soon gave it little time from the start.
     fn first_received_at(&self, now: Micros, deadline: Micros, new: &NewMessage) -> Micros {
         let class = &self.settings.classes[new.class.0];
-        let is_first = !new.failed_over
+        let is_first_attempt = !new.failed_over
             && !new.client_retry
             && (self.settings.clients_mark_retries || new.time_left <= class.latency_objective);
-        if is_first {
+        if is_first_attempt {
             now
         } else {
             deadline.saturating_sub(class.deadline)
@@ -67,9 +69,10 @@
         }
     }
 
-    /// Queues a message at its destination, and counts it as demand for that and its endpoints.
+    /// Adds a message to the queue of its destination, and counts it as demand for the destination and its
+    /// endpoints.
     fn record_demand(&mut self, now: Micros, new: &NewMessage) {
-        let destination = destination(&mut self.destinations, now, new.destination);
+        let destination = get_or_create_destination(&mut self.destinations, now, new.destination);
         destination.waiting.push(new.id);
         let per_endpoint = destination.per_endpoint_breaker;
         let share = if per_endpoint { 1.0 / destination.endpoints.len().max(1) as f64 } else { 1.0 };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,9 @@
-//! Range checks of the settings.
+//! Checks that the values of the settings are in range.
 
 use crate::api::{Class, Settings, SettingsError, Tenant};
 use std::fmt;
 
-/// The values that a setting may have.
+/// The range of values that a setting may have. Infinity and NaN are in none.
 #[derive(Clone, Copy)]
 enum Range {
     Any,
@@ -31,12 +31,12 @@
 impl fmt::Display for Range {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Range::Any => "a number",
-            Range::AtLeastZero => "0 at least",
-            Range::AtLeastOne => "1 at least",
+            Range::Any => "a finite number",
+            Range::AtLeastZero => "at least 0",
+            Range::AtLeastOne => "at least 1",
             Range::AboveZero => "above 0",
             Range::ZeroToOne => "from 0 to 1",
-            Range::AboveZeroToOne => "above 0 and 1 at most",
+            Range::AboveZeroToOne => "above 0 and at most 1",
         })
     }
 }
@@ -45,21 +45,21 @@
     if range.contains(value) {
         return Ok(());
     }
-    Err(SettingsError(format!("setting `{setting}`: {value} is out of range, which is {range}")))
+    Err(SettingsError(format!("setting `{setting}`: {value} is out of range, it must be {range}")))
 }
 
 impl Settings {
-    /// Checks that a forwarder can work with these settings.
+    /// Checks that all settings are in range and consistent.
     ///
     /// # Errors
     ///
-    /// Names the first setting at fault.
+    /// Returns an error that names the first setting that is wrong.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
-            return Err(SettingsError("setting `categories`: there must be one at least".into()));
+            return Err(SettingsError("setting `categories`: at least one category is required".into()));
         }
         if self.zone.0 >= self.zone_costs.len() {
-            return Err(SettingsError("setting `zone`: it is not among the zones".into()));
+            return Err(SettingsError("setting `zone`: it is not one of the zones in `azs`".into()));
         }
         self.check_general()?;
         for kind in &self.kinds {
@@ -104,7 +104,8 @@
             return Ok(());
         }
         let (objective_ms, deadline_ms) = (self.latency_objective / 1000, self.deadline / 1000);
-        let text = format!("setting `promise`: {objective_ms} ms is past the deadline of {deadline_ms} ms");
-        Err(SettingsError(text))
+        let message =
+            format!("setting `promise`: {objective_ms} ms is longer than the deadline of {deadline_ms} ms");
+        Err(SettingsError(message))
     }
 }
