--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -1,4 +1,4 @@
-//! The start of a process: it claims the state folder, reads it, listens and starts the actors.
+//! The start of a process: it claims and reads the state folder, opens the listeners and starts the actors.
 
 use super::background;
 use super::clock::Clock;
@@ -33,52 +33,53 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The pause between two tries of a start that failed for want of a resource.
-const RETRY: Duration = Duration::from_millis(50);
-/// A folder of which a part cannot be read is tried again for so long; then that part is left for a later start.
-const READABLE_WITHIN: Duration = Duration::from_secs(4);
-/// A start that fails for so long is abandoned.
-const START_WITHIN: Duration = Duration::from_secs(25);
-/// Messages that wait for the delivery actor; senders wait beyond that.
-const DELIVERY_MAILBOX: usize = 1024;
-/// Delivery reports that wait to be sent.
-const REPORTS_MAILBOX: usize = 4096;
-/// Messages that wait for the endpoint list actor.
-const ENDPOINT_LIST_MAILBOX: usize = 16;
+/// The pause before a start that failed with a transient error is retried.
+const START_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// For this long, a start fails and is retried if a journal segment cannot be read. After that the process starts without
+/// the segment and keeps it for a later start.
+const UNREADABLE_SEGMENT_TIMEOUT: Duration = Duration::from_secs(4);
+/// A start that still fails with a transient error after this is given up.
+const START_TIMEOUT: Duration = Duration::from_secs(25);
+/// The capacity of the delivery actor's mailbox, in messages; senders wait while it is full.
+const DELIVERY_MAILBOX_CAPACITY: usize = 1024;
+/// The capacity of the queue of delivery reports to be sent.
+const REPORTS_MAILBOX_CAPACITY: usize = 4096;
+/// The capacity of the endpoint list actor's mailbox, in messages.
+const ENDPOINT_LIST_MAILBOX_CAPACITY: usize = 16;
 
-/// Why the forwarder did not start, or did not end in order.
+/// Why the forwarder could not start, or ended with a failure.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The signals cannot be received.
+    /// The signal handlers cannot be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
-    /// There is no usable configuration.
+    /// The configuration cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The decisions cannot be made under these settings.
+    /// The delivery policy rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The state folder or an address cannot be used.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The successor that had taken over is gone.
-    #[error("the process that took over is gone")]
+    /// The connection to a successor that had taken over has ended, so requests could no longer be forwarded.
+    #[error("lost the successor that had taken over")]
     SuccessorLost,
 }
 
-/// Why a process could not begin.
+/// Why a process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The state folder cannot be used.
     #[error("state folder `{}`: {}", .0.display(), .1)]
     Folder(PathBuf, #[source] io::Error),
-    /// An address cannot be listened on.
+    /// A listener cannot be opened: its purpose as the message names it, its address, and the error.
     #[error("cannot listen {0}on {1}: {2}")]
     Listen(&'static str, SocketAddr, #[source] io::Error),
 }
 
 impl StartError {
-    /// Whether it may go well a moment later: the system was short of something, or its storage failed.
+    /// Whether a retry may succeed: the system was short of a resource, a call was interrupted, or the storage failed.
     fn is_transient(&self) -> bool {
         let (StartError::Folder(_, error) | StartError::Listen(_, _, error)) = self;
         let transient =
@@ -87,17 +88,18 @@
     }
 }
 
-/// Runs the forwarder until a signal or the hand-over ends it.
+/// Runs the forwarder until a signal terminates it or a hand-over to a successor is complete.
 ///
 /// # Errors
 ///
-/// It could not start, or its successor was lost.
+/// Returns an error if the forwarder could not start, or lost the successor to which it had handed over.
 pub fn run(load: Arc<Load>, log: Logger) -> Result<(), RunError> {
     let executor = Rc::new(LocalExecutor::new());
     let running = executor.clone();
     async_io::block_on(running.run(serve(&load, log, executor)))
 }
 
+/// Runs a process on the executor: start, service until it is terminated, and shutdown.
 async fn serve(load: &Arc<Load>, log: Logger, executor: Rc<LocalExecutor<'static>>) -> Result<(), RunError> {
     let signals = Signals::new().map_err(RunError::Signals)?;
     let (config, settings) = load(Reading::Start)?;
@@ -105,18 +107,18 @@
     let opening = async { Some(open(&config, clock, &log, &executor).await) };
     let reload_requested = Cell::new(false);
     let Some(opened) = future::or(opening, until_terminated(&signals, &reload_requested)).await else {
-        info!(log, "ended before it owned the folder");
+        info!(log, "terminated before it owned the state folder");
         return Ok(());
     };
-    let Actors { context, endpoint_list, accepting, registration } =
+    let RunningProcess { context, endpoint_list, accepting, registration } =
         start_actors(opened?, config, settings, clock, log, executor).await?;
-    let signalled = async {
+    let terminated = async {
         if reload_requested.get() {
             reload::reload(&context, load, &endpoint_list).await;
         }
         reload::until_terminated(&context, &signals, load, &endpoint_list).await;
     };
-    future::or(signalled, handover::until_drained(&context)).await;
+    future::or(terminated, handover::until_drained(&context)).await;
     shutdown::shut_down(&context, accepting).await;
     if let Some(registration) = registration {
         registration.cancel().await;
@@ -128,7 +130,8 @@
     }
 }
 
-/// Waits for the signal that ends the process; a SIGHUP that comes before it serves is noted, as the configuration was read already.
+/// Waits for the signal that terminates the process while it starts, and returns `None`. A SIGHUP sets `reload_requested`:
+/// the configuration has been read already, and is reloaded once the process serves.
 async fn until_terminated<T>(signals: &Signals, reload_requested: &Cell<bool>) -> Option<T> {
     while signals.next().await == Signal::Reload {
         reload_requested.set(true);
@@ -136,23 +139,27 @@
     None
 }
 
-/// A process whose actors run.
-struct Actors {
+/// The handles of a process whose actors run.
+struct RunningProcess {
     context: Rc<Context>,
+    /// The mailbox of the endpoint list actor.
     endpoint_list: Sender<EndpointListMessage>,
+    /// The task that accepts clients; it ends when the listener is closed.
     accepting: Task<()>,
+    /// The registration at the registry, if one is configured.
     registration: Option<Registration>,
 }
 
+/// Restores the actors' state, starts the actors and their background tasks, and begins to accept operators and clients.
 async fn start_actors(
-    opened: Opened,
+    opened: OpenedResources,
     config: Config,
     settings: Settings,
     clock: Clock,
     log: Logger,
     executor: Rc<LocalExecutor<'static>>,
-) -> Result<Actors, RunError> {
-    let Opened { mut claim, sockets, journal, restored } = opened;
+) -> Result<RunningProcess, RunError> {
+    let OpenedResources { mut claim, listeners, journal, restored } = opened;
     for damage in &restored.damage {
         warn!(log, "journal damaged"; "what" => damage);
     }
@@ -160,42 +167,43 @@
     let inherited = claim.as_mut().and_then(|claim| claim.inherited.take());
     let (state, policy) = inherited.map(|inherited| (inherited.state, inherited.policy)).unzip();
     let routes = settings.routes.clone();
-    let settings = Settings { wall_clock_offset: clock.behind_wall(), ..settings };
+    let settings = Settings { wall_clock_offset: clock.wall_clock_offset(), ..settings };
     let policy = match policy {
         Some(policy) => policy,
         None => DeliveryPolicy::new(settings.clone(), config.seed)?,
     };
-    let (delivery, delivery_mail) = async_channel::bounded(DELIVERY_MAILBOX);
+    let (delivery, delivery_mailbox) = async_channel::bounded(DELIVERY_MAILBOX_CAPACITY);
     let journal = JournalHandle::new(journal);
-    let parts = ContextParts { log, clock, executor, delivery, journal, config, listen: sockets.listen };
+    let parts =
+        ContextParts { log, clock, executor, delivery, journal, config, listen: listeners.client_address };
     let context = Rc::new(Context::new(parts));
     context.gauges.predecessor_connections.set(state.as_ref().map_or(0, |state| state.client_connections));
     context.routes.apply(routes);
     reload::warn_without_index(&context);
     let reports = start_background(&context);
-    let (endpoint_list, endpoint_list_mail) = async_channel::bounded(ENDPOINT_LIST_MAILBOX);
+    let (endpoint_list, endpoint_list_mailbox) = async_channel::bounded(ENDPOINT_LIST_MAILBOX_CAPACITY);
     let mut delivery_actor =
         DeliveryActor::new(context.clone(), policy, reports, endpoint_list.clone(), restored.highest_id);
     let mut endpoint_list_actor = EndpointListActor::new(context.clone(), endpoint_list.clone());
     let inherited = state.zip(predecessor);
     restore(&mut delivery_actor, &mut endpoint_list_actor, inherited, restored.messages, settings).await;
-    context.executor.spawn(delivery_actor.run(delivery_mail)).detach();
-    context.executor.spawn(endpoint_list_actor.run(endpoint_list_mail)).detach();
+    context.executor.spawn(delivery_actor.run(delivery_mailbox)).detach();
+    context.executor.spawn(endpoint_list_actor.run(endpoint_list_mailbox)).detach();
     let registration = Registration::start(&context);
-    if let Some((operators, claim)) = sockets.operators.zip(claim) {
+    if let Some((operators, claim)) = listeners.operators.zip(claim) {
         serve_operators(&context, operators, claim, &endpoint_list)?;
     }
     let accepting =
-        context.executor.spawn(client::serve(context.clone(), sockets.listener, sockets.listening_since));
-    info!(context.log, "serving"; "name" => &context.config().name, "listen" => %sockets.listen,
+        context.executor.spawn(client::serve(context.clone(), listeners.clients, listeners.listening_since));
+    info!(context.log, "serving"; "name" => &context.config().name, "listen" => %listeners.client_address,
         "restored" => context.gauges.open_messages.get());
-    Ok(Actors { context, endpoint_list, accepting, registration })
+    Ok(RunningProcess { context, endpoint_list, accepting, registration })
 }
 
-/// Starts the tasks that run as long as the process; returns where delivery reports are sent.
+/// Starts the tasks that run as long as the process; returns the queue for delivery reports.
 fn start_background(context: &Rc<Context>) -> Sender<DeliveryReport> {
-    let (reports, reports_mail) = async_channel::bounded(REPORTS_MAILBOX);
-    context.executor.spawn(delivery_reports::run(context.clone(), reports_mail)).detach();
+    let (reports, reports_mailbox) = async_channel::bounded(REPORTS_MAILBOX_CAPACITY);
+    context.executor.spawn(delivery_reports::run(context.clone(), reports_mailbox)).detach();
     let stall_detector = context.stall_detector.clone();
     let watching = background::watch_for_stalls(stall_detector, context.clock, context.log.clone());
     context.executor.spawn(watching).detach();
@@ -203,7 +211,7 @@
     reports
 }
 
-/// Brings the two actors to where the predecessor stopped, or to what the state folder holds.
+/// Restores the state of the two actors from the predecessor, or from the state folder if there is no predecessor.
 async fn restore(
     delivery: &mut DeliveryActor,
     endpoint_list: &mut EndpointListActor,
@@ -229,7 +237,8 @@
     }
 }
 
-/// Serves operators and, through the claim, what a predecessor forwards.
+/// Starts to serve operators and whatever a predecessor forwards, and makes this process known as the owner of the state
+/// folder.
 fn serve_operators(
     context: &Rc<Context>,
     operators: (SocketAddr, Async<TcpListener>),
@@ -247,51 +256,53 @@
     Ok(())
 }
 
-/// What a process has opened before its actors start.
-struct Opened {
+/// What a process opens before its actors start.
+struct OpenedResources {
+    /// The claim to the state folder; `None` if the configuration has no operator address, as hand-overs need one.
     claim: Option<FolderClaim>,
-    sockets: Sockets,
+    listeners: Listeners,
     journal: Journal,
     restored: Restored,
 }
 
-/// Claims the folder, reads it and listens. A failure that may pass is retried: what was accepted is still owed.
+/// Claims the state folder, reads it and opens the listeners. A transient failure is retried, because the accepted messages
+/// in the journal must still be delivered.
 async fn open(
     config: &Config,
     clock: Clock,
     log: &Logger,
     executor: &LocalExecutor<'static>,
-) -> Result<Opened, StartError> {
-    let begun = Instant::now();
+) -> Result<OpenedResources, StartError> {
+    let started_at = Instant::now();
     loop {
-        let unreadable = match begun.elapsed() < READABLE_WITHIN {
+        let unreadable = match started_at.elapsed() < UNREADABLE_SEGMENT_TIMEOUT {
             true => UnreadableSegmentPolicy::Fail,
             false => UnreadableSegmentPolicy::KeepForLaterStart,
         };
         let error = match open_once(config, clock, unreadable, log, executor).await {
             Ok(Some(opened)) => return Ok(opened),
             Ok(None) => {
-                warn!(log, "the predecessor serves on, asking it once more");
+                warn!(log, "the predecessor continues to serve, requesting the hand-over again");
                 continue;
             }
             Err(error) => error,
         };
-        if !error.is_transient() || begun.elapsed() > START_WITHIN {
+        if !error.is_transient() || started_at.elapsed() > START_TIMEOUT {
             return Err(error);
         }
-        warn!(log, "cannot start yet"; "reason" => "system", "error" => %error);
-        Timer::after(RETRY).await;
+        warn!(log, "cannot start yet, retrying"; "reason" => "system", "error" => %error);
+        Timer::after(START_RETRY_PAUSE).await;
     }
 }
 
-/// One try; `None` if the predecessor serves on after all.
+/// Tries once to open everything; returns `None` if the predecessor did not release the folder and continues to serve.
 async fn open_once(
     config: &Config,
     clock: Clock,
     unreadable: UnreadableSegmentPolicy,
     log: &Logger,
     executor: &LocalExecutor<'static>,
-) -> Result<Option<Opened>, StartError> {
+) -> Result<Option<OpenedResources>, StartError> {
     let folder_error = |error: io::Error| StartError::Folder(config.state_folder.clone(), error);
     let mut claim = match config.operator_address {
         Some(_) => Some(handover::claim(config, log, executor).await.map_err(folder_error)?),
@@ -299,63 +310,65 @@
     };
     let storage = FolderStorage::open(&config.state_folder).map_err(folder_error)?;
     let (limit, salt) = (config.journal_limit_bytes(), fastrand::u32(..));
-    let opened = Journal::open(Box::new(storage), limit, move || clock.moment(), salt, unreadable);
+    let opened = Journal::open(Box::new(storage), limit, move || clock.reading(), salt, unreadable);
     let (journal, restored) = opened.map_err(folder_error)?;
-    let sockets = Sockets::open(config, clock)?;
+    let listeners = Listeners::open(config, clock)?;
     if let Some(claim) = &mut claim {
         if !claim.take_over(config).await.map_err(folder_error)? {
             return Ok(None);
         }
     }
-    Ok(Some(Opened { claim, sockets, journal, restored }))
+    Ok(Some(OpenedResources { claim, listeners, journal, restored }))
 }
 
 /// The listeners of this process.
-struct Sockets {
-    /// Where clients connect, with the port that the system gave.
-    listen: SocketAddr,
-    listener: Async<TcpListener>,
-    /// Since when clients can connect.
+struct Listeners {
+    /// The address on which clients connect, with the port that the system assigned.
+    client_address: SocketAddr,
+    clients: Async<TcpListener>,
+    /// The time from which clients could connect, in microseconds of [`Clock`].
     listening_since: Micros,
-    /// Where operators call, if they may.
+    /// The operators' address and listener; `None` if none is configured.
     operators: Option<(SocketAddr, Async<TcpListener>)>,
 }
 
-impl Sockets {
-    fn open(config: &Config, clock: Clock) -> Result<Sockets, StartError> {
+impl Listeners {
+    fn open(config: &Config, clock: Clock) -> Result<Listeners, StartError> {
         let open = |address: SocketAddr, shared: bool, purpose: &'static str| {
             let opened = client::listen(address, shared)
                 .and_then(|listener| Ok((listener.get_ref().local_addr()?, listener)));
             opened.map_err(|error| StartError::Listen(purpose, address, error))
         };
         let listening_since = clock.now();
-        // A successor listens beside its predecessor for a moment.
-        let (listen, listener) = open(config.listen_address, config.operator_address.is_some(), "")?;
+        // The address is shared because a successor listens on it for a moment while its predecessor still does.
+        let (client_address, clients) = open(config.listen_address, config.operator_address.is_some(), "")?;
         let operators =
             config.operator_address.map(|address| open(address, false, "for operators ")).transpose()?;
-        Ok(Sockets { listen, listener, listening_since, operators })
+        Ok(Listeners { client_address, clients, listening_since, operators })
     }
 }
 
-/// The registration of this forwarder at the registry.
+/// The registration of this forwarder at the registry, kept up by a background task.
 struct Registration {
+    /// Dropped to have the task cancel the registration.
     cancel: Sender<()>,
+    /// Closed once the registration is cancelled.
     cancelled: Receiver<()>,
 }
 
 impl Registration {
-    /// Registers this forwarder, where the site file says so.
+    /// Starts to register this forwarder; returns `None` if the site file configures no registration.
     fn start(context: &Rc<Context>) -> Option<Registration> {
         let settings =
             context.config().registry.clone().filter(|registry| registry.registration.is_some())?;
         let (cancel, cancelling) = async_channel::bounded(1);
         let (done, cancelled) = async_channel::bounded(1);
-        let keeping = eureka::register::run(context.clone(), settings, cancelling, done);
-        context.executor.spawn(keeping).detach();
+        let registering = eureka::register::run(context.clone(), settings, cancelling, done);
+        context.executor.spawn(registering).detach();
         Some(Registration { cancel, cancelled })
     }
 
-    /// Cancels it, and waits a moment until the registry knows.
+    /// Cancels the registration and waits until the registry has confirmed that, for at most the cancellation's timeout.
     async fn cancel(self) {
         drop(self.cancel);
         within(eureka::register::CANCEL_TIMEOUT, self.cancelled.recv()).await;
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,5 +1,5 @@
-//! The configuration as it is read at the start and again on SIGHUP. Scenarios over sockets, in the language of
-//! `scenario/mod.rs`.
+//! Tests of the configuration, which is read at the start and again on SIGHUP. Most run a scenario over sockets, in the
+//! language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -11,30 +11,33 @@
     let folder = std::env::temp_dir().join(format!("cedarbridge-config-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("config.json");
-    for (text, wanted) in
+    for (text, expected_error) in
         [("{", "not JSON"), ("{}", "missing setting `settings`"), (r#"{"settings":{}}"#, "specifics")]
     {
         std::fs::write(&path, text).expect("written");
-        let out = program().arg(&path).output().expect("it runs");
-        let errors = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success() && errors.lines().count() == 1 && errors.contains(wanted), "{errors}");
+        let output = program().arg(&path).output().expect("it runs");
+        let errors = String::from_utf8_lossy(&output.stderr);
+        assert!(
+            !output.status.success() && errors.lines().count() == 1 && errors.contains(expected_error),
+            "{errors}"
+        );
     }
     let _ = std::fs::remove_dir_all(&folder);
-    let out = program().output().expect("it runs");
-    assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("no configuration"));
+    let output = program().output().expect("it runs");
+    assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("no configuration"));
 }
 
-/// Guards against an index that is no number ending a forwarder, or being accepted without a log line.
+/// Guards against a forwarder that exits because of an unusable index, or accepts one without a log line.
 #[test]
 fn an_unusable_forwarder_index_is_logged_and_the_forwarder_serves_without_it() {
     let cases =
         [("null", "missing setting"), ("-1", "got -1"), ("0.5", "got 0.5"), ("1", "not under the count")];
-    for (me, why) in cases {
+    for (index, reason) in cases {
         play(&format!(
-            "with e1=1 me={me}
+            "with e1=1 me={index}
              start
              log no index among the forwarders, time slots are drawn at random
-             log {why}
+             log {reason}
              u1 send m1 dest=1
              e1 expect m1
              e1 send m1 200
@@ -49,8 +52,8 @@
     }
 }
 
-/// Guards against a program that a typing error ends or leaves without settings, and against limits that only a start
-/// reads.
+/// Guards against a typing error in the configuration that ends the process or leaves it without settings, and against
+/// limits that are applied only at a start.
 #[test]
 fn a_reload_applies_the_complete_file_or_nothing_of_it() {
     play(
@@ -62,7 +65,7 @@
          u1 send m2 dest=9
          u1 expect 503
          reload {\"settings\":
-         log the old one holds, error
+         log the previous one stays in force, error
          reload
          log configuration reloaded
          u1 send m3 dest=9
@@ -79,7 +82,7 @@
     );
 }
 
-/// Guards against a SIGHUP that is swallowed as it comes while the process starts.
+/// Guards against a SIGHUP that is lost because it arrives while the process starts.
 #[test]
 fn a_reload_during_the_start_is_made_once_the_process_serves() {
     play(
