--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Admin requests: cordons, quiesce, health, and bad input. Scenarios over sockets, in the language of
+//! Tests of admin requests: cordons, quiesce, health and bad input. Each runs a scenario over sockets, in the language of
 //! `scenario/mod.rs`.
 
 mod scenario;
@@ -44,8 +44,8 @@
     );
 }
 
-/// The rule on drains applies to a cordon: a call in flight finishes, what is queued goes to the other endpoint, and
-/// the messages of a destination whose last endpoint is cordoned wait.
+/// A cordon has the same effect as a drain: a call in flight finishes, queued messages go to another endpoint, and messages
+/// wait if the last endpoint of their destination is cordoned.
 #[test]
 fn a_cordoned_endpoint_gets_no_new_call_until_it_is_uncordoned_once() {
     play(
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of the forwarder: requests, responses, timeouts, and disconnects. Scenarios over sockets, in the language
-//! of `scenario/mod.rs`.
+//! Tests of the forwarder's clients: requests, responses, timeouts and disconnects. Each runs a scenario over sockets, in
+//! the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -22,7 +22,8 @@
     );
 }
 
-/// Guards against sending for a client that will send its message to another forwarder.
+/// Guards against a message that is delivered twice: a client that disconnects without a response sends it to another
+/// forwarder.
 #[test]
 fn a_client_that_disconnects_before_its_response_withdraws_its_message() {
     play(
@@ -47,7 +48,7 @@
     );
 }
 
-/// The same where the client disconnects before the next decision step.
+/// As above, but the client disconnects after its message was submitted and before the delivery policy's next step.
 #[test]
 fn a_client_that_disconnects_between_two_decision_steps_withdraws_its_message() {
     play(
@@ -120,8 +121,8 @@
     );
 }
 
-/// Guards against many silent connections that keep the usual clients out, and against evicting one of those clients
-/// instead.
+/// Guards against silent connections that take up the connection limit and keep other clients out, and against the eviction
+/// of a client that sends requests instead of a silent one.
 #[test]
 fn silent_connections_are_evicted_for_clients_that_send_requests() {
     play(
@@ -144,7 +145,7 @@
     );
 }
 
-/// Guards against silent connections that stay for a minute and requests that are never complete.
+/// Guards against connections that stay open for a minute without a request, and against requests that are never complete.
 #[test]
 fn silent_connections_and_incomplete_requests_time_out() {
     play(
@@ -163,7 +164,7 @@
     );
 }
 
-/// Guards against one client that ends, withdraws or duplicates the message of another by using its id.
+/// Guards against a client that ends, withdraws or duplicates another client's message by using its request id.
 #[test]
 fn a_request_id_in_use_is_rejected_and_its_message_proceeds() {
     play(
@@ -199,7 +200,7 @@
     );
 }
 
-/// Guards against request smuggling: forwarding what is hidden behind a wrong length.
+/// Guards against request smuggling, in which a second request is hidden behind a wrong body length.
 #[test]
 fn bytes_behind_a_request_before_its_response_are_rejected_with_it() {
     play(
@@ -220,7 +221,7 @@
     );
 }
 
-/// Guards against keeping, up to its deadline, a message that no endpoint can take.
+/// Guards against a message that is queued until its deadline although its destination has no endpoint.
 #[test]
 fn a_destination_that_was_never_listed_gets_503() {
     play(
@@ -239,7 +240,8 @@
     );
 }
 
-/// Guards against counting a silent client's time from the accept: it is owed an error or the end within 3 s of its connecting.
+/// Guards against a time limit that counts from the accept. A silent client must get an error or the end of its connection
+/// within 3 s of connecting, also if its connection waited to be accepted.
 #[test]
 fn a_silent_client_whose_connection_was_accepted_late_is_ended_in_time() {
     play(
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -1,12 +1,12 @@
-//! The hand-over from one process to its successor on the same state folder. Scenarios over sockets, in the language
-//! of `scenario/mod.rs`.
+//! Tests of the hand-over from one process to its successor on the same state folder. Each runs a scenario over sockets, in
+//! the language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Calls in flight stay at the predecessor, queued messages proceed at the successor, and requests to the predecessor
-/// are forwarded: each message gets one result.
+/// Calls in flight complete at the predecessor, queued messages are sent by the successor, and requests to the predecessor
+/// are forwarded. Each message gets exactly one result.
 #[test]
 fn a_successor_takes_over_all_messages_of_its_predecessor() {
     play(
@@ -155,8 +155,8 @@
     );
 }
 
-/// Whatever the successor does up to the moment at which it owns the folder, the predecessor serves on as if nothing
-/// had happened.
+/// Whatever the successor does before it owns the state folder, the predecessor continues to serve as if nothing had
+/// happened.
 #[test]
 fn a_successor_that_fails_before_it_owns_the_folder_changes_nothing() {
     play(
@@ -195,7 +195,8 @@
     );
 }
 
-/// A result that arrives while another process reads the folder must be in the journal if that process dies.
+/// Guards against a result that is lost: it arrives while the successor reads the state folder, and must be in the journal
+/// if the successor then dies.
 #[test]
 fn a_successor_that_dies_as_the_owner_ends_its_predecessor_and_leaves_a_complete_journal() {
     play(
@@ -264,8 +265,8 @@
     );
 }
 
-/// The first process forwards to the second, and that to the third: responses to calls in flight at the first arrive
-/// through both.
+/// The first process forwards to the second, and the second to the third. Responses to calls in flight at the first process
+/// reach the third through both connections.
 #[test]
 fn a_third_process_takes_over_from_a_second_that_has_just_done_so() {
     play(
@@ -315,7 +316,7 @@
     );
 }
 
-/// An admin request to the predecessor is carried out by the process that decides.
+/// An admin request to the predecessor is performed by the successor, which makes the decisions.
 #[test]
 fn a_quiesce_during_a_hand_over_disconnects_clients_of_the_successor() {
     play(
@@ -337,11 +338,11 @@
     );
 }
 
-/// Guards against slots that are never released: a message that was withdrawn is in no journal, and yet its attempt
-/// was in flight at the process that died.
+/// Guards against call slots that are never released. A withdrawn message is not in the journal, but its attempt can still
+/// be in flight at the predecessor when that dies.
 #[test]
 fn withdrawn_attempts_in_flight_when_the_predecessor_dies_release_their_slots() {
-    // On an open connection the attempt is written before the withdrawal is known.
+    // With a connection already open, the attempt is written before the withdrawal is known.
     let opened_connections: String = (1..5)
         .map(|n| format!("u5 send w{n} dest={n}\nu5 expect 202\ne{n} expect w{n}\ne{n} send w{n} 200\n"))
         .collect();
@@ -376,8 +377,8 @@
     ));
 }
 
-/// Guards against a process that cannot be shut down gracefully while it waits: the on-call runbook backs out this
-/// way.
+/// Guards against a successor that cannot be shut down gracefully while it waits. The on-call runbook relies on that to back
+/// out of an upgrade.
 #[test]
 fn a_successor_that_waits_for_an_owner_exits_on_sigterm() {
     play(
@@ -393,12 +394,12 @@
     );
 }
 
-/// Guards against a successor that gives the hand-over up as the folder's lock fails once it owns the folder: its predecessor
-/// ended, and what that one had in flight was sent a second time.
+/// Guards against a successor that gives up the hand-over because it fails to open the folder's lock after it has confirmed
+/// its ownership. Its predecessor ended as well, and the calls in flight there were sent a second time.
 #[test]
 fn a_successor_takes_over_although_opening_files_fails_now_and_then() {
     let mut script = String::from("with e1=1 operator=on open=64 faults=on\nstart");
-    // At which step it fails hangs on the seed of the faults.
+    // The seed of the faults determines at which step opening a file fails.
     for round in 1..=12 {
         script += &format!(
             "\nc{round} send m{round}
@@ -416,7 +417,8 @@
     play(&script);
 }
 
-/// Guards against a drain that reaches the predecessor's watch alone: the successor, whose own watch was slow, went on calling.
+/// Guards against calls to a draining endpoint by a successor whose own watch is slow, when only the predecessor's watch has
+/// received the drain.
 #[test]
 fn a_drain_observed_by_the_predecessor_after_the_hand_over_binds_the_successor() {
     play(
@@ -440,8 +442,9 @@
     );
 }
 
-/// Guards against a 503 for a message that the successor may have accepted before it died: the next process delivers it. And against
-/// a frame that a successor of the release before does not know: none comes before that of the message.
+/// Guards against a 503 for a message that the successor may have accepted before it died, as the next process delivers it
+/// from the journal. Also guards against frames that a successor of the previous release does not know: here the drain must
+/// not be sent to it as a frame before that of the message.
 #[test]
 fn a_client_whose_message_a_lost_successor_may_have_accepted_gets_no_response() {
     play(
@@ -465,7 +468,8 @@
     );
 }
 
-/// Guards against a 503 for a message that the successor has accepted, as its client ends its sending and reads on.
+/// Guards against a 503 for a message that the successor has accepted, if the client has closed only its sending side and
+/// still reads.
 #[test]
 fn a_client_of_the_predecessor_that_half_closes_gets_the_reply_of_the_successor() {
     play(
@@ -487,8 +491,8 @@
     );
 }
 
-/// Guards against a drain that is missed as it comes while a hand-over is under way that fails: the watch was closed with the line
-/// unread, and the next one was slow.
+/// Guards against a drain that is missed because it arrives during a hand-over that then fails. The watch was closed with
+/// the line unread, and the next watch was slow.
 #[test]
 fn a_drain_observed_during_a_hand_over_that_fails_binds_calls() {
     play(
@@ -515,8 +519,9 @@
     );
 }
 
-/// Guards against a drain that is lost between the list and the state: both were sent by different actors, and the line came to the
-/// one that had nobody to pass it on to yet.
+/// Guards against a drain that is lost between the endpoint list and the rest of the state. Different actors send the two,
+/// and the line of the drain arrived at the endpoint list actor before there was a successor to which it could pass the line
+/// on.
 #[test]
 fn a_drain_observed_between_the_list_and_the_hand_over_is_passed_on() {
     play(
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,18 +1,18 @@
-//! Heads and bodies as they are read from a connection, cut at every byte and malformed in many ways.
+//! Tests of reading heads and bodies from a connection: split at every byte, and malformed in many ways.
 
 use async_io::Async;
 use cedarbridge::net::http::{HttpConnection, HttpError, RequestHead};
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 
-/// How a request is read whose bytes are sent in two writes.
-fn read(bytes: &[u8], cut: usize) -> Result<(RequestHead, Vec<u8>), HttpError> {
+/// Reads a request whose bytes are sent in two writes, split at `split`.
+fn read(bytes: &[u8], split: usize) -> Result<(RequestHead, Vec<u8>), HttpError> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connects");
     let server = listener.accept().expect("accepts").0;
     let bytes = bytes.to_vec();
     let sender = std::thread::spawn(move || {
-        for part in [&bytes[..cut], &bytes[cut..]] {
+        for part in [&bytes[..split], &bytes[split..]] {
             let _ = client.write_all(part);
         }
     });
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn a_chunked_body_is_read_wherever_it_is_cut() {
+fn a_chunked_body_is_read_wherever_it_is_split() {
     let bytes = b"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nT: 1\r\n\r\n";
-    for cut in 0..bytes.len() {
-        let (head, body) = read(bytes, cut).expect("a request");
+    for split in 0..bytes.len() {
+        let (head, body) = read(bytes, split).expect("a request");
         assert_eq!((head.method.as_str(), body.as_slice()), ("POST", &b"abcde"[..]));
     }
 }
@@ -42,9 +42,9 @@
     assert_eq!(code(b"GET /\x01 HTTP/9\r\n\r\n"), Err("malformed"));
     assert_eq!(code(b"POST / HTTP/1.1\r\nContent-Length: +5\r\n\r\nhello"), Err("malformed"));
     assert_eq!(code(b"POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n"), Err("too-large"));
-    // Guards against a body that two readers delimit in two ways: what one reads as its rest, the other reads as a
-    // request.
-    for marks in [
+    // Guards against request smuggling by a body that two readers delimit differently: bytes that one reads as part of the
+    // body, the other reads as a request.
+    for length_headers in [
         "Content-Length: 1\r\nTransfer-Encoding: chunked",
         "Transfer-Encoding: chunked\r\nContent-Length: 1",
         "Content-Length: 1\r\nContent-Length: 1",
@@ -55,18 +55,18 @@
         "Content-Length: -1",
         "Content-Length:",
     ] {
-        let request = format!("POST / HTTP/1.1\r\n{marks}\r\n\r\n0\r\n\r\n");
-        assert_eq!(code(request.as_bytes()), Err("malformed"), "{marks}");
+        let request = format!("POST / HTTP/1.1\r\n{length_headers}\r\n\r\n0\r\n\r\n");
+        assert_eq!(code(request.as_bytes()), Err("malformed"), "{length_headers}");
     }
     assert_eq!(code(b"POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"), Err("malformed"));
     for size in ["", ";x", " 3", "+3", "0x3", "3;a\nb", "g", "11111111111111111"] {
         let request =
             format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{size}\r\nabc\r\n0\r\n\r\n");
-        assert_eq!(code(request.as_bytes()), Err("malformed"), "a chunk of `{size}`");
+        assert_eq!(code(request.as_bytes()), Err("malformed"), "a chunk of size `{size}`");
     }
     let trailers = "T: 1\r\n".repeat(4000);
-    let endless = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n{trailers}\r\n");
-    assert_eq!(code(endless.as_bytes()), Err("too-large"));
+    let oversized = format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n{trailers}\r\n");
+    assert_eq!(code(oversized.as_bytes()), Err("too-large"));
     assert_eq!(code(b"POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nhel"), Err("torn"));
     assert_eq!(code(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n"), Err("too-large"));
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown on SIGTERM. Scenarios over sockets, in the language of `scenario/mod.rs`.
+//! Tests of the graceful shutdown on SIGTERM. Each runs a scenario over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -41,8 +41,8 @@
     );
 }
 
-/// Guards against a delivery actor that always finds another timer due after its last step, so that the process never
-/// exits.
+/// Guards against a process that never exits: after its last step the delivery actor found the same timer due again and
+/// again.
 #[test]
 fn after_sigterm_the_process_exits_although_a_call_is_in_flight_and_a_deadline_passes() {
     play(
--- a/tests/stall.rs
+++ b/tests/stall.rs
@@ -1,11 +1,13 @@
-//! A process that is stopped for a while and continued. Scenarios over sockets, in the language of `scenario/mod.rs`.
+//! Tests of a process that is stopped for a while and continued. Each runs a scenario over sockets, in the language of
+//! `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Guards against calls to an endpoint whose drain was announced while the process was stopped (SIGSTOP) and is still
-/// unread when it continues: messages received meanwhile went to the endpoint that the process last knew.
+/// Guards against calls to an endpoint whose drain was announced while the process was stopped (SIGSTOP). The drain was
+/// still unread when the process continued, and messages that had arrived meanwhile went to the endpoint in the outdated
+/// list.
 #[test]
 fn a_process_that_stalled_reads_watch_events_before_it_sends() {
     let mut script = String::from(
@@ -21,7 +23,7 @@
          u4 connect
          wait user_agents=5",
     );
-    // Which socket is read first is chance, so the process is stopped three times.
+    // The order in which the sockets are read is random, so the process is stopped three times.
     for round in 0..3 {
         let (draining, active) = (format!("e{}", round + 1), format!("e{}", round + 2));
         let for_each_client = |line: &str| {
--- a/tests/unread_requests.rs
+++ b/tests/unread_requests.rs
@@ -1,13 +1,13 @@
-//! Requests that lie unread for a while: the time of a message counts from the sending of its request. Scenarios over sockets,
-//! in the language of `scenario/mod.rs`.
+//! Tests of requests that wait unread in a socket buffer or in the backlog: the deadline of a message counts from when its
+//! client sent the request. Each runs a scenario over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Guards against a call for a message that had no time left when its request was read.
+/// Guards against a call for a message whose deadline had passed before its request was read.
 #[test]
-fn a_request_whose_time_was_over_before_it_was_read_is_rejected_without_a_call() {
+fn a_request_whose_deadline_passed_before_it_was_read_is_rejected_without_a_call() {
     play(
         "with e1=1
          start
@@ -27,9 +27,9 @@
     );
 }
 
-/// Guards against an end that is late by the time for which the request lay unread, where an endpoint hangs.
+/// Guards against a message that ends too late, by the time for which its request waited unread, if its endpoint hangs.
 #[test]
-fn a_call_for_a_request_that_lay_unread_ends_by_the_deadline_of_its_client() {
+fn a_call_for_a_request_that_waited_unread_ends_by_the_deadline_of_its_client() {
     play(
         "with e1=1
          start
@@ -48,7 +48,8 @@
     );
 }
 
-/// Guards against counting from the accept: a connection waits in the listener's queue while accept fails, with its request.
+/// Guards against a deadline that counts from the accept. While accepting fails, a connection waits in the listener's
+/// backlog, with its request already sent.
 #[test]
 fn a_request_that_waited_for_its_connection_to_be_accepted_ends_by_the_deadline_of_its_client() {
     play(
@@ -70,9 +71,9 @@
     );
 }
 
-/// Guards against a deadline that begins anew with the process: the journal holds that of the client.
+/// Guards against a deadline that counts anew from the restart: the journal must hold the client's deadline.
 #[test]
-fn a_request_that_lay_unread_ends_by_the_deadline_of_its_client_after_a_restart() {
+fn a_request_that_waited_unread_ends_by_the_deadline_of_its_client_after_a_restart() {
     play(
         "with e1=1:one:leaving
          start
@@ -92,10 +93,11 @@
     );
 }
 
-/// Guards against a deadline that begins anew as a predecessor forwards a request, whichever of the two was stalled.
+/// Guards against a deadline that counts anew when a predecessor forwards a request, whichever of the two processes was
+/// stalled.
 #[test]
-fn a_request_that_lay_unread_at_a_predecessor_ends_by_the_deadline_of_its_client() {
-    for (stop, go_on) in [("old stop", "old continue"), ("stop", "continue")] {
+fn a_request_that_waited_unread_at_a_predecessor_ends_by_the_deadline_of_its_client() {
+    for (stop, resume) in [("old stop", "old continue"), ("stop", "continue")] {
         play(&format!(
             "with e1=1:one:leaving operator=on
              start
@@ -109,7 +111,7 @@
              u1 send m1 deadline=1000m
              u2 send m2 deadline=300m
              sleep 370
-             {go_on}
+             {resume}
 
              u1 expect 202
              u2 expect 503
@@ -119,9 +121,9 @@
     }
 }
 
-/// A client that sends the last bytes of its request late has its whole time from then on.
+/// The deadline of a client that sends the last bytes of its request late counts from those bytes.
 #[test]
-fn the_time_of_a_request_counts_from_its_last_byte() {
+fn the_deadline_of_a_request_counts_from_its_last_byte() {
     play(
         "with e1=1:one:leaving
          start
