--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -142,7 +142,7 @@
             if end.is_some_and(|e| wake >= e) {
                 return Ok(());
             }
-            Timer::at(clock.at(wake)).await;
+            Timer::at(clock.instant_at(wake)).await;
             let mut changes = membership.tick(clock.now());
             if wake == next.at {
                 match registry.poll(next.address_index, next.kind).await {
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -3,7 +3,7 @@
 use super::CommandError;
 use crate::net::config::Config;
 use crate::net::runtime::load::LoadError;
-use crate::net::{self, Reading};
+use crate::net::{self, LoadOccasion};
 use crate::routes::Platform;
 use crate::site::Site;
 use crate::Settings;
@@ -100,7 +100,7 @@
         let load = move |reading| {
             let json = read_file(&path)?;
             let startup_variable = |name: &str| {
-                variable(name).filter(|_| reading == Reading::Start || name != "ROUTER_DISCOVERY")
+                variable(name).filter(|_| reading == LoadOccasion::Start || name != "ROUTER_DISCOVERY")
             };
             let (mut config, mut settings) = Config::read(&json, startup_variable)
                 .map_err(|error| LoadError::Config { file: path.clone(), error })?;
--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -114,7 +114,7 @@
     /// the backlog is found empty.
     fn waiting_since(&mut self) -> Micros {
         let now = self.context.clock.now();
-        *self.waiting_since.get_or_insert_with(|| self.context.stall_detector.arrived_since(now))
+        *self.waiting_since.get_or_insert_with(|| self.context.stall_detector.earliest_arrival(now))
     }
 
     /// Accepts every connection in the backlog, because closing the listener would reset them, and returns how many there
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -118,7 +118,7 @@
     /// request's first byte, so that a silent connection is closed soon. A connection that was accepted late still has
     /// [`FIRST_REQUEST_GRACE`] from now on, so that a request that waits on it is read.
     fn first_request_due(&self) -> Instant {
-        let connected = self.context.clock.at(self.waiting_since);
+        let connected = self.context.clock.instant_at(self.waiting_since);
         (connected + REQUEST_TIMEOUT).max(Instant::now() + FIRST_REQUEST_GRACE)
     }
 
@@ -197,7 +197,7 @@
         let now = self.context.clock.now();
         let earliest_arrival = match self.connection.last_empty() {
             Some(last_empty) => {
-                self.context.clock.time_of(last_empty).max(self.context.stall_detector.arrived_since(now))
+                self.context.clock.time_of(last_empty).max(self.context.stall_detector.earliest_arrival(now))
             }
             None => self.waiting_since,
         };
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -135,7 +135,7 @@
         let clock = self.context.clock;
         let due = async {
             match next_timer {
-                Some(due_at) => Timer::at(clock.at(due_at)).await,
+                Some(due_at) => Timer::at(clock.instant_at(due_at)).await,
                 None => future::pending().await,
             };
             None
@@ -148,7 +148,7 @@
         let clock = self.context.clock;
         let allowed_at = self.last_step + self.context.config().min_step_interval;
         if clock.now() < allowed_at {
-            Timer::at(clock.at(allowed_at)).await;
+            Timer::at(clock.instant_at(allowed_at)).await;
         }
     }
 
@@ -169,7 +169,8 @@
                 let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
                 let performing = async move {
                     // Where the operator is gone, nobody waits for the result.
-                    let _ = reply.try_send(operator::perform(&context, &endpoint_list, command).await);
+                    let _ =
+                        reply.try_send(operator::perform_command(&context, &endpoint_list, command).await);
                 };
                 self.context.executor.spawn(performing).detach();
             }
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -21,7 +21,7 @@
         debug!(self.context.log, "message received"; "id" => &request.request_id,
             "destination" => request.destination.0,
             "channel" => request.tenant.and_then(|tenant| self.names.tenants.get(tenant.0)),
-            "wall_ms" => FnValue(|_| clock::wall() as f64 / 1e3));
+            "wall_ms" => FnValue(|_| clock::wall_clock_now() as f64 / 1e3));
         match self.admit(&request) {
             Ok(id) => {
                 let mut message = InFlightMessage::new(id, request, 0);
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -88,7 +88,7 @@
     let mut exchange = pin!(exchange);
     loop {
         let timed_out = async {
-            Timer::at(clock.at(call.first_timeout(open_attempts))).await;
+            Timer::at(clock.instant_at(call.first_timeout(open_attempts))).await;
             CallEnd::TimedOut
         };
         let cancelled = async {
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -41,7 +41,7 @@
         idle_connections.increment();
         let timeout = self.context.config().endpoint_idle_timeout;
         let reusable_until = reusable_until(self.context.clock.now(), timeout);
-        let address = connection.peer();
+        let address = connection.peer_address();
         self.idle.push(Idle { connection, address, reusable_until });
     }
 
@@ -88,7 +88,7 @@
         };
         let clock = self.context.clock;
         let timed_out = async {
-            Timer::at(clock.at(first_timeout)).await;
+            Timer::at(clock.instant_at(first_timeout)).await;
         };
         let idle = &mut self.idle;
         let disturbed = future::poll_fn(|task| {
--- a/src/net/handover/frames.rs
+++ b/src/net/handover/frames.rs
@@ -1,4 +1,4 @@
-//! The frames that the two processes of a hand-over exchange. [`FORMAT`] fixes their names on the wire, as a process must
+//! The frames that the two processes of a hand-over exchange. [`FORMAT_VERSION`] fixes their names on the wire, as a process must
 //! understand one of the previous release. An item that is renamed in the code therefore keeps its old name in a `serde`
 //! attribute.
 
@@ -14,9 +14,9 @@
 /// The version of the frames. A successor that uses another version than its predecessor waits until the predecessor has
 /// ended. Since version 4, times are those of the monotonic clock that all processes of a machine share; in version 3 each
 /// process had a clock of its own and sent the wall clock with it.
-pub const FORMAT: u32 = 4;
+pub const FORMAT_VERSION: u32 = 4;
 
-/// The request header in which a successor lists the optional frames that it accepts besides those of [`FORMAT`]. A
+/// The request header in which a successor lists the optional frames that it accepts besides those of [`FORMAT_VERSION`]. A
 /// predecessor of a release without this header sends none of them.
 pub const ACCEPTED_FRAMES_HEADER: &str = "X-Accept-Frames";
 /// The value in [`ACCEPTED_FRAMES_HEADER`] that stands for [`PredecessorFrame::ListLine`].
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -115,7 +115,7 @@
         let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
         let frames = self.link.frames.clone();
         let performing = async move {
-            let result = operator::perform(&context, &endpoint_list, command).await;
+            let result = operator::perform_command(&context, &endpoint_list, command).await;
             // Sending fails if the predecessor is gone, and then its operator has lost its connection as well.
             let _ = frames.send(&SuccessorFrame::AdminDone { number, result }).await;
         };
--- a/src/net/http/connection.rs
+++ b/src/net/http/connection.rs
@@ -51,7 +51,7 @@
     }
 
     /// The address of the other side; `None` if the socket is no longer connected.
-    pub fn peer(&self) -> Option<SocketAddr> {
+    pub fn peer_address(&self) -> Option<SocketAddr> {
         self.stream.get_ref().peer_addr().ok()
     }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -25,5 +25,5 @@
 
 pub use context::Context;
 pub use runtime::deadline::{run_blocking, within, within_or_error};
-pub use runtime::load::{Load, Loaded, Reading};
+pub use runtime::load::{ConfigLoader, LoadOccasion, LoadResult};
 pub use runtime::start::run;
--- a/src/net/operator/admin_request.rs
+++ b/src/net/operator/admin_request.rs
@@ -1,6 +1,6 @@
 //! Reads, answers and logs one operator request.
 
-use super::perform;
+use super::perform_command;
 use crate::net::client::{Response, LINGER};
 use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
 use crate::net::http::{HttpConnection, HttpError, RequestHead};
@@ -171,7 +171,7 @@
             let _ = self.context.delivery.send(DeliveryMessage::Admin { command, reply }).await;
             result.recv().await.unwrap_or(Err(AdminError::ShuttingDown))
         } else {
-            perform(&self.context, &self.endpoint_list, command).await
+            perform_command(&self.context, &self.endpoint_list, command).await
         };
         match result {
             Ok(()) => Response::plain(200, success_body),
--- a/src/net/operator/cordons.rs
+++ b/src/net/operator/cordons.rs
@@ -8,14 +8,14 @@
 const MAX_FILE_BYTES: usize = 8 * 1024;
 
 /// The file that persists which endpoints are cordoned.
-pub struct Cordons {
+pub struct CordonFile {
     path: PathBuf,
 }
 
-impl Cordons {
+impl CordonFile {
     /// The file in the given state folder; it need not exist.
     pub fn new(folder: &Path) -> Self {
-        Cordons { path: folder.join("cordons") }
+        CordonFile { path: folder.join("cordons") }
     }
 
     /// Reads the ids of the cordoned endpoints, one on each line of the file; none if there is no file.
--- a/src/net/operator/handover.rs
+++ b/src/net/operator/handover.rs
@@ -3,7 +3,7 @@
 use super::admin_request::{AdminRequest, RequestSummary, ADMIN_REQUEST_TIMEOUT, HAND_OVER_TARGET};
 use crate::membership::MembershipSnapshot;
 use crate::net::client::Response;
-use crate::net::handover::frames::{ACCEPTED_FRAMES_HEADER, FORMAT, LIST_LINE_FRAME};
+use crate::net::handover::frames::{ACCEPTED_FRAMES_HEADER, FORMAT_VERSION, LIST_LINE_FRAME};
 use crate::net::http::RequestHead;
 use crate::net::messages::{DeliveryMessage, EndpointListMessage, Successor};
 use crate::net::runtime::lifecycle::HandOverPhase;
@@ -36,8 +36,8 @@
         if head.method != "POST" || !self.context.folder.is_token(header("X-Token")) {
             return Err(Response::plain(404, "no such call\n"));
         }
-        if header("X-Format") != FORMAT.to_string() {
-            return Err(Response::plain(415, format!("this process speaks form {FORMAT}\n")));
+        if header("X-Format") != FORMAT_VERSION.to_string() {
+            return Err(Response::plain(415, format!("this process speaks form {FORMAT_VERSION}\n")));
         }
         let lifecycle = &self.context.lifecycle;
         if lifecycle.is_handing_over() || lifecycle.is_closing() || !self.context.endpoint_list.is_known() {
--- a/src/net/operator/mod.rs
+++ b/src/net/operator/mod.rs
@@ -29,7 +29,7 @@
 ///
 /// Returns an error if the endpoint is unknown, the cordon cannot be persisted, or the process is shutting down. The command
 /// is then not in effect.
-pub async fn perform(
+pub async fn perform_command(
     context: &Context,
     endpoint_list: &Sender<EndpointListMessage>,
     command: AdminCommand,
--- a/src/net/platform/endpoint_list/cordon.rs
+++ b/src/net/platform/endpoint_list/cordon.rs
@@ -3,7 +3,7 @@
 use super::publish::UpdateKind;
 use super::EndpointListActor;
 use crate::net::messages::AdminError;
-use crate::net::operator::cordons::Cordons;
+use crate::net::operator::cordons::CordonFile;
 use async_channel::Sender;
 use async_io::Timer;
 use slog::{info, warn};
@@ -66,8 +66,8 @@
         self.show_cordons();
     }
 
-    fn cordons_file(&self) -> Cordons {
-        Cordons::new(&self.context.config().state_folder)
+    fn cordons_file(&self) -> CordonFile {
+        CordonFile::new(&self.context.config().state_folder)
     }
 
     fn show_cordons(&self) {
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -122,7 +122,7 @@
             let next_due = self.next_due();
             let due = async {
                 match next_due {
-                    Some(at) => Timer::at(clock.at(at)).await,
+                    Some(at) => Timer::at(clock.instant_at(at)).await,
                     None => future::pending().await,
                 };
                 None
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -4,7 +4,7 @@
 use super::{identified_by_address, EndpointListActor, REGISTRY};
 use crate::membership::{RegistrySettings, SourceUpdate};
 use crate::net::platform::eureka::{self, snapshot::RegistrySnapshot};
-use crate::net::runtime::clock::wall;
+use crate::net::runtime::clock::wall_clock_now;
 use crate::Micros;
 use async_channel::Sender;
 use async_executor::Task;
@@ -143,7 +143,7 @@
             }
         };
         source.view = ServedView::Persisted;
-        let age_ms = wall().saturating_sub(saved.written_at) / 1000;
+        let age_ms = wall_clock_now().saturating_sub(saved.written_at) / 1000;
         warn!(self.context.log, "the registry is silent, its last view is served";
             "entries" => saved.listings.len(), "age_ms" => age_ms);
         let changes = self.membership.restore(now, REGISTRY, saved.listings);
@@ -154,7 +154,8 @@
     fn persist_registry_view(&self) {
         let Some(source) = &self.registry else { return };
         let folder_limit = self.context.config().max_disk_bytes;
-        match source.snapshot.write(wall(), self.membership.source_listings(REGISTRY), folder_limit) {
+        match source.snapshot.write(wall_clock_now(), self.membership.source_listings(REGISTRY), folder_limit)
+        {
             Ok(Some(_)) => {}
             Ok(None) => warn!(self.context.log, "the registry's view is too large to be persisted"),
             Err(error) => warn!(self.context.log, "the registry's view is not persisted"; "error" => %error),
--- a/src/net/platform/endpoint_list/watching.rs
+++ b/src/net/platform/endpoint_list/watching.rs
@@ -141,7 +141,7 @@
             // What a new watch sends first may have been there since the current one last received anything.
             return self.last_line_at;
         }
-        self.context.stall_detector.arrived_since(self.context.clock.now())
+        self.context.stall_detector.earliest_arrival(self.context.clock.now())
     }
 
     /// Takes a line of a watch, which is empty where only the connection is kept alive.
@@ -152,7 +152,7 @@
         }
         let is_current = self.watches.is_current(number);
         let connecting = self.watches.connecting_index(number);
-        let now = self.context.stall_detector.arrived_since(self.context.clock.now());
+        let now = self.context.stall_detector.earliest_arrival(self.context.clock.now());
         if is_current {
             self.last_line_at = now;
         }
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -111,7 +111,7 @@
     let mut registry = Registry::new(settings, names, clock.now());
     loop {
         let next = registry.poller.next_request();
-        Timer::at(clock.at(next.at)).await;
+        Timer::at(clock.instant_at(next.at)).await;
         match registry.poll(next.address_index, next.kind).await {
             Ok(answer) => {
                 record_answer(&context, &registry, &answer, next.address_index, next.kind);
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -45,11 +45,11 @@
     /// The current time with the boot id and the wall clock, from which a later process can convert journaled times even
     /// after a reboot.
     pub fn reading(&self) -> ClockReading {
-        ClockReading { boot_id: self.boot_id, monotonic_us: self.now(), wall_us: wall() }
+        ClockReading { boot_id: self.boot_id, monotonic_us: self.now(), wall_us: wall_clock_now() }
     }
 
     /// Converts a time of this clock into an `Instant` for a timer, at most one day ahead.
-    pub fn at(&self, time: Micros) -> Instant {
+    pub fn instant_at(&self, time: Micros) -> Instant {
         self.start
             + Duration::from_micros(time.min(self.now() + MAX_TIMER_US).saturating_sub(self.start_time))
     }
@@ -61,7 +61,7 @@
 
     /// How far the wall clock is ahead of this clock, in microseconds; 0 if it is behind.
     pub fn wall_clock_offset(&self) -> Micros {
-        wall().saturating_sub(self.now())
+        wall_clock_now().saturating_sub(self.now())
     }
 }
 
@@ -73,6 +73,6 @@
 }
 
 /// The wall clock's time, in microseconds since the Unix epoch; 0 if the clock is set to an earlier time.
-pub fn wall() -> Micros {
+pub fn wall_clock_now() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros)
 }
--- a/src/net/runtime/load.rs
+++ b/src/net/runtime/load.rs
@@ -8,9 +8,9 @@
 
 /// Reads and checks the configuration. At a reload, the platform's address in the file takes precedence over the environment
 /// variable, which still holds the value of the process's start.
-pub type Load = dyn Fn(Reading) -> Loaded + Send + Sync;
+pub type ConfigLoader = dyn Fn(LoadOccasion) -> LoadResult + Send + Sync;
 /// The loaded configuration and settings, or why they cannot be used.
-pub type Loaded = Result<(Config, Settings), LoadError>;
+pub type LoadResult = Result<(Config, Settings), LoadError>;
 
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -43,7 +43,7 @@
 
 /// The occasion on which the configuration is loaded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
+pub enum LoadOccasion {
     /// The start of the process.
     Start,
     /// A reload on SIGHUP, while the process runs.
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads the configuration while the process runs.
 
 use super::deadline::run_blocking;
-use super::load::{Load, LoadError, Reading};
+use super::load::{ConfigLoader, LoadError, LoadOccasion};
 use super::signals::{Signal, Signals};
 use crate::net::config::RestartReason;
 use crate::net::messages::{DeliveryMessage, EndpointListMessage};
@@ -27,17 +27,21 @@
 pub async fn until_terminated(
     context: &Context,
     signals: &Signals,
-    load: &Arc<Load>,
+    load_config: &Arc<ConfigLoader>,
     endpoint_list: &Sender<EndpointListMessage>,
 ) {
     while signals.next().await == Signal::Reload {
-        reload(context, load, endpoint_list).await;
+        reload(context, load_config, endpoint_list).await;
     }
 }
 
 /// Reloads the configuration. If the new one cannot be used, logs why and leaves the previous one in force.
-pub async fn reload(context: &Context, load: &Arc<Load>, endpoint_list: &Sender<EndpointListMessage>) {
-    let settings = match apply(context, load).await {
+pub async fn reload(
+    context: &Context,
+    load_config: &Arc<ConfigLoader>,
+    endpoint_list: &Sender<EndpointListMessage>,
+) {
+    let settings = match apply(context, load_config).await {
         Ok(settings) => settings,
         Err(error) => {
             let error = error.to_string().replace('\n', "; ");
@@ -56,9 +60,9 @@
 /// Loads the configuration and puts it in force; returns the settings for the delivery policy. Loading runs on a thread of
 /// its own, because a large file takes a while and must not delay watch events: an endpoint must get no new call 250 ms
 /// after its drain was announced.
-async fn apply(context: &Context, load: &Arc<Load>) -> Result<Settings, ReloadError> {
-    let load = load.clone();
-    let loaded = run_blocking(move || load(Reading::Reload)).await;
+async fn apply(context: &Context, load_config: &Arc<ConfigLoader>) -> Result<Settings, ReloadError> {
+    let load_config = load_config.clone();
+    let loaded = run_blocking(move || load_config(LoadOccasion::Reload)).await;
     let (config, settings) = loaded.ok_or(ReloadError::LoadPanicked)??;
     if let Some(reason) = config.needs_restart(&context.config()) {
         return Err(ReloadError::NeedsRestart(reason));
--- a/src/net/runtime/stall_detector.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -76,7 +76,7 @@
     }
 
     /// The earliest time at which data that is read now may have arrived.
-    pub fn arrived_since(&self, now: Micros) -> Micros {
+    pub fn earliest_arrival(&self, now: Micros) -> Micros {
         self.detect(now);
         self.lateness.get().map_or(now, |lateness| lateness.since)
     }
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -3,7 +3,7 @@
 use super::background;
 use super::clock::Clock;
 use super::deadline::within;
-use super::load::{Load, LoadError, Reading};
+use super::load::{ConfigLoader, LoadError, LoadOccasion};
 use super::reload;
 use super::shutdown;
 use super::signals::{Signal, Signals};
@@ -93,16 +93,20 @@
 /// # Errors
 ///
 /// Returns an error if the forwarder could not start, or lost the successor to which it had handed over.
-pub fn run(load: Arc<Load>, log: Logger) -> Result<(), RunError> {
+pub fn run(load_config: Arc<ConfigLoader>, log: Logger) -> Result<(), RunError> {
     let executor = Rc::new(LocalExecutor::new());
     let running = executor.clone();
-    async_io::block_on(running.run(serve(&load, log, executor)))
+    async_io::block_on(running.run(serve(&load_config, log, executor)))
 }
 
 /// Runs a process on the executor: start, service until it is terminated, and shutdown.
-async fn serve(load: &Arc<Load>, log: Logger, executor: Rc<LocalExecutor<'static>>) -> Result<(), RunError> {
+async fn serve(
+    load_config: &Arc<ConfigLoader>,
+    log: Logger,
+    executor: Rc<LocalExecutor<'static>>,
+) -> Result<(), RunError> {
     let signals = Signals::new().map_err(RunError::Signals)?;
-    let (config, settings) = load(Reading::Start)?;
+    let (config, settings) = load_config(LoadOccasion::Start)?;
     let clock = Clock::start();
     let opening = async { Some(open(&config, clock, &log, &executor).await) };
     let reload_requested = Cell::new(false);
@@ -114,9 +118,9 @@
         start_actors(opened?, config, settings, clock, log, executor).await?;
     let terminated = async {
         if reload_requested.get() {
-            reload::reload(&context, load, &endpoint_list).await;
+            reload::reload(&context, load_config, &endpoint_list).await;
         }
-        reload::until_terminated(&context, &signals, load, &endpoint_list).await;
+        reload::until_terminated(&context, &signals, load_config, &endpoint_list).await;
     };
     future::or(terminated, handover::until_drained(&context)).await;
     shutdown::shut_down(&context, accepting).await;
--- a/tests/scenario/handover.rs
+++ b/tests/scenario/handover.rs
@@ -2,7 +2,7 @@
 
 use super::script::unescape;
 use super::sockets::{bound, connect, listening, read_message};
-use cedarbridge::net::handover::frames::FORMAT;
+use cedarbridge::net::handover::frames::FORMAT_VERSION;
 use serde_json::{json, Value};
 use std::fs;
 use std::io::{BufReader, Read, Write};
@@ -48,7 +48,7 @@
         let owner: Value = serde_json::from_slice(&fs::read(owner).expect("an owner")).expect("JSON");
         let option = |name: &str| options.iter().find_map(|o| o.strip_prefix(name)?.strip_prefix('='));
         let token = option("token").unwrap_or(owner["token"].as_str().expect("a token"));
-        let format = option("format").map_or_else(|| FORMAT.to_string(), str::to_owned);
+        let format = option("format").map_or_else(|| FORMAT_VERSION.to_string(), str::to_owned);
         let operator: SocketAddr = owner["operator"].as_str().expect("text").parse().expect("an address");
         let mut stream = connect(operator);
         let accepts =
--- a/tests/stall_detector.rs
+++ b/tests/stall_detector.rs
@@ -20,13 +20,13 @@
     let detector = StallDetector::new(0);
     let slightly_late = 200 * MS;
     assert!(
-        detector.arrived_since(150 * MS) == 150 * MS && detector.allows_calls(slightly_late),
+        detector.earliest_arrival(150 * MS) == 150 * MS && detector.allows_calls(slightly_late),
         "a heartbeat that is slightly late"
     );
     assert!(!detector.allows_calls(1_500 * MS), "no call is sent");
-    assert_eq!((detector.arrived_since(1_501 * MS), detector.arrived_since(1_529 * MS)), (0, 0));
+    assert_eq!((detector.earliest_arrival(1_501 * MS), detector.earliest_arrival(1_529 * MS)), (0, 0));
     catch_up(&detector, 6, 1_500 * MS);
-    assert!(detector.is_caught_up(1_530 * MS) && detector.arrived_since(1_531 * MS) == 1_531 * MS);
+    assert!(detector.is_caught_up(1_530 * MS) && detector.earliest_arrival(1_531 * MS) == 1_531 * MS);
 }
 
 #[test]
@@ -34,12 +34,12 @@
     let detector = StallDetector::new(0);
     assert!(!detector.allows_calls(1_000 * MS));
     assert!(!detector.allows_calls(2_000 * MS));
-    assert_eq!(detector.arrived_since(2_010 * MS), 0);
+    assert_eq!(detector.earliest_arrival(2_010 * MS), 0);
     catch_up(&detector, 6, 2_010 * MS);
     assert!(detector.is_caught_up(2_100 * MS));
     // After it has caught up, a heartbeat in time shows that everything before it was read.
     detector.heartbeat(2_100 * MS);
-    assert!(!detector.allows_calls(4_000 * MS) && detector.arrived_since(4_001 * MS) == 2_100 * MS);
+    assert!(!detector.allows_calls(4_000 * MS) && detector.earliest_arrival(4_001 * MS) == 2_100 * MS);
 }
 
 /// Guards against a process that counts as caught up after a fixed time. One that was held up for another 150 ms right after
@@ -51,7 +51,7 @@
     detector.catch_up_pass(1_005 * MS);
     assert!(!detector.allows_calls(1_156 * MS), "held up for 150 ms");
     detector.catch_up_pass(1_156 * MS);
-    assert_eq!(detector.arrived_since(1_157 * MS), 0);
+    assert_eq!(detector.earliest_arrival(1_157 * MS), 0);
     catch_up(&detector, 4, 1_156 * MS);
     assert!(detector.is_caught_up(1_190 * MS));
 }
@@ -62,17 +62,17 @@
 fn data_read_after_a_stall_counts_from_the_last_heartbeat_before_it_until_the_last_catch_up_pass() {
     let detector = StallDetector::new(0);
     detector.heartbeat(100 * MS);
-    assert_eq!(detector.arrived_since(150 * MS), 150 * MS, "before the next heartbeat is due");
-    assert_eq!(detector.arrived_since(250 * MS), 250 * MS, "the next heartbeat is slightly late");
-    assert_eq!(detector.arrived_since(480 * MS), 100 * MS, "before the late heartbeat");
+    assert_eq!(detector.earliest_arrival(150 * MS), 150 * MS, "before the next heartbeat is due");
+    assert_eq!(detector.earliest_arrival(250 * MS), 250 * MS, "the next heartbeat is slightly late");
+    assert_eq!(detector.earliest_arrival(480 * MS), 100 * MS, "before the late heartbeat");
     detector.heartbeat(481 * MS);
-    assert_eq!(detector.arrived_since(570 * MS), 100 * MS, "after the late heartbeat");
+    assert_eq!(detector.earliest_arrival(570 * MS), 100 * MS, "after the late heartbeat");
     detector.heartbeat(900 * MS);
-    assert_eq!(detector.arrived_since(901 * MS), 100 * MS, "another stall before all was read");
+    assert_eq!(detector.earliest_arrival(901 * MS), 100 * MS, "another stall before all was read");
     detector.heartbeat(1_000 * MS);
-    assert_eq!(detector.arrived_since(1_001 * MS), 100 * MS, "a heartbeat in time is not a catch-up pass");
+    assert_eq!(detector.earliest_arrival(1_001 * MS), 100 * MS, "a heartbeat in time is not a catch-up pass");
     catch_up(&detector, 6, 1_001 * MS);
-    assert_eq!(detector.arrived_since(1_035 * MS), 1_035 * MS);
+    assert_eq!(detector.earliest_arrival(1_035 * MS), 1_035 * MS);
 }
 
 /// A delay that is too short to hold calls back still dates the data that is read after it, and further such delays during
@@ -81,11 +81,11 @@
 fn data_read_after_a_short_delay_counts_from_the_last_heartbeat_until_the_process_has_caught_up() {
     let detector = StallDetector::new(0);
     detector.heartbeat(160 * MS);
-    assert!(detector.allows_calls(161 * MS) && detector.arrived_since(161 * MS) == 0);
+    assert!(detector.allows_calls(161 * MS) && detector.earliest_arrival(161 * MS) == 0);
     for pass in 1..=5 {
         detector.catch_up_pass(161 * MS + pass * 151 * MS);
-        assert_eq!(detector.arrived_since(162 * MS + pass * 151 * MS), 0, "pass {pass}");
+        assert_eq!(detector.earliest_arrival(162 * MS + pass * 151 * MS), 0, "pass {pass}");
     }
     detector.catch_up_pass(920 * MS);
-    assert_eq!(detector.arrived_since(921 * MS), 921 * MS);
+    assert_eq!(detector.earliest_arrival(921 * MS), 921 * MS);
 }
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -7,10 +7,10 @@
 };
 use cedarbridge::membership::{Key, Listing, MembershipSnapshot, State};
 use cedarbridge::net::handover::frames::{
-    HandOverState, PredecessorFrame, SuccessorFrame, ACCEPTED_FRAMES_HEADER, FORMAT, LIST_LINE_FRAME,
+    HandOverState, PredecessorFrame, SuccessorFrame, ACCEPTED_FRAMES_HEADER, FORMAT_VERSION, LIST_LINE_FRAME,
 };
 use cedarbridge::net::handover::lock;
-use cedarbridge::net::operator::cordons::Cordons;
+use cedarbridge::net::operator::cordons::CordonFile;
 use cedarbridge::net::platform::eureka::snapshot::RegistrySnapshot;
 use cedarbridge::net::storage::FolderStorage;
 use cedarbridge::{DeliveryPolicy, DestinationId, EndpointId, KindId, MessageId, ZoneId};
@@ -137,7 +137,7 @@
 
 #[test]
 fn stored_cordons_are_read() {
-    let cordons = Cordons::new(&data("")).read().expect("read");
+    let cordons = CordonFile::new(&data("")).read().expect("read");
     assert_eq!(cordons, ["e1", "payments/e2"]);
 }
 
@@ -209,7 +209,7 @@
     let policy: DeliveryPolicy = serde_json::from_value(state.policy.clone()).expect("read");
     assert_eq!(serde_json::to_value(&policy).expect("written"), frame["State"]["module"]);
     assert_eq!(serde_json::to_value(&state).expect("written"), frame["State"]);
-    assert_eq!(FORMAT, 4);
+    assert_eq!(FORMAT_VERSION, 4);
 }
 
 /// Reads each frame as its type and writes it again.
