--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -1,5 +1,6 @@
-//! Accepts clients' connections, up to the limit that the configuration sets, and tracks the earliest time from which each
-//! may have waited to be accepted: its client may have sent its request by then.
+//! Accepts clients' connections, up to the limit that the configuration sets. It records for each connection the earliest
+//! time from which it may have waited to be accepted, because a request that its client sent meanwhile may be as old as
+//! that.
 
 use super::connection::{self, AcceptedConnection};
 use crate::net::connection_registry::ConnectionRegistry;
@@ -175,8 +176,8 @@
     }
 
     /// Counts and logs a failed accept, and waits before the next one. The first retries follow at once: an error may
-    /// concern a single connection, and the requests in the backlog lose time. If accepting keeps failing, a resource has
-    /// run out, and the growing pause gives the system time to recover.
+    /// concern a single connection, and the requests in the backlog get closer to their deadlines during a pause. If
+    /// accepting keeps failing, a resource has run out, and the growing pause gives the system time to recover.
     async fn handle_failure(&mut self, error: &io::Error) {
         self.waiting_since();
         self.consecutive_failures += 1;
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -33,9 +33,9 @@
 const WRITE_TIMEOUT: Duration = REQUEST_TIMEOUT;
 /// How long to read and discard what a client still sends after its last response. Closing a connection with unread data
 /// would reset it, and the response could be lost.
-pub const LINGER: Duration = Duration::from_millis(1000);
-/// The least time that a client has for its first request after it was accepted, and, if it has sent none when the shutdown
-/// begins, from then on. The platform's clients wait this long for a response.
+pub const LINGER_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The least time that a client has for its first request: from when it was accepted, and again from when the
+/// shutdown begins if it has sent none by then. The platform's clients wait this long for a response.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(400);
 /// How long a client without a request under way may stay connected after the process was quiesced.
 const QUIESCE_GRACE: Duration = Duration::from_millis(1000);
@@ -363,13 +363,13 @@
         future::or(self.connection.write(response.bytes(keep_alive).as_bytes()), expired).await
     }
 
-    /// Closes the sending side, then discards what is still received until the client ends the connection, [`LINGER`] is
-    /// over, or the connection is evicted.
+    /// Closes the sending side, then discards what is still received until the client ends the connection,
+    /// [`LINGER_TIMEOUT`] is over, or the connection is evicted.
     async fn linger(&mut self) {
         let registration = self.registry.register(EvictionPriority::Lingering);
         self.connection.shutdown_write();
         let expired = async {
-            Timer::after(LINGER).await;
+            Timer::after(LINGER_TIMEOUT).await;
         };
         let ended = future::or(expired, registration.evicted());
         future::or(ended, self.connection.discard_until_end()).await;
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -8,5 +8,5 @@
 mod submit;
 
 pub use accept::{listen, serve};
-pub use connection::LINGER;
+pub use connection::LINGER_TIMEOUT;
 pub use response::Response;
--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -38,8 +38,8 @@
             return Ok(Response::service_unavailable(DEFAULT_RETRY_AFTER));
         }
         let WaitOutcome { end, is_pipelined, has_ended_sending } = self.wait_for(&decision, request_id).await;
-        // A reply that is sent later would be lost. Closing the channel makes the delivery actor notice, so that any reply
-        // is either in the channel already or known there as undelivered.
+        // From here on sending a reply fails, so the delivery actor knows that nobody reads it. An earlier reply is still in
+        // the channel.
         decision.close();
         let reply = match end {
             WaitEnd::Decided(reply) => reply,
--- a/src/net/handover/frames.rs
+++ b/src/net/handover/frames.rs
@@ -1,6 +1,6 @@
-//! The frames that the two processes of a hand-over exchange. [`FORMAT_VERSION`] fixes their names on the wire, as a process must
-//! understand one of the previous release. An item that is renamed in the code therefore keeps its old name in a `serde`
-//! attribute.
+//! The frames that the two processes of a hand-over exchange. [`FORMAT_VERSION`] fixes their names on the wire, as a process
+//! must understand one of the previous release. An item that is renamed in the code therefore keeps its old name in a
+//! `serde` attribute.
 
 use crate::membership::MembershipSnapshot;
 use crate::net::call::CallCompletion;
--- a/src/net/handover/lock.rs
+++ b/src/net/handover/lock.rs
@@ -18,17 +18,17 @@
 }
 
 /// A locked file; dropping it releases the lock.
-pub struct Lock(File);
+pub struct FolderLock(File);
 
-impl Lock {
+impl FolderLock {
     fn open(path: &Path) -> io::Result<File> {
         OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)
     }
 
-    fn try_lock(path: &Path) -> io::Result<Option<Lock>> {
-        let file = Lock::open(path)?;
+    fn try_lock(path: &Path) -> io::Result<Option<FolderLock>> {
+        let file = FolderLock::open(path)?;
         match file.try_lock() {
-            Ok(()) => Ok(Some(Lock(file))),
+            Ok(()) => Ok(Some(FolderLock(file))),
             Err(TryLockError::WouldBlock) => Ok(None),
             Err(TryLockError::Error(e)) => Err(e),
         }
@@ -39,8 +39,8 @@
     /// # Errors
     ///
     /// Returns an error if the lock file cannot be opened or locked.
-    pub fn try_next(folder: &Path) -> io::Result<Option<Lock>> {
-        Lock::try_lock(&folder.join("next"))
+    pub fn try_next_owner(folder: &Path) -> io::Result<Option<FolderLock>> {
+        FolderLock::try_lock(&folder.join("next"))
     }
 
     /// Tries to take the ownership of the folder; returns `None` while another process has it.
@@ -48,8 +48,8 @@
     /// # Errors
     ///
     /// Returns an error if the lock file cannot be opened or locked.
-    pub fn try_owner(folder: &Path) -> io::Result<Option<Lock>> {
-        Lock::try_lock(&folder.join("owner"))
+    pub fn try_owner(folder: &Path) -> io::Result<Option<FolderLock>> {
+        FolderLock::try_lock(&folder.join("owner"))
     }
 
     /// Replaces the content of the locked file with the owner's address and token.
--- a/src/net/handover/mod.rs
+++ b/src/net/handover/mod.rs
@@ -12,5 +12,5 @@
 mod successor;
 
 pub use link::{FrameSender, HandOverError};
-pub use predecessor::{hand_over, until_drained};
+pub use predecessor::{hand_over, until_hand_over_finished};
 pub use successor::{claim, FolderClaim, InheritedState};
--- a/src/net/handover/ownership.rs
+++ b/src/net/handover/ownership.rs
@@ -1,19 +1,19 @@
 //! The ownership of the state folder by this process, and the token with which a successor may request the hand-over.
 
-use super::lock::{Lock, Owner};
+use super::lock::{FolderLock, Owner};
 use std::cell::RefCell;
 use std::io;
 
 /// The lock of the state folder, while this process holds it, and the token of this process.
 #[derive(Default)]
 pub struct FolderOwnership {
-    lock: RefCell<Option<Lock>>,
+    lock: RefCell<Option<FolderLock>>,
     token: RefCell<String>,
 }
 
 impl FolderOwnership {
     /// Stores the lock that this process has taken, and the token that a successor must present.
-    pub fn acquire(&self, lock: Lock, token: &str) {
+    pub fn acquire(&self, lock: FolderLock, token: &str) {
         token.clone_into(&mut self.token.borrow_mut());
         *self.lock.borrow_mut() = Some(lock);
     }
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -16,7 +16,7 @@
 use slog::{info, warn};
 use std::time::{Duration, Instant};
 
-/// How long the state may take to be sent and the successor's confirmation that it owns the folder to arrive. Clients wait
+/// How long it may take to send the state and to receive the successor's confirmation that it owns the folder. Clients wait
 /// meanwhile.
 const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a predecessor with nothing left to forward waits for the signal that terminates it before it ends by itself.
@@ -103,7 +103,7 @@
 
 /// Returns once this process has handed over and has nothing left to do: it had no clients and no calls in flight for
 /// [`IDLE_EXIT_DELAY`], or the successor is gone.
-pub async fn until_drained(context: &Context) {
+pub async fn until_hand_over_finished(context: &Context) {
     context.lifecycle.until_handed_over().await;
     let idle = async {
         let mut idle_since = Instant::now();
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -3,7 +3,7 @@
 use super::frames::{HandOverState, PredecessorFrame, SuccessorFrame};
 use super::frames::{ACCEPTED_FRAMES_HEADER, FORMAT_VERSION, LIST_LINE_FRAME};
 use super::link::{FrameSender, HandOverError, Link, ReceivedFrame};
-use super::lock::{self, Lock, Owner};
+use super::lock::{self, FolderLock, Owner};
 use super::ownership::FolderOwnership;
 use super::served_frames;
 use crate::net::config::Config;
@@ -44,9 +44,9 @@
 pub struct FolderClaim {
     /// The right to be the next owner. It is held until this process is the known owner, so that no third process can take
     /// the folder in between.
-    _next_lock: Lock,
+    _next_lock: FolderLock,
     /// The ownership of the folder; `None` while the predecessor still has it.
-    owner_lock: Option<Lock>,
+    owner_lock: Option<FolderLock>,
     /// The connection to the predecessor, if it hands over.
     link: Option<Link>,
     /// The state that the predecessor has sent, if it hands over.
@@ -68,7 +68,7 @@
     let next_lock = until_next_lock(&config.state_folder).await?;
     let mut requests_state = true;
     loop {
-        let owner_lock = Lock::try_owner(&config.state_folder)?;
+        let owner_lock = FolderLock::try_owner(&config.state_folder)?;
         if owner_lock.is_some() {
             return Ok(FolderClaim { _next_lock: next_lock, owner_lock, link: None, inherited: None });
         }
@@ -91,9 +91,9 @@
 }
 
 /// Waits for the right to be the next owner of the folder.
-async fn until_next_lock(folder: &Path) -> io::Result<Lock> {
+async fn until_next_lock(folder: &Path) -> io::Result<FolderLock> {
     loop {
-        if let Some(lock) = Lock::try_next(folder)? {
+        if let Some(lock) = FolderLock::try_next_owner(folder)? {
             return Ok(lock);
         }
         Timer::after(LOCK_RETRY_INTERVAL).await;
@@ -145,12 +145,12 @@
                 link.frames.send(&SuccessorFrame::Owns).await?;
                 link.read::<PredecessorFrame>().await
             };
-            // An error means that the predecessor is gone, and then its lock is free as well.
+            // The result does not matter: if the predecessor is gone, its lock is free all the same.
             let _ = within(PREDECESSOR_TIMEOUT, granted).await;
         }
         let started_at = Instant::now();
         while self.owner_lock.is_none() {
-            match Lock::try_owner(&config.state_folder) {
+            match FolderLock::try_owner(&config.state_folder) {
                 Ok(lock) if lock.is_none() && started_at.elapsed() > PREDECESSOR_TIMEOUT => return Ok(false),
                 Ok(lock) => self.owner_lock = lock,
                 // The predecessor has stepped down already. If a transient error ended this process too, no process would be
--- a/src/net/http/body.rs
+++ b/src/net/http/body.rs
@@ -1,7 +1,7 @@
 //! Reads bodies: of a given length, in chunks, or up to the end of the connection.
 
 use super::head::Framing;
-use super::{HttpConnection, HttpError, RequestHead, ResponseHead, HEAD_LIMIT};
+use super::{HttpConnection, HttpError, RequestHead, ResponseHead, MAX_HEAD_BYTES};
 
 const CRLF: &[u8] = b"\r\n";
 
@@ -102,7 +102,7 @@
         let (line_bytes, data_bytes) = loop {
             match httparse::parse_chunk_size(self.buffer.bytes()) {
                 Ok(httparse::Status::Complete(parsed)) => break parsed,
-                Ok(httparse::Status::Partial) if self.buffer.bytes().len() < HEAD_LIMIT => {
+                Ok(httparse::Status::Partial) if self.buffer.bytes().len() < MAX_HEAD_BYTES => {
                     self.receive_body().await?;
                 }
                 Ok(httparse::Status::Partial) => return Err(HttpError::TooLarge),
@@ -126,12 +126,12 @@
                     self.buffer.consume(CRLF.len());
                     return Ok(());
                 }
-                Some(end) if skipped_bytes + end < HEAD_LIMIT => {
+                Some(end) if skipped_bytes + end < MAX_HEAD_BYTES => {
                     skipped_bytes += end + CRLF.len();
                     self.buffer.consume(end + CRLF.len());
                 }
                 Some(_) => return Err(HttpError::TooLarge),
-                None if self.buffer.bytes().len() >= HEAD_LIMIT => return Err(HttpError::TooLarge),
+                None if self.buffer.bytes().len() >= MAX_HEAD_BYTES => return Err(HttpError::TooLarge),
                 None => self.receive_body().await?,
             }
         }
--- a/src/net/http/head.rs
+++ b/src/net/http/head.rs
@@ -3,7 +3,7 @@
 use super::{HttpConnection, HttpError};
 
 /// The size limit of a head, in bytes.
-pub const HEAD_LIMIT: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 64;
 
 /// The headers of a request or response.
@@ -48,7 +48,7 @@
     }
 
     /// Whether the other side announces that it will close the connection after this exchange.
-    pub fn says_close(&self) -> bool {
+    pub fn announces_close(&self) -> bool {
         self.has_token("connection", "close")
     }
 
@@ -148,7 +148,7 @@
         method: request.method.unwrap_or_default().to_owned(),
         target: request.path.unwrap_or_default().to_owned(),
         framing: headers.framing(request.version)?.unwrap_or(Framing::Length(0)),
-        keep_alive: request.version == Some(1) && !headers.says_close(),
+        keep_alive: request.version == Some(1) && !headers.announces_close(),
         headers,
     };
     Ok(Some(Parsed { head, length }))
@@ -171,7 +171,7 @@
     };
     let head = ResponseHead {
         status,
-        keep_alive: response.version == Some(1) && !headers.says_close() && framing.is_some(),
+        keep_alive: response.version == Some(1) && !headers.announces_close() && framing.is_some(),
         headers,
         framing: framing.unwrap_or(Framing::UntilEnd),
     };
@@ -211,7 +211,7 @@
                 return Ok(parsed.head);
             }
             skipped_bytes += parsed.length;
-            if skipped_bytes >= HEAD_LIMIT {
+            if skipped_bytes >= MAX_HEAD_BYTES {
                 return Err(HttpError::TooLarge);
             }
         }
@@ -219,7 +219,7 @@
 
     /// Receives more of a head that is not yet complete, unless it is already too large.
     async fn receive_more_of_head(&mut self) -> Result<(), HttpError> {
-        if self.buffer.bytes().len() >= HEAD_LIMIT {
+        if self.buffer.bytes().len() >= MAX_HEAD_BYTES {
             return Err(HttpError::TooLarge);
         }
         self.receive_head().await
--- a/src/net/operator/admin_request.rs
+++ b/src/net/operator/admin_request.rs
@@ -1,7 +1,7 @@
 //! Reads, answers and logs one operator request.
 
 use super::perform_command;
-use crate::net::client::{Response, LINGER};
+use crate::net::client::{Response, LINGER_TIMEOUT};
 use crate::net::connection_registry::{ConnectionRegistry, EvictionPriority};
 use crate::net::http::{HttpConnection, HttpError, RequestHead};
 use crate::net::messages::{AdminCommand, AdminError, DeliveryMessage, EndpointListMessage};
@@ -111,7 +111,7 @@
         // Closing a connection with unread data would reset it, and the response could be lost.
         let registration = self.registry.register(EvictionPriority::Lingering);
         let discarded = async {
-            within(LINGER, self.connection.discard_until_end()).await;
+            within(LINGER_TIMEOUT, self.connection.discard_until_end()).await;
         };
         future::or(registration.evicted(), discarded).await;
         summary
--- a/src/net/runtime/clock.rs
+++ b/src/net/runtime/clock.rs
@@ -1,10 +1,10 @@
-//! The monotonic clock, which all decisions and stored times use, and the wall clock, which is used only for display and to
-//! align the time slots of several forwarders.
+//! The monotonic clock, which all decisions and stored times use, and the wall clock, which is used only for display, to
+//! align the time slots of several forwarders, and to convert stored times after a reboot.
 //!
-//! The monotonic clock follows `CLOCK_MONOTONIC`: all processes read the same time since the machine booted, and changes of
-//! the wall clock do not affect it. The next process can therefore use a journaled time without conversion. Like the
-//! program's timers, the clock stops while the machine is suspended. Times from before a reboot can be related only by the
-//! wall clock.
+//! The monotonic clock follows `CLOCK_MONOTONIC`: it shows the same time in every process from boot on, and changes of the
+//! wall clock do not affect it. The next process can therefore use a journaled time without conversion. Like the program's
+//! timers, the clock stops while the machine is suspended. After a reboot it starts anew, and only the wall clock relates
+//! its times to the earlier ones.
 
 use crate::journal::ClockReading;
 use crate::Micros;
@@ -13,8 +13,7 @@
 
 /// Holds a UUID that the kernel generates anew at each boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
-/// Added to `CLOCK_MONOTONIC`, so that durations can be subtracted from a time right after boot without an underflow: one
-/// minute.
+/// One minute, which is added to `CLOCK_MONOTONIC` so that subtracting a duration right after boot does not underflow.
 const CLOCK_OFFSET_US: Micros = 60_000_000;
 /// The furthest timer, one day ahead. A later one would in practice never fire, and its `Instant` could overflow.
 const MAX_TIMER_US: Micros = 86_400_000_000;
@@ -48,7 +47,8 @@
         ClockReading { boot_id: self.boot_id, monotonic_us: self.now(), wall_us: wall_clock_now() }
     }
 
-    /// Converts a time of this clock into an `Instant` for a timer, at most one day ahead.
+    /// Converts a time of this clock into an `Instant` for a timer. A time more than one day ahead is converted as one day
+    /// ahead.
     pub fn instant_at(&self, time: Micros) -> Instant {
         self.start
             + Duration::from_micros(time.min(self.now() + MAX_TIMER_US).saturating_sub(self.start_time))
--- a/src/net/runtime/lifecycle.rs
+++ b/src/net/runtime/lifecycle.rs
@@ -33,7 +33,7 @@
     SuccessorLost,
 }
 
-/// The phases of a process's life, which tasks can query and wait for.
+/// The shutdown and hand-over phases of a process and whether it is quiesced, which tasks can query and wait for.
 #[derive(Default)]
 pub struct Lifecycle {
     shutdown: PhaseCell<ShutdownPhase>,
@@ -64,12 +64,12 @@
         future::or(handed_over, self.shutdown.until(ShutdownPhase::ListenerClosing)).await;
     }
 
-    /// Whether the delivery policy has made its last decision.
+    /// Whether the shutdown has come so far that no more decisions are made.
     pub fn is_stopped(&self) -> bool {
         self.shutdown.get() >= ShutdownPhase::DecisionsStopped
     }
 
-    /// Returns once the delivery policy has made its last decision.
+    /// Returns once the shutdown has come so far that no more decisions are made.
     pub async fn until_stopped(&self) {
         self.shutdown.until(ShutdownPhase::DecisionsStopped).await;
     }
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -45,7 +45,8 @@
         Ok(settings) => settings,
         Err(error) => {
             let error = error.to_string().replace('\n', "; ");
-            warn!(context.log, "configuration not reloaded, the previous one stays in force"; "error" => error);
+            warn!(context.log, "configuration not reloaded, the previous one stays in force";
+                "error" => error);
             return;
         }
     };
--- a/src/net/runtime/stall_detector.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -22,7 +22,7 @@
 /// counted because elapsed time proves nothing: the process may be held up again.
 const CATCH_UP_PASSES: u32 = 6;
 
-/// A period in which the process did not run, and whose unread data it has not caught up with yet.
+/// A period in which the process did not run. The process has not yet read everything that arrived in it.
 #[derive(Clone, Copy, Debug)]
 struct Lateness {
     /// The last heartbeat before the period: what arrived from then on may still be unread.
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -35,8 +35,8 @@
 
 /// The pause before a start that failed with a transient error is retried.
 const START_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// For this long, a start fails and is retried if a journal segment cannot be read. After that the process starts without
-/// the segment and keeps it for a later start.
+/// How long the start is retried if a journal segment cannot be read. After that the process starts without the segment and
+/// leaves it for a later start.
 const UNREADABLE_SEGMENT_TIMEOUT: Duration = Duration::from_secs(4);
 /// A start that still fails with a transient error after this is given up.
 const START_TIMEOUT: Duration = Duration::from_secs(25);
@@ -122,7 +122,7 @@
         }
         reload::until_terminated(&context, &signals, load_config, &endpoint_list).await;
     };
-    future::or(terminated, handover::until_drained(&context)).await;
+    future::or(terminated, handover::until_hand_over_finished(&context)).await;
     shutdown::shut_down(&context, accepting).await;
     if let Some(registration) = registration {
         registration.cancel().await;
