--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -153,7 +153,7 @@
             if end.is_some_and(|end| wake_at >= end) {
                 return Ok(());
             }
-            Timer::at(clock.at(wake_at)).await;
+            Timer::at(clock.instant_at(wake_at)).await;
             let mut changes = membership.tick(clock.now());
             if wake_at == next_poll.at {
                 match registry.poll(next_poll.address_index, next_poll.kind).await {
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -3,7 +3,7 @@
 use super::CommandError;
 use crate::net::config::Config;
 use crate::net::runtime::load::LoadError;
-use crate::net::{self, Reading};
+use crate::net::{self, LoadOccasion};
 use crate::routes::Platform;
 use crate::site::Site;
 use crate::Settings;
@@ -101,7 +101,8 @@
             let json = read_file(&config_file)?;
             // ROUTER_DISCOVERY applies only at the start. A reload reads the address from the file.
             let variable = |name: &str| {
-                environment_variable(name).filter(|_| reading == Reading::Start || name != "ROUTER_DISCOVERY")
+                environment_variable(name)
+                    .filter(|_| reading == LoadOccasion::Start || name != "ROUTER_DISCOVERY")
             };
             let (mut config, mut settings) = Config::read(&json, variable)
                 .map_err(|error| LoadError::Config { file: config_file.clone(), error })?;
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol towards clients: their connections, requests and responses.
+//! The HTTP interface for clients: their connections, requests and responses.
 
 mod accept;
 mod close;
@@ -8,5 +8,5 @@
 mod submit;
 
 pub use accept::{listen, serve};
-pub use connection::LINGER;
+pub use connection::LINGER_TIMEOUT;
 pub use response::Response;
