--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -1,4 +1,4 @@
-//! A call to an endpoint, with one attempt or with several that share it, and its completion.
+//! Calls to endpoints, each of which carries one attempt or several, and their completions.
 
 use crate::net::in_flight::InFlightMessage;
 use crate::{EndpointId, LoadReport, MessageId, Micros, Outcome};
@@ -7,13 +7,13 @@
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(MessageId, u32)", into = "(MessageId, u32)")]
 pub struct AttemptId {
-    /// The message.
+    /// The message that is delivered.
     pub message: MessageId,
-    /// Which attempt of it, from 0.
+    /// Counts the attempts of the message, from 0.
     pub number: u32,
 }
 
@@ -29,23 +29,23 @@
     }
 }
 
-/// An attempt to deliver a message, as a call carries it.
+/// An attempt to deliver a message, as part of a call.
 #[derive(Clone)]
 pub struct Attempt {
-    /// The message.
+    /// The message that is delivered.
     pub message: Rc<InFlightMessage>,
-    /// Which attempt of it, from 0.
+    /// Counts the attempts of the message, from 0.
     pub number: u32,
-    /// When this attempt is abandoned.
+    /// When the attempt is abandoned.
     pub timeout_at: Micros,
-    /// Its first byte must not be written later.
+    /// The first byte of the attempt must not be written after this time.
     pub send_by: Micros,
-    /// The message's deadline is its timeout: it will not be sent again.
+    /// Whether the attempt times out at the message's deadline, so that no other attempt can follow.
     pub final_attempt: bool,
 }
 
 impl Attempt {
-    /// Its name.
+    /// The id of the attempt.
     pub fn id(&self) -> AttemptId {
         AttemptId { message: self.message.id, number: self.number }
     }
@@ -53,19 +53,20 @@
 
 /// A call that the policy has decided on.
 pub struct Call {
-    /// Where to.
+    /// The endpoint that is called.
     pub endpoint: EndpointId,
-    /// What it carries; at least one.
+    /// The attempts that share the call; at least one.
     pub attempts: Vec<Attempt>,
-    /// When the policy decided on it.
+    /// When the policy decided on the call.
     pub sent: Micros,
-    /// Closed when the call is cancelled.
+    /// This channel is closed to cancel the call.
     pub cancelled: Receiver<()>,
 }
 
 impl Call {
-    /// A call. The attempt with the latest timeout is named first, as the endpoint takes its deadline for the call's. Guards
-    /// against a response that comes after that: endpoints that hung then reported others as delivered that were not.
+    /// Creates a call. The attempt with the latest timeout comes first, as the endpoint takes the first deadline for
+    /// that of the whole call. With a shorter one, endpoints that hung responded after it and reported messages as
+    /// delivered that were not.
     pub fn new(
         endpoint: EndpointId,
         mut attempts: Vec<Attempt>,
@@ -76,25 +77,27 @@
         Call { endpoint, attempts, sent, cancelled }
     }
 
-    /// The first timeout of the attempts that are still open; `open_attempts` has an entry for each attempt.
+    /// The earliest timeout of the open attempts. `open_attempts` tells for each attempt, in order, whether it is
+    /// still open.
     pub fn first_timeout(&self, open_attempts: &[bool]) -> Micros {
         let open = self.attempts.iter().zip(open_attempts).filter(|(_, open)| **open);
         open.map(|(attempt, _)| attempt.timeout_at).min().unwrap_or(0)
     }
 
-    /// Up to when the first byte may be written, for all attempts.
+    /// The latest time at which the first byte may be written: the earliest `send_by` of all attempts.
     pub fn send_by(&self) -> Micros {
         self.attempts.iter().map(|attempt| attempt.send_by).min().unwrap_or(0)
     }
 
-    /// When the last attempt is abandoned.
+    /// The latest timeout of all attempts.
     pub fn last_timeout(&self) -> Micros {
         self.attempts.iter().map(|attempt| attempt.timeout_at).max().unwrap_or(0)
     }
 
-    /// The indices of the open attempts that can be abandoned now while the call goes on for the others; `None` if one of those
-    /// that are due may be sent again. An attempt may be reported while its call is in flight only if it is its message's last.
-    /// Guards against abandoning a complete call, over and over, for one message at its deadline.
+    /// The indices of the open attempts that can be abandoned now while the call continues for the others. `None` if
+    /// the whole call must end: all open attempts have timed out, or one of those that have may be sent again, which
+    /// is not allowed while this call is in flight. Without this, one message at its deadline would abandon the call
+    /// for all others, again and again.
     pub fn expired(&self, now: Micros, open_attempts: &[bool]) -> Option<Vec<usize>> {
         let open: Vec<usize> = (0..self.attempts.len()).filter(|index| open_attempts[*index]).collect();
         let is_due = |index: &usize| self.attempts[*index].timeout_at <= now;
@@ -104,13 +107,13 @@
         (goes_on && all_final).then_some(due)
     }
 
-    /// Its completion, in a form that another process can read.
+    /// The completion of the call, in a form that can be sent to another process.
     pub fn completed(&self, result: CallResult) -> CallCompletion {
         let attempts = self.attempts.iter().map(Attempt::id).collect();
         CallCompletion { endpoint: self.endpoint, sent: self.sent, attempts, result }
     }
 
-    /// The same call with the attempts of these indices only.
+    /// A copy of the call with only the attempts at these indices.
     pub fn with(&self, indices: &[usize]) -> Call {
         let attempts = indices.iter().map(|index| self.attempts[*index].clone()).collect();
         Call { attempts, cancelled: self.cancelled.clone(), ..*self }
@@ -120,14 +123,14 @@
 /// The result of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptResult {
-    /// Its outcome.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Nothing more is owed for the message.
+    /// Whether the message is complete, as it was delivered or has expired.
     pub ended: bool,
 }
 
 impl AttemptResult {
-    /// A result after which more is owed for the message, unless it was delivered.
+    /// A result that completes the message only if the outcome is a delivery.
     pub fn of(outcome: Outcome) -> Self {
         AttemptResult { outcome, ended: outcome == Outcome::Ok }
     }
@@ -136,34 +139,34 @@
 /// The result of a call.
 #[derive(Serialize, Deserialize)]
 pub struct CallResult {
-    /// One for each attempt, in order.
+    /// The results of the attempts, in their order in the call.
     #[serde(rename = "ends")]
     pub attempts: Vec<AttemptResult>,
-    /// The endpoint's load, as its response reports it.
+    /// The endpoint's load report; `None` if the response has no valid one.
     pub report: Option<LoadReport>,
-    /// The wait that the response asks for.
+    /// The retry-after of the response, in microseconds.
     #[serde(rename = "wait")]
     pub retry_after: Option<Micros>,
 }
 
 impl CallResult {
-    /// The same result for so many attempts, without a load report or a wait.
+    /// The same result for each of `attempts` attempts, without a load report or a retry-after.
     pub fn same_for_all(attempts: usize, result: AttemptResult) -> Self {
         CallResult { attempts: vec![result; attempts], report: None, retry_after: None }
     }
 }
 
-/// A call that is complete.
+/// The completion of a call.
 #[derive(Serialize, Deserialize)]
 pub struct CallCompletion {
-    /// Where it went.
+    /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// When the policy decided on it.
+    /// When the policy decided on the call.
     pub sent: Micros,
-    /// The attempts that it carried.
+    /// The attempts that the call carried.
     #[serde(rename = "parts")]
     pub attempts: Vec<AttemptId>,
-    /// Its result.
+    /// The results of these attempts, and what else the response said.
     #[serde(rename = "ended")]
     pub result: CallResult,
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the program is started with.
+//! The configuration file: reads, decodes and checks it.
 
 use crate::invariants::RepeatPolicy;
 use crate::membership::RegistrySettings;
@@ -15,60 +15,61 @@
 
 /// The largest body of a message, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Connections of operators that may be open at once.
+/// The maximum number of operator connections that are open at once.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 16;
-/// What the folder keeps free for the cordons and the owner's name, in bytes: each is written anew beside the old one.
+/// Bytes of the state folder that are reserved for the files of the cordons and of the owner's address. Each update
+/// writes a new file beside the old one.
 pub const OPERATOR_FILES_RESERVE_BYTES: u64 = 32 * 1024;
 
-/// The program's configuration, read and checked.
+/// The configuration of a process, decoded and checked.
 pub struct Config {
-    /// This forwarder's name.
+    /// The name of this forwarder.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen_address: SocketAddr,
-    /// Where operators connect, if they may.
+    /// The address on which operators connect; `None` if operator access is disabled.
     pub operator_address: Option<SocketAddr>,
-    /// Where the platform's agent listens.
+    /// The address of the platform's agent.
     pub agent_address: SocketAddr,
-    /// The folder that outlasts the process.
+    /// The folder for the state that survives a restart.
     pub state_folder: PathBuf,
-    /// For random draws.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// File descriptors that may be open.
+    /// The maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// The most bytes that the folder may hold.
+    /// The maximum size of the state folder, in bytes.
     pub max_disk_bytes: u64,
-    /// The endpoint list as the platform last had it, if it passes it on.
+    /// The last endpoint list that the platform knew, undecoded; `None` if the platform does not pass one on.
     pub initial_endpoint_list: Option<Value>,
-    /// An endpoint closes an idle connection after this.
+    /// The time after which endpoints close idle connections, in microseconds.
     pub endpoint_idle_timeout: Micros,
-    /// A connection that is not established by then never will be.
+    /// The time within which a connection must be established, in microseconds.
     pub dial_timeout: Micros,
-    /// Work may be sent to an endpoint for so long after it began to drain.
+    /// How long calls may still be sent to an endpoint after it began to drain, in microseconds.
     pub drain_grace: Micros,
-    /// The shortest time between two steps of the policy.
+    /// The minimum time between two steps of the policy, in microseconds.
     pub min_step_interval: Micros,
-    /// Messages that may be open at once.
+    /// The maximum number of open messages.
     pub max_open_messages: usize,
-    /// Calls that may be in flight at once.
+    /// The maximum number of calls in flight.
     pub max_concurrent_calls: usize,
-    /// Forwarders that share the traffic, this one included.
+    /// The number of forwarders that share the traffic, including this one.
     pub forwarders: usize,
-    /// Its number among them, or why it has none.
+    /// The index of this forwarder among them, or why it cannot be determined.
     pub forwarder_index: Result<u64, DecodeError>,
     /// The kinds of destination.
     pub kinds: Vec<Kind>,
-    /// What classes, tenants, zones and kinds are called.
+    /// The names of classes, tenants, zones and kinds.
     pub names: Arc<Names>,
-    /// Whether each class needs a key, by class.
+    /// By class: whether its messages need an idempotency key.
     pub requires_key: Vec<bool>,
-    /// Whether a message of each class must never run twice, by class.
+    /// By class: whether its messages must never run twice.
     pub non_idempotent: Vec<bool>,
-    /// How messages of each class may be repeated, by class.
+    /// By class: how its messages may be repeated.
     pub repeat_policies: Vec<RepeatPolicy>,
-    /// A registry from which the endpoint list also comes.
+    /// The registry that also supplies the endpoint list, if there is one.
     pub registry: Option<Arc<RegistrySettings>>,
-    /// The longest time for which a message of each class may be open, by class.
+    /// By class: how long its messages may be open, in microseconds.
     pub deadlines: Vec<Micros>,
 }
 
@@ -87,54 +88,55 @@
     /// A value outside of the platform's settings cannot be decoded.
     #[error("{key}: {error}")]
     Value {
-        /// Its key.
+        /// The key of the value.
         key: &'static str,
-        /// Why not.
+        /// Why it cannot be decoded.
         error: DecodeError,
     },
-    /// The seed is a text that is not hexadecimal.
+    /// The seed is a string that is not a hexadecimal number.
     #[error("seed: `{0}` is not hexadecimal")]
     SeedNotHexadecimal(String),
     /// An address cannot be parsed.
     #[error("{key}: `{text}` is not an address with a port")]
     NotAnAddress {
-        /// Its key.
+        /// The key of the address.
         key: &'static str,
-        /// Its text.
+        /// The value of the key.
         text: String,
     },
-    /// There are too few descriptors.
+    /// There are too few file descriptors for the calls that may be in flight.
     #[error("setting `sockets`: {descriptors} are too few for {calls} calls")]
     TooFewDescriptors {
-        /// File descriptors that may be open.
+        /// The maximum number of open file descriptors.
         descriptors: usize,
-        /// Calls that may be in flight.
+        /// The maximum number of calls in flight.
         calls: usize,
     },
-    /// No time is left to connect.
+    /// The timeout for connecting to endpoints is zero.
     #[error("setting `dial-timeout`: 0 is out of range, which is above 0")]
     NoDialTimeout,
 }
 
-/// Why a changed configuration holds only after a restart.
+/// Why a changed configuration takes effect only after a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestartReason {
-    /// What the process was started with.
+    /// The name, the listen address or the state folder of the process has changed.
     #[error("`name`, `listen` and `state` change only at a start")]
     Process,
-    /// What open messages go by.
+    /// Names or repeat rules that open messages depend on have changed.
     #[error("names of classes, tenants, zones and kinds, and what repeats do, change only at a start")]
     Names,
-    /// The entry of this forwarder in the registry.
+    /// The entry that this forwarder registers in the registry has changed.
     #[error("`register` of the registry changes only at a start")]
     Registration,
 }
 
-/// Decodes and checks the platform's settings within the text of a configuration, and the names that they list.
+/// Decodes and checks the platform's settings in the JSON text of a configuration. Returns them with the names that
+/// they define.
 ///
 /// # Errors
 ///
-/// If they cannot be decoded or are out of range.
+/// If the text is not JSON, or the settings cannot be decoded or are out of range.
 pub fn read_platform_settings(json: &str) -> Result<(Settings, Names), ConfigReadError> {
     platform_settings(&serde_json::from_str(json)?)
 }
@@ -158,7 +160,8 @@
     }
 }
 
-/// The text of the operators' address, if they may connect.
+/// The address for operators, not yet parsed; the environment variable takes precedence. `None` if operator access is
+/// disabled.
 fn read_operator(config: &Value, variable: Option<String>) -> Result<Option<String>, ConfigReadError> {
     if variable.is_some() {
         return Ok(variable);
@@ -177,11 +180,12 @@
 }
 
 impl Config {
-    /// Reads the text of a configuration. Environment variables, as the platform sets them, override what it says.
+    /// Reads a configuration from its JSON text. Environment variables, which `variable` returns by name, take
+    /// precedence over it.
     ///
     /// # Errors
     ///
-    /// The first value that is missing, cannot be decoded or is out of range.
+    /// For the first value that is missing, cannot be decoded or is out of range.
     pub fn read(
         json: &str,
         variable: impl Fn(&str) -> Option<String>,
@@ -239,8 +243,8 @@
         Ok(())
     }
 
-    /// Why this one cannot replace another while the program runs, if it cannot: open messages go by the other's names, and
-    /// address and folder stay as they were opened.
+    /// Why this configuration cannot replace `other` without a restart; `None` if it can. Open messages depend on the
+    /// names of the other configuration, and the address and the folder are opened only at the start.
     pub fn needs_restart(&self, other: &Config) -> Option<RestartReason> {
         let same_process = self.name == other.name
             && self.listen_address == other.listen_address
@@ -258,20 +262,20 @@
         (registration(self) != registration(other)).then_some(RestartReason::Registration)
     }
 
-    /// The size that the journal may have, in bytes: a registry's last view is persisted in the folder too, and the operators'
-    /// cordons.
+    /// The maximum size of the journal, in bytes: the part of the folder that is not reserved for the registry
+    /// snapshot and the operators' files.
     pub fn journal_limit_bytes(&self) -> u64 {
         let view = if self.registry.is_some() { RegistrySnapshot::max_bytes(self.max_disk_bytes) } else { 0 };
         let operators = if self.operator_address.is_some() { OPERATOR_FILES_RESERVE_BYTES } else { 0 };
         self.max_disk_bytes.saturating_sub(view + operators)
     }
 
-    /// Connections of clients that may be open at once.
+    /// The maximum number of open client connections.
     pub fn max_client_connections(&self) -> usize {
         self.max_descriptors / 2
     }
 
-    /// Idle connections to endpoints that may be open at once, beside those that carry calls.
+    /// The maximum number of idle connections to endpoints, not counting those that carry calls.
     pub fn max_idle_connections(&self) -> usize {
         let operators = if self.operator_address.is_some() { MAX_OPERATOR_CONNECTIONS } else { 0 };
         (self.max_descriptors / 2).saturating_sub(self.max_concurrent_calls + 32 + operators)
--- a/src/net/connection_registry.rs
+++ b/src/net/connection_registry.rs
@@ -1,31 +1,33 @@
-//! Which connections are closed first to make room for another. It closes none itself.
+//! The eviction order of connections: which one is closed first when the connection limit is reached. The registry
+//! only notifies the evicted connection, which then closes itself.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Which connections are evicted first where the limit is reached; those of the first variant go first.
+/// The order of eviction by the state of a connection: the first variant is evicted first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionPriority {
-    /// It has its last response.
+    /// Its last response was written.
     Lingering,
-    /// It never sent a request.
+    /// It has not sent any request yet.
     NoRequestYet,
-    /// It was served and is between requests.
+    /// It has been served before and is between two requests.
     Idle,
-    /// Its request has begun and is not complete.
+    /// A part of a request was received.
     Reading,
 }
 
-/// A connection's place in the order of eviction; of one priority, the earliest registered goes first.
+/// A connection's position in the eviction order. Among connections of equal priority, the earliest registered is
+/// evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     priority: EvictionPriority,
     number: u64,
 }
 
-/// All connections that may be evicted, in the order in which they go.
+/// All connections that may be evicted, in eviction order.
 #[derive(Default)]
 pub struct ConnectionRegistry {
     evictable: RefCell<BTreeMap<Place, Sender<()>>>,
@@ -34,7 +36,7 @@
 }
 
 impl ConnectionRegistry {
-    /// Registers a connection that may be evicted, until the registration is dropped.
+    /// Registers a connection as evictable until the registration is dropped.
     pub fn register(self: &Rc<Self>, priority: EvictionPriority) -> Registration {
         let (evict, evicted) = async_channel::bounded(1);
         self.last_number.set(self.last_number.get() + 1);
@@ -43,12 +45,12 @@
         Registration { registry: self.clone(), place, evicted }
     }
 
-    /// How many connections were evicted and have not yet given up their registration.
+    /// The number of connections that were evicted and have not dropped their registration yet.
     pub fn evictions_pending(&self) -> usize {
         self.evictions_pending.get()
     }
 
-    /// Evicts the first connection; false if all are being served.
+    /// Evicts the first connection in eviction order. Returns false if none is evictable, as all are being served.
     pub fn evict_one(&self) -> bool {
         let is_evicted = self.evictable.borrow_mut().pop_first().is_some();
         self.evictions_pending.set(self.evictions_pending.get() + usize::from(is_evicted));
@@ -56,7 +58,7 @@
     }
 }
 
-/// A registered connection.
+/// The registration of an evictable connection, which ends when this is dropped.
 pub struct Registration {
     registry: Rc<ConnectionRegistry>,
     place: Place,
@@ -66,7 +68,7 @@
 impl Registration {
     /// Returns once this connection is evicted.
     pub async fn evicted(&self) {
-        // Nothing is ever sent: the registry drops the sender.
+        // Nothing is ever sent on this channel: the registry drops the sender to evict the connection.
         let _ = self.evicted.recv().await;
     }
 }
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -1,4 +1,4 @@
-//! The handles that all actors of a process share. Each piece of state behind them has one owner, which its field names.
+//! The state that all actors of a process share. The comment of each field names the component that writes it.
 
 use super::config::Config;
 use super::counters::Counters;
@@ -24,51 +24,53 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What all actors of a process share.
+/// The state that all actors of a process share.
 pub struct Context {
-    /// Where the log goes.
+    /// The process's logger.
     pub log: Logger,
-    /// The clock of all decisions.
+    /// The clock by which all decisions are made.
     pub clock: Clock,
-    /// Runs the actors.
+    /// The executor that runs the actors.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The mailbox of the delivery actor.
     pub delivery: Sender<DeliveryMessage>,
-    /// How far start, hand-over and shutdown have come; written by [`runtime`](super::runtime), the hand-over and operators.
+    /// The phase of start, hand-over and shutdown; written by [`runtime`](super::runtime), the hand-over and operators.
     pub lifecycle: Lifecycle,
-    /// What binds the first byte of every call; written by the endpoint list actor and by calls whose response asks to wait.
+    /// The endpoints that may be called; written by the endpoint list actor, and by calls whose response has a
+    /// retry-after.
     pub endpoint_table: Rc<EndpointTable>,
-    /// What the endpoint list actor shows of the list.
+    /// The status of the endpoint list; written by the endpoint list actor.
     pub endpoint_list: EndpointListStatus,
-    /// Whether this process was stopped or starved of late, and since when what is read now may have lain unread.
+    /// Detects that this process was stopped or starved recently, so that data read now may have arrived much earlier.
     pub stall_detector: Rc<StallDetector>,
     /// The journal; written by the delivery actor and by calls.
     pub journal: JournalHandle,
-    /// The lock of the state folder; owned by the hand-over.
+    /// The lock of the state folder; written by the hand-over.
     pub folder: Rc<FolderOwnership>,
-    /// Counts since the start of the process.
+    /// Event counts since the start of the process; written by all actors.
     pub counters: Counters,
-    /// What is open, connected and in flight now.
+    /// The numbers of open messages, connections and calls; [`Gauges`] names the writer of each.
     pub gauges: Gauges,
-    /// The request ids that are in use; owned by the delivery actor.
+    /// The request ids that are in use; written by the delivery actor.
     pub request_ids: RequestIds,
-    /// What was done for each message, checked against the rules.
+    /// The attempts made for each message, to detect violations of invariants; written by the delivery actor and by
+    /// calls.
     pub ledger: RefCell<Ledger>,
-    /// Counts by the routes of the site file; written by the delivery actor.
+    /// Message counts by the routes of the site file; written by the delivery actor.
     pub routes: Routes,
-    /// Counts of the requests to the registry.
+    /// Counts of the requests to the registry; written by the registry poller.
     pub registry: RegistryCounts,
     config: RefCell<Rc<Config>>,
     listen: SocketAddr,
 }
 
-/// What a [`Context`] is made of that only the start of the process knows.
+/// The parts of a [`Context`] that the start of the process supplies.
 pub struct ContextParts {
-    /// Where the log goes.
+    /// The process's logger.
     pub log: Logger,
-    /// The clock of all decisions.
+    /// The clock by which all decisions are made.
     pub clock: Clock,
-    /// Runs the actors.
+    /// The executor that runs the actors.
     pub executor: Rc<LocalExecutor<'static>>,
     /// The mailbox of the delivery actor.
     pub delivery: Sender<DeliveryMessage>,
@@ -76,12 +78,12 @@
     pub journal: JournalHandle,
     /// The configuration.
     pub config: Config,
-    /// Where clients connect, with the port that the system gave.
+    /// The address on which clients connect, with the port that the system assigned.
     pub listen: SocketAddr,
 }
 
 impl Context {
-    /// The handles of a process that starts.
+    /// Creates the context of a process that starts.
     pub fn new(parts: ContextParts) -> Self {
         let ContextParts { log, clock, executor, delivery, journal, config, listen } = parts;
         Context {
@@ -106,17 +108,17 @@
         }
     }
 
-    /// The configuration that is in force.
+    /// The current configuration.
     pub fn config(&self) -> Rc<Config> {
         self.config.borrow().clone()
     }
 
-    /// Puts another configuration in force.
+    /// Replaces the configuration. Users of the previous one keep it until they ask again.
     pub fn set_config(&self, config: Config) {
         *self.config.borrow_mut() = Rc::new(config);
     }
 
-    /// Where clients connect, with the port that the system gave.
+    /// The address on which clients connect, with the port that the system assigned.
     pub fn listen(&self) -> SocketAddr {
         self.listen
     }
@@ -126,17 +128,18 @@
         self.endpoint_list.is_known() && !self.lifecycle.is_closing()
     }
 
-    /// Whether clients may connect. Where a successor has taken over, those that still come are forwarded to it.
+    /// Whether clients may connect. After a hand-over, messages of clients that still connect here are forwarded to
+    /// the successor.
     pub fn accepts_clients(&self) -> bool {
         (self.ready() || self.lifecycle.is_handed_over()) && !self.lifecycle.is_quiesced()
     }
 
-    /// Whether a client's connection is closed after its response.
+    /// Whether client connections are closed after their next response.
     pub fn closes_after_response(&self) -> bool {
         self.lifecycle.is_quiesced() || self.lifecycle.is_handed_over()
     }
 
-    /// The report of `/_counters`: counters since the start of the process, and what is in flight now.
+    /// The JSON report of `/_counters`: the counters since the start of the process, and the gauges.
     pub fn report(&self) -> Value {
         let mut report = self.counters.report();
         if let Some(routes) = self.routes.report() {
@@ -161,13 +164,14 @@
         report
     }
 
-    /// Counts and logs a message that is rejected.
+    /// Counts and logs the rejection of a message.
     pub fn rejected(&self, request_id: &str, rejection: Rejection) {
         self.counters.rejected(rejection);
         info!(self.log, "message"; "state" => "rejected", "id" => request_id, "reason" => rejection.name());
     }
 
-    /// Counts and logs a violation of a rule, with the ids that it is about. The process goes on.
+    /// Counts and logs a violation of an invariant, with the ids of the message and the endpoint. The process
+    /// continues.
     pub fn violated(&self, violation: Violation, request_id: &str, endpoint: Option<EndpointId>) {
         self.counters.violation(violation);
         error!(self.log, "invariant violated"; "rule" => violation.name(), "id" => request_id,
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -1,4 +1,4 @@
-//! Counts since the start of the process, as `/_counters` reports them.
+//! Counters of events since the start of the process, as `/_counters` reports them.
 
 use crate::invariants::{Rejection, SendRefusal, Violation};
 use crate::{AbandonReason, Outcome};
@@ -6,10 +6,10 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 
-/// Declares the counters, each with its key in the report.
+/// Declares the counters, each with its key in the JSON report.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident = $key:literal),* $(,)?) => {
-        /// Counts since the start of the process.
+        /// The counters of a process. They start at 0 and never decrease.
         #[derive(Debug, Default)]
         pub struct Counters {
             $($(#[$doc])* #[doc = concat!("\n\nReported as `", $key, "`.")] pub $name: Count,)*
@@ -17,7 +17,7 @@
         }
 
         impl Counters {
-            /// All of them, by key.
+            /// The JSON report of all counters, by key.
             pub fn report(&self) -> Value {
                 let mut report = Map::new();
                 $(report.insert($key.into(), self.$name.0.get().into());)*
@@ -30,24 +30,24 @@
     };
 }
 
-/// Why something was not done, with the report's key of what that was.
+/// The key of a counter that exists for each reason: the key of its group in the report, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ReasonKey {
     group: &'static str,
     reason: &'static str,
 }
 
-/// One count.
+/// A counter.
 #[derive(Debug, Default)]
 pub struct Count(Cell<u64>);
 
 impl Count {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.more(1);
     }
 
-    /// So many more.
+    /// Adds a number.
     pub fn more(&self, by: usize) {
         self.0.set(self.0.get() + by as u64);
     }
@@ -56,43 +56,43 @@
 counters! {
     /// Messages accepted.
     messages_accepted = "taken",
-    /// Messages found in the journal at the start.
+    /// Messages restored from the journal at the start.
     restored = "restored",
     /// Open messages that the predecessor handed over.
     inherited = "inherited",
-    /// Responses 503: messages rejected, or returned by the delivery policy at once.
+    /// Responses with status 503: messages that were rejected, or returned by the delivery policy before the reply.
     unavailable = "unavailable",
-    /// Requests that could not be read or made no sense.
+    /// Requests that were malformed or invalid.
     bad_requests = "bad_requests",
-    /// Messages whose client was gone before the response.
+    /// Messages withdrawn since their client disconnected before the response.
     withdrawn = "withdrawn",
-    /// Calls begun, of one attempt or of several.
+    /// Calls written to an endpoint, each with one attempt or several.
     calls = "calls",
     /// Attempts written to an endpoint.
     attempts = "attempts",
-    /// Attempts with the outcome that the message is delivered.
+    /// Attempts that delivered their message.
     attempts_ok = "ok",
-    /// Attempts with an error as the response.
+    /// Attempts to which the endpoint responded with an error.
     attempts_error = "error",
     /// Attempts that the endpoint rejected.
     attempts_rejected = "full",
-    /// Attempts abandoned without a response.
+    /// Attempts that timed out without a response.
     attempts_timed_out = "timed_out",
-    /// Attempts without a connection.
+    /// Attempts for which no connection could be established.
     attempts_connect_failed = "connect_failed",
-    /// Attempts whose connection failed.
+    /// Attempts whose connection failed after the request was written.
     attempts_reset = "reset",
-    /// Attempts whose reused connection was dead before.
+    /// Attempts whose reused connection was already dead when the request was written.
     attempts_stale = "stale",
-    /// Attempts cancelled.
+    /// Attempts that were cancelled.
     attempts_cancelled = "cancelled",
-    /// Attempts that were not sent after all, or that the endpoint did not run.
+    /// Attempts that the check before the first byte refused, or that the endpoint did not run.
     attempts_not_sent = "moot",
-    /// Attempts not sent as the journal could not be written; the policy does not count them as attempts.
+    /// Attempts that were not sent since they could not be journaled. The policy does not count them as attempts.
     attempts_not_journaled = "unsent",
     /// Messages delivered.
     delivered = "delivered",
-    /// Messages ended as failed.
+    /// Messages that failed.
     failed = "failed",
     /// Messages returned to their clients by a delivery report.
     returned = "returned",
@@ -104,44 +104,44 @@
     connections_reused = "reused",
     /// Connections accepted from clients.
     accepted = "accepted",
-    /// Connections that could not be accepted from the listener's queue just then.
+    /// Failed attempts to accept a connection from the listener's queue.
     accept_failures = "accept_failures",
-    /// Versions of the endpoint list received by the watch.
+    /// Versions of the endpoint list received from the watch.
     lists = "lists",
-    /// Configurations reloaded.
+    /// Reloads of the configuration.
     reloads = "reloads",
-    /// Times at which the journal became unwritable.
+    /// How often the journal became unwritable.
     journal_failures = "journal_failures",
 }
 
-/// Calls refused at their first byte; the report's key.
+/// The report's key for attempts that the check before the first byte refused.
 const NOT_SENT: &str = "not_sent";
-/// Messages rejected; the report's key.
+/// The report's key for rejected messages.
 const REJECTED: &str = "rejected";
-/// Messages abandoned by the delivery policy; the report's key.
+/// The report's key for messages abandoned by the delivery policy.
 const ABANDONED: &str = "given_up";
-/// Rules that were broken; the report's key.
+/// The report's key for violations of invariants.
 const VIOLATIONS: &str = "invariant_violations";
 
 impl Counters {
     fn count(&self, group: &'static str, reason: &'static str) {
-        // Reasons are names in the program: their number has a bound.
+        // Reasons are string constants of the program, so the map cannot grow without bound.
         *self.by_reason.borrow_mut().entry(ReasonKey { group, reason }).or_default() += 1;
     }
 
-    /// The counts of one group, by reason.
+    /// The report of one group, by reason.
     fn report_of(&self, group: &str) -> Value {
         let by_reason = self.by_reason.borrow();
         let of_group = by_reason.iter().filter(|(key, _)| key.group == group);
         Value::Object(of_group.map(|(key, count)| (key.reason.to_owned(), Value::from(*count))).collect())
     }
 
-    /// Counts a call that was refused at its first byte.
+    /// Counts an attempt that the check before the first byte refused.
     pub fn not_sent(&self, refusal: SendRefusal) {
         self.count(NOT_SENT, refusal.name());
     }
 
-    /// Counts a message that was rejected.
+    /// Counts a rejected message.
     pub fn rejected(&self, rejection: Rejection) {
         self.count(REJECTED, rejection.name());
     }
@@ -151,12 +151,12 @@
         self.count(ABANDONED, reason.name());
     }
 
-    /// Counts a rule that was broken.
+    /// Counts a violation of an invariant.
     pub fn violation(&self, violation: Violation) {
         self.count(VIOLATIONS, violation.name());
     }
 
-    /// Counts a completed attempt.
+    /// Counts a completed attempt by its outcome.
     pub fn attempt_completed(&self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => &self.attempts_ok,
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -1,4 +1,4 @@
-//! The actor's state and its mailbox.
+//! The state of the delivery actor and the loop that reads its mailbox.
 
 use super::endpoints::Endpoints;
 use crate::net::call::AttemptId;
@@ -20,48 +20,55 @@
 pub(super) struct OpenMessage {
     pub message: Rc<InFlightMessage>,
     pub attempt: Option<AttemptInFlight>,
-    /// Where its client waits for the response to its request.
+    /// The channel for the reply to the client; `None` once the reply was sent, or if an earlier process accepted the
+    /// message.
     pub reply: Option<Sender<SubmitReply>>,
 }
 
-/// The attempt of a message that is in flight.
+/// The attempt in flight of a message, made by this process or by its predecessor.
 pub(super) struct AttemptInFlight {
+    /// Counts the attempts of the message, from 0.
     pub number: u32,
     pub endpoint: EndpointId,
-    /// Closed to cancel the call.
+    /// Closing this channel cancels the call.
     pub cancel: Sender<()>,
 }
 
-/// The actor around the delivery policy.
+/// Runs the delivery policy: turns what arrives in the mailbox into events, and performs the actions that the policy
+/// returns.
 pub struct DeliveryActor {
     pub(super) context: Rc<Context>,
     pub(super) names: Arc<Names>,
     pub(super) policy: DeliveryPolicy,
-    /// Where delivery reports are sent to the platform.
+    /// The queue of delivery reports for the platform.
     pub(super) reports: Sender<DeliveryReport>,
+    /// The mailbox of the endpoint list actor.
     pub(super) endpoint_list: Sender<EndpointListMessage>,
     pub(super) endpoints: Endpoints,
     pub(super) messages: BTreeMap<MessageId, OpenMessage>,
-    /// The last id that was given to a message.
+    /// The last id that was assigned to a message.
     pub(super) last_id: u64,
+    /// The timers that the policy has set; the first one due is on top.
     pub(super) timers: BinaryHeap<Reverse<PolicyTimer>>,
     /// The events of the policy's next step.
     pub(super) events: Vec<Event>,
+    /// When the last step was made.
     pub(super) last_step: Micros,
-    /// What the policy knows of the journal.
+    /// Whether the journal is writable, as the policy was last told.
     pub(super) journal_writable: bool,
-    /// No step is made any more: the process shuts down, or a successor decides.
+    /// No more steps are made: the process is shutting down, or a successor makes the decisions.
     pub(super) stopped: bool,
-    /// A process that asks to take over; it is served after the next step.
+    /// A process that has asked to take over; the hand-over starts after the next step.
     pub(super) successor: Option<Successor>,
-    /// The attempts in flight at the predecessor, those of ended messages too: the policy waits for each.
+    /// The attempts in flight at the predecessor, including those of ended messages: the policy expects the end of
+    /// each.
     pub(super) predecessor_attempts: BTreeMap<AttemptId, EndpointId>,
-    /// Messages received of each tenant since the start, the rejected ones too.
+    /// Messages received from each tenant, including rejected ones; a hand-over passes the counts on.
     pub(super) received_by_tenant: Vec<u64>,
 }
 
 impl DeliveryActor {
-    /// An actor without messages; ids go on after the last one used.
+    /// Creates an actor without messages. The first new message gets the id after `last_id`.
     pub fn new(
         context: Rc<Context>,
         policy: DeliveryPolicy,
@@ -90,7 +97,7 @@
         }
     }
 
-    /// What all actors share.
+    /// The handles that all actors of the process share.
     pub fn context(&self) -> &Rc<Context> {
         &self.context
     }
@@ -100,7 +107,7 @@
         &self.endpoint_list
     }
 
-    /// Runs until all senders of the mailbox are gone.
+    /// Runs until all senders of the mailbox are dropped.
     pub async fn run(mut self, mail: Receiver<DeliveryMessage>) {
         loop {
             if self.events.is_empty() {
@@ -125,12 +132,12 @@
         }
     }
 
-    /// The next message, or `None` once a timer is due.
+    /// Waits for the next message in the mailbox. Returns `None` if a timer of the policy is due first.
     async fn next_message_or_timer(
         &self,
         mail: &Receiver<DeliveryMessage>,
     ) -> Option<Result<DeliveryMessage, async_channel::RecvError>> {
-        // Once stopped, nothing removes timers: one that is due would keep the actor busy for good.
+        // A stopped actor makes no step that removes due timers: one of them would make this loop spin.
         let next_timer = self.timers.peek().filter(|_| !self.stopped).map(|timer| timer.0.due_at);
         let clock = self.context.clock;
         let due = async {
@@ -143,7 +150,8 @@
         future::or(async { Some(mail.recv().await) }, due).await
     }
 
-    /// Waits until the least interval between two steps is over: messages that come meanwhile share a step.
+    /// Waits until `min_step_interval` has passed since the last step, so that messages arriving meanwhile share a
+    /// step.
     async fn until_step_allowed(&self) {
         let clock = self.context.clock;
         let allowed_at = self.last_step + self.context.config().min_step_interval;
@@ -165,10 +173,10 @@
             DeliveryMessage::CallCompleted(completion) => self.call_completed(completion),
             DeliveryMessage::HandOver(successor) => self.successor = Some(successor),
             DeliveryMessage::Admin { command, reply } => {
-                // It was meant for the successor, which did not take over after all.
+                // The command arrived during a hand-over that failed, so this process performs it.
                 let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
                 let performing = async move {
-                    // Where the operator is gone, nobody waits for the result.
+                    // Sending fails if the operator has disconnected; nobody needs the result then.
                     let _ = reply.try_send(operator::perform(&context, &endpoint_list, command).await);
                 };
                 self.context.executor.spawn(performing).detach();
@@ -176,12 +184,12 @@
             DeliveryMessage::PredecessorGone => {
                 self.take_lost_calls().into_iter().for_each(|completion| self.call_completed(completion))
             }
-            // It is for the relay to a successor, which has ended.
+            // Only the relay to a successor uses these lines, and it has ended.
             DeliveryMessage::ListLine(_) => {}
-            // The next step sees it.
+            // The message wakes the actor; the next step reads the journal's status.
             DeliveryMessage::JournalWritable => {}
             DeliveryMessage::DescribeStatus { reply } => {
-                // Where the operator is gone, nobody waits for the status.
+                // Sending fails if the operator has disconnected; nobody needs the status then.
                 let _ = reply.try_send(self.status());
             }
             DeliveryMessage::Stop => self.stop(),
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a message that a client sent is rejected, or journaled and brought to the policy.
+//! Admission of messages from clients: each is either rejected, or journaled and passed to the policy.
 
 use super::actor::{AttemptInFlight, DeliveryActor, OpenMessage};
 use crate::invariants::{may_admit, AdmissionFacts, Rejection, TrackedAttempt, TrackedMessage};
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 
 impl DeliveryActor {
-    /// Admits a message, or rejects it by the reply.
+    /// Admits a client's message, or replies with a rejection.
     pub(super) fn submit(&mut self, request: Request, reply: Sender<SubmitReply>) {
         if let Some(received) = request.tenant.and_then(|tenant| self.received_by_tenant.get_mut(tenant.0)) {
             *received += 1;
         }
-        // A captured day is made of these lines.
+        // The rehearsal tool builds captures of real traffic from these log lines.
         debug!(self.context.log, "message received"; "id" => &request.request_id,
             "destination" => request.destination.0,
             "channel" => request.tenant.and_then(|tenant| self.names.tenants.get(tenant.0)),
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Journals a message under a new id, if it may be admitted.
+    /// Journals a message under a new id, or returns why it must not be admitted.
     fn admit(&mut self, request: &Request) -> Result<MessageId, Rejection> {
         may_admit(&AdmissionFacts {
             draining: self.stopped,
@@ -74,11 +74,11 @@
                 SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)
             }
         };
-        // Where the client is gone, nobody waits for the reply.
+        // Sending fails if the client has disconnected; nobody needs the reply then.
         let _ = reply.try_send(answer);
     }
 
-    /// Opens a message that the policy does not know, and brings it to the policy.
+    /// Opens a message that the policy does not know yet, and queues it for the policy's next step.
     pub(super) fn open_new(&mut self, mut message: InFlightMessage, reply: Option<Sender<SubmitReply>>) {
         let (destination, class) = (message.request.destination, message.request.class);
         message.stats = self.context.routes.of(destination, self.endpoints.kind(destination), class);
@@ -88,7 +88,7 @@
         self.events.push(event);
     }
 
-    /// Opens a message.
+    /// Adds a message to the open ones: reserves its request id, and tracks it in the ledger and the gauge.
     pub(super) fn open(
         &mut self,
         message: InFlightMessage,
@@ -110,14 +110,15 @@
         self.context.gauges.open_messages.increment();
     }
 
-    /// Makes no step any more. Messages that wait for the next step are accepted: they are journaled, so they are owed, and without
-    /// a reply their clients' connections would end on a request that was read.
+    /// Stops making steps. Messages that wait for the next step are accepted: they are journaled, so the next process
+    /// will deliver them, and without a reply their clients' connections would be closed after a request that was
+    /// read.
     pub(super) fn stop(&mut self) {
         self.stopped = true;
         for (id, open) in &mut self.messages {
             if let Some(reply) = open.reply.take() {
                 self.context.counters.messages_accepted.add();
-                // Where the client is gone, the message is owed all the same.
+                // Sending fails if the client has disconnected; the journaled message must be delivered all the same.
                 let _ = reply.try_send(SubmitReply::Accepted(*id));
             }
         }
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: the calls that the policy has decided on go to the endpoints' actors, and come back complete.
+//! Attempts: sends the calls that the policy has decided on to the endpoints' actors, and processes their completions.
 
 use super::actor::{AttemptInFlight, DeliveryActor};
 use crate::net::call::{Attempt, AttemptId, AttemptResult, Call, CallCompletion, CallResult};
@@ -9,27 +9,28 @@
 use slog::{info, warn};
 use std::rc::Rc;
 
-/// A call of one step, as the policy's actions put it together.
+/// A call of one step: all attempts to which the policy gave the same call number and endpoint.
 pub(super) struct PlannedCall {
-    /// The policy's number for it.
+    /// The policy's number of the call, by which the attempts of one call are recognized.
     number: u64,
     endpoint: EndpointId,
     attempts: Vec<Attempt>,
 }
 
-/// One attempt of a call that is complete.
+/// One attempt of a completed call.
 struct CompletedAttempt {
     id: AttemptId,
     endpoint: EndpointId,
-    /// From the policy's decision to the completion.
+    /// The time from the policy's decision to the completion, in microseconds.
     elapsed: Micros,
     result: AttemptResult,
     report: Option<LoadReport>,
 }
 
 impl DeliveryActor {
-    /// Adds the attempt of an [`Action::Send`] to the calls of this step. Messages share a call as the policy decided. Guards
-    /// against two calls of one step to one endpoint that become one: it would be abandoned for all at the shorter timeout.
+    /// Adds the attempt of an [`Action::Send`] to the calls of this step. Attempts share a call only if the policy
+    /// numbered them so: merging two calls to one endpoint would abandon all attempts at the shorter of the two
+    /// timeouts.
     pub(super) fn plan_attempt(&self, calls: &mut Vec<PlannedCall>, action: &Action) {
         let Action::Send { id, endpoint, call, timeout_at, send_by, final_attempt } = *action else { return };
         let Some(open) = self.messages.get(&id) else { return };
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Sends the calls to their endpoints' actors.
+    /// Sends each call to its endpoint's actor. A call that cannot be sent there is completed as not sent.
     pub(super) fn send_calls(&mut self, now: Micros, calls: Vec<PlannedCall>) {
         for planned in calls {
             let endpoint = planned.endpoint;
@@ -78,18 +79,19 @@
         Call::new(endpoint, attempts, now, cancelled)
     }
 
-    /// A call that did not even reach its endpoint's actor is completed by the mailbox, as any other.
+    /// Completes a call that could not be sent to its endpoint's actor. The completion arrives in the mailbox like
+    /// any other.
     fn complete_unsent(&self, call: Call) {
         let result = CallResult::same_for_all(call.attempts.len(), AttemptResult::of(Outcome::NotSent));
         let delivery = self.context.delivery.clone();
         let completing = async move {
-            // The mailbox is this actor's own: it is closed only at the end of the process.
+            // This actor's own mailbox is closed only when the process ends.
             let _ = delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
         };
         self.context.executor.spawn(completing).detach();
     }
 
-    /// Cancels an attempt, if it is in flight.
+    /// Cancels an attempt of a message, if that attempt is still in flight.
     pub fn cancel(&self, id: MessageId, attempt: u32) {
         let in_flight = self.messages.get(&id).and_then(|open| open.attempt.as_ref());
         if let Some(in_flight) = in_flight.filter(|in_flight| in_flight.number == attempt) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Takes in a call that is complete, here or at the predecessor.
+    /// Processes the completion of a call that this process or its predecessor made.
     pub(super) fn call_completed(&mut self, completion: CallCompletion) {
         let CallCompletion { endpoint, sent, attempts, result } = completion;
         let elapsed = self.context.clock.now().saturating_sub(sent);
@@ -107,7 +109,8 @@
         for (id, result) in attempts.into_iter().zip(result.attempts) {
             self.attempt_completed(CompletedAttempt { id, endpoint, elapsed, result, report });
         }
-        // A response may ask to wait and yet reject nothing.
+        // A rejected attempt carries the retry-after in its outcome; a response that rejects nothing needs an event
+        // of its own.
         if let Some(retry_after) = result.retry_after.filter(|_| !rejected_with_wait) {
             self.events.push(Event::RetryAfter { endpoint, retry_after });
         }
@@ -143,14 +146,14 @@
         });
     }
 
-    /// The message of an attempt, which is no longer in flight.
+    /// Marks an attempt as no longer in flight. Returns its message; `None` if the message is not open any more.
     fn take_from_flight(&mut self, attempt: AttemptId) -> Option<Rc<InFlightMessage>> {
         let open = self.messages.get_mut(&attempt.message)?;
         open.attempt.take_if(|in_flight| in_flight.number == attempt.number);
         Some(open.message.clone())
     }
 
-    /// Nothing more is owed for a message, by what its endpoint has responded.
+    /// Ends a message whose endpoint has delivered it or has found it expired.
     fn ended_by_endpoint(&mut self, id: MessageId, outcome: Outcome, message: Option<&InFlightMessage>) {
         let delivered = outcome == Outcome::Ok;
         let end = if delivered { MessageEnd::Delivered } else { MessageEnd::Expired };
@@ -167,7 +170,7 @@
     }
 }
 
-/// Whether an attempt with this outcome has certainly not run at the endpoint.
+/// Whether the outcome proves that the endpoint did not run the attempt.
 fn never_ran(outcome: Outcome) -> bool {
     matches!(
         outcome,
--- a/src/net/delivery/endpoints.rs
+++ b/src/net/delivery/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that may be called, and the mailboxes of their actors.
+//! The endpoints that the endpoint list names, and the mailboxes of their actors.
 
 use crate::net::messages::EndpointMessage;
 use crate::net::{endpoint, Context};
@@ -7,20 +7,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// Beyond the calls and the connections that come back from them, a mailbox takes so many messages more.
+/// Capacity of an endpoint's mailbox beyond one call and one returned connection for each concurrent call.
 const SPARE_MAILBOX_PLACES: usize = 16;
 
-/// The kind of a destination, and how many of the listed endpoints serve it.
+/// A destination with at least one listed endpoint.
 struct Destination {
     kind: KindId,
+    /// How many listed endpoints serve it.
     endpoints: usize,
-}
+    }
 
-/// The endpoints of the list.
+/// The listed endpoints, with their destinations and the mailboxes of their actors.
 #[derive(Default)]
 pub(super) struct Endpoints {
     listed: BTreeMap<EndpointId, DestinationId>,
-    /// The actors of those that were ever called.
+    /// The mailboxes of the endpoints that were called at least once.
     actors: BTreeMap<EndpointId, Sender<EndpointMessage>>,
     destinations: BTreeMap<DestinationId, Destination>,
 }
@@ -62,7 +63,7 @@
         destination.endpoints += usize::from(new);
     }
 
-    /// Removes an endpoint, its actor, and its destination if no other endpoint serves that.
+    /// Removes an endpoint and its actor. The destination is removed with its last endpoint.
     fn remove(&mut self, endpoint: EndpointId) {
         self.actors.remove(&endpoint);
         let Some(id) = self.listed.remove(&endpoint) else { return };
@@ -73,12 +74,13 @@
         }
     }
 
-    /// The kind of a destination that the list names.
+    /// The kind of a destination; `None` if no listed endpoint serves it.
     pub fn kind(&self, destination: DestinationId) -> Option<KindId> {
         self.destinations.get(&destination).map(|destination| destination.kind)
     }
 
-    /// The mailbox of an endpoint's actor, which is started at the first call: most endpoints of a large list never get one.
+    /// The mailbox of an endpoint's actor; `None` if the endpoint is not listed. The actor is started at the first
+    /// call, since most endpoints of a large list are never called by this process.
     pub fn actor(&mut self, context: &Rc<Context>, endpoint: EndpointId) -> Option<&Sender<EndpointMessage>> {
         if !self.listed.contains_key(&endpoint) {
             return None;
@@ -92,15 +94,15 @@
         }))
     }
 
-    /// Closes the idle connections to an endpoint.
+    /// Asks an endpoint's actor to close its idle connections.
     pub fn close_idle(&self, endpoint: EndpointId) {
         if let Some(actor) = self.actors.get(&endpoint) {
-            // Where its mailbox is full, its connections are in use.
+            // The mailbox is full only if the endpoint's connections are in use, so that none is idle.
             let _ = actor.try_send(EndpointMessage::CloseIdle);
         }
     }
 
-    /// Closes the idle connections to all endpoints.
+    /// Asks the actors of all endpoints to close their idle connections.
     pub fn close_all_idle(&self) {
         self.actors.keys().for_each(|endpoint| self.close_idle(*endpoint));
     }
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -1,4 +1,5 @@
-//! The hand-over as the delivery actor sees it: the state for a successor, and going on from a predecessor's.
+//! The delivery actor's part in a hand-over: it exports its state to a successor, and resumes from a predecessor's
+//! state.
 
 use super::actor::{AttemptInFlight, DeliveryActor};
 use crate::journal::JournaledMessage;
@@ -12,7 +13,7 @@
 use std::collections::BTreeMap;
 
 impl DeliveryActor {
-    /// The state for a successor, just after a step of the policy.
+    /// The state that is sent to a successor. Must be called just after a step, when no events wait for the policy.
     pub fn state(&self, list: MembershipSnapshot) -> HandOverState {
         let open = self.messages.iter().map(|(id, open)| HandOverMessage {
             id: *id,
@@ -23,7 +24,7 @@
                 .as_ref()
                 .map(|attempt| HandOverAttempt { number: attempt.number, endpoint: attempt.endpoint }),
         });
-        // What has ended with an attempt in flight at an earlier process is not in `messages` any more.
+        // Messages that ended while an attempt was in flight at an earlier process are not in `messages` any more.
         let ended =
             self.predecessor_attempts.iter().filter(|(id, _)| !self.messages.contains_key(&id.message));
         let ended = ended.map(|(attempt, endpoint)| HandOverMessage {
@@ -33,7 +34,7 @@
             in_flight: Some(HandOverAttempt { number: attempt.number, endpoint: *endpoint }),
         });
         HandOverState {
-            // A policy that cannot be serialized is refused by the successor, and this process serves on.
+            // If the policy cannot be serialized, the successor rejects the state and this process goes on serving.
             policy: serde_json::to_value(&self.policy).unwrap_or_default(),
             last_id: self.last_id,
             messages: open.chain(ended).collect(),
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Goes on where the predecessor stopped. What its policy knew is in the journal; for what only the journal knows, a delivery
-    /// report is due. Returns the endpoint list of the state.
+    /// Resumes the predecessor's work from its state and the journal. Messages that only the journal has are restored
+    /// as after a restart. Returns the endpoint list of the state.
     pub async fn resume_from(
         &mut self,
         state: HandOverState,
@@ -73,7 +74,8 @@
         state.list
     }
 
-    /// Opens a message that the policy knows. One of a class that was removed has ended; the policy waits for its attempt.
+    /// Opens a message that the predecessor's policy already knows. A message whose class was removed from the
+    /// settings is not opened; the policy still receives the end of its attempt in flight.
     fn resume_message(
         &mut self,
         handed_over: &HandOverMessage,
@@ -92,8 +94,9 @@
         self.context.counters.inherited.add();
     }
 
-    /// Completes the attempts that were in flight at a predecessor that is gone: they may have run. The predecessor failed, not
-    /// the endpoint, so no ejection may count them.
+    /// Returns a completion for each attempt that was in flight at a predecessor that is gone. The outcome says that
+    /// the attempt may have run, but that its connection failed and not its endpoint: the failure must not contribute
+    /// to an ejection.
     pub fn take_lost_calls(&mut self) -> Vec<CallCompletion> {
         let sent = self.context.clock.now();
         let lost = |(attempt, endpoint): (AttemptId, EndpointId)| {
@@ -103,7 +106,8 @@
         std::mem::take(&mut self.predecessor_attempts).into_iter().map(lost).collect()
     }
 
-    /// Stops deciding: a successor does from here on. Only the calls in flight are still this process's.
+    /// Stops making decisions, since a successor makes them from here on. Calls in flight are still completed by this
+    /// process.
     pub fn step_down(&mut self) {
         self.stopped = true;
         self.context.gauges.open_messages.set(0);
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -1,4 +1,5 @@
-//! The end of a message: counted, logged, journaled, and reported to its client by the reply or by a delivery report.
+//! The end of a message: it is counted, logged and journaled, and its client learns of it by the reply or a delivery
+//! report.
 
 use super::actor::{DeliveryActor, OpenMessage};
 use crate::journal::ReportedEnd;
@@ -8,10 +9,10 @@
 use async_channel::Sender;
 use slog::info;
 
-/// How the policy has ended a message.
+/// How the policy has ended a message that was not delivered.
 #[derive(Clone, Copy)]
 pub(super) enum Abandoned {
-    /// Its client may safely send it again, after this time if the policy advises one.
+    /// The client may safely send it again, after this time if the policy gives one.
     Returned(Option<Micros>),
     /// It may or may not have taken effect.
     Failed,
@@ -45,7 +46,7 @@
 }
 
 impl DeliveryActor {
-    /// Ends a message whose client is gone before the reply.
+    /// Ends a message whose client disconnected before the reply.
     pub(super) fn withdraw(&mut self, id: MessageId) {
         if self.end_message(id, MessageEnd::Withdrawn) {
             self.context.journal.record_completed(id);
@@ -55,8 +56,9 @@
         }
     }
 
-    /// Withdraws an undecided message whose client has ended its sending, and replies that it was not accepted. If the journal does
-    /// not take that, a restart would find the message open, so it is decided as any other.
+    /// Withdraws a message without a reply so far, as its client has shut down its sending side, and replies that the
+    /// message was not accepted. If the end cannot be journaled, a restart would find the message open; it then stays
+    /// open here too.
     pub(super) fn client_ended(&mut self, request_id: &str) {
         let undecided =
             |open: &&mut OpenMessage| open.reply.is_some() && open.message.request.request_id == request_id;
@@ -68,11 +70,12 @@
         let reply = open.reply.take();
         self.withdraw(id);
         self.context.counters.unavailable.add();
-        // Where the client is gone, nobody waits for the reply.
+        // Sending fails if the client has disconnected; nobody needs the reply then.
         let _ = reply.map(|reply| reply.try_send(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)));
     }
 
-    /// Ends a message as the policy decided: by the reply if that is still to be written, or else by a delivery report.
+    /// Ends a message as the policy decided. The client learns of it by the reply if none was sent yet, or else by a
+    /// delivery report.
     pub(super) async fn abandon(&mut self, id: MessageId, abandoned: Abandoned, reason: AbandonReason) {
         if !self.end_message(id, abandoned.message_end()) {
             return;
@@ -89,12 +92,12 @@
         self.remove_if_over(id);
     }
 
-    /// Replies to the client how its message ended. If the journal does not take the end, a restart would find the message open
-    /// after the reply: the client is told that it is accepted, which the journal has, and false is returned.
+    /// Replies to the client how its message ended. If the end cannot be journaled, a restart would find the message
+    /// open: the client is then told that the message is accepted, as the journal says, and false is returned.
     fn reply_end(&self, id: MessageId, abandoned: Abandoned, reply: &Sender<SubmitReply>) -> bool {
         if self.context.journal.try_record_completed(id).is_err() {
             self.context.counters.messages_accepted.add();
-            // Where the client is gone, the end of its message is reported all the same.
+            // Sending fails if the client has disconnected; a delivery report follows in any case.
             let _ = reply.try_send(SubmitReply::Accepted(id));
             return false;
         }
@@ -102,12 +105,12 @@
             Abandoned::Returned(_) => self.context.counters.unavailable.add(),
             Abandoned::Failed => self.context.counters.failed.add(),
         }
-        // Where the client is gone, nobody waits for the reply.
+        // Sending fails if the client has disconnected; nobody needs the reply then.
         let _ = reply.try_send(abandoned.reply());
         true
     }
 
-    /// Marks the end of a message; false if it had ended before.
+    /// Marks a message as ended. Returns false if it is not open or had ended before.
     pub(super) fn end_message(&mut self, id: MessageId, end: MessageEnd) -> bool {
         let Some(open) = self.messages.get(&id).filter(|open| !open.message.is_over()) else { return false };
         let message = &open.message;
@@ -121,7 +124,7 @@
         true
     }
 
-    /// Removes a message that has ended, once no attempt of it is in flight.
+    /// Removes a message if it has ended and no attempt of it is in flight.
     pub(super) fn remove_if_over(&mut self, id: MessageId) {
         if !self.messages.get(&id).is_some_and(|open| open.message.is_over() && open.attempt.is_none()) {
             return;
@@ -132,13 +135,13 @@
         }
     }
 
-    /// Journals the end of a message and has it reported.
+    /// Journals the end of a message and queues its delivery report.
     pub(super) async fn report_end(&mut self, report: DeliveryReport) {
         self.context.journal.record_end(report.id, report.end);
         self.queue_report(report).await;
     }
 
-    /// Has an end reported that the journal has.
+    /// Queues a delivery report for an end that was journaled before.
     pub(super) async fn queue_report(&mut self, report: DeliveryReport) {
         match report.end {
             ReportedEnd::Failed => self.context.counters.failed.add(),
@@ -146,7 +149,7 @@
         }
         self.context.gauges.reports_pending.increment();
         self.context.request_ids.acquire(&report.request_id);
-        // The sender of reports ends only with the process; then the next one finds the report in the journal.
+        // Sending fails only as the process ends; the next process finds the report in the journal.
         let _ = self.reports.send(report).await;
     }
 }
--- a/src/net/delivery/mod.rs
+++ b/src/net/delivery/mod.rs
@@ -1,6 +1,6 @@
-//! The delivery actor: it brings events to the delivery policy and carries out the actions that the policy returns.
+//! The delivery actor: it passes events to the delivery policy and performs the actions that the policy returns.
 //!
-//! One struct, [`DeliveryActor`]; each file holds one of its jobs.
+//! All of it is one struct, [`DeliveryActor`], whose methods are split over the files by task.
 
 mod actor;
 mod admission;
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -1,4 +1,4 @@
-//! Restores from the journal what an earlier process had accepted and not ended.
+//! Restores from the journal the messages that an earlier process accepted and did not complete.
 
 use super::actor::DeliveryActor;
 use crate::journal::{JournaledMessage, Progress, ReportedEnd};
@@ -7,7 +7,8 @@
 use crate::{ClassId, DestinationId, MessageId, TenantId, ZoneId};
 
 impl DeliveryActor {
-    /// Brings the journaled messages to the policy, each under its id, and reports those that must not be sent again.
+    /// Passes the journaled messages to the policy under their ids, and queues delivery reports for those that must
+    /// not be sent again.
     pub async fn restore(&mut self, journaled: Vec<(u64, JournaledMessage)>) {
         for (id, journaled) in journaled {
             self.context.counters.restored.add();
@@ -20,7 +21,7 @@
                 deadline: journaled.deadline,
             };
             match (journaled.progress.report, end) {
-                // The platform may have had the report: the message must not be sent after it.
+                // The platform may already have received this report, so the message must not be sent any more.
                 (Some(journaled_end), _) => self.queue_report(report(journaled_end, journaled)).await,
                 (None, Some(end)) => self.report_end(report(end, journaled)).await,
                 (None, None) => self.restore_message(id, journaled),
@@ -28,7 +29,9 @@
         }
     }
 
-    /// The end of a message that is not sent again: one that may not run twice fails, as does one of a class that was removed.
+    /// How a message ends that must not be sent again; `None` if it may be sent. A non-idempotent message that may
+    /// have run fails. A message whose class was removed from the settings fails if it may have run, and is returned
+    /// otherwise.
     fn end_without_attempt(&self, journaled: &JournaledMessage) -> Option<ReportedEnd> {
         let may_have_run = journaled.progress.may_have_run();
         match self.class_of(journaled) {
@@ -49,18 +52,20 @@
         let mut message = InFlightMessage::new(id, request, attempts);
         message.restored = true;
         message.first_attempt = first_attempt.map(|start| {
-            // A zone that was removed takes no retry.
+            // If the zone was removed from the settings, `usize::MAX` matches no other: a retry that must stay in it
+            // is not sent.
             let zone = self.names.zones.iter().position(|zone| *zone == start.zone).unwrap_or(usize::MAX);
             (start.started_at, ZoneId(zone))
         });
         self.open_new(message, None);
     }
 
-    /// The class of a journaled message, unless that was removed.
+    /// The class of a journaled message; `None` if it was removed from the settings.
     pub(super) fn class_of(&self, journaled: &JournaledMessage) -> Option<ClassId> {
         self.names.classes.iter().position(|class| *class == journaled.class).map(ClassId)
     }
 
+    /// Builds the client's request from a journaled message. `may_have_run`: an attempt may have run at an endpoint.
     pub(super) fn request_of(
         &self,
         journaled: JournaledMessage,
--- a/src/net/delivery/status.rs
+++ b/src/net/delivery/status.rs
@@ -1,11 +1,11 @@
-//! The status for operators.
+//! The status report of destinations and tenants for operators.
 
 use super::actor::DeliveryActor;
 use crate::{DestinationStatus, Micros};
 use serde_json::{json, Value};
 
 impl DeliveryActor {
-    /// Each destination with its breaker, and what was received of each tenant.
+    /// The state of each destination, and how many messages were received from each tenant.
     pub(super) fn status(&self) -> Value {
         let now = self.context.clock.now();
         let destinations: Vec<Value> = self.policy.status(now).map(destination_status).collect();
--- a/src/net/delivery/step.rs
+++ b/src/net/delivery/step.rs
@@ -1,4 +1,4 @@
-//! A step: the collected events go to the policy, and its actions are carried out in their order.
+//! A step: passes the collected events to the policy and performs the actions that it returns, in their order.
 
 use super::actor::DeliveryActor;
 use super::attempts::PlannedCall;
@@ -10,7 +10,7 @@
 use std::cmp::Reverse;
 
 impl DeliveryActor {
-    /// Makes a step, if there is an event.
+    /// Makes a step, unless there is no event.
     pub(super) async fn step(&mut self) {
         let now = self.context.clock.now();
         self.last_step = now;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Withdraws new messages whose clients are gone, before anything is sent for them.
+    /// Withdraws new messages whose clients have disconnected, before an attempt is made for them.
     fn withdraw_messages_of_gone_clients(&mut self) {
         let withdrawn = |event: &Event| match event {
             Event::Message(message) => {
@@ -61,7 +61,7 @@
         withdrawn.into_iter().for_each(|id| self.withdraw(id));
     }
 
-    /// A message's time runs from its last byte, not from the step.
+    /// Updates the time left of new messages: a deadline counts from the last byte of the request, not from the step.
     fn refresh_time_left(&self, events: &mut [Event], now: Micros) {
         for event in events {
             if let Event::Message(message) = event {
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Records in the endpoint table the drains that the policy has learned of by these events.
     fn record_observed_drains(&self, events: &[Event], now: Micros) {
         for event in events {
             let Event::EndpointList(
@@ -98,12 +99,12 @@
                     self.timers.push(Reverse(PolicyTimer { due_at: now + delay, token }));
                 }
                 Action::CloseIdle { endpoint } => {
-                    // The calls decided before it may use these connections.
+                    // Calls that the policy decided on before this action may still use the idle connections.
                     self.send_calls(now, std::mem::take(&mut calls));
                     self.endpoints.close_idle(endpoint);
                 }
                 Action::Subscribe => {
-                    // Where its mailbox is full, the endpoint list actor is awake and watches anyway.
+                    // If its mailbox is full, the endpoint list actor is running and resubscribes anyway.
                     let _ = self.endpoint_list.try_send(EndpointListMessage::Resubscribe);
                 }
                 Action::HealthCheck { endpoint } => {
@@ -115,7 +116,7 @@
         self.send_calls(now, calls);
     }
 
-    /// Replies to the client of a new message that it is accepted, unless the step has ended it.
+    /// Tells the client of a new message that it is accepted, unless this step has ended the message.
     fn accept(&mut self, message: &NewMessage) {
         let Some(open) = self.messages.get_mut(&message.id) else { return };
         let Some(reply) = open.reply.take() else { return };
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -1,5 +1,5 @@
-//! Opens connections. This goes through the C library, as all other socket calls of the program do, so that tests can make each
-//! step fail.
+//! Opens TCP connections. All socket calls of the program go through the C library, so that tests can make each of
+//! them fail.
 
 use crate::net::http::HttpError;
 use crate::net::within_or_error;
@@ -10,22 +10,22 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The pause after the first try that failed because this machine ran out of something; it doubles with each.
+/// The pause after the first connect that failed as this machine lacked a resource. It doubles with each failure.
 const FIRST_SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
-/// The longest such pause.
+/// The upper bound of that pause.
 const MAX_SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
 
-/// Opens a connection; it may take as long as the system tries.
+/// Opens a connection, with no other time limit than that of the operating system.
 ///
 /// # Errors
 ///
-/// Those of the socket, also what this machine runs out of for a moment.
+/// Any error of the socket, including a temporary lack of resources on this machine.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
-        // An interrupted connect goes on as well.
+        // The system continues an interrupted connect in the background, like one in progress.
         Err(e) if has_errno(&e, &[Errno::INPROGRESS, Errno::INTR]) => {}
         Err(e) => return Err(e),
     }
@@ -37,12 +37,12 @@
     }
 }
 
-/// Opens a connection within a time. What this machine runs out of for a moment says nothing of the other side, so the
-/// connect is tried again.
+/// Opens a connection within a time limit. If this machine temporarily lacks a resource, the connect is retried,
+/// since that says nothing about the remote side.
 ///
 /// # Errors
 ///
-/// Those of the socket; silence up to the limit is a malformed answer.
+/// Any other error of the socket, or [`HttpError::Malformed`] if the connection is not established within the limit.
 pub async fn connect_within(address: SocketAddr, limit: Duration) -> Result<Async<TcpStream>, HttpError> {
     let connecting = async {
         let mut pause = FIRST_SHORTAGE_PAUSE;
@@ -63,7 +63,7 @@
     error.raw_os_error().is_some_and(|number| numbers.contains(&Errno::from_raw_os_error(number)))
 }
 
-/// Descriptors, memory or ports have run out on this machine.
+/// Whether the error is a lack of file descriptors, memory or ports on this machine.
 fn is_shortage(error: &io::Error) -> bool {
     let shortages =
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
--- a/src/net/endpoint/actor.rs
+++ b/src/net/endpoint/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of an endpoint: it owns the idle connections and starts the calls.
+//! The actor of an endpoint: it owns the idle connections to the endpoint and starts the calls.
 
 use super::call;
 use super::connection_end::ConnectionEnd;
@@ -10,7 +10,8 @@
 use futures_lite::future;
 use std::rc::Rc;
 
-/// Runs until the mailbox is closed: the endpoint was removed, and its calls are complete. `own` is the mailbox's sender.
+/// Runs until all senders of the mailbox are dropped, that is until the endpoint was removed from the list and its
+/// calls are complete. `own_mailbox` is the sender of the same mailbox, by which calls return their connections.
 pub async fn run(
     context: Rc<Context>,
     endpoint: EndpointId,
@@ -27,7 +28,7 @@
             None => pool.close_unusable(),
             Some(Ok(EndpointMessage::Call(call))) => {
                 let idle = pool.take();
-                // Where the endpoint was removed, connections are not returned to the pool.
+                // `None` once the endpoint was removed: the call's connection is then closed instead of returned.
                 let pool_mailbox = own.upgrade();
                 context.executor.spawn(call::run(context.clone(), call, idle, pool_mailbox)).detach();
             }
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -1,5 +1,5 @@
-//! A call under way: it ends by its response, a failure, its timeout or a cancellation, and its connection returns to the pool
-//! or is closed before the delivery actor learns of the end.
+//! A call in flight: it ends with a response, a failure, a timeout or a cancellation. Its connection is returned to
+//! the pool or closed before the delivery actor receives the completion.
 
 use super::connection_end::{CallFailure, ConnectionEnd};
 use super::exchange::{exchange, CallEnd, Progress, Stage};
@@ -18,7 +18,7 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Makes a call and reports its result to the delivery actor.
+/// Makes a call and sends its completion to the delivery actor. `idle` is a connection to reuse.
 pub(super) async fn run(
     context: Rc<Context>,
     call: Call,
@@ -34,12 +34,13 @@
     let unreported: Vec<usize> = (0..call.attempts.len()).filter(|index| open_attempts[*index]).collect();
     result.attempts = unreported.iter().map(|index| result.attempts[*index]).collect();
     let call = call.with(&unreported);
-    // Only now, with the connection dropped or idle, may the policy know: its next attempt must not find this one in flight.
+    // Sent only now that the connection is closed or idle: the endpoint must not see a further attempt while this one
+    // is in flight.
     report(&context, &call, result).await;
 }
 
 async fn report(context: &Context, call: &Call, result: CallResult) {
-    // The delivery actor ends only with the process: nobody is left to notify.
+    // Sending fails only as the process ends, with no delivery actor left to notify.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
 }
 
@@ -76,7 +77,8 @@
     ended.failed(failure, connection)
 }
 
-/// Waits for the end of a call. Attempts that time out for good before the others are reported meanwhile.
+/// Waits for the end of a call. Attempts that time out at their message's deadline, before the others of the call,
+/// are reported meanwhile and marked as closed in `open_attempts`.
 async fn until_end(
     context: &Context,
     call: &Call,
@@ -92,7 +94,7 @@
             CallEnd::TimedOut
         };
         let cancelled = async {
-            // Nothing is ever sent: the channel is closed to cancel.
+            // Nothing is ever sent on this channel: closing it cancels the call.
             let _ = call.cancelled.recv().await;
             CallEnd::Cancelled
         };
@@ -107,7 +109,7 @@
     }
 }
 
-/// A call that has ended, with how far it had come.
+/// A call that has ended, with the progress that it had made.
 struct EndedCall<'a> {
     context: &'a Rc<Context>,
     call: &'a Call,
@@ -116,7 +118,8 @@
 }
 
 impl EndedCall<'_> {
-    /// The results that a response gives; its connection returns to the pool if it can be reused.
+    /// Reads the results from a response. The connection is returned to the pool if it can be reused, and closed
+    /// otherwise.
     async fn responded(
         &self,
         response: &Response,
@@ -138,7 +141,7 @@
         result
     }
 
-    /// Nothing was sent, so the connection is as good as before.
+    /// The result of a call whose first byte was refused. Nothing was written, so the connection can still be reused.
     async fn not_sent(
         &self,
         refusal: SendRefusal,
@@ -162,7 +165,8 @@
         CallFailure::of_connection(error, self.since_written_unanswered(connection))
     }
 
-    /// Closes the connection of a failed call, or reads on for a late response.
+    /// The result of a call without a complete response. Its connection is closed, or kept for a moment to read a
+    /// late response.
     fn failed(&self, failure: CallFailure, connection: Option<HttpConnection>) -> CallResult {
         let delivered = self.is_delivered(connection.as_ref());
         let abandoned = matches!(failure, CallFailure::TimedOut | CallFailure::Cancelled);
@@ -182,14 +186,16 @@
         self.progress.stage.get() == Stage::Written
     }
 
-    /// A status line with 200 delivers a single message, whatever becomes of the rest of the response.
+    /// Whether the message of a call was delivered although its response is not complete: for a single message the
+    /// status line with 200 is enough.
     fn is_delivered(&self, connection: Option<&HttpConnection>) -> bool {
         let single = self.call.attempts.len() == 1;
         single
             && (self.progress.status.get() == Some(200) || connection.is_some_and(response::starts_with_ok))
     }
 
-    /// The time since the request was written to a reused connection, if no byte of a response was received.
+    /// The time since the request was written, in microseconds; `None` if the connection was new or any byte of a
+    /// response was received.
     fn since_written_unanswered(&self, connection: Option<&HttpConnection>) -> Option<Micros> {
         let written_at = self.progress.written_at.get()?;
         let unanswered = self.progress.status.get().is_none()
@@ -203,6 +209,6 @@
 }
 
 async fn return_to_pool(connection: HttpConnection, pool: &Sender<EndpointMessage>) {
-    // Where the pool is gone, the connection is dropped.
+    // Sending fails if the endpoint's actor has ended; the connection is then closed.
     let _ = pool.send(EndpointMessage::ReturnConnection(connection)).await;
 }
--- a/src/net/endpoint/connection_end.rs
+++ b/src/net/endpoint/connection_end.rs
@@ -1,11 +1,12 @@
-//! Why a connection to an endpoint was closed, and what that means for the attempts that were in flight on it.
+//! Why a connection to an endpoint was closed, and which outcome that gives to the attempts in flight on it.
 
 use crate::invariants::connection::CloseReason;
 use crate::net::http::HttpError;
 use crate::{EndpointId, Micros, Outcome};
 use slog::{info, Logger};
 
-/// A reused connection that fails within this after the request was written was dead before: no endpoint works so fast.
+/// A reused connection that fails within this time after the request was written, in microseconds, is taken to have
+/// been dead before: no endpoint processes a request so fast.
 pub const STALE_WITHIN: Micros = 50_000;
 
 /// Why a call ended without a response.
@@ -15,22 +16,22 @@
     ConnectFailed,
     /// The reused connection was dead before the request was written.
     StaleConnection,
-    /// The connection failed after the request was written; the code of the error.
+    /// The connection failed after the request was written, with this error code.
     Reset(&'static str),
-    /// The timeout was over after the request was written.
+    /// The timeout expired after the request was written.
     TimedOut,
-    /// The timeout was over before the request was written.
+    /// The timeout expired before the request was written.
     TimedOutBeforeSent,
-    /// The delivery actor cancelled it after the request was written.
+    /// The delivery actor cancelled the call after the request was written.
     Cancelled,
-    /// The delivery actor cancelled it before the request was written.
+    /// The delivery actor cancelled the call before the request was written.
     CancelledBeforeSent,
 }
 
 impl CallFailure {
-    /// The meaning of a connection that failed after the request was written. `since_written` is the time from the request to the
-    /// failure, given only where the connection was reused and no byte of a response was received: idle connections die
-    /// unnoticed, which says little of the endpoint.
+    /// Classifies the failure of a connection after the request was written. `since_written` is the time from the
+    /// request to the failure in microseconds, given only if the connection was reused and no byte of a response was
+    /// received: an idle connection can die unnoticed, which says little about the endpoint's health.
     pub fn of_connection(error: &HttpError, since_written: Option<Micros>) -> Self {
         match error {
             HttpError::Closed | HttpError::Socket(_)
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The outcome of the attempts that were in flight.
+    /// The outcome of the attempts of the failed call.
     pub fn outcome(self) -> Outcome {
         match self {
             CallFailure::ConnectFailed | CallFailure::TimedOutBeforeSent => Outcome::ConnectFailed,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Its name in logs.
+    /// The name of the failure in logs.
     pub fn name(self) -> &'static str {
         match self {
             CallFailure::ConnectFailed => "connect-failed",
@@ -71,24 +72,24 @@
 /// Why a connection to an endpoint was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// The process has as many idle connections as it may.
+    /// The process already has the maximum number of idle connections.
     PoolFull,
-    /// The delivery policy had the idle connections closed.
+    /// The delivery policy asked to close the endpoint's idle connections.
     CloseIdle,
     /// The endpoint was removed from the list.
     EndpointRemoved,
-    /// It was idle and is of no more use.
+    /// The idle connection must not be reused, for this reason.
     NotReusable(CloseReason),
-    /// A response was received after which it cannot be reused.
+    /// The connection cannot be reused after the response that was received.
     Response,
-    /// The endpoint has no connection left for this process.
+    /// The endpoint rejected the call since it has too many connections.
     ConnectionLimit,
-    /// Its call failed.
+    /// The call on the connection failed.
     CallFailed(CallFailure),
 }
 
 impl ConnectionEnd {
-    /// Its name in logs.
+    /// The name of the reason in logs.
     pub fn name(self) -> &'static str {
         match self {
             ConnectionEnd::PoolFull => "no-room",
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Logs the end of a connection to an endpoint.
+    /// Logs that a connection to an endpoint was closed.
     pub fn log(self, log: &Logger, endpoint: EndpointId) {
         info!(log, "connection ended"; "side" => "endpoint", "endpoint" => endpoint.0, "reason" => self.name());
     }
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -1,4 +1,5 @@
-//! The exchange of a call on its connection: connect, check what binds the first byte, journal, write, read the response.
+//! The exchange of a call on its connection: connects, checks whether the call may still be sent, journals its
+//! attempts, writes the request and reads the response.
 
 use super::request;
 use super::response::{read_retry_after, Response, RESPONSE_STALL};
@@ -14,21 +15,22 @@
 use std::io;
 use std::time::Duration;
 
+/// The largest body of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// The same for the body of a response whose status line has delivered the message.
+/// The longest pause in the body of a response whose status line has already delivered the message.
 const DELIVERED_BODY_STALL: Duration = Duration::from_millis(50);
 
 /// How a call ended.
 pub(super) enum CallEnd {
     /// The complete response was received.
     Response(Response),
-    /// Its first byte was refused.
+    /// The check before the first byte refused to send the call.
     NotSent(SendRefusal),
-    /// The connection could not be made, or failed.
+    /// The connection could not be opened, or failed.
     ConnectionFailed(HttpError),
-    /// The timeout of all its attempts is over.
+    /// A timeout expired that ends the call for all of its remaining attempts.
     TimedOut,
-    /// The delivery actor cancelled it.
+    /// The delivery actor cancelled the call.
     Cancelled,
 }
 
@@ -38,32 +40,34 @@
     }
 }
 
-/// How far an exchange has come.
+/// The stage that an exchange has reached.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Stage {
-    /// It has no connection yet, or waits for what binds the first byte.
+    /// The connection is being opened, or the checks before the first byte are not complete.
     #[default]
     Connecting,
-    /// Its first byte was refused.
+    /// The check before the first byte refused to send the call.
     NotSent,
     /// The request is being written.
     Writing,
-    /// The request was written.
+    /// The request was written completely.
     Written,
 }
 
-/// What has happened in an exchange, for the time that it is interrupted.
+/// What an exchange has done so far; it is read when the exchange is interrupted by a timeout, a failure or a
+/// cancellation.
 #[derive(Default)]
 pub(super) struct Progress {
     pub stage: Cell<Stage>,
+    /// When the request was written completely.
     pub written_at: Cell<Option<Micros>>,
-    /// The status of the response.
+    /// The status code of the response; `None` until its head was read.
     pub status: Cell<Option<u16>>,
-    /// The wait that the head of the response asks for.
+    /// The retry-after in the head of the response.
     pub retry_after: Cell<Option<Micros>>,
 }
 
-/// Makes a call on the connection, or on a new one that is left in its place.
+/// Makes a call on the connection in `slot`, or on a new one that is put there.
 pub(super) async fn exchange(
     context: &Context,
     call: &Call,
@@ -80,7 +84,7 @@
     check_sendable(context, call, progress)?;
     let zone = context.endpoint_table.get(call.endpoint).map(|known| known.zone);
     journal_attempts(context, call, zone, progress)?;
-    // Writing that down may have taken a while.
+    // Checked again, as writing to the journal can take long.
     let permit = check_sendable(context, call, progress)?;
     progress.stage.set(Stage::Writing);
     record_first_byte(context, call, zone.unwrap_or_default());
@@ -100,7 +104,7 @@
     Ok(HttpConnection::new(connect_within(known.address, timeout).await?))
 }
 
-/// Whether the first byte may be written now.
+/// Checks whether the first byte may be written now. A refusal is counted and logged.
 fn check_sendable(context: &Context, call: &Call, progress: &Progress) -> Result<SendPermit, CallEnd> {
     let facts = SendFacts {
         now: context.clock.now(),
@@ -131,7 +135,7 @@
     Ok(())
 }
 
-/// Counts and logs a call whose first byte is refused.
+/// Counts and logs a call that must not be sent.
 fn not_sent(context: &Context, call: &Call, progress: &Progress, refusal: SendRefusal) -> CallEnd {
     for attempt in &call.attempts {
         context.counters.not_sent(refusal);
@@ -142,7 +146,7 @@
     CallEnd::NotSent(refusal)
 }
 
-/// Counts and logs a call whose first byte is about to be written, and checks it against the rules.
+/// Counts and logs a call whose first byte is about to be written, and reports each invariant that the call violates.
 fn record_first_byte(context: &Context, call: &Call, zone: ZoneId) {
     let now = context.clock.now();
     let table = &context.endpoint_table;
@@ -167,7 +171,7 @@
     context.counters.attempts.more(call.attempts.len());
 }
 
-/// Writes a request; nothing else does.
+/// Writes a request. No other function writes to an endpoint, so none is written without a [`SendPermit`].
 async fn write_request(connection: &mut HttpConnection, _permit: SendPermit, bytes: &[u8]) -> io::Result<()> {
     connection.write(bytes).await
 }
@@ -179,10 +183,10 @@
 ) -> Result<Response, CallEnd> {
     let head = connection.read_response().await?;
     progress.status.set(Some(head.status));
-    // It binds whatever becomes of the body.
+    // The retry-after must be honored even if the body cannot be read.
     progress.retry_after.set(read_retry_after(&head));
     if head.status == 200 && call.attempts.len() == 1 {
-        // The message is delivered; the rest only decides whether the connection can be reused.
+        // The message is delivered. The body only decides whether the connection can be reused.
         connection.stall_timeout = Some(DELIVERED_BODY_STALL);
     }
     let body = connection.response_body(&head, MAX_RESPONSE_BYTES).await?;
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -1,5 +1,5 @@
-//! Reads on for a moment on the connection of an abandoned call: the response that was on its way may ask to wait, which binds
-//! from the moment it was written. Guards against calls during a wait that nobody read.
+//! Reads a late response on the connection of an abandoned call. The response may contain a retry-after, which
+//! applies from the moment the endpoint wrote it; if it were not read, calls would be sent during that time.
 
 use super::response::{read_retry_after, RESPONSE_STALL};
 use crate::net::call::{AttemptResult, CallCompletion, CallResult};
@@ -11,13 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// For how long a response may still be on its way after its call was abandoned: as long as one may pause.
+/// How long to wait for a late response after its call was abandoned. Equal to the longest pause allowed within a
+/// response.
 const READ_FOR: Duration = RESPONSE_STALL;
 
-/// Reads on in the background, then drops the connection.
+/// Waits in the background for a late response, then closes the connection.
 pub(super) fn read(context: &Rc<Context>, endpoint: EndpointId, mut connection: HttpConnection) {
     let readers = &context.gauges.late_response_readers;
-    // The calls of half a second, all abandoned, are no more than that.
+    // This limit suffices even if all calls of half a second are abandoned.
     if readers.get() >= context.config().max_concurrent_calls {
         return;
     }
@@ -37,13 +38,14 @@
     executor.spawn(reading).detach();
 }
 
-/// Notifies the delivery actor by a completion without attempts: theirs were reported when the call was abandoned.
+/// Notifies the delivery actor of the retry-after by a completion without attempts: the attempts were completed when
+/// the call was abandoned.
 async fn report(context: &Context, endpoint: EndpointId, retry_after: Micros) {
     let result = CallResult {
         retry_after: Some(retry_after),
         ..CallResult::same_for_all(0, AttemptResult::of(Outcome::NotSent))
     };
     let completion = CallCompletion { endpoint, sent: context.clock.now(), attempts: Vec::new(), result };
-    // The delivery actor ends only with the process: nobody is left to notify.
+    // Sending fails only as the process ends, with no delivery actor left to notify.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(completion)).await;
 }
--- a/src/net/endpoint/mod.rs
+++ b/src/net/endpoint/mod.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the connections to each of them, the calls on these, and what is known of it at the first byte of a call.
+//! Endpoints: the connections to them, the calls on those connections, and the table of what is known of each endpoint.
 
 mod actor;
 mod call;
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -1,4 +1,4 @@
-//! The idle connections to an endpoint.
+//! The pool of idle connections to an endpoint.
 
 use super::connection_end::ConnectionEnd;
 use crate::invariants::connection::reusable_until;
@@ -13,13 +13,14 @@
 use std::task::{self, Poll, Waker};
 
 struct Idle {
-    connection: HttpConnection,
-    address: Option<SocketAddr>,
-    /// The endpoint may close it soon after this.
+connection: HttpConnection,
+/// The remote address, to detect that the endpoint has moved.
+address: Option<SocketAddr>,
+/// The connection is not reused after this time, since the endpoint may close it soon after.
     reusable_until: Micros,
 }
 
-/// The idle connections to an endpoint; the last one was used last.
+/// The idle connections to an endpoint, ordered from the least to the most recently used.
 pub(super) struct Pool {
     context: Rc<Context>,
     endpoint: EndpointId,
@@ -27,12 +28,12 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates an empty pool.
     pub fn new(context: Rc<Context>, endpoint: EndpointId) -> Self {
         Pool { context, endpoint, idle: Vec::new() }
     }
 
-    /// Keeps a connection for the next call, unless the process has too many idle ones.
+    /// Keeps a connection for the next call, or closes it if the process has the maximum number of idle connections.
     pub fn put(&mut self, connection: HttpConnection) {
         let idle_connections = &self.context.gauges.idle_endpoint_connections;
         if idle_connections.get() >= self.context.config().max_idle_connections() {
@@ -45,14 +46,14 @@
         self.idle.push(Idle { connection, address, reusable_until });
     }
 
-    /// The connection that was used last, so that the others can reach their idle timeout.
+    /// Takes the most recently used connection, so that the others can reach their idle timeout.
     pub fn take(&mut self) -> Option<HttpConnection> {
         self.close_unusable();
         let last = self.idle.len().checked_sub(1)?;
         Some(self.remove(last))
     }
 
-    /// Closes all connections.
+    /// Closes all connections, each logged with this reason.
     pub fn close_all(&mut self, reason: ConnectionEnd) {
         while !self.idle.is_empty() {
             drop(self.remove(0));
@@ -60,8 +61,9 @@
         }
     }
 
-    /// Closes the connections that reached the idle timeout, lead to a former address of the endpoint, or were closed or written
-    /// to by it. Guards against a call that is written to a closed connection: it would count as one that may have run.
+    /// Closes the connections that reached the idle timeout, that lead to a former address of the endpoint, or that
+    /// the endpoint has closed or written to. A call written to a closed connection would count as one that may have
+    /// run.
     pub fn close_unusable(&mut self) {
         let now = self.context.clock.now();
         let address = self.context.endpoint_table.get(self.endpoint).map(|known| known.address);
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Returns once an idle connection reached its timeout, or was closed or written to by the endpoint.
+    /// Returns once a connection reaches its idle timeout, or the endpoint closes or writes to it.
     pub async fn until_disturbed(&mut self) {
         let Some(first_timeout) = self.idle.iter().map(|idle| idle.reusable_until).min() else {
             return future::pending().await;
--- a/src/net/endpoint/request.rs
+++ b/src/net/endpoint/request.rs
@@ -1,9 +1,10 @@
-//! The request of a call, as it is written to the endpoint.
+//! Formats the HTTP request of a call.
 
 use crate::net::call::Call;
 use crate::Micros;
 
-/// The bytes of a request: one message as it is, or several as a batch.
+/// Formats the request of a call: a single message is the body itself, several messages are a batch in which each
+/// follows a line with its request id, its idempotency key (`-` if it has none) and its length in bytes.
 pub(super) fn format(call: &Call, now: Micros) -> Vec<u8> {
     let deadline_ms = (call.last_timeout().saturating_sub(now) / 1000).max(1);
     let mut body = Vec::new();
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -1,4 +1,4 @@
-//! What a response says: the result of each attempt, the endpoint's load, and the wait that it asks for.
+//! Reads an endpoint's response: the result of each attempt, the load report and the retry-after.
 
 use crate::net::call::{AttemptResult, Call, CallResult};
 use crate::net::http::{HttpConnection, ResponseHead};
@@ -7,29 +7,31 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A response that has begun and pauses for so long is broken: its call must not take a slot until the timeout, and its
-/// connection is of no more use.
+/// The longest pause within a response. After a longer one the response has failed: its call must not occupy a slot
+/// until its timeout, and its connection cannot be reused.
 pub(super) const RESPONSE_STALL: Duration = Duration::from_millis(500);
 
-/// No endpoint takes more calls a second than that: a reported rate beyond it is an error.
+/// The highest rate limit that a load report may contain, in calls per second. No endpoint accepts more, so a higher
+/// one is an error of the endpoint.
 const MAX_RATE_PER_S: f64 = 1e6;
-/// A longer wait counts as this one, lest its sum with the clock overflow: 115 days.
+/// Longer retry-afters are reduced to this, 115 days in milliseconds, so that adding them to the clock cannot overflow.
 const MAX_RETRY_AFTER_MS: f64 = 1e10;
 
-/// A complete response.
+/// A response that was received completely.
 pub(super) struct Response {
     pub head: ResponseHead,
     pub body: Vec<u8>,
 }
 
-/// The wait that the head of a response asks for.
+/// The retry-after in the head of a response, in microseconds. Values that are not finite or not positive are ignored.
 pub(super) fn read_retry_after(head: &ResponseHead) -> Option<Micros> {
     let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|text| text.parse::<f64>().ok());
     let wait_ms = wait_ms.filter(|wait_ms| wait_ms.is_finite() && *wait_ms > 0.0);
     wait_ms.map(|wait_ms| (wait_ms.min(MAX_RETRY_AFTER_MS) * 1000.0) as Micros)
 }
 
-/// Whether a response whose head cannot be read has a complete status line that says 200.
+/// Whether the unread bytes of a connection start with a complete status line with code 200, for a response whose
+/// head is malformed or incomplete.
 pub(super) fn starts_with_ok(connection: &HttpConnection) -> bool {
     let mut lines = connection.buffer.bytes().split_inclusive(|byte| *byte == b'\n');
     let status_line = lines.next().and_then(|line| line.strip_suffix(b"\n")).unwrap_or_default();
@@ -37,7 +39,7 @@
     matches!(words.next(), Some(b"HTTP/1.1" | b"HTTP/1.0")) && words.next() == Some(b"200")
 }
 
-/// The results that a response gives.
+/// Reads the result of each attempt of a call from its response. `reused`: the call was sent on a reused connection.
 pub(super) fn read_result(
     log: &Logger,
     call: &Call,
@@ -58,7 +60,8 @@
     CallResult { attempts: results.collect(), report, retry_after }
 }
 
-/// The result of all attempts of a call, but for a batch with status 200.
+/// The result that the status code gives to all attempts of a call. For a batch with status 200 the body has the
+/// results.
 fn result_of_status(
     log: &Logger,
     call: &Call,
@@ -69,7 +72,8 @@
     match head.status {
         200 => AttemptResult::of(Outcome::Ok),
         503 if head.headers.get("X-Over-Slots").is_some_and(|value| value != "0") => not_run(false),
-        // The endpoint has too many connections: it closes a new one, where one that is full keeps it.
+        // The endpoint has too many connections, so it closes the new one. An endpoint that lacks capacity for the
+        // call keeps it open.
         503 if !reused && !head.keep_alive && retry_after.is_none() => {
             AttemptResult::of(Outcome::ConnectFailed)
         }
@@ -84,7 +88,7 @@
     }
 }
 
-/// The result of one attempt in the body of a batch's response.
+/// The result of one attempt, as the body of a batch's response names it.
 fn result_in_batch(body: &str, request_id: &str, retry_after: Option<Micros>) -> AttemptResult {
     let mut lines = body.lines().filter_map(|line| line.trim().split_once(' '));
     match lines.find(|(id, _)| *id == request_id).map(|(_, result)| result) {
@@ -92,17 +96,18 @@
         Some("refused") => AttemptResult::of(Outcome::Rejected(retry_after)),
         Some("over") => not_run(true),
         Some("spent") => not_run(false),
-        // Also where the response does not name it: it may have run.
+        // Any other result, or none: the message may have run.
         _ => AttemptResult::of(Outcome::Error),
     }
 }
 
-/// The endpoint did not run the message; `ended` if nothing more is owed for it.
+/// The result of an attempt that the endpoint did not run. `ended`: the message has expired and must not be sent again.
 fn not_run(ended: bool) -> AttemptResult {
     AttemptResult { outcome: Outcome::NotSent, ended }
 }
 
-/// A load report; `None` if its share or rate is out of range, so that no decision rests on it.
+/// Parses a load report (`x0`: the share of the quota that is left, `x1`: the rate limit in calls per second).
+/// Returns `None` if a value is missing or out of range, so that the policy ignores a malformed report.
 pub fn read_load(text: &str) -> Option<LoadReport> {
     let value = |name: &str, range: RangeInclusive<f64>| {
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -1,6 +1,7 @@
-//! What binds the first byte of every call: which endpoints are in service, and which have asked to wait.
+//! The endpoint table: which endpoints are in service, and which have sent a retry-after. Every call is checked
+//! against it before its first byte.
 //!
-//! The endpoint list actor and the responses write to it at once, ahead of the policy's next step.
+//! The endpoint list actor and responses update the table immediately, without waiting for the policy's next step.
 
 use crate::invariants::EndpointFacts;
 use crate::net::runtime::clock::Clock;
@@ -11,32 +12,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// An endpoint is kept for so long after its drain began: no call to it is in flight any more after that.
+/// How long an endpoint stays in the table after its drain began, in microseconds. No call to it is in flight any
+/// more by then.
 const KEPT_AFTER_DRAIN: Micros = 120_000_000;
-/// The longest drain that is recorded as it was, in microseconds; a longer one counts as this.
+/// The longest drain in the histogram, in microseconds; longer ones are recorded as this.
 const MAX_DRAIN_RECORDED: u64 = 60_000_000;
 
-/// What is known of an endpoint now.
+/// The current state of an endpoint.
 #[derive(Clone, Debug)]
 pub struct EndpointState {
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The destination that it serves.
+    /// The destination that the endpoint serves.
     pub destination: DestinationId,
-    /// Its zone.
+    /// The endpoint's zone.
     pub zone: ZoneId,
-    /// A wait that it asks for binds this endpoint alone, not all of its destination.
+    /// Whether a retry-after applies to this endpoint alone; otherwise it applies to all endpoints of the destination.
     pub retry_after_per_endpoint: bool,
-    /// When this process received that it drains or was removed.
+    /// When this process received that the endpoint drains or was removed; `None` while it is listed.
     pub draining_since: Option<Micros>,
-    /// When the policy took that in.
+    /// When the policy learned of the drain.
     pub drain_observed_at: Option<Micros>,
-    /// When the last call's first byte was written.
+    /// When the first byte of the last call to the endpoint was written.
     pub last_first_byte_at: Option<Micros>,
 }
 
 impl EndpointState {
-    /// A listed endpoint without calls.
+    /// The state of a listed endpoint to which no call was made yet.
     pub fn new(
         address: SocketAddr,
         destination: DestinationId,
@@ -55,24 +57,28 @@
     }
 }
 
+/// The endpoints to which a retry-after applies.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum RetryAfterScope {
     Destination(DestinationId),
     Endpoint(EndpointId),
 }
 
-/// What is known of each endpoint, and the waits that endpoints have asked for.
+/// The state of each endpoint, and the retry-afters that endpoints have sent.
 pub struct EndpointTable {
     clock: Clock,
+    /// How long calls may still be sent to an endpoint after its drain began.
     drain_grace: Cell<Micros>,
     endpoints: RefCell<BTreeMap<EndpointId, EndpointState>>,
+    /// Until when no calls may be sent.
     retry_after_until: RefCell<BTreeMap<RetryAfterScope, Micros>>,
-    /// From receiving that an endpoint drains to the last first byte there, in microseconds.
+    /// The time from learning of an endpoint's drain to the first byte of the last call sent there, in microseconds.
     drains: RefCell<Histogram<u32>>,
 }
 
 impl EndpointTable {
-    /// An empty table. Work may still go to an endpoint for most of the grace after its drain began.
+    /// Creates an empty table. `drain_grace` is how long calls may still be sent to an endpoint after its drain
+    /// began, in microseconds; [`may_send`](crate::invariants::may_send) uses only most of it.
     pub fn new(clock: Clock, drain_grace: Micros) -> Self {
         let drains = Histogram::new_with_bounds(1, MAX_DRAIN_RECORDED, 3).expect("bounds that are in order");
         EndpointTable {
@@ -84,17 +90,18 @@
         }
     }
 
-    /// Sets the grace.
+    /// Replaces the drain grace, in microseconds.
     pub fn set_grace(&self, drain_grace: Micros) {
         self.drain_grace.set(drain_grace);
     }
 
-    /// For how long work may go to an endpoint after its drain began.
+    /// How long calls may still be sent to an endpoint after its drain began, in microseconds.
     pub fn grace(&self) -> Micros {
         self.drain_grace.get()
     }
 
-    /// Records an endpoint as received at a time; the time at which its drain was first received stays.
+    /// Replaces the state of an endpoint with one received at `received_at`. If the endpoint was draining before, it
+    /// keeps the time at which the drain was first received.
     pub fn update(
         &self,
         endpoint: EndpointId,
@@ -112,28 +119,29 @@
         endpoints.insert(endpoint, state);
     }
 
-    /// Records that the policy has taken in an endpoint's drain.
+    /// Records that the policy has learned of an endpoint's drain.
     pub fn drain_observed(&self, endpoint: EndpointId, now: Micros) {
         if let Some(state) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             state.drain_observed_at.get_or_insert(now);
         }
     }
 
-    /// Records that a call's first byte is about to be written.
+    /// Records that the first byte of a call to an endpoint is about to be written.
     pub fn record_first_byte(&self, endpoint: EndpointId) {
         if let Some(state) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             state.last_first_byte_at = Some(self.clock.now());
         }
     }
 
-    /// Records how long after the beginning of an endpoint's drain the last call went there, once no more can.
+    /// Adds to the drain statistics how long after the start of an endpoint's drain the last call was sent there. To
+    /// be called once no more calls can follow.
     pub fn record_drain(&self, state: &EndpointState) {
         let last_and_since = state.last_first_byte_at.zip(state.draining_since);
         let last_send_after = last_and_since.map_or(0, |(last, since)| last.saturating_sub(since));
         self.drains.borrow_mut().saturating_record(last_send_after.max(1));
     }
 
-    /// The report of the recorded drains: how many, median, p99 and largest.
+    /// The statistics of the recorded drains: their number, and the median, p99 and maximum in milliseconds.
     pub fn drain_report(&self) -> Value {
         let drains = self.drains.borrow();
         let at = |quantile| drains.value_at_quantile(quantile) as f64 / 1e3;
@@ -141,7 +149,7 @@
         json!({"count": drains.len(), "p50_ms": at(0.5), "p99_ms": at(0.99), "largest_ms": largest_ms})
     }
 
-    /// All endpoints but those named drain from now on, unless they did before.
+    /// Marks all endpoints that are not `named` as draining from now on, unless they are draining already.
     pub fn keep_only(&self, named: &[EndpointId]) {
         for (endpoint, state) in self.endpoints.borrow_mut().iter_mut() {
             if !named.contains(endpoint) {
@@ -150,8 +158,8 @@
         }
     }
 
-    /// Removes the endpoints whose drain began long ago and the waits that are over, lest the table grow with each endpoint that
-    /// is replaced; whether an endpoint was removed.
+    /// Removes the endpoints whose drain began long ago and the retry-afters that have passed, so that the table does
+    /// not grow with each endpoint that is replaced. Returns whether an endpoint was removed.
     pub fn prune(&self, now: Micros) -> bool {
         self.retry_after_until.borrow_mut().retain(|_, until| now < *until);
         let mut endpoints = self.endpoints.borrow_mut();
@@ -160,17 +168,18 @@
         endpoints.len() < before
     }
 
-    /// What is known of an endpoint.
+    /// The state of an endpoint; `None` if it is not in the table.
     pub fn get(&self, endpoint: EndpointId) -> Option<EndpointState> {
         self.endpoints.borrow().get(&endpoint).cloned()
     }
 
-    /// Whether an endpoint of this destination is in the table.
+    /// Whether the table has an endpoint of this destination.
     pub fn has_destination(&self, destination: DestinationId) -> bool {
         self.endpoints.borrow().values().any(|state| state.destination == destination)
     }
 
-    /// Records that an endpoint has asked to wait.
+    /// Records that an endpoint has sent a retry-after, in microseconds from now. A later end that was recorded
+    /// before stays.
     pub fn retry_after(&self, endpoint: EndpointId, retry_after: Micros) {
         let Some(scope) = self.retry_after_scope(endpoint) else { return };
         let mut all = self.retry_after_until.borrow_mut();
@@ -178,8 +187,9 @@
         *until = (*until).max(self.clock.now().saturating_add(retry_after));
     }
 
-    /// What binds a call to an endpoint now; `None` if the list does not name it. Time passes between the policy's step and the
-    /// first byte, above all while a connection is made; what was received meanwhile binds that byte.
+    /// What decides now whether a call may be sent to an endpoint; `None` if the table does not have it. To be read
+    /// just before the first byte: a drain or retry-after may have been received since the policy's step, above all
+    /// while a connection was opened.
     pub fn facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
         let draining_since = self.get(endpoint)?.draining_since;
         let scope = self.retry_after_scope(endpoint);
@@ -187,7 +197,7 @@
         Some(EndpointFacts { draining_since, retry_after })
     }
 
-    /// What a wait that an endpoint asks for binds.
+    /// To which endpoints a retry-after from this endpoint applies.
     fn retry_after_scope(&self, endpoint: EndpointId) -> Option<RetryAfterScope> {
         let state = self.get(endpoint)?;
         Some(match state.retry_after_per_endpoint {
--- a/src/net/gauges.rs
+++ b/src/net/gauges.rs
@@ -1,13 +1,13 @@
-//! What is open, connected and in flight now.
+//! Gauges: how many messages, connections and calls there are at the moment.
 
 use std::cell::Cell;
 
-/// A number that goes up and down.
+/// A number that can increase and decrease.
 #[derive(Debug, Default)]
 pub struct Gauge(Cell<usize>);
 
 impl Gauge {
-    /// The present value.
+    /// The current value.
     pub fn get(&self) -> usize {
         self.0.get()
     }
@@ -17,24 +17,24 @@
         self.0.set(value);
     }
 
-    /// One more.
+    /// Adds one.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
 
-    /// One less; zero stays zero.
+    /// Subtracts one; zero stays zero.
     pub fn decrement(&self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 
-    /// Counts one more until the guard is dropped.
+    /// Adds one until the returned guard is dropped.
     pub fn count(&self) -> GaugeGuard<'_> {
         self.increment();
         GaugeGuard(self)
     }
 }
 
-/// Counts one in a [`Gauge`] for as long as it lives.
+/// Subtracts one from its [`Gauge`] when it is dropped.
 #[derive(Debug)]
 pub struct GaugeGuard<'a>(&'a Gauge);
 
@@ -44,21 +44,23 @@
     }
 }
 
-/// The gauges of a process. Each is written by the actor that its comment names.
+/// The gauges of a process. The comment of each also names the component that writes it.
 #[derive(Debug, Default)]
 pub struct Gauges {
-    /// Messages accepted and not ended; the delivery actor.
+    /// Messages that are accepted and have not ended; written by the delivery actor.
     pub open_messages: Gauge,
-    /// Calls under way; each call.
+    /// Calls in flight; written by each call.
     pub calls_in_flight: Gauge,
-    /// Delivery reports not yet confirmed by the platform; the delivery actor and the reports' sender.
+    /// Delivery reports that the platform has not confirmed yet; written by the delivery actor and the sender of the
+    /// reports.
     pub reports_pending: Gauge,
-    /// Clients connected; each client's connection.
+    /// Open client connections; written by each connection.
     pub client_connections: Gauge,
-    /// Clients connected to the predecessor at most, until it is gone; the hand-over.
+    /// The client connections that were open at the predecessor as it handed over, or 0 once it is gone; written by
+    /// the hand-over.
     pub predecessor_connections: Gauge,
-    /// Idle connections to endpoints; the endpoints' pools.
+    /// Idle connections to endpoints; written by the endpoints' pools.
     pub idle_endpoint_connections: Gauge,
-    /// Connections of abandoned calls that are read for a late response; each of them.
+    /// Connections of abandoned calls on which a late response is awaited; written by their readers.
     pub late_response_readers: Gauge,
 }
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -1,4 +1,4 @@
-//! A message that was accepted, from its request to its end.
+//! The messages of clients: the request as it was received, and its state until the message ends.
 
 use crate::net::route_stats::RouteStats;
 use crate::{ClassId, DestinationId, MessageId, Micros, NewMessage, TenantId, ZoneId};
@@ -9,51 +9,51 @@
 /// A message as its client sent it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Request {
-    /// The client's id for it.
+    /// The client's id of the message.
     #[serde(rename = "word")]
     pub request_id: String,
-    /// Its idempotency key.
+    /// The idempotency key, if the client sent one.
     pub key: Option<String>,
-    /// Its class.
+    /// The class of the message.
     pub class: ClassId,
-    /// The tenant that sent it.
+    /// The tenant that sent the message; `None` if the client named none.
     pub tenant: Option<TenantId>,
-    /// Where it goes.
+    /// The destination to which the message is delivered.
     pub destination: DestinationId,
-    /// Up to when it may be delivered, on the program's clock.
+    /// The latest time at which the message may be delivered, on the process's clock.
     pub deadline: Micros,
-    /// Its body; between processes it goes beside the rest.
+    /// The body of the message. Not serialized: a hand-over sends it after the frame's head.
     #[serde(skip)]
     pub body: Rc<[u8]>,
-    /// It was sent before and rejected.
+    /// Whether the client sends the message again after it was rejected.
     #[serde(rename = "again")]
     pub client_retry: bool,
-    /// A forwarder had it that died, so it may have run.
+    /// Whether another forwarder that failed may have sent the message before, so that it may have run.
     #[serde(rename = "orphan")]
     pub failed_over: bool,
 }
 
-/// A message that was accepted, with its attempts so far.
+/// A message that was admitted, with its attempts so far.
 #[derive(Debug)]
 pub struct InFlightMessage {
-    /// The program's id for it.
+    /// The id that this forwarder assigned to the message.
     pub id: MessageId,
-    /// As its client sent it.
+    /// The request as the client sent it.
     pub request: Request,
-    /// When it was received, on the program's clock; `None` if an earlier process received it.
+    /// When the message was received, on the process's clock; `None` if it was restored from the journal.
     pub received_at: Option<Micros>,
-    /// An earlier process had accepted it.
+    /// Whether the message was restored from the journal, as an earlier process had accepted it.
     pub restored: bool,
-    /// When and in which zone the first attempt was sent that may have run, where an earlier process has journaled it.
+    /// When and in which zone the first attempt was sent that may have run, if an earlier process journaled one.
     pub first_attempt: Option<(Micros, ZoneId)>,
-    /// Where it is counted by route.
+    /// The counts of the message's route; `None` without a site file.
     pub stats: Option<Rc<RouteStats>>,
     attempts: Cell<u32>,
     ended: Cell<bool>,
 }
 
 impl InFlightMessage {
-    /// A message that has not ended, with the number of attempts that were begun before.
+    /// Creates a message that has not ended. `attempts` is the number of attempts that were begun before.
     pub fn new(id: MessageId, request: Request, attempts: u32) -> Self {
         InFlightMessage {
             id,
@@ -67,28 +67,28 @@
         }
     }
 
-    /// Begins an attempt: its number, from 0.
+    /// Counts a new attempt and returns its number, from 0.
     pub fn begin_attempt(&self) -> u32 {
         self.stats.iter().for_each(|stats| stats.attempt_begun());
         self.attempts.replace(self.attempts.get() + 1)
     }
 
-    /// Attempts begun so far.
+    /// The number of attempts begun so far.
     pub fn attempts(&self) -> u32 {
         self.attempts.get()
     }
 
-    /// Nothing more may be sent for it.
+    /// Whether the message has ended, so that no attempt may be sent for it.
     pub fn is_over(&self) -> bool {
         self.ended.get()
     }
 
-    /// Marks its end.
+    /// Marks the message as ended.
     pub fn end(&self) {
         self.ended.set(true);
     }
 
-    /// The policy's view of it at a time.
+    /// The message in the form in which it is passed to the policy, with the time left at `now`.
     pub fn message(&self, now: Micros) -> NewMessage {
         NewMessage {
             id: self.id,
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -1,30 +1,31 @@
-//! The journal as the actors use it, and whether it can be written.
+//! The actors' access to the journal, and whether the journal can be written.
 //!
-//! While it fails, open messages wait and new ones are rejected; what has happened already is queued and written first once the
-//! journal can be written again.
+//! While the journal is failing, open messages wait and new ones are rejected. Records of events that have already
+//! happened are queued, and written first once the journal can be written again.
 
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
 use crate::net::runtime::latch::Latch;
 use crate::MessageId;
 use std::cell::RefCell;
 
-/// How much the journal holds.
+/// The size of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournalUsage {
-    /// The size of the folder in bytes.
+    /// The size of the folder, in bytes.
     pub disk_bytes: u64,
-    /// Records of what has happened that are not written yet.
+    /// The number of queued records of events that have happened and could not be written yet.
     pub unwritten_records: usize,
 }
 
 /// The journal of this process.
 pub struct JournalHandle {
-    journal: RefCell<Journal>,
+journal: RefCell<Journal>,
+/// Set when a write fails; cleared once the journal was written again.
     failing: Latch,
 }
 
 impl JournalHandle {
-    /// A handle to an opened journal.
+    /// Creates the handle to an opened journal.
     pub fn new(journal: Journal) -> Self {
         let handle = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
         handle.notice_failure();
@@ -43,12 +44,12 @@
         result
     }
 
-    /// Something may be started that must be recorded first.
+    /// Whether the last write succeeded, so that messages may be accepted and attempts sent.
     pub fn is_writable(&self) -> bool {
         !self.journal.borrow().is_failing()
     }
 
-    /// Another process may own the folder: see [`Journal::is_paused`].
+    /// Whether writing is paused as another process may own the folder: see [`Journal::is_paused`].
     pub fn is_paused(&self) -> bool {
         self.journal.borrow().is_paused()
     }
@@ -113,17 +114,17 @@
         self.with(Journal::retry)
     }
 
-    /// Returns once the journal cannot be written.
+    /// Returns once a write to the journal has failed.
     pub async fn until_failing(&self) {
         self.failing.wait().await;
     }
 
-    /// The journal was written again.
+    /// Records that the journal could be written again.
     pub fn clear_failing(&self) {
         self.failing.clear();
     }
 
-    /// How much the journal holds.
+    /// The current size of the journal.
     pub fn usage(&self) -> JournalUsage {
         let journal = self.journal.borrow();
         JournalUsage { disk_bytes: journal.disk_bytes(), unwritten_records: journal.unwritten_records() }
--- a/src/net/message_end.rs
+++ b/src/net/message_end.rs
@@ -1,22 +1,22 @@
-//! How an accepted message ends.
+//! The ways in which a message ends.
 
 /// How a message ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
-    /// An endpoint has it.
+    /// An endpoint has processed the message.
     Delivered,
-    /// Its endpoint found that its time is up.
+    /// The endpoint responded that the message has expired.
     Expired,
-    /// Its client was gone before the reply.
+    /// The client disconnected before the reply.
     Withdrawn,
-    /// Undelivered; its client may send it again.
+    /// The message was not delivered, and the client may safely send it again.
     Returned,
-    /// It may or may not have taken effect.
+    /// The message was not delivered as far as is known, but it may have taken effect.
     Failed,
 }
 
 impl MessageEnd {
-    /// Its name in logs and reports.
+    /// The name of the end in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             MessageEnd::Delivered => "delivered",
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -1,4 +1,4 @@
-//! What the actors send each other. It imports no actor.
+//! The messages that the actors send each other. This module does not depend on any actor.
 
 use super::call::{Call, CallCompletion};
 use super::http::{HttpConnection, HttpError};
@@ -11,218 +11,220 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// What the delivery actor can be sent.
+/// A message to the delivery actor.
 pub enum DeliveryMessage {
     /// A client sent a message.
     Submit {
-        /// The message.
-        request: Request,
-        /// Where to send what became of it.
+    /// The client's message.
+    request: Request,
+    /// Receives whether the message was accepted.
         reply: Sender<SubmitReply>,
     },
-    /// The client of an accepted message was gone before the response was written.
+    /// The client of an accepted message disconnected before the response was written.
     Withdrawn {
-        /// The message.
+    /// The id of the message.
         id: MessageId,
     },
-    /// A client has ended its sending while it waits for the reply, which it may still read.
+    /// A client that waits for the reply has shut down its sending side; it may still read the reply.
     ClientEnded {
         /// The client's id of the message.
         request_id: String,
     },
     /// An update of the endpoint list.
     EndpointList(EndpointListUpdate),
-    /// Other settings are in force from now on.
+    /// The settings have changed.
     Settings(Box<Settings>),
-    /// A call is complete, here or at the predecessor.
+    /// A call that this process or its predecessor made is complete.
     CallCompleted(CallCompletion),
     /// A successor asks to take over.
     HandOver(Successor),
     /// An operator sent a command during a hand-over.
     Admin {
-        /// The command.
+        /// The operator's command.
         command: AdminCommand,
-        /// Where to send whether it took effect.
+        /// Receives whether the command took effect.
         reply: Sender<Result<(), AdminError>>,
-    },
-    /// A watch has a line for the successor, which keeps the endpoint list.
-    ListLine(ListLine),
-    /// The journal can be written again.
-    JournalWritable,
-    /// The predecessor is gone.
-    PredecessorGone,
-    /// An operator asks for the status of destinations and tenants.
-    DescribeStatus {
-        /// Where to send it.
+        },
+        /// A watch of this process received a line that is forwarded to the successor, which keeps the endpoint list
+        /// now.
+        ListLine(ListLine),
+        /// The journal can be written again.
+        JournalWritable,
+        /// The predecessor has ended.
+        PredecessorGone,
+        /// An operator asks for the status of destinations and tenants.
+        DescribeStatus {
+        /// Receives the status as JSON.
         reply: Sender<Value>,
-    },
-    /// The process is about to end: no step is made any more, but calls that complete are still journaled.
+        },
+        /// The process is about to end: no more steps are made, but calls that complete are still journaled.
     Stop,
 }
 
-/// What became of a message that a client sent.
+/// The reply to a client's message.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SubmitReply {
-    /// Accepted, under this id.
+    /// The message was accepted under this id.
     #[serde(rename = "Taken")]
     Accepted(MessageId),
-    /// Rejected: another message with its request id has not ended.
+    /// The message was rejected: another open message has the same request id.
     #[serde(rename = "Held")]
     DuplicateId,
-    /// Rejected or returned; its client may send it again after this time.
+    /// The message was rejected or returned; the client may send it again after this time, in microseconds.
     Unavailable(Micros),
-    /// It failed: it may or may not have taken effect.
+    /// The message failed: it may or may not have taken effect.
     Failed,
 }
 
-/// The time after which a client may send a message again, where the delivery policy advises none.
+/// The time after which a client may send a message again if the delivery policy gives none, in microseconds.
 pub const DEFAULT_RETRY_AFTER: Micros = 1_000_000;
 
-/// What the endpoint list actor can be sent.
+/// A message to the endpoint list actor.
 pub enum EndpointListMessage {
-    /// Watch the list now, without a delay.
+    /// Asks to open the watch of the list again without delay.
     Resubscribe,
-    /// The configuration was reloaded: the platform's agent and the registry may be elsewhere.
+    /// The configuration was reloaded; the addresses of the platform's agent and the registry may have changed.
     ConfigReloaded,
-    /// A watch has a line.
+    /// A watch received a line.
     WatchLine {
-        /// Which watch.
-        watch: u64,
-        /// The line.
-        line: Vec<u8>,
+    /// The number of the watch.
+    watch: u64,
+    /// The line that was received.
+    line: Vec<u8>,
     },
-    /// A watch has fallen silent; it is still read.
+    /// A watch has not received anything for too long; it is still read.
     WatchSilent {
-        /// Which watch.
-        watch: u64,
+    /// The number of the watch.
+    watch: u64,
     },
-    /// The time for which a replaced watch was still read is over.
+    /// A watch that was replaced need not be read any longer.
     ReplacedWatchExpired {
-        /// Which watch.
-        watch: u64,
+    /// The number of the watch.
+    watch: u64,
     },
     /// A watch has ended.
     WatchEnded {
-        /// Which watch.
-        watch: u64,
-        /// How.
-        end: WatchEnd,
+    /// The number of the watch.
+    watch: u64,
+    /// Why the watch ended.
+    end: WatchEnd,
     },
-    /// A new process has waited long enough for its first list.
+    /// The time for which a new process waits for its first list has expired.
     InitialListTimeout,
-    /// A successor keeps the list: nothing changes here any more.
+    /// A successor takes over the list: this process does not change it any more.
     HandOver {
-        /// Where to send the list.
-        reply: Sender<MembershipSnapshot>,
+    /// Receives the list.
+    reply: Sender<MembershipSnapshot>,
     },
-    /// The successor did not take over: the list is kept here again.
+    /// The successor did not take over: this process keeps the list up to date again.
     HandOverAborted,
     /// The successor has taken over.
     HandedOver,
-    /// A watch of the predecessor has a line.
+    /// A watch of the predecessor received a line.
     PredecessorLine(ListLine),
     /// An operator cordons an endpoint, or ends its cordon.
     Cordon {
-        /// Its id in the list.
-        id: String,
-        /// Cordoned, or no longer.
-        cordoned: bool,
-        /// Where to send whether that holds from now on.
-        reply: Sender<Result<(), AdminError>>,
+    /// The endpoint's id in the list.
+    id: String,
+    /// True to cordon the endpoint, false to end the cordon.
+    cordoned: bool,
+    /// Receives whether the command took effect.
+    reply: Sender<Result<(), AdminError>>,
     },
-    /// The registry has answered.
+    /// The registry answered a poll.
     RegistryUpdate {
-        /// Its answer.
-        update: SourceUpdate,
-        /// When it was received.
-        received_at: Micros,
-        /// Where to send whether something of it is in doubt.
+    /// The update of the list in the answer.
+    update: SourceUpdate,
+    /// When the answer was received.
+    received_at: Micros,
+    /// Receives whether a part of the update is doubted, so that it needs a confirmation.
         doubted: Sender<bool>,
     },
 }
 
-/// A line that a watch has sent to a process whose successor has the list.
+/// A line of the endpoint list that a watch received after the process handed the list over to its successor.
 #[derive(Clone)]
 pub struct ListLine {
-    /// The line.
+    /// The line that was received.
     pub line: Vec<u8>,
-    /// The earliest time at which it may have come.
+    /// The earliest time at which the line may have been received.
     pub received_at: Micros,
-    /// Where the agent listens that has sent it.
+    /// The address of the agent that sent the line.
     pub address: SocketAddr,
 }
 
-/// How a watch ended.
+/// Why a watch ended.
 pub enum WatchEnd {
-    /// The platform's agent refused it.
+    /// The platform's agent rejected the watch.
     Rejected {
-        /// The status of its response.
-        status: u16,
-        /// How long it asks to wait, if it does.
+    /// The status code of the response.
+    status: u16,
+    /// The retry-after of the response, in microseconds.
         retry_after: Option<Micros>,
     },
-    /// Its connection failed.
+    /// The connection of the watch failed.
     Failed(HttpError),
 }
 
-/// What an endpoint's actor can be sent.
+/// A message to the actor of an endpoint.
 pub enum EndpointMessage {
-    /// Make this call.
+    /// Asks to make a call.
     Call(Call),
-    /// Close the idle connections.
+    /// Asks to close the idle connections.
     CloseIdle,
-    /// A call has left its connection fit for the next one.
+    /// A call is complete and its connection can be reused.
     ReturnConnection(HttpConnection),
 }
 
-/// How an accepted message ended, to be reported to the platform.
+/// A delivery report to the platform: how an accepted message ended that was not delivered.
 pub struct DeliveryReport {
-    /// The program's id of the message.
+    /// The id that this forwarder assigned to the message.
     pub id: MessageId,
     /// The client's id of the message.
     pub request_id: String,
-    /// How it ended.
+    /// How the message ended.
     pub end: ReportedEnd,
-    /// Up to when a restart that finds it open would still call for it.
+    /// The deadline of the message. Until then a restart that finds the message open in the journal would send it
+    /// again.
     pub deadline: Micros,
 }
 
-/// What an operator commands.
+/// A command of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminCommand {
-    /// An endpoint is cordoned, or no longer.
+    /// Cordons an endpoint, or ends its cordon.
     Cordon {
-        /// Its id in the list.
-        id: String,
-        /// Cordoned, or no longer.
+    /// The endpoint's id in the list.
+    id: String,
+    /// True to cordon the endpoint, false to end the cordon.
         #[serde(rename = "out")]
         cordoned: bool,
     },
-    /// Clients are quiesced, or accepted again.
+    /// True to quiesce: clients are asked to leave. False to accept clients again.
     #[serde(rename = "SendAway")]
     Quiesce(bool),
 }
 
-/// Why a command does not hold.
+/// Why a command did not take effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminError {
-    /// The list knows no such endpoint.
+    /// The endpoint list has no endpoint with this id.
     #[serde(rename = "Unknown")]
     UnknownEndpoint,
-    /// It cannot be persisted, so it would not hold after a restart.
+    /// The command cannot be persisted, so it would be lost with a restart; with the reason.
     #[serde(rename = "NotKept")]
     NotPersisted(String),
-    /// The program is ending.
+    /// The process is shutting down.
     #[serde(rename = "Gone")]
     ShuttingDown,
 }
 
-/// One that asks to take over.
+/// A process that asks to take over.
 pub struct Successor {
-    /// Its connection; it waits for the state.
-    pub connection: HttpConnection,
-    /// The list as the membership's actor holds it, which changes nothing from here on.
-    pub list: MembershipSnapshot,
-    /// It takes the lines that the watches of this process still get.
+/// The connection to the successor, on which it waits for the state.
+pub connection: HttpConnection,
+/// The endpoint list; the endpoint list actor does not change it any more.
+pub list: MembershipSnapshot,
+/// Whether the successor accepts the lines that this process's watches still receive.
     pub accepts_list_lines: bool,
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The forwarder on sockets: everything that the decisions in [`crate::policy`] need around them.
+//! The forwarder's input and output: connections to clients, endpoints, the platform and operators, the state folder,
+//! and the actors that connect these with the decisions in [`crate::policy`].
 
 pub mod call;
 pub mod client;
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -1,4 +1,5 @@
-//! Counts of messages by the entry of the site file that applied when they were received. It decides nothing.
+//! Statistics of messages by the route of the site file that applied when they were received. They influence no
+//! decision.
 
 use crate::net::message_end::MessageEnd;
 use crate::routes::Plan;
@@ -10,18 +11,19 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The name under which messages are counted that no entry matches.
+/// The name in the report for messages that no route matches.
 const UNMATCHED: &str = "(unmatched)";
-/// So many entries have a histogram of delivery times of their own, at about 10 kB each; further ones share one.
+/// The number of routes with a histogram of delivery times of their own, at about 10 kB each. Further routes share
+/// one histogram.
 const MAX_HISTOGRAMS: usize = 256;
-/// The longest time that a message can live: one day. Delivery times up to this are recorded in milliseconds.
+/// The longest recorded delivery time in milliseconds: one day, the maximum lifetime of a message.
 const MAX_DELIVERY_MS: u64 = 86_400_000;
-/// Precision of the recorded delivery times.
+/// The precision of the recorded delivery times, in decimal digits.
 const SIGNIFICANT_FIGURES: u8 = 2;
 
 type DeliveryTimes = Rc<RefCell<Histogram<u32>>>;
 
-/// The counts of one entry.
+/// The statistics of one route.
 #[derive(Debug, Default)]
 pub struct RouteStats {
     open: Cell<u64>,
@@ -51,22 +53,22 @@
 }
 
 impl RouteStats {
-    /// A message was opened.
+    /// Counts a message that was opened.
     pub fn message_opened(&self) {
         increment(&self.open);
     }
 
-    /// An attempt was decided on.
+    /// Counts an attempt that the policy has decided on.
     pub fn attempt_begun(&self) {
         increment(&self.attempts);
     }
 
-    /// An attempt is complete.
+    /// Counts a completed attempt by its outcome.
     pub fn attempt_completed(&self, outcome: Outcome) {
         *self.outcomes.borrow_mut().entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    /// An open message has ended.
+    /// Counts the end of an open message.
     pub fn message_ended(&self, end: MessageEnd) {
         self.open.set(self.open.get().saturating_sub(1));
         *self.ends.borrow_mut().entry(end.name()).or_default() += 1;
@@ -85,11 +87,11 @@
     }
 }
 
-/// The counts of all entries of the plan in force.
+/// The statistics of all routes of the current plan.
 #[derive(Default)]
 pub struct Routes {
     plan: RefCell<Option<Arc<Plan>>>,
-    /// One for each entry of the plan, in its order.
+    /// The statistics of the plan's routes, in their order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
     unmatched: Rc<RouteStats>,
     shared_delivery_times: RefCell<Option<DeliveryTimes>>,
@@ -97,8 +99,8 @@
 }
 
 impl Routes {
-    /// Puts another plan in force. An entry that keeps its name keeps its counts; open messages stay with the entry that applied
-    /// when they were received.
+    /// Replaces the plan. A route that keeps its name keeps its statistics; open messages stay with the route that
+    /// applied when they were received.
     pub fn apply(&self, plan: Option<Arc<Plan>>) {
         let mut before: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
@@ -115,7 +117,7 @@
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Where a message is counted; `None` without a site file.
+    /// The statistics of the route that applies to a message; `None` without a site file.
     pub fn of(
         &self,
         destination: DestinationId,
@@ -130,7 +132,7 @@
         })
     }
 
-    /// Records the time from a message's receipt to its delivery.
+    /// Records the time from the receipt of a message to its delivery, in microseconds.
     pub fn delivered(&self, stats: &RouteStats, delivery_time: Micros) {
         let mut own = stats.delivery_times.borrow_mut();
         let times = own.get_or_insert_with(|| {
@@ -149,7 +151,7 @@
         times.borrow_mut().saturating_record((delivery_time / 1000).max(1));
     }
 
-    /// The counts by name, of the entries that were ever used; `None` without a site file.
+    /// The JSON report of all routes that were used, by name; `None` without a site file.
     pub fn report(&self) -> Option<Value> {
         let plan = self.plan.borrow();
         let routes = plan.as_ref()?.routes();
--- a/src/net/storage.rs
+++ b/src/net/storage.rs
@@ -1,22 +1,22 @@
-//! The journal's storage in a folder of the file system.
+//! The journal's storage as files in a folder.
 
 use crate::journal::storage::Storage;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder, and the file in it that is being appended to.
+/// A folder with the journal's files, of which the newest one is open for appending.
 pub struct FolderStorage {
     path: PathBuf,
     newest: Option<File>,
 }
 
 impl FolderStorage {
-    /// Opens the folder at a path, and creates it if it is not there.
+    /// Opens the folder at a path, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// If it cannot be created.
+    /// If the folder cannot be created.
     pub fn open(path: &Path) -> io::Result<FolderStorage> {
         fs::create_dir_all(path)?;
         Ok(FolderStorage { path: path.to_owned(), newest: None })
@@ -32,7 +32,8 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // The journal's own names are ASCII; of any other file only the size counts.
+            // The journal's own file names are ASCII. Other files only count with their size, so a lossy name does no
+            // harm.
             let name = entry.file_name().to_string_lossy().into_owned();
             files.push((name, entry.metadata()?.len()));
         }
