--- a/src/net/delivery/endpoints.rs
+++ b/src/net/delivery/endpoints.rs
@@ -97,7 +97,7 @@
     /// Asks an endpoint's actor to close its idle connections.
     pub fn close_idle(&self, endpoint: EndpointId) {
         if let Some(actor) = self.actors.get(&endpoint) {
-            // The mailbox is full only if the endpoint's connections are in use, so that none is idle.
+            // If the mailbox is full, the endpoint has many calls, so its connections are in use rather than idle.
             let _ = actor.try_send(EndpointMessage::CloseIdle);
         }
     }
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -44,7 +44,7 @@
         result
     }
 
-    /// Whether the last write succeeded, so that messages may be accepted and attempts sent.
+    /// Whether the journal is not failing, so that messages may be accepted and attempts sent.
     pub fn is_writable(&self) -> bool {
         !self.journal.borrow().is_failing()
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -67,7 +67,7 @@
     /// The message was accepted under this id.
     #[serde(rename = "Taken")]
     Accepted(MessageId),
-    /// The message was rejected: another open message has the same request id.
+    /// The message was rejected: another message with the same request id is open, or its delivery report is pending.
     #[serde(rename = "Held")]
     DuplicateId,
     /// The message was rejected or returned; the client may send it again after this time, in microseconds.
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -1,11 +1,11 @@
-//! Attempts and batches: results, retries, retry-after, drains while a connection is made. Scenarios over sockets, in
-//! the language of `scenario/mod.rs`.
+//! Attempts and batches: results, retries, retry-afters, and drains while a connection is being opened. Scenarios
+//! over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Guards against new calls to an endpoint that started draining while the connection to it was made.
+/// Guards against a call to an endpoint that started draining while the connection to it was being opened.
 #[test]
 fn an_endpoint_that_starts_draining_while_a_connection_is_made_gets_no_call() {
     play(
@@ -27,7 +27,8 @@
     );
 }
 
-/// Guards against a call during a retry-after that was received while the connection to another endpoint was made.
+/// Guards against a call during a retry-after that another endpoint of the destination sent while the connection was
+/// being opened.
 #[test]
 fn a_retry_after_received_while_a_connection_is_made_applies_to_that_call() {
     play(
@@ -48,8 +49,8 @@
     );
 }
 
-/// Guards against a call during a retry-after that was in flight while the call that it answers was cancelled: the
-/// message of that call has ended, and the next one to the same destination must wait all the same.
+/// Guards against a call during a retry-after that arrives just after its call timed out. The message of that call
+/// has ended, but the next message to the same destination must wait nevertheless.
 #[test]
 fn a_retry_after_received_by_a_call_that_just_timed_out_is_honored() {
     play(
@@ -73,7 +74,7 @@
     );
 }
 
-/// Guards against a retry-after that is forgotten since the body behind it was never complete.
+/// Guards against ignoring a retry-after because the body of its response was truncated.
 #[test]
 fn a_retry_after_in_a_truncated_response_is_honored() {
     play(
@@ -117,8 +118,9 @@
     );
 }
 
-/// Guards against cancelling a batch for one of its messages that is at its deadline: the others would be sent again
-/// and again, each time along with the next one at its deadline. The one with the most time left is named first.
+/// Guards against cancelling a batch because one of its messages reached its deadline: the others would be sent again
+/// and again, each time together with the next message close to its deadline. The message with the most time left
+/// comes first.
 #[test]
 fn a_message_at_its_deadline_does_not_cancel_its_batch() {
     play(
@@ -138,7 +140,7 @@
     );
 }
 
-/// Guards against a retry-after that is ignored since no message was rejected.
+/// Guards against ignoring a retry-after because the response rejects no message.
 #[test]
 fn a_retry_after_in_a_response_that_rejects_nothing_is_honored() {
     play(
@@ -190,7 +192,7 @@
     );
 }
 
-/// Guards against failing a message that must not run twice although no attempt of it ever ran.
+/// Guards against failing a non-idempotent message after a restart although no attempt of it ran at an endpoint.
 #[test]
 fn an_attempt_that_never_ran_does_not_count_as_one_that_may_have_run() {
     play(
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: reuse, stale ones, malformed and unsolicited bytes. Scenarios over sockets, in the
-//! language of `scenario/mod.rs`.
+//! Connections to endpoints: reuse, stale connections, malformed responses and unsolicited bytes. Scenarios over
+//! sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -25,7 +25,7 @@
     );
 }
 
-/// Guards against a request written to a connection that the endpoint has closed: the attempt would end as a reset.
+/// Guards against writing a request to a connection that the endpoint has closed: the attempt would end as a reset.
 #[test]
 fn a_stale_idle_connection_is_not_reused() {
     play(
@@ -48,7 +48,7 @@
     );
 }
 
-/// Guards against reusing connections to an address that the endpoint has left.
+/// Guards against reusing connections to a former address of an endpoint.
 #[test]
 fn an_endpoint_that_moves_is_called_at_its_new_address() {
     play(
@@ -72,8 +72,8 @@
     );
 }
 
-/// Guards against a response that stalls and keeps its slot up to the timeout, and against trusting a malformed
-/// response or reusing its connection.
+/// Guards against a stalled response that occupies its slot until the timeout, against trusting a malformed response,
+/// and against reusing its connection.
 #[test]
 fn a_malformed_response_fails_the_attempt_unless_its_status_line_is_a_success() {
     play(
@@ -111,7 +111,7 @@
     );
 }
 
-/// Guards against reading unsolicited bytes as the response to the next call.
+/// Guards against reading unsolicited bytes on a connection as the response to the next call.
 #[test]
 fn unsolicited_bytes_close_the_connection_and_answer_no_call() {
     play(
@@ -141,7 +141,7 @@
     );
 }
 
-/// The other side may write pieces of any size: nothing may depend on what one read returns.
+/// Guards against code that depends on how many bytes one read returns: the peer may write in pieces of any size.
 #[test]
 fn bytes_received_one_by_one_on_every_side_are_read_as_if_received_at_once() {
     play(
--- a/tests/delivery_reports.rs
+++ b/tests/delivery_reports.rs
@@ -1,11 +1,11 @@
-//! Delivery reports to the platform: they are sent until the platform confirms them. Scenarios over sockets, in the
+//! Delivery reports to the platform, which are sent until the platform confirms them. Scenarios over sockets, in the
 //! language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::play;
 
-/// Guards against a message whose result was reported to the platform and that is sent all the same after a restart.
+/// Guards against sending a message after a restart although its end was already reported to the platform.
 #[test]
 fn an_unconfirmed_delivery_report_is_sent_again_after_a_kill() {
     play(
@@ -27,7 +27,7 @@
     );
 }
 
-/// Guards against delivery reports that are still sent to an address where nobody accepts them any more.
+/// Guards against delivery reports that are still sent to the platform's former address after a reload.
 #[test]
 fn after_a_reload_pending_delivery_reports_go_to_the_new_address() {
     play(
@@ -50,7 +50,7 @@
     );
 }
 
-/// Guards against reports that are repeated without end: each try was abandoned just before its answer came.
+/// Guards against reports that are repeated forever because each request is abandoned just before its response arrives.
 #[test]
 fn delivery_reports_are_confirmed_although_the_platform_answers_late() {
     play(
--- a/tests/endpoint_responses.rs
+++ b/tests/endpoint_responses.rs
@@ -1,11 +1,11 @@
-//! What a failed connection and a load report of an endpoint mean, without a socket.
+//! How failures of endpoint connections are classified and how load reports are parsed. Needs no sockets.
 
 use cedarbridge::net::endpoint::connection_end::{CallFailure, STALE_WITHIN};
 use cedarbridge::net::endpoint::response::read_load;
 use cedarbridge::net::http::HttpError;
 use cedarbridge::Outcome;
 
-/// Guards against an ejection over connections that were dead before the call.
+/// Guards against ejecting an endpoint for connections that were already dead before the call.
 #[test]
 fn only_a_reused_connection_that_fails_at_once_was_stale() {
     let outcome = |error, since_written| CallFailure::of_connection(&error, since_written).outcome();
@@ -15,8 +15,8 @@
     assert_eq!(outcome(HttpError::Malformed("noise"), Some(1000)), Outcome::Reset);
 }
 
-/// Guards against a broken report that sets the rate: one of next to nothing would delay its destination's messages up to their
-/// deadlines.
+/// Guards against a malformed load report that sets the rate limit: a rate close to zero would delay the messages of
+/// the destination until their deadlines.
 #[test]
 fn a_load_report_out_of_range_is_ignored() {
     let rate = |text| read_load(text).map(|r| r.rate);
--- a/tests/endpoint_table.rs
+++ b/tests/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoint table: what binds the first byte of a call, with a clock but no sockets.
+//! The endpoint table, by which each call is checked before its first byte. Uses the real clock, but no sockets.
 
 use cedarbridge::invariants::{may_send, SendFacts, SendRefusal};
 use cedarbridge::net::endpoint::table::{EndpointState, EndpointTable};
@@ -7,7 +7,7 @@
 
 #[test]
 fn a_removed_endpoint_is_kept_for_a_while_and_a_listed_one_for_good() {
-    /// No call is in flight to a removed endpoint any more after this.
+    /// The retention of removed endpoints, in microseconds: no call to one is in flight any more by then.
     const KEPT_AFTER_DRAIN: u64 = 120_000_000;
     let clock = Clock::start();
     let table = EndpointTable::new(clock, 250_000);
@@ -23,7 +23,8 @@
     assert_eq!(kept(clock.now() + KEPT_AFTER_DRAIN), [true, false]);
 }
 
-/// Guards against a first byte past the grace: a process may be stalled for 0.15 s between its look at the clock and the write.
+/// Guards against a first byte after the drain grace: a process may be stalled for 0.15 s between reading the clock
+/// and writing.
 #[test]
 fn the_grace_of_a_drain_covers_a_process_that_is_held_up_before_it_writes() {
     const HELD_UP: u64 = 150_000;
