--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -58,7 +58,7 @@
     /// The attempts that share the call; at least one.
     pub attempts: Vec<Attempt>,
     /// When the policy decided on the call.
-    pub sent: Micros,
+    pub decided_at: Micros,
     /// This channel is closed to cancel the call.
     pub cancelled: Receiver<()>,
 }
@@ -70,11 +70,11 @@
     pub fn new(
         endpoint: EndpointId,
         mut attempts: Vec<Attempt>,
-        sent: Micros,
+        decided_at: Micros,
         cancelled: Receiver<()>,
     ) -> Self {
         attempts.sort_by_key(|attempt| Reverse(attempt.timeout_at));
-        Call { endpoint, attempts, sent, cancelled }
+        Call { endpoint, attempts, decided_at, cancelled }
     }
 
     /// The earliest timeout of the open attempts. `open_attempts` tells for each attempt, in order, whether it is
@@ -98,23 +98,24 @@
     /// the whole call must end: all open attempts have timed out, or one of those that have may be sent again, which
     /// is not allowed while this call is in flight. Without this, one message at its deadline would abandon the call
     /// for all others, again and again.
-    pub fn expired(&self, now: Micros, open_attempts: &[bool]) -> Option<Vec<usize>> {
-        let open: Vec<usize> = (0..self.attempts.len()).filter(|index| open_attempts[*index]).collect();
+    pub fn expired_attempts(&self, now: Micros, open_attempts: &[bool]) -> Option<Vec<usize>> {
+        let open_indices: Vec<usize> =
+            (0..self.attempts.len()).filter(|index| open_attempts[*index]).collect();
         let is_due = |index: &usize| self.attempts[*index].timeout_at <= now;
-        let due: Vec<usize> = open.iter().copied().filter(is_due).collect();
-        let goes_on = !due.is_empty() && due.len() < open.len();
-        let all_final = due.iter().all(|index| self.attempts[*index].final_attempt);
-        (goes_on && all_final).then_some(due)
+        let due_indices: Vec<usize> = open_indices.iter().copied().filter(is_due).collect();
+        let others_remain = !due_indices.is_empty() && due_indices.len() < open_indices.len();
+        let all_final = due_indices.iter().all(|index| self.attempts[*index].final_attempt);
+        (others_remain && all_final).then_some(due_indices)
     }
 
     /// The completion of the call, in a form that can be sent to another process.
     pub fn completed(&self, result: CallResult) -> CallCompletion {
         let attempts = self.attempts.iter().map(Attempt::id).collect();
-        CallCompletion { endpoint: self.endpoint, sent: self.sent, attempts, result }
+        CallCompletion { endpoint: self.endpoint, decided_at: self.decided_at, attempts, result }
     }
 
     /// A copy of the call with only the attempts at these indices.
-    pub fn with(&self, indices: &[usize]) -> Call {
+    pub fn with_attempts(&self, indices: &[usize]) -> Call {
         let attempts = indices.iter().map(|index| self.attempts[*index].clone()).collect();
         Call { attempts, cancelled: self.cancelled.clone(), ..*self }
     }
@@ -131,7 +132,7 @@
 
 impl AttemptResult {
     /// A result that completes the message only if the outcome is a delivery.
-    pub fn of(outcome: Outcome) -> Self {
+    pub fn from_outcome(outcome: Outcome) -> Self {
         AttemptResult { outcome, ended: outcome == Outcome::Ok }
     }
 }
@@ -162,7 +163,8 @@
     /// The endpoint that was called.
     pub endpoint: EndpointId,
     /// When the policy decided on the call.
-    pub sent: Micros,
+    #[serde(rename = "sent")]
+    pub decided_at: Micros,
     /// The attempts that the call carried.
     #[serde(rename = "parts")]
     pub attempts: Vec<AttemptId>,
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -105,7 +105,7 @@
         text: String,
     },
     /// There are too few file descriptors for the calls that may be in flight.
-    #[error("setting `sockets`: {descriptors} are too few for {calls} calls")]
+    #[error("setting `sockets`: {descriptors} file descriptors are too few for {calls} concurrent calls")]
     TooFewDescriptors {
         /// The maximum number of open file descriptors.
         descriptors: usize,
@@ -113,7 +113,7 @@
         calls: usize,
     },
     /// The timeout for connecting to endpoints is zero.
-    #[error("setting `dial-timeout`: 0 is out of range, which is above 0")]
+    #[error("setting `dial-timeout`: 0 is out of range, must be greater than 0")]
     NoDialTimeout,
 }
 
@@ -121,13 +121,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RestartReason {
     /// The name, the listen address or the state folder of the process has changed.
-    #[error("`name`, `listen` and `state` change only at a start")]
+    #[error("`name`, `listen` and `state` can be changed only by a restart")]
     Process,
     /// Names or repeat rules that open messages depend on have changed.
-    #[error("names of classes, tenants, zones and kinds, and what repeats do, change only at a start")]
+    #[error(
+        "names of classes, tenants, zones and kinds, and repeat rules, can be changed only by a restart"
+    )]
     Names,
     /// The entry that this forwarder registers in the registry has changed.
-    #[error("`register` of the registry changes only at a start")]
+    #[error("`register` of the registry can be changed only by a restart")]
     Registration,
 }
 
@@ -162,9 +164,12 @@
 
 /// The address for operators, not yet parsed; the environment variable takes precedence. `None` if operator access is
 /// disabled.
-fn read_operator(config: &Value, variable: Option<String>) -> Result<Option<String>, ConfigReadError> {
-    if variable.is_some() {
-        return Ok(variable);
+fn read_operator_address(
+    config: &Value,
+    environment_variable: Option<String>,
+) -> Result<Option<String>, ConfigReadError> {
+    if environment_variable.is_some() {
+        return Ok(environment_variable);
     }
     let text = optional_field(config, "operator").map(string).transpose();
     text.map_err(|error| ConfigReadError::Value { key: "operator", error })
@@ -180,18 +185,18 @@
 }
 
 impl Config {
-    /// Reads a configuration from its JSON text. Environment variables, which `variable` returns by name, take
-    /// precedence over it.
+    /// Reads a configuration from its JSON text. Environment variables, which `environment_variable` returns by name,
+    /// take precedence over it.
     ///
     /// # Errors
     ///
     /// For the first value that is missing, cannot be decoded or is out of range.
     pub fn read(
         json: &str,
-        variable: impl Fn(&str) -> Option<String>,
+        environment_variable: impl Fn(&str) -> Option<String>,
     ) -> Result<(Self, Settings), ConfigReadError> {
         let json: Value = serde_json::from_str(json)?;
-        let text = |name: &str, key: &str| match variable(name) {
+        let text_setting = |name: &str, key: &str| match environment_variable(name) {
             Some(value) => Ok(value),
             None => required(&json, key, string),
         };
@@ -200,14 +205,14 @@
         let permissions = required_field(raw_settings, "permissions")?;
         let limits = required_field(&json, "limits")?;
         let seed = read_seed(&json)?;
-        let operator = read_operator(&json, variable("ROUTER_OPERATOR"))?;
+        let operator = read_operator_address(&json, environment_variable("ROUTER_OPERATOR"))?;
         let classes = &settings.classes;
         let config = Config {
-            name: text("ROUTER_NAME", "name")?,
-            listen_address: parse_address("listen", text("ROUTER_LISTEN", "listen")?)?,
+            name: text_setting("ROUTER_NAME", "name")?,
+            listen_address: parse_address("listen", text_setting("ROUTER_LISTEN", "listen")?)?,
             operator_address: operator.map(|text| parse_address("operator", text)).transpose()?,
-            agent_address: parse_address("discovery", text("ROUTER_DISCOVERY", "discovery")?)?,
-            state_folder: text("ROUTER_STATE", "state")?.into(),
+            agent_address: parse_address("discovery", text_setting("ROUTER_DISCOVERY", "discovery")?)?,
+            state_folder: text_setting("ROUTER_STATE", "state")?.into(),
             seed,
             max_descriptors: required(limits, "sockets", unsigned)? as usize,
             max_disk_bytes: required(limits, "disk_mb", bytes_from_mb)?,
@@ -222,8 +227,11 @@
             forwarder_index: forwarder_index(raw_settings),
             kinds: settings.kinds.clone(),
             names: Arc::new(names),
-            requires_key: classes.iter().map(|c| c.idempotency == Idempotency::WithKey).collect(),
-            non_idempotent: classes.iter().map(|c| c.idempotency == Idempotency::NonIdempotent).collect(),
+            requires_key: classes.iter().map(|class| class.idempotency == Idempotency::WithKey).collect(),
+            non_idempotent: classes
+                .iter()
+                .map(|class| class.idempotency == Idempotency::NonIdempotent)
+                .collect(),
             repeat_policies: classes.iter().map(|class| repeat_policy(class, &settings)).collect(),
             registry: None,
             deadlines: classes.iter().map(|class| class.deadline).collect(),
@@ -265,9 +273,11 @@
     /// The maximum size of the journal, in bytes: the part of the folder that is not reserved for the registry
     /// snapshot and the operators' files.
     pub fn journal_limit_bytes(&self) -> u64 {
-        let view = if self.registry.is_some() { RegistrySnapshot::max_bytes(self.max_disk_bytes) } else { 0 };
-        let operators = if self.operator_address.is_some() { OPERATOR_FILES_RESERVE_BYTES } else { 0 };
-        self.max_disk_bytes.saturating_sub(view + operators)
+        let snapshot_bytes =
+            if self.registry.is_some() { RegistrySnapshot::max_bytes(self.max_disk_bytes) } else { 0 };
+        let operator_files_bytes =
+            if self.operator_address.is_some() { OPERATOR_FILES_RESERVE_BYTES } else { 0 };
+        self.max_disk_bytes.saturating_sub(snapshot_bytes + operator_files_bytes)
     }
 
     /// The maximum number of open client connections.
@@ -277,7 +287,7 @@
 
     /// The maximum number of idle connections to endpoints, not counting those that carry calls.
     pub fn max_idle_connections(&self) -> usize {
-        let operators = if self.operator_address.is_some() { MAX_OPERATOR_CONNECTIONS } else { 0 };
-        (self.max_descriptors / 2).saturating_sub(self.max_concurrent_calls + 32 + operators)
+        let operator_connections = if self.operator_address.is_some() { MAX_OPERATOR_CONNECTIONS } else { 0 };
+        (self.max_descriptors / 2).saturating_sub(self.max_concurrent_calls + 32 + operator_connections)
     }
 }
--- a/src/net/connection_registry.rs
+++ b/src/net/connection_registry.rs
@@ -22,7 +22,7 @@
 /// A connection's position in the eviction order. Among connections of equal priority, the earliest registered is
 /// evicted first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct EvictionKey {
     priority: EvictionPriority,
     number: u64,
 }
@@ -30,7 +30,7 @@
 /// All connections that may be evicted, in eviction order.
 #[derive(Default)]
 pub struct ConnectionRegistry {
-    evictable: RefCell<BTreeMap<Place, Sender<()>>>,
+    evictable: RefCell<BTreeMap<EvictionKey, Sender<()>>>,
     last_number: Cell<u64>,
     evictions_pending: Cell<usize>,
 }
@@ -40,9 +40,9 @@
     pub fn register(self: &Rc<Self>, priority: EvictionPriority) -> Registration {
         let (evict, evicted) = async_channel::bounded(1);
         self.last_number.set(self.last_number.get() + 1);
-        let place = Place { priority, number: self.last_number.get() };
-        self.evictable.borrow_mut().insert(place, evict);
-        Registration { registry: self.clone(), place, evicted }
+        let key = EvictionKey { priority, number: self.last_number.get() };
+        self.evictable.borrow_mut().insert(key, evict);
+        Registration { registry: self.clone(), key, evicted }
     }
 
     /// The number of connections that were evicted and have not dropped their registration yet.
@@ -61,7 +61,7 @@
 /// The registration of an evictable connection, which ends when this is dropped.
 pub struct Registration {
     registry: Rc<ConnectionRegistry>,
-    place: Place,
+    key: EvictionKey,
     evicted: Receiver<()>,
 }
 
@@ -75,7 +75,7 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        if self.registry.evictable.borrow_mut().remove(&self.place).is_none() {
+        if self.registry.evictable.borrow_mut().remove(&self.key).is_none() {
             self.registry.evictions_pending.set(self.registry.evictions_pending.get() - 1);
         }
     }
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -124,14 +124,14 @@
     }
 
     /// Whether this process has an endpoint list and is not shutting down.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.endpoint_list.is_known() && !self.lifecycle.is_closing()
     }
 
     /// Whether clients may connect. After a hand-over, messages of clients that still connect here are forwarded to
     /// the successor.
     pub fn accepts_clients(&self) -> bool {
-        (self.ready() || self.lifecycle.is_handed_over()) && !self.lifecycle.is_quiesced()
+        (self.is_ready() || self.lifecycle.is_handed_over()) && !self.lifecycle.is_quiesced()
     }
 
     /// Whether client connections are closed after their next response.
@@ -166,15 +166,15 @@
 
     /// Counts and logs the rejection of a message.
     pub fn rejected(&self, request_id: &str, rejection: Rejection) {
-        self.counters.rejected(rejection);
+        self.counters.count_rejection(rejection);
         info!(self.log, "message"; "state" => "rejected", "id" => request_id, "reason" => rejection.name());
     }
 
     /// Counts and logs a violation of an invariant, with the ids of the message and the endpoint. The process
     /// continues.
-    pub fn violated(&self, violation: Violation, request_id: &str, endpoint: Option<EndpointId>) {
-        self.counters.violation(violation);
+    pub fn record_violation(&self, violation: Violation, request_id: &str, endpoint: Option<EndpointId>) {
+        self.counters.count_violation(violation);
         error!(self.log, "invariant violated"; "rule" => violation.name(), "id" => request_id,
-            "endpoint" => endpoint.map(|e| e.0));
+            "endpoint" => endpoint.map(|endpoint| endpoint.0));
     }
 }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -12,7 +12,7 @@
         /// The counters of a process. They start at 0 and never decrease.
         #[derive(Debug, Default)]
         pub struct Counters {
-            $($(#[$doc])* #[doc = concat!("\n\nReported as `", $key, "`.")] pub $name: Count,)*
+            $($(#[$doc])* #[doc = concat!("\n\nReported as `", $key, "`.")] pub $name: Counter,)*
             by_reason: RefCell<BTreeMap<ReasonKey, u64>>,
         }
 
@@ -39,17 +39,17 @@
 
 /// A counter.
 #[derive(Debug, Default)]
-pub struct Count(Cell<u64>);
+pub struct Counter(Cell<u64>);
 
-impl Count {
+impl Counter {
     /// Adds one.
     pub fn add(&self) {
-        self.more(1);
+        self.add_many(1);
     }
 
     /// Adds a number.
-    pub fn more(&self, by: usize) {
-        self.0.set(self.0.get() + by as u64);
+    pub fn add_many(&self, number: usize) {
+        self.0.set(self.0.get() + number as u64);
     }
 }
 
@@ -137,27 +137,27 @@
     }
 
     /// Counts an attempt that the check before the first byte refused.
-    pub fn not_sent(&self, refusal: SendRefusal) {
+    pub fn count_not_sent(&self, refusal: SendRefusal) {
         self.count(NOT_SENT, refusal.name());
     }
 
     /// Counts a rejected message.
-    pub fn rejected(&self, rejection: Rejection) {
+    pub fn count_rejection(&self, rejection: Rejection) {
         self.count(REJECTED, rejection.name());
     }
 
     /// Counts a message that the delivery policy abandoned.
-    pub fn abandoned(&self, reason: AbandonReason) {
+    pub fn count_abandonment(&self, reason: AbandonReason) {
         self.count(ABANDONED, reason.name());
     }
 
     /// Counts a violation of an invariant.
-    pub fn violation(&self, violation: Violation) {
+    pub fn count_violation(&self, violation: Violation) {
         self.count(VIOLATIONS, violation.name());
     }
 
     /// Counts a completed attempt by its outcome.
-    pub fn attempt_completed(&self, outcome: Outcome) {
+    pub fn count_attempt(&self, outcome: Outcome) {
         match outcome {
             Outcome::Ok => &self.attempts_ok,
             Outcome::Error => &self.attempts_error,
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -53,7 +53,7 @@
     /// The events of the policy's next step.
     pub(super) events: Vec<Event>,
     /// When the last step was made.
-    pub(super) last_step: Micros,
+    pub(super) last_step_at: Micros,
     /// Whether the journal is writable, as the policy was last told.
     pub(super) journal_writable: bool,
     /// No more steps are made: the process is shutting down, or a successor makes the decisions.
@@ -89,7 +89,7 @@
             last_id,
             timers: BinaryHeap::new(),
             events: Vec::new(),
-            last_step: 0,
+            last_step_at: 0,
             journal_writable: true,
             stopped: false,
             successor: None,
@@ -108,18 +108,18 @@
     }
 
     /// Runs until all senders of the mailbox are dropped.
-    pub async fn run(mut self, mail: Receiver<DeliveryMessage>) {
+    pub async fn run(mut self, mailbox: Receiver<DeliveryMessage>) {
         loop {
             if self.events.is_empty() {
-                match self.next_message_or_timer(&mail).await {
-                    Some(Ok(message)) => self.receive(message).await,
+                match self.next_message_or_timer(&mailbox).await {
+                    Some(Ok(message)) => self.handle_message(message).await,
                     Some(Err(_)) => return,
                     None => {}
                 }
             }
             self.until_step_allowed().await;
-            while let Ok(message) = mail.try_recv() {
-                self.receive(message).await;
+            while let Ok(message) = mailbox.try_recv() {
+                self.handle_message(message).await;
             }
             if self.stopped {
                 self.events.clear();
@@ -127,7 +127,7 @@
             }
             self.step().await;
             if let Some(successor) = self.successor.take() {
-                handover::hand_over(&mut self, successor, &mail).await;
+                handover::hand_over(&mut self, successor, &mailbox).await;
             }
         }
     }
@@ -135,32 +135,32 @@
     /// Waits for the next message in the mailbox. Returns `None` if a timer of the policy is due first.
     async fn next_message_or_timer(
         &self,
-        mail: &Receiver<DeliveryMessage>,
+        mailbox: &Receiver<DeliveryMessage>,
     ) -> Option<Result<DeliveryMessage, async_channel::RecvError>> {
         // A stopped actor makes no step that removes due timers: one of them would make this loop spin.
         let next_timer = self.timers.peek().filter(|_| !self.stopped).map(|timer| timer.0.due_at);
         let clock = self.context.clock;
-        let due = async {
+        let timer_due = async {
             match next_timer {
                 Some(due_at) => Timer::at(clock.at(due_at)).await,
                 None => future::pending().await,
             };
             None
         };
-        future::or(async { Some(mail.recv().await) }, due).await
+        future::or(async { Some(mailbox.recv().await) }, timer_due).await
     }
 
     /// Waits until `min_step_interval` has passed since the last step, so that messages arriving meanwhile share a
     /// step.
     async fn until_step_allowed(&self) {
         let clock = self.context.clock;
-        let allowed_at = self.last_step + self.context.config().min_step_interval;
+        let allowed_at = self.last_step_at + self.context.config().min_step_interval;
         if clock.now() < allowed_at {
             Timer::at(clock.at(allowed_at)).await;
         }
     }
 
-    async fn receive(&mut self, message: DeliveryMessage) {
+    async fn handle_message(&mut self, message: DeliveryMessage) {
         match message {
             DeliveryMessage::Submit { request, reply } => self.submit(request, reply),
             DeliveryMessage::Withdrawn { id } => self.withdraw(id),
@@ -175,11 +175,11 @@
             DeliveryMessage::Admin { command, reply } => {
                 // The command arrived during a hand-over that failed, so this process performs it.
                 let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
-                let performing = async move {
+                let perform_command = async move {
                     // Sending fails if the operator has disconnected; nobody needs the result then.
                     let _ = reply.try_send(operator::perform(&context, &endpoint_list, command).await);
                 };
-                self.context.executor.spawn(performing).detach();
+                self.context.executor.spawn(perform_command).detach();
             }
             DeliveryMessage::PredecessorGone => {
                 self.take_lost_calls().into_iter().for_each(|completion| self.call_completed(completion))
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -26,7 +26,7 @@
             Ok(id) => {
                 let mut message = InFlightMessage::new(id, request, 0);
                 message.received_at = Some(self.context.clock.now());
-                self.open_new(message, Some(reply));
+                self.open_new_message(message, Some(reply));
             }
             Err(rejection) => self.reject(&request.request_id, rejection, &reply),
         }
@@ -41,7 +41,7 @@
             max_open_messages: self.context.config().max_open_messages,
             journal_writable: self.context.journal.is_writable(),
         })?;
-        let message = self.journaled(request);
+        let message = self.journaled_message(request);
         self.last_id += 1;
         let id = MessageId(self.last_id);
         self.context.journal.record_received(id, &message).map_err(|error| match error {
@@ -51,13 +51,13 @@
         Ok(id)
     }
 
-    fn journaled(&self, request: &Request) -> JournaledMessage {
-        let name = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
+    fn journaled_message(&self, request: &Request) -> JournaledMessage {
+        let name_at = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
         JournaledMessage {
             request_id: request.request_id.clone(),
             key: request.key.clone(),
-            class: name(&self.names.classes, request.class.0),
-            tenant: request.tenant.map(|tenant| name(&self.names.tenants, tenant.0)),
+            class: name_at(&self.names.classes, request.class.0),
+            tenant: request.tenant.map(|tenant| name_at(&self.names.tenants, tenant.0)),
             destination: request.destination.0,
             deadline: request.deadline,
             body: request.body.to_vec(),
@@ -67,7 +67,7 @@
 
     fn reject(&self, request_id: &str, rejection: Rejection, reply: &Sender<SubmitReply>) {
         self.context.rejected(request_id, rejection);
-        let answer = match rejection {
+        let submit_reply = match rejection {
             Rejection::IdInUse => SubmitReply::DuplicateId,
             _ => {
                 self.context.counters.unavailable.add();
@@ -75,30 +75,35 @@
             }
         };
         // Sending fails if the client has disconnected; nobody needs the reply then.
-        let _ = reply.try_send(answer);
+        let _ = reply.try_send(submit_reply);
     }
 
     /// Opens a message that the policy does not know yet, and queues it for the policy's next step.
-    pub(super) fn open_new(&mut self, mut message: InFlightMessage, reply: Option<Sender<SubmitReply>>) {
+    pub(super) fn open_new_message(
+        &mut self,
+        mut message: InFlightMessage,
+        reply: Option<Sender<SubmitReply>>,
+    ) {
         let (destination, class) = (message.request.destination, message.request.class);
-        message.stats = self.context.routes.of(destination, self.endpoints.kind(destination), class);
-        message.stats.iter().for_each(|stats| stats.message_opened());
-        let event = Event::Message(message.message(self.context.clock.now()));
-        self.open(message, None, reply);
+        message.route_stats =
+            self.context.routes.stats_for(destination, self.endpoints.kind(destination), class);
+        message.route_stats.iter().for_each(|stats| stats.message_opened());
+        let event = Event::Message(message.to_new_message(self.context.clock.now()));
+        self.open_message(message, None, reply);
         self.events.push(event);
     }
 
     /// Adds a message to the open ones: reserves its request id, and tracks it in the ledger and the gauge.
-    pub(super) fn open(
+    pub(super) fn open_message(
         &mut self,
         message: InFlightMessage,
         attempt: Option<AttemptInFlight>,
         reply: Option<Sender<SubmitReply>>,
     ) {
         self.context.request_ids.acquire(&message.request.request_id);
-        let rules = self.context.config().repeat_policies[message.request.class.0];
+        let repeat_policy = self.context.config().repeat_policies[message.request.class.0];
         let tracked = TrackedMessage {
-            repeats: rules,
+            repeats: repeat_policy,
             attempts: message.attempts(),
             first_attempt: message
                 .first_attempt
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -41,8 +41,8 @@
             send_by,
             final_attempt,
         };
-        match calls.last_mut().filter(|last| last.number == call && last.endpoint == endpoint) {
-            Some(last) => last.attempts.push(attempt),
+        match calls.last_mut().filter(|planned| planned.number == call && planned.endpoint == endpoint) {
+            Some(planned) => planned.attempts.push(attempt),
             None => calls.push(PlannedCall { number: call, endpoint, attempts: vec![attempt] }),
         }
     }
@@ -52,13 +52,13 @@
         for planned in calls {
             let endpoint = planned.endpoint;
             let call = self.begin_call(now, planned);
-            let Some(actor) = self.endpoints.actor(&self.context, endpoint) else {
+            let Some(mailbox) = self.endpoints.mailbox(&self.context, endpoint) else {
                 warn!(self.context.log, "call to an endpoint that is not listed"; "endpoint" => endpoint.0);
                 self.complete_unsent(call);
                 continue;
             };
-            if let Err(error) = actor.try_send(EndpointMessage::Call(call)) {
-                warn!(self.context.log, "the endpoint's mailbox takes no call"; "endpoint" => endpoint.0,
+            if let Err(error) = mailbox.try_send(EndpointMessage::Call(call)) {
+                warn!(self.context.log, "the endpoint's mailbox does not accept the call"; "endpoint" => endpoint.0,
                     "error" => %error);
                 if let EndpointMessage::Call(call) = error.into_inner() {
                     self.complete_unsent(call);
@@ -82,13 +82,14 @@
     /// Completes a call that could not be sent to its endpoint's actor. The completion arrives in the mailbox like
     /// any other.
     fn complete_unsent(&self, call: Call) {
-        let result = CallResult::same_for_all(call.attempts.len(), AttemptResult::of(Outcome::NotSent));
+        let result =
+            CallResult::same_for_all(call.attempts.len(), AttemptResult::from_outcome(Outcome::NotSent));
         let delivery = self.context.delivery.clone();
-        let completing = async move {
+        let send_completion = async move {
             // This actor's own mailbox is closed only when the process ends.
             let _ = delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
         };
-        self.context.executor.spawn(completing).detach();
+        self.context.executor.spawn(send_completion).detach();
     }
 
     /// Cancels an attempt of a message, if that attempt is still in flight.
@@ -101,8 +102,8 @@
 
     /// Processes the completion of a call that this process or its predecessor made.
     pub(super) fn call_completed(&mut self, completion: CallCompletion) {
-        let CallCompletion { endpoint, sent, attempts, result } = completion;
-        let elapsed = self.context.clock.now().saturating_sub(sent);
+        let CallCompletion { endpoint, decided_at, attempts, result } = completion;
+        let elapsed = self.context.clock.now().saturating_sub(decided_at);
         let rejected_with_wait =
             result.attempts.iter().any(|attempt| matches!(attempt.outcome, Outcome::Rejected(Some(_))));
         let report = result.report;
@@ -120,21 +121,21 @@
         let CompletedAttempt { id: attempt_id, endpoint, elapsed, result, report } = attempt;
         let AttemptId { message: id, number } = attempt_id;
         let AttemptResult { outcome, ended } = result;
-        self.context.counters.attempt_completed(outcome);
+        self.context.counters.count_attempt(outcome);
         self.predecessor_attempts.remove(&attempt_id);
         self.context.ledger.borrow_mut().attempt_ended(id, number, outcome);
-        let message = self.take_from_flight(attempt_id);
+        let message = self.remove_from_flight(attempt_id);
         if let Some(message) = &message {
             info!(self.context.log, "message"; "state" => "attempt-ended", "id" => &message.request.request_id,
                 "attempt" => number, "endpoint" => endpoint.0, "outcome" => ?outcome, "ms" => elapsed / 1000);
-            message.stats.iter().for_each(|stats| stats.attempt_completed(outcome));
+            message.route_stats.iter().for_each(|stats| stats.attempt_completed(outcome));
         }
         if ended {
-            self.ended_by_endpoint(id, outcome, message.as_deref());
+            self.end_by_response(id, outcome, message.as_deref());
         } else if never_ran(outcome) {
             self.context.journal.record_never_ran(id, number);
         }
-        self.remove_if_over(id);
+        self.remove_if_ended(id);
         self.events.push(Event::AttemptEnded {
             id,
             attempt: number,
@@ -147,23 +148,23 @@
     }
 
     /// Marks an attempt as no longer in flight. Returns its message; `None` if the message is not open any more.
-    fn take_from_flight(&mut self, attempt: AttemptId) -> Option<Rc<InFlightMessage>> {
+    fn remove_from_flight(&mut self, attempt: AttemptId) -> Option<Rc<InFlightMessage>> {
         let open = self.messages.get_mut(&attempt.message)?;
         open.attempt.take_if(|in_flight| in_flight.number == attempt.number);
         Some(open.message.clone())
     }
 
     /// Ends a message whose endpoint has delivered it or has found it expired.
-    fn ended_by_endpoint(&mut self, id: MessageId, outcome: Outcome, message: Option<&InFlightMessage>) {
+    fn end_by_response(&mut self, id: MessageId, outcome: Outcome, message: Option<&InFlightMessage>) {
         let delivered = outcome == Outcome::Ok;
         let end = if delivered { MessageEnd::Delivered } else { MessageEnd::Expired };
         if self.end_message(id, end) && delivered {
             self.context.counters.delivered.add();
             let received_at = message.and_then(|message| message.received_at);
-            let stats = message.and_then(|message| message.stats.as_ref());
+            let stats = message.and_then(|message| message.route_stats.as_ref());
             if let Some((received_at, stats)) = received_at.zip(stats) {
                 let delivery_time = self.context.clock.now().saturating_sub(received_at);
-                self.context.routes.delivered(stats, delivery_time);
+                self.context.routes.record_delivery(stats, delivery_time);
             }
         }
         self.context.journal.record_completed(id);
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -15,7 +15,7 @@
 impl DeliveryActor {
     /// The state that is sent to a successor. Must be called just after a step, when no events wait for the policy.
     pub fn state(&self, list: MembershipSnapshot) -> HandOverState {
-        let open = self.messages.iter().map(|(id, open)| HandOverMessage {
+        let open_messages = self.messages.iter().map(|(id, open)| HandOverMessage {
             id: *id,
             attempts: open.message.attempts(),
             received_at: open.message.received_at,
@@ -25,9 +25,9 @@
                 .map(|attempt| HandOverAttempt { number: attempt.number, endpoint: attempt.endpoint }),
         });
         // Messages that ended while an attempt was in flight at an earlier process are not in `messages` any more.
-        let ended =
+        let ended_messages =
             self.predecessor_attempts.iter().filter(|(id, _)| !self.messages.contains_key(&id.message));
-        let ended = ended.map(|(attempt, endpoint)| HandOverMessage {
+        let ended_messages = ended_messages.map(|(attempt, endpoint)| HandOverMessage {
             id: attempt.message,
             attempts: attempt.number + 1,
             received_at: None,
@@ -37,7 +37,7 @@
             // If the policy cannot be serialized, the successor rejects the state and this process goes on serving.
             policy: serde_json::to_value(&self.policy).unwrap_or_default(),
             last_id: self.last_id,
-            messages: open.chain(ended).collect(),
+            messages: open_messages.chain(ended_messages).collect(),
             timers: self.timers.iter().map(|timer| timer.0).collect(),
             received_by_tenant: self.received_by_tenant.clone(),
             client_connections: self.context.gauges.client_connections.get(),
@@ -90,7 +90,7 @@
             let cancel = predecessor.cancel_on_close(&self.context.executor, handed_over.id, number);
             AttemptInFlight { number, endpoint, cancel }
         });
-        self.open(message, attempt, None);
+        self.open_message(message, attempt, None);
         self.context.counters.inherited.add();
     }
 
@@ -98,12 +98,12 @@
     /// the attempt may have run, but that its connection failed and not its endpoint: the failure must not contribute
     /// to an ejection.
     pub fn take_lost_calls(&mut self) -> Vec<CallCompletion> {
-        let sent = self.context.clock.now();
-        let lost = |(attempt, endpoint): (AttemptId, EndpointId)| {
-            let result = CallResult::same_for_all(1, AttemptResult::of(Outcome::StaleConnection));
-            CallCompletion { endpoint, sent, attempts: vec![attempt], result }
+        let decided_at = self.context.clock.now();
+        let lost_completion = |(attempt, endpoint): (AttemptId, EndpointId)| {
+            let result = CallResult::same_for_all(1, AttemptResult::from_outcome(Outcome::StaleConnection));
+            CallCompletion { endpoint, decided_at, attempts: vec![attempt], result }
         };
-        std::mem::take(&mut self.predecessor_attempts).into_iter().map(lost).collect()
+        std::mem::take(&mut self.predecessor_attempts).into_iter().map(lost_completion).collect()
     }
 
     /// Stops making decisions, since a successor makes them from here on. Calls in flight are still completed by this
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -11,36 +11,36 @@
 
 /// How the policy has ended a message that was not delivered.
 #[derive(Clone, Copy)]
-pub(super) enum Abandoned {
+pub(super) enum Abandonment {
     /// The client may safely send it again, after this time if the policy gives one.
     Returned(Option<Micros>),
     /// It may or may not have taken effect.
     Failed,
 }
 
-impl Abandoned {
+impl Abandonment {
     fn message_end(self) -> MessageEnd {
         match self {
-            Abandoned::Returned(_) => MessageEnd::Returned,
-            Abandoned::Failed => MessageEnd::Failed,
+            Abandonment::Returned(_) => MessageEnd::Returned,
+            Abandonment::Failed => MessageEnd::Failed,
         }
     }
 
     fn reported_end(self) -> ReportedEnd {
         match self {
-            Abandoned::Returned(retry_after) => {
+            Abandonment::Returned(retry_after) => {
                 ReportedEnd::Returned(retry_after.map(|time| time.div_ceil(1000)))
             }
-            Abandoned::Failed => ReportedEnd::Failed,
+            Abandonment::Failed => ReportedEnd::Failed,
         }
     }
 
     fn reply(self) -> SubmitReply {
         match self {
-            Abandoned::Returned(retry_after) => {
+            Abandonment::Returned(retry_after) => {
                 SubmitReply::Unavailable(retry_after.unwrap_or(DEFAULT_RETRY_AFTER))
             }
-            Abandoned::Failed => SubmitReply::Failed,
+            Abandonment::Failed => SubmitReply::Failed,
         }
     }
 }
@@ -52,7 +52,7 @@
             self.context.journal.record_completed(id);
             self.context.counters.withdrawn.add();
             self.events.push(Event::Withdrawn { id });
-            self.remove_if_over(id);
+            self.remove_if_ended(id);
         }
     }
 
@@ -60,9 +60,9 @@
     /// message was not accepted. If the end cannot be journaled, a restart would find the message open; it then stays
     /// open here too.
     pub(super) fn client_ended(&mut self, request_id: &str) {
-        let undecided =
+        let is_undecided =
             |open: &&mut OpenMessage| open.reply.is_some() && open.message.request.request_id == request_id;
-        let Some(open) = self.messages.values_mut().find(undecided) else { return };
+        let Some(open) = self.messages.values_mut().find(is_undecided) else { return };
         let id = open.message.id;
         if self.context.journal.try_record_completed(id).is_err() {
             return;
@@ -76,57 +76,60 @@
 
     /// Ends a message as the policy decided. The client learns of it by the reply if none was sent yet, or else by a
     /// delivery report.
-    pub(super) async fn abandon(&mut self, id: MessageId, abandoned: Abandoned, reason: AbandonReason) {
-        if !self.end_message(id, abandoned.message_end()) {
+    pub(super) async fn abandon(&mut self, id: MessageId, abandonment: Abandonment, reason: AbandonReason) {
+        if !self.end_message(id, abandonment.message_end()) {
             return;
         }
-        self.context.counters.abandoned(reason);
+        self.context.counters.count_abandonment(reason);
         let Some(open) = self.messages.get_mut(&id) else { return };
         let request = &open.message.request;
         let (request_id, deadline) = (request.request_id.clone(), request.deadline);
         info!(self.context.log, "message"; "state" => "abandoned", "id" => &request_id, "reason" => reason.name());
-        let replied = open.reply.take().is_some_and(|reply| self.reply_end(id, abandoned, &reply));
+        let replied = open.reply.take().is_some_and(|reply| self.reply_end(id, abandonment, &reply));
         if !replied {
-            self.report_end(DeliveryReport { id, request_id, end: abandoned.reported_end(), deadline }).await;
+            self.report_end(DeliveryReport { id, request_id, end: abandonment.reported_end(), deadline })
+                .await;
         }
-        self.remove_if_over(id);
+        self.remove_if_ended(id);
     }
 
     /// Replies to the client how its message ended. If the end cannot be journaled, a restart would find the message
     /// open: the client is then told that the message is accepted, as the journal says, and false is returned.
-    fn reply_end(&self, id: MessageId, abandoned: Abandoned, reply: &Sender<SubmitReply>) -> bool {
+    fn reply_end(&self, id: MessageId, abandonment: Abandonment, reply: &Sender<SubmitReply>) -> bool {
         if self.context.journal.try_record_completed(id).is_err() {
             self.context.counters.messages_accepted.add();
             // Sending fails if the client has disconnected; a delivery report follows in any case.
             let _ = reply.try_send(SubmitReply::Accepted(id));
             return false;
         }
-        match abandoned {
-            Abandoned::Returned(_) => self.context.counters.unavailable.add(),
-            Abandoned::Failed => self.context.counters.failed.add(),
+        match abandonment {
+            Abandonment::Returned(_) => self.context.counters.unavailable.add(),
+            Abandonment::Failed => self.context.counters.failed.add(),
         }
         // Sending fails if the client has disconnected; nobody needs the reply then.
-        let _ = reply.try_send(abandoned.reply());
+        let _ = reply.try_send(abandonment.reply());
         true
     }
 
     /// Marks a message as ended. Returns false if it is not open or had ended before.
     pub(super) fn end_message(&mut self, id: MessageId, end: MessageEnd) -> bool {
-        let Some(open) = self.messages.get(&id).filter(|open| !open.message.is_over()) else { return false };
+        let Some(open) = self.messages.get(&id).filter(|open| !open.message.is_ended()) else { return false };
         let message = &open.message;
-        message.end();
-        message.stats.iter().for_each(|stats| stats.message_ended(end));
+        message.mark_ended();
+        message.route_stats.iter().for_each(|stats| stats.message_ended(end));
         self.context.gauges.open_messages.decrement();
         let request_id = &message.request.request_id;
         info!(self.context.log, "message"; "state" => end.name(), "id" => request_id, "attempts" => message.attempts());
         let violation = self.context.ledger.borrow_mut().completed(id, end == MessageEnd::Returned);
-        violation.into_iter().for_each(|violation| self.context.violated(violation, request_id, None));
+        violation
+            .into_iter()
+            .for_each(|violation| self.context.record_violation(violation, request_id, None));
         true
     }
 
     /// Removes a message if it has ended and no attempt of it is in flight.
-    pub(super) fn remove_if_over(&mut self, id: MessageId) {
-        if !self.messages.get(&id).is_some_and(|open| open.message.is_over() && open.attempt.is_none()) {
+    pub(super) fn remove_if_ended(&mut self, id: MessageId) {
+        if !self.messages.get(&id).is_some_and(|open| open.message.is_ended() && open.attempt.is_none()) {
             return;
         }
         self.context.ledger.borrow_mut().forget(id);
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -57,7 +57,7 @@
             let zone = self.names.zones.iter().position(|zone| *zone == start.zone).unwrap_or(usize::MAX);
             (start.started_at, ZoneId(zone))
         });
-        self.open_new(message, None);
+        self.open_new_message(message, None);
     }
 
     /// The class of a journaled message; `None` if it was removed from the settings.
--- a/src/net/delivery/status.rs
+++ b/src/net/delivery/status.rs
@@ -17,16 +17,16 @@
 }
 
 fn destination_status(status: DestinationStatus) -> Value {
-    let ms = |time: f64| time / 1e3;
-    let retry_after = |time: Micros| ms(time as f64);
+    let to_ms = |time: f64| time / 1e3;
+    let micros_to_ms = |time: Micros| to_ms(time as f64);
     json!({
         "destination": status.destination.0,
         "breaker": status.breaker.name(),
         "held": status.waiting,
         "out": status.in_flight,
-        "wait_ms": retry_after(status.retry_after),
+        "wait_ms": micros_to_ms(status.retry_after),
         "cold": status.warming_up,
-        "answer_ms": status.latency.map(ms),
+        "answer_ms": status.latency.map(to_ms),
         "limit_per_s": status.limit.map(|limit| limit.rate),
         "limit_left": status.limit.map(|limit| limit.remaining_share),
     })
--- a/src/net/delivery/step.rs
+++ b/src/net/delivery/step.rs
@@ -2,7 +2,7 @@
 
 use super::actor::DeliveryActor;
 use super::attempts::PlannedCall;
-use super::message_end::Abandoned;
+use super::message_end::Abandonment;
 use crate::net::handover::frames::PolicyTimer;
 use crate::net::messages::{EndpointListMessage, SubmitReply};
 use crate::{Action, EndpointListUpdate, Event, Lifecycle, MessageId, Micros, NewMessage};
@@ -13,7 +13,7 @@
     /// Makes a step, unless there is no event.
     pub(super) async fn step(&mut self) {
         let now = self.context.clock.now();
-        self.last_step = now;
+        self.last_step_at = now;
         self.collect_due_timers(now);
         self.collect_journal_status();
         if self.events.is_empty() {
@@ -25,10 +25,10 @@
         let mut actions = Vec::new();
         self.policy.step(now, &events, &mut actions);
         self.record_observed_drains(&events, now);
-        self.perform(actions, now).await;
+        self.perform_actions(actions, now).await;
         for event in &events {
             if let Event::Message(message) = event {
-                self.accept(message);
+                self.accept_message(message);
             }
         }
     }
@@ -50,14 +50,14 @@
 
     /// Withdraws new messages whose clients have disconnected, before an attempt is made for them.
     fn withdraw_messages_of_gone_clients(&mut self) {
-        let withdrawn = |event: &Event| match event {
+        let disconnected = |event: &Event| match event {
             Event::Message(message) => {
                 let reply = self.messages.get(&message.id)?.reply.as_ref()?;
                 reply.is_closed().then_some(message.id)
             }
             _ => None,
         };
-        let withdrawn: Vec<MessageId> = self.events.iter().filter_map(withdrawn).collect();
+        let withdrawn: Vec<MessageId> = self.events.iter().filter_map(disconnected).collect();
         withdrawn.into_iter().for_each(|id| self.withdraw(id));
     }
 
@@ -80,20 +80,20 @@
             else {
                 continue;
             };
-            let leaving = entries.iter().filter(|entry| entry.lifecycle != Lifecycle::Listed);
-            leaving.for_each(|entry| self.context.endpoint_table.drain_observed(entry.endpoint, now));
+            let draining = entries.iter().filter(|entry| entry.lifecycle != Lifecycle::Listed);
+            draining.for_each(|entry| self.context.endpoint_table.record_drain_observed(entry.endpoint, now));
         }
     }
 
-    async fn perform(&mut self, actions: Vec<Action>, now: Micros) {
+    async fn perform_actions(&mut self, actions: Vec<Action>, now: Micros) {
         let mut calls: Vec<PlannedCall> = Vec::new();
         for action in actions {
             match action {
                 Action::Send { .. } => self.plan_attempt(&mut calls, &action),
                 Action::Reject { id, retry_after, reason } => {
-                    self.abandon(id, Abandoned::Returned(retry_after), reason).await;
+                    self.abandon(id, Abandonment::Returned(retry_after), reason).await;
                 }
-                Action::Fail { id, reason } => self.abandon(id, Abandoned::Failed, reason).await,
+                Action::Fail { id, reason } => self.abandon(id, Abandonment::Failed, reason).await,
                 Action::Cancel { id, attempt } => self.cancel(id, attempt),
                 Action::Timer { delay, token } => {
                     self.timers.push(Reverse(PolicyTimer { due_at: now + delay, token }));
@@ -108,7 +108,7 @@
                     let _ = self.endpoint_list.try_send(EndpointListMessage::Resubscribe);
                 }
                 Action::HealthCheck { endpoint } => {
-                    warn!(self.context.log, "no health checks on this platform"; "endpoint" => endpoint.0);
+                    warn!(self.context.log, "health checks are not supported"; "endpoint" => endpoint.0);
                 }
                 Action::Log(line) => info!(self.context.log, "decision"; "text" => line),
             }
@@ -117,7 +117,7 @@
     }
 
     /// Tells the client of a new message that it is accepted, unless this step has ended the message.
-    fn accept(&mut self, message: &NewMessage) {
+    fn accept_message(&mut self, message: &NewMessage) {
         let Some(open) = self.messages.get_mut(&message.id) else { return };
         let Some(reply) = open.reply.take() else { return };
         if reply.try_send(SubmitReply::Accepted(message.id)).is_err() {
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// The pause after the first connect that failed as this machine lacked a resource. It doubles with each failure.
-const FIRST_SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(5);
 /// The upper bound of that pause.
-const MAX_SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
 /// Opens a connection, with no other time limit than that of the operating system.
 ///
@@ -26,14 +26,14 @@
     match socket.connect(&address.into()) {
         Ok(()) => {}
         // The system continues an interrupted connect in the background, like one in progress.
-        Err(e) if has_errno(&e, &[Errno::INPROGRESS, Errno::INTR]) => {}
-        Err(e) => return Err(e),
+        Err(error) if has_errno(&error, &[Errno::INPROGRESS, Errno::INTR]) => {}
+        Err(error) => return Err(error),
     }
     let stream = Async::new(TcpStream::from(socket))?;
     stream.writable().await?;
     match stream.get_ref().take_error()? {
         None => Ok(stream),
-        Some(e) => Err(e),
+        Some(error) => Err(error),
     }
 }
 
@@ -44,19 +44,19 @@
 ///
 /// Any other error of the socket, or [`HttpError::Malformed`] if the connection is not established within the limit.
 pub async fn connect_within(address: SocketAddr, limit: Duration) -> Result<Async<TcpStream>, HttpError> {
-    let connecting = async {
-        let mut pause = FIRST_SHORTAGE_PAUSE;
+    let connect_with_retries = async {
+        let mut pause = INITIAL_RETRY_PAUSE;
         loop {
             match connect(address).await {
-                Err(e) if is_shortage(&e) => {
+                Err(error) if is_resource_shortage(&error) => {
                     Timer::after(pause).await;
-                    pause = (2 * pause).min(MAX_SHORTAGE_PAUSE);
+                    pause = (2 * pause).min(MAX_RETRY_PAUSE);
                 }
                 result => return Ok(result?),
             }
         }
     };
-    within_or_error(connecting, limit).await
+    within_or_error(connect_with_retries, limit).await
 }
 
 fn has_errno(error: &io::Error, numbers: &[Errno]) -> bool {
@@ -64,7 +64,7 @@
 }
 
 /// Whether the error is a lack of file descriptors, memory or ports on this machine.
-fn is_shortage(error: &io::Error) -> bool {
+fn is_resource_shortage(error: &io::Error) -> bool {
     let shortages =
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
     has_errno(error, &shortages)
--- a/src/net/endpoint/actor.rs
+++ b/src/net/endpoint/actor.rs
@@ -15,21 +15,21 @@
 pub async fn run(
     context: Rc<Context>,
     endpoint: EndpointId,
-    mail: Receiver<EndpointMessage>,
-    own: WeakSender<EndpointMessage>,
+    mailbox: Receiver<EndpointMessage>,
+    own_mailbox: WeakSender<EndpointMessage>,
 ) {
     let mut pool = Pool::new(context.clone(), endpoint);
     loop {
-        let disturbed = async {
+        let pool_disturbed = async {
             pool.until_disturbed().await;
             None
         };
-        match future::or(async { Some(mail.recv().await) }, disturbed).await {
+        match future::or(async { Some(mailbox.recv().await) }, pool_disturbed).await {
             None => pool.close_unusable(),
             Some(Ok(EndpointMessage::Call(call))) => {
-                let idle = pool.take();
+                let idle = pool.take_most_recent();
                 // `None` once the endpoint was removed: the call's connection is then closed instead of returned.
-                let pool_mailbox = own.upgrade();
+                let pool_mailbox = own_mailbox.upgrade();
                 context.executor.spawn(call::run(context.clone(), call, idle, pool_mailbox)).detach();
             }
             Some(Ok(EndpointMessage::CloseIdle)) => pool.close_all(ConnectionEnd::CloseIdle),
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -25,26 +25,26 @@
     idle: Option<HttpConnection>,
     pool: Option<Sender<EndpointMessage>>,
 ) {
-    let _in_flight = context.gauges.calls_in_flight.count();
+    let _in_flight = context.gauges.calls_in_flight.increment_scoped();
     let mut open_attempts = vec![true; call.attempts.len()];
-    let mut result = perform(&context, &call, idle, pool, &mut open_attempts).await;
+    let mut result = perform_call(&context, &call, idle, pool, &mut open_attempts).await;
     if let Some(retry_after) = result.retry_after {
         context.endpoint_table.retry_after(call.endpoint, retry_after);
     }
     let unreported: Vec<usize> = (0..call.attempts.len()).filter(|index| open_attempts[*index]).collect();
     result.attempts = unreported.iter().map(|index| result.attempts[*index]).collect();
-    let call = call.with(&unreported);
+    let call = call.with_attempts(&unreported);
     // Sent only now that the connection is closed or idle: the endpoint must not see a further attempt while this one
     // is in flight.
-    report(&context, &call, result).await;
+    send_completion(&context, &call, result).await;
 }
 
-async fn report(context: &Context, call: &Call, result: CallResult) {
+async fn send_completion(context: &Context, call: &Call, result: CallResult) {
     // Sending fails only as the process ends, with no delivery actor left to notify.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
 }
 
-async fn perform(
+async fn perform_call(
     context: &Rc<Context>,
     call: &Call,
     idle: Option<HttpConnection>,
@@ -66,15 +66,15 @@
     }
     let ended = EndedCall { context, call, progress, reused };
     let failure = match end {
-        CallEnd::Response(response) => return ended.responded(&response, connection, pool).await,
-        CallEnd::NotSent(refusal) => return ended.not_sent(refusal, connection, pool).await,
-        CallEnd::ConnectionFailed(error) => ended.connection_failed(&error, connection.as_ref()),
+        CallEnd::Response(response) => return ended.response_result(&response, connection, pool).await,
+        CallEnd::NotSent(refusal) => return ended.refusal_result(refusal, connection, pool).await,
+        CallEnd::ConnectionFailed(error) => ended.classify_failure(&error, connection.as_ref()),
         CallEnd::TimedOut if ended.is_written() => CallFailure::TimedOut,
         CallEnd::TimedOut => CallFailure::TimedOutBeforeSent,
         CallEnd::Cancelled if ended.is_written() => CallFailure::Cancelled,
         CallEnd::Cancelled => CallFailure::CancelledBeforeSent,
     };
-    ended.failed(failure, connection)
+    ended.failure_result(failure, connection)
 }
 
 /// Waits for the end of a call. Attempts that time out at their message's deadline, before the others of the call,
@@ -89,23 +89,23 @@
     let clock = context.clock;
     let mut exchange = pin!(exchange);
     loop {
-        let timed_out = async {
+        let timeout = async {
             Timer::at(clock.at(call.first_timeout(open_attempts))).await;
             CallEnd::TimedOut
         };
-        let cancelled = async {
+        let cancellation = async {
             // Nothing is ever sent on this channel: closing it cancels the call.
             let _ = call.cancelled.recv().await;
             CallEnd::Cancelled
         };
-        let end = future::or(exchange.as_mut(), future::or(timed_out, cancelled)).await;
+        let end = future::or(exchange.as_mut(), future::or(timeout, cancellation)).await;
         if !matches!(end, CallEnd::TimedOut) || progress.stage.get() != Stage::Written {
             return end;
         }
-        let Some(expired) = call.expired(clock.now(), open_attempts) else { return end };
+        let Some(expired) = call.expired_attempts(clock.now(), open_attempts) else { return end };
         expired.iter().for_each(|index| open_attempts[*index] = false);
-        let result = CallResult::same_for_all(expired.len(), AttemptResult::of(Outcome::TimedOut));
-        report(context, &call.with(&expired), result).await;
+        let result = CallResult::same_for_all(expired.len(), AttemptResult::from_outcome(Outcome::TimedOut));
+        send_completion(context, &call.with_attempts(&expired), result).await;
     }
 }
 
@@ -120,7 +120,7 @@
 impl EndedCall<'_> {
     /// Reads the results from a response. The connection is returned to the pool if it can be reused, and closed
     /// otherwise.
-    async fn responded(
+    async fn response_result(
         &self,
         response: &Response,
         connection: Option<HttpConnection>,
@@ -128,21 +128,22 @@
     ) -> CallResult {
         let retry_after = self.progress.retry_after.get();
         let result = response::read_result(&self.context.log, self.call, response, retry_after, self.reused);
-        let refused = result.attempts.iter().any(|attempt| attempt.outcome == Outcome::ConnectFailed);
+        let connection_refused =
+            result.attempts.iter().any(|attempt| attempt.outcome == Outcome::ConnectFailed);
         match (connection, pool) {
             (Some(connection), Some(pool))
                 if response.head.keep_alive && connection.buffer.bytes().is_empty() =>
             {
                 return_to_pool(connection, &pool).await
             }
-            _ if refused => self.log_closed(ConnectionEnd::ConnectionLimit),
+            _ if connection_refused => self.log_closed(ConnectionEnd::ConnectionLimit),
             _ => self.log_closed(ConnectionEnd::Response),
         }
         result
     }
 
     /// The result of a call whose first byte was refused. Nothing was written, so the connection can still be reused.
-    async fn not_sent(
+    async fn refusal_result(
         &self,
         refusal: SendRefusal,
         connection: Option<HttpConnection>,
@@ -155,30 +156,30 @@
             SendRefusal::JournalFailing => Outcome::NotJournaled,
             _ => Outcome::NotSent,
         };
-        CallResult::same_for_all(self.call.attempts.len(), AttemptResult::of(outcome))
+        CallResult::same_for_all(self.call.attempts.len(), AttemptResult::from_outcome(outcome))
     }
 
-    fn connection_failed(&self, error: &HttpError, connection: Option<&HttpConnection>) -> CallFailure {
+    fn classify_failure(&self, error: &HttpError, connection: Option<&HttpConnection>) -> CallFailure {
         if !self.is_written() {
             return CallFailure::ConnectFailed;
         }
-        CallFailure::of_connection(error, self.since_written_unanswered(connection))
+        CallFailure::from_connection_error(error, self.unanswered_since_written(connection))
     }
 
     /// The result of a call without a complete response. Its connection is closed, or kept for a moment to read a
     /// late response.
-    fn failed(&self, failure: CallFailure, connection: Option<HttpConnection>) -> CallResult {
+    fn failure_result(&self, failure: CallFailure, connection: Option<HttpConnection>) -> CallResult {
         let delivered = self.is_delivered(connection.as_ref());
         let abandoned = matches!(failure, CallFailure::TimedOut | CallFailure::Cancelled);
         let unanswered = self.progress.status.get().is_none();
         if let Some(connection) = connection.filter(|_| abandoned && unanswered) {
-            late_response::read(self.context, self.call.endpoint, connection);
+            late_response::read_in_background(self.context, self.call.endpoint, connection);
         }
         self.log_closed(ConnectionEnd::CallFailed(failure));
         let outcome = if delivered { Outcome::Ok } else { failure.outcome() };
         CallResult {
             retry_after: self.progress.retry_after.get(),
-            ..CallResult::same_for_all(self.call.attempts.len(), AttemptResult::of(outcome))
+            ..CallResult::same_for_all(self.call.attempts.len(), AttemptResult::from_outcome(outcome))
         }
     }
 
@@ -189,14 +190,14 @@
     /// Whether the message of a call was delivered although its response is not complete: for a single message the
     /// status line with 200 is enough.
     fn is_delivered(&self, connection: Option<&HttpConnection>) -> bool {
-        let single = self.call.attempts.len() == 1;
-        single
+        let is_single_message = self.call.attempts.len() == 1;
+        is_single_message
             && (self.progress.status.get() == Some(200) || connection.is_some_and(response::starts_with_ok))
     }
 
     /// The time since the request was written, in microseconds; `None` if the connection was new or any byte of a
     /// response was received.
-    fn since_written_unanswered(&self, connection: Option<&HttpConnection>) -> Option<Micros> {
+    fn unanswered_since_written(&self, connection: Option<&HttpConnection>) -> Option<Micros> {
         let written_at = self.progress.written_at.get()?;
         let unanswered = self.progress.status.get().is_none()
             && connection.is_none_or(|connection| connection.buffer.bytes().is_empty());
--- a/src/net/endpoint/connection_end.rs
+++ b/src/net/endpoint/connection_end.rs
@@ -7,7 +7,7 @@
 
 /// A reused connection that fails within this time after the request was written, in microseconds, is taken to have
 /// been dead before: no endpoint processes a request so fast.
-pub const STALE_WITHIN: Micros = 50_000;
+pub const STALE_CONNECTION_WINDOW: Micros = 50_000;
 
 /// Why a call ended without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,10 +32,10 @@
     /// Classifies the failure of a connection after the request was written. `since_written` is the time from the
     /// request to the failure in microseconds, given only if the connection was reused and no byte of a response was
     /// received: an idle connection can die unnoticed, which says little about the endpoint's health.
-    pub fn of_connection(error: &HttpError, since_written: Option<Micros>) -> Self {
+    pub fn from_connection_error(error: &HttpError, since_written: Option<Micros>) -> Self {
         match error {
             HttpError::Closed | HttpError::Socket(_)
-                if since_written.is_some_and(|time| time < STALE_WITHIN) =>
+                if since_written.is_some_and(|time| time < STALE_CONNECTION_WINDOW) =>
             {
                 CallFailure::StaleConnection
             }
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -2,7 +2,7 @@
 //! attempts, writes the request and reads the response.
 
 use super::request;
-use super::response::{read_retry_after, Response, RESPONSE_STALL};
+use super::response::{read_retry_after, Response, RESPONSE_STALL_TIMEOUT};
 use crate::invariants::{may_send, SendFacts, SendPermit, SendRefusal, Violation};
 use crate::journal::AttemptStart;
 use crate::net::call::Call;
@@ -18,7 +18,7 @@
 /// The largest body of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 /// The longest pause in the body of a response whose status line has already delivered the message.
-const DELIVERED_BODY_STALL: Duration = Duration::from_millis(50);
+const DELIVERED_BODY_STALL_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How a call ended.
 pub(super) enum CallEnd {
@@ -67,22 +67,22 @@
     pub retry_after: Cell<Option<Micros>>,
 }
 
-/// Makes a call on the connection in `slot`, or on a new one that is put there.
+/// Makes a call on the connection in `connection_slot`, or on a new one that is put there.
 pub(super) async fn exchange(
     context: &Context,
     call: &Call,
-    slot: &mut Option<HttpConnection>,
+    connection_slot: &mut Option<HttpConnection>,
     progress: &Progress,
 ) -> Result<Response, CallEnd> {
-    let connection = match slot {
+    let connection = match connection_slot {
         Some(idle) => idle,
-        None => slot.insert(connect(context, call.endpoint).await?),
+        None => connection_slot.insert(connect(context, call.endpoint).await?),
     };
-    connection.stall_timeout = Some(RESPONSE_STALL);
+    connection.stall_timeout = Some(RESPONSE_STALL_TIMEOUT);
     context.endpoint_list.until_received().await;
     context.stall_detector.until_calls_allowed(&context.clock).await;
     check_sendable(context, call, progress)?;
-    let zone = context.endpoint_table.get(call.endpoint).map(|known| known.zone);
+    let zone = context.endpoint_table.get(call.endpoint).map(|state| state.zone);
     journal_attempts(context, call, zone, progress)?;
     // Checked again, as writing to the journal can take long.
     let permit = check_sendable(context, call, progress)?;
@@ -96,24 +96,24 @@
 }
 
 async fn connect(context: &Context, endpoint: EndpointId) -> Result<HttpConnection, HttpError> {
-    let Some(known) = context.endpoint_table.get(endpoint) else {
+    let Some(state) = context.endpoint_table.get(endpoint) else {
         return Err(HttpError::Malformed("unknown endpoint"));
     };
     context.counters.connections_opened.add();
     let timeout = Duration::from_micros(context.config().dial_timeout);
-    Ok(HttpConnection::new(connect_within(known.address, timeout).await?))
+    Ok(HttpConnection::new(connect_within(state.address, timeout).await?))
 }
 
 /// Checks whether the first byte may be written now. A refusal is counted and logged.
 fn check_sendable(context: &Context, call: &Call, progress: &Progress) -> Result<SendPermit, CallEnd> {
     let facts = SendFacts {
         now: context.clock.now(),
-        message_complete: call.attempts.iter().any(|attempt| attempt.message.is_over()),
+        message_complete: call.attempts.iter().any(|attempt| attempt.message.is_ended()),
         handed_over: context.journal.is_paused(),
         journal_writable: context.journal.is_writable(),
         abandon_at: call.first_timeout(&vec![true; call.attempts.len()]),
         send_by: call.send_by(),
-        drain_grace: context.endpoint_table.grace(),
+        drain_grace: context.endpoint_table.drain_grace(),
         endpoint: context.endpoint_table.facts(call.endpoint),
     };
     may_send(&facts).map_err(|refusal| not_sent(context, call, progress, refusal))
@@ -127,7 +127,7 @@
 ) -> Result<(), CallEnd> {
     let zone_name = zone.map(|zone| context.config().names.zones[zone.0].clone()).unwrap_or_default();
     for attempt in &call.attempts {
-        let start = AttemptStart { started_at: call.sent, zone: zone_name.clone() };
+        let start = AttemptStart { started_at: call.decided_at, zone: zone_name.clone() };
         if context.journal.record_attempt(attempt.message.id, attempt.number, start).is_err() {
             return Err(not_sent(context, call, progress, SendRefusal::JournalFailing));
         }
@@ -138,7 +138,7 @@
 /// Counts and logs a call that must not be sent.
 fn not_sent(context: &Context, call: &Call, progress: &Progress, refusal: SendRefusal) -> CallEnd {
     for attempt in &call.attempts {
-        context.counters.not_sent(refusal);
+        context.counters.count_not_sent(refusal);
         info!(context.log, "not sent"; "id" => &attempt.message.request.request_id, "attempt" => attempt.number,
             "endpoint" => call.endpoint.0, "reason" => refusal.name());
     }
@@ -151,24 +151,24 @@
     let now = context.clock.now();
     let table = &context.endpoint_table;
     let facts = table.facts(call.endpoint);
-    let leaving_since = facts.and_then(|facts| facts.draining_since);
-    let sent_to_leaving = leaving_since.is_some_and(|since| now > since + table.grace());
+    let draining_since = facts.and_then(|facts| facts.draining_since);
+    let sent_to_draining = draining_since.is_some_and(|since| now > since + table.drain_grace());
     let sent_within_retry_after = facts.and_then(|facts| facts.retry_after).is_some_and(|until| now < until);
     for attempt in &call.attempts {
         let request_id = &attempt.message.request.request_id;
-        let of_message =
+        let message_violation =
             context.ledger.borrow_mut().attempt_started(attempt.message.id, attempt.number, now, zone);
-        let leaving = sent_to_leaving.then_some(Violation::SentToDraining);
-        let retry_after = sent_within_retry_after.then_some(Violation::SentWithinRetryAfter);
-        for violation in [of_message, leaving, retry_after].into_iter().flatten() {
-            context.violated(violation, request_id, Some(call.endpoint));
+        let drain_violation = sent_to_draining.then_some(Violation::SentToDraining);
+        let retry_after_violation = sent_within_retry_after.then_some(Violation::SentWithinRetryAfter);
+        for violation in [message_violation, drain_violation, retry_after_violation].into_iter().flatten() {
+            context.record_violation(violation, request_id, Some(call.endpoint));
         }
         info!(context.log, "message"; "state" => "attempt", "id" => request_id, "attempt" => attempt.number,
             "endpoint" => call.endpoint.0, "left_ms" => attempt.timeout_at.saturating_sub(now) / 1000);
     }
     table.record_first_byte(call.endpoint);
     context.counters.calls.add();
-    context.counters.attempts.more(call.attempts.len());
+    context.counters.attempts.add_many(call.attempts.len());
 }
 
 /// Writes a request. No other function writes to an endpoint, so none is written without a [`SendPermit`].
@@ -187,7 +187,7 @@
     progress.retry_after.set(read_retry_after(&head));
     if head.status == 200 && call.attempts.len() == 1 {
         // The message is delivered. The body only decides whether the connection can be reused.
-        connection.stall_timeout = Some(DELIVERED_BODY_STALL);
+        connection.stall_timeout = Some(DELIVERED_BODY_STALL_TIMEOUT);
     }
     let body = connection.response_body(&head, MAX_RESPONSE_BYTES).await?;
     Ok(Response { head, body })
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -1,7 +1,7 @@
 //! Reads a late response on the connection of an abandoned call. The response may contain a retry-after, which
 //! applies from the moment the endpoint wrote it; if it were not read, calls would be sent during that time.
 
-use super::response::{read_retry_after, RESPONSE_STALL};
+use super::response::{read_retry_after, RESPONSE_STALL_TIMEOUT};
 use crate::net::call::{AttemptResult, CallCompletion, CallResult};
 use crate::net::http::HttpConnection;
 use crate::net::messages::DeliveryMessage;
@@ -13,10 +13,14 @@
 
 /// How long to wait for a late response after its call was abandoned. Equal to the longest pause allowed within a
 /// response.
-const READ_FOR: Duration = RESPONSE_STALL;
+const LATE_RESPONSE_TIMEOUT: Duration = RESPONSE_STALL_TIMEOUT;
 
 /// Waits in the background for a late response, then closes the connection.
-pub(super) fn read(context: &Rc<Context>, endpoint: EndpointId, mut connection: HttpConnection) {
+pub(super) fn read_in_background(
+    context: &Rc<Context>,
+    endpoint: EndpointId,
+    mut connection: HttpConnection,
+) {
     let readers = &context.gauges.late_response_readers;
     // This limit suffices even if all calls of half a second are abandoned.
     if readers.get() >= context.config().max_concurrent_calls {
@@ -26,26 +30,28 @@
     readers.increment();
     let executor = context.executor.clone();
     let context = context.clone();
-    let reading = async move {
-        let head = within(READ_FOR, async { connection.read_response().await.ok() }).await.flatten();
+    let read_response = async move {
+        let head =
+            within(LATE_RESPONSE_TIMEOUT, async { connection.read_response().await.ok() }).await.flatten();
         if let Some(retry_after) = head.as_ref().and_then(read_retry_after) {
             info!(context.log, "late retry_after received"; "endpoint" => endpoint.0, "ms" => retry_after / 1000);
             context.endpoint_table.retry_after(endpoint, retry_after);
-            report(&context, endpoint, retry_after).await;
+            report_retry_after(&context, endpoint, retry_after).await;
         }
         context.gauges.late_response_readers.decrement();
     };
-    executor.spawn(reading).detach();
+    executor.spawn(read_response).detach();
 }
 
 /// Notifies the delivery actor of the retry-after by a completion without attempts: the attempts were completed when
 /// the call was abandoned.
-async fn report(context: &Context, endpoint: EndpointId, retry_after: Micros) {
+async fn report_retry_after(context: &Context, endpoint: EndpointId, retry_after: Micros) {
     let result = CallResult {
         retry_after: Some(retry_after),
-        ..CallResult::same_for_all(0, AttemptResult::of(Outcome::NotSent))
+        ..CallResult::same_for_all(0, AttemptResult::from_outcome(Outcome::NotSent))
     };
-    let completion = CallCompletion { endpoint, sent: context.clock.now(), attempts: Vec::new(), result };
+    let completion =
+        CallCompletion { endpoint, decided_at: context.clock.now(), attempts: Vec::new(), result };
     // Sending fails only as the process ends, with no delivery actor left to notify.
     let _ = context.delivery.send(DeliveryMessage::CallCompleted(completion)).await;
 }
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -12,11 +12,11 @@
 use std::rc::Rc;
 use std::task::{self, Poll, Waker};
 
-struct Idle {
-connection: HttpConnection,
-/// The remote address, to detect that the endpoint has moved.
-address: Option<SocketAddr>,
-/// The connection is not reused after this time, since the endpoint may close it soon after.
+struct IdleConnection {
+    connection: HttpConnection,
+    /// The remote address, to detect that the endpoint has moved.
+    address: Option<SocketAddr>,
+    /// The connection is not reused after this time, since the endpoint may close it soon after.
     reusable_until: Micros,
 }
 
@@ -24,7 +24,7 @@
 pub(super) struct Pool {
     context: Rc<Context>,
     endpoint: EndpointId,
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
 }
 
 impl Pool {
@@ -43,11 +43,11 @@
         let timeout = self.context.config().endpoint_idle_timeout;
         let reusable_until = reusable_until(self.context.clock.now(), timeout);
         let address = connection.peer();
-        self.idle.push(Idle { connection, address, reusable_until });
+        self.idle.push(IdleConnection { connection, address, reusable_until });
     }
 
     /// Takes the most recently used connection, so that the others can reach their idle timeout.
-    pub fn take(&mut self) -> Option<HttpConnection> {
+    pub fn take_most_recent(&mut self) -> Option<HttpConnection> {
         self.close_unusable();
         let last = self.idle.len().checked_sub(1)?;
         Some(self.remove(last))
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -9,7 +9,7 @@
 
 /// The longest pause within a response. After a longer one the response has failed: its call must not occupy a slot
 /// until its timeout, and its connection cannot be reused.
-pub(super) const RESPONSE_STALL: Duration = Duration::from_millis(500);
+pub(super) const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The highest rate limit that a load report may contain, in calls per second. No endpoint accepts more, so a higher
 /// one is an error of the endpoint.
@@ -48,14 +48,14 @@
     reused: bool,
 ) -> CallResult {
     let report = response.head.headers.get("X-Load").and_then(read_load);
-    let of_status = match response.head.status {
+    let status_result = match response.head.status {
         200 if call.attempts.len() > 1 => None,
         _ => Some(result_of_status(log, call, &response.head, retry_after, reused)),
     };
     let body = String::from_utf8_lossy(&response.body);
     let results = call.attempts.iter().map(|attempt| {
         let request_id = &attempt.message.request.request_id;
-        of_status.unwrap_or_else(|| result_in_batch(&body, request_id, retry_after))
+        status_result.unwrap_or_else(|| result_in_batch(&body, request_id, retry_after))
     });
     CallResult { attempts: results.collect(), report, retry_after }
 }
@@ -70,21 +70,22 @@
     reused: bool,
 ) -> AttemptResult {
     match head.status {
-        200 => AttemptResult::of(Outcome::Ok),
+        200 => AttemptResult::from_outcome(Outcome::Ok),
         503 if head.headers.get("X-Over-Slots").is_some_and(|value| value != "0") => not_run(false),
         // The endpoint has too many connections, so it closes the new one. An endpoint that lacks capacity for the
         // call keeps it open.
         503 if !reused && !head.keep_alive && retry_after.is_none() => {
-            AttemptResult::of(Outcome::ConnectFailed)
+            AttemptResult::from_outcome(Outcome::ConnectFailed)
         }
-        429 | 503 => AttemptResult::of(Outcome::Rejected(retry_after)),
+        429 | 503 => AttemptResult::from_outcome(Outcome::Rejected(retry_after)),
         504 => not_run(false),
         410 => not_run(true),
         400 | 413 => {
-            warn!(log, "call not understood"; "endpoint" => call.endpoint.0, "status" => head.status);
+            warn!(log, "endpoint rejected the request as invalid"; "endpoint" => call.endpoint.0,
+                "status" => head.status);
             not_run(false)
         }
-        _ => AttemptResult::of(Outcome::Error),
+        _ => AttemptResult::from_outcome(Outcome::Error),
     }
 }
 
@@ -92,12 +93,12 @@
 fn result_in_batch(body: &str, request_id: &str, retry_after: Option<Micros>) -> AttemptResult {
     let mut lines = body.lines().filter_map(|line| line.trim().split_once(' '));
     match lines.find(|(id, _)| *id == request_id).map(|(_, result)| result) {
-        Some("delivered") => AttemptResult::of(Outcome::Ok),
-        Some("refused") => AttemptResult::of(Outcome::Rejected(retry_after)),
+        Some("delivered") => AttemptResult::from_outcome(Outcome::Ok),
+        Some("refused") => AttemptResult::from_outcome(Outcome::Rejected(retry_after)),
         Some("over") => not_run(true),
         Some("spent") => not_run(false),
         // Any other result, or none: the message may have run.
-        _ => AttemptResult::of(Outcome::Error),
+        _ => AttemptResult::from_outcome(Outcome::Error),
     }
 }
 
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -14,9 +14,9 @@
 
 /// How long an endpoint stays in the table after its drain began, in microseconds. No call to it is in flight any
 /// more by then.
-const KEPT_AFTER_DRAIN: Micros = 120_000_000;
+const RETENTION_AFTER_DRAIN: Micros = 120_000_000;
 /// The longest drain in the histogram, in microseconds; longer ones are recorded as this.
-const MAX_DRAIN_RECORDED: u64 = 60_000_000;
+const MAX_RECORDED_DRAIN: u64 = 60_000_000;
 
 /// The current state of an endpoint.
 #[derive(Clone, Debug)]
@@ -73,20 +73,21 @@
     /// Until when no calls may be sent.
     retry_after_until: RefCell<BTreeMap<RetryAfterScope, Micros>>,
     /// The time from learning of an endpoint's drain to the first byte of the last call sent there, in microseconds.
-    drains: RefCell<Histogram<u32>>,
+    last_send_delays: RefCell<Histogram<u32>>,
 }
 
 impl EndpointTable {
     /// Creates an empty table. `drain_grace` is how long calls may still be sent to an endpoint after its drain
     /// began, in microseconds; [`may_send`](crate::invariants::may_send) uses only most of it.
     pub fn new(clock: Clock, drain_grace: Micros) -> Self {
-        let drains = Histogram::new_with_bounds(1, MAX_DRAIN_RECORDED, 3).expect("bounds that are in order");
+        let last_send_delays =
+            Histogram::new_with_bounds(1, MAX_RECORDED_DRAIN, 3).expect("valid histogram bounds");
         EndpointTable {
             clock,
             drain_grace: Cell::new(drain_grace),
             endpoints: RefCell::default(),
             retry_after_until: RefCell::default(),
-            drains: RefCell::new(drains),
+            last_send_delays: RefCell::new(last_send_delays),
         }
     }
 
@@ -96,7 +97,7 @@
     }
 
     /// How long calls may still be sent to an endpoint after its drain began, in microseconds.
-    pub fn grace(&self) -> Micros {
+    pub fn drain_grace(&self) -> Micros {
         self.drain_grace.get()
     }
 
@@ -110,17 +111,18 @@
         mut state: EndpointState,
     ) {
         let mut endpoints = self.endpoints.borrow_mut();
-        let before = endpoints.get(&endpoint);
+        let previous = endpoints.get(&endpoint);
         if lifecycle != Lifecycle::Listed {
-            state.draining_since = before.and_then(|before| before.draining_since).or(Some(received_at));
-            state.drain_observed_at = before.and_then(|before| before.drain_observed_at);
+            state.draining_since =
+                previous.and_then(|previous| previous.draining_since).or(Some(received_at));
+            state.drain_observed_at = previous.and_then(|previous| previous.drain_observed_at);
         }
-        state.last_first_byte_at = before.and_then(|before| before.last_first_byte_at);
+        state.last_first_byte_at = previous.and_then(|previous| previous.last_first_byte_at);
         endpoints.insert(endpoint, state);
     }
 
     /// Records that the policy has learned of an endpoint's drain.
-    pub fn drain_observed(&self, endpoint: EndpointId, now: Micros) {
+    pub fn record_drain_observed(&self, endpoint: EndpointId, now: Micros) {
         if let Some(state) = self.endpoints.borrow_mut().get_mut(&endpoint) {
             state.drain_observed_at.get_or_insert(now);
         }
@@ -136,17 +138,20 @@
     /// Adds to the drain statistics how long after the start of an endpoint's drain the last call was sent there. To
     /// be called once no more calls can follow.
     pub fn record_drain(&self, state: &EndpointState) {
-        let last_and_since = state.last_first_byte_at.zip(state.draining_since);
-        let last_send_after = last_and_since.map_or(0, |(last, since)| last.saturating_sub(since));
-        self.drains.borrow_mut().saturating_record(last_send_after.max(1));
+        let send_and_drain_times = state.last_first_byte_at.zip(state.draining_since);
+        let last_send_delay =
+            send_and_drain_times.map_or(0, |(sent, drain_start)| sent.saturating_sub(drain_start));
+        self.last_send_delays.borrow_mut().saturating_record(last_send_delay.max(1));
     }
 
     /// The statistics of the recorded drains: their number, and the median, p99 and maximum in milliseconds.
     pub fn drain_report(&self) -> Value {
-        let drains = self.drains.borrow();
-        let at = |quantile| drains.value_at_quantile(quantile) as f64 / 1e3;
+        let drains = self.last_send_delays.borrow();
+        let quantile_ms = |quantile| drains.value_at_quantile(quantile) as f64 / 1e3;
         let largest_ms = drains.max() as f64 / 1e3;
-        json!({"count": drains.len(), "p50_ms": at(0.5), "p99_ms": at(0.99), "largest_ms": largest_ms})
+        json!({
+            "count": drains.len(), "p50_ms": quantile_ms(0.5), "p99_ms": quantile_ms(0.99), "largest_ms": largest_ms
+        })
     }
 
     /// Marks all endpoints that are not `named` as draining from now on, unless they are draining already.
@@ -163,9 +168,10 @@
     pub fn prune(&self, now: Micros) -> bool {
         self.retry_after_until.borrow_mut().retain(|_, until| now < *until);
         let mut endpoints = self.endpoints.borrow_mut();
-        let before = endpoints.len();
-        endpoints.retain(|_, state| state.draining_since.is_none_or(|since| now < since + KEPT_AFTER_DRAIN));
-        endpoints.len() < before
+        let count_before = endpoints.len();
+        endpoints
+            .retain(|_, state| state.draining_since.is_none_or(|since| now < since + RETENTION_AFTER_DRAIN));
+        endpoints.len() < count_before
     }
 
     /// The state of an endpoint; `None` if it is not in the table.
@@ -182,8 +188,8 @@
     /// before stays.
     pub fn retry_after(&self, endpoint: EndpointId, retry_after: Micros) {
         let Some(scope) = self.retry_after_scope(endpoint) else { return };
-        let mut all = self.retry_after_until.borrow_mut();
-        let until = all.entry(scope).or_default();
+        let mut ends = self.retry_after_until.borrow_mut();
+        let until = ends.entry(scope).or_default();
         *until = (*until).max(self.clock.now().saturating_add(retry_after));
     }
 
--- a/src/net/gauges.rs
+++ b/src/net/gauges.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds one until the returned guard is dropped.
-    pub fn count(&self) -> GaugeGuard<'_> {
+    pub fn increment_scoped(&self) -> GaugeGuard<'_> {
         self.increment();
         GaugeGuard(self)
     }
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -47,7 +47,7 @@
     /// When and in which zone the first attempt was sent that may have run, if an earlier process journaled one.
     pub first_attempt: Option<(Micros, ZoneId)>,
     /// The counts of the message's route; `None` without a site file.
-    pub stats: Option<Rc<RouteStats>>,
+    pub route_stats: Option<Rc<RouteStats>>,
     attempts: Cell<u32>,
     ended: Cell<bool>,
 }
@@ -61,7 +61,7 @@
             received_at: None,
             restored: false,
             first_attempt: None,
-            stats: None,
+            route_stats: None,
             attempts: Cell::new(attempts),
             ended: Cell::new(false),
         }
@@ -69,7 +69,7 @@
 
     /// Counts a new attempt and returns its number, from 0.
     pub fn begin_attempt(&self) -> u32 {
-        self.stats.iter().for_each(|stats| stats.attempt_begun());
+        self.route_stats.iter().for_each(|stats| stats.attempt_begun());
         self.attempts.replace(self.attempts.get() + 1)
     }
 
@@ -79,17 +79,17 @@
     }
 
     /// Whether the message has ended, so that no attempt may be sent for it.
-    pub fn is_over(&self) -> bool {
+    pub fn is_ended(&self) -> bool {
         self.ended.get()
     }
 
     /// Marks the message as ended.
-    pub fn end(&self) {
+    pub fn mark_ended(&self) {
         self.ended.set(true);
     }
 
     /// The message in the form in which it is passed to the policy, with the time left at `now`.
-    pub fn message(&self, now: Micros) -> NewMessage {
+    pub fn to_new_message(&self, now: Micros) -> NewMessage {
         NewMessage {
             id: self.id,
             class: self.request.class,
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -19,8 +19,8 @@
 
 /// The journal of this process.
 pub struct JournalHandle {
-journal: RefCell<Journal>,
-/// Set when a write fails; cleared once the journal was written again.
+    journal: RefCell<Journal>,
+    /// Set when a write fails; cleared once the journal was written again.
     failing: Latch,
 }
 
@@ -28,19 +28,19 @@
     /// Creates the handle to an opened journal.
     pub fn new(journal: Journal) -> Self {
         let handle = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
-        handle.notice_failure();
+        handle.update_failing();
         handle
     }
 
-    fn notice_failure(&self) {
+    fn update_failing(&self) {
         if self.journal.borrow().is_failing() {
             self.failing.set();
         }
     }
 
-    fn with<T>(&self, operation: impl FnOnce(&mut Journal) -> T) -> T {
+    fn with_journal<T>(&self, operation: impl FnOnce(&mut Journal) -> T) -> T {
         let result = operation(&mut self.journal.borrow_mut());
-        self.notice_failure();
+        self.update_failing();
         result
     }
 
@@ -56,7 +56,7 @@
 
     /// See [`Journal::record_received`].
     pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
-        self.with(|journal| journal.record_received(id.0, message))
+        self.with_journal(|journal| journal.record_received(id.0, message))
     }
 
     /// See [`Journal::record_attempt`].
@@ -66,27 +66,27 @@
         number: u32,
         start: AttemptStart,
     ) -> Result<(), JournalError> {
-        self.with(|journal| journal.record_attempt(id.0, number, start))
+        self.with_journal(|journal| journal.record_attempt(id.0, number, start))
     }
 
     /// See [`Journal::record_never_ran`].
     pub fn record_never_ran(&self, id: MessageId, number: u32) {
-        self.with(|journal| journal.record_never_ran(id.0, number));
+        self.with_journal(|journal| journal.record_never_ran(id.0, number));
     }
 
     /// See [`Journal::record_end`].
     pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
-        self.with(|journal| journal.record_end(id.0, end));
+        self.with_journal(|journal| journal.record_end(id.0, end));
     }
 
     /// See [`Journal::record_completed`].
     pub fn record_completed(&self, id: MessageId) {
-        self.with(|journal| journal.record_completed(id.0));
+        self.with_journal(|journal| journal.record_completed(id.0));
     }
 
     /// See [`Journal::try_record_completed`].
     pub fn try_record_completed(&self, id: MessageId) -> Result<(), JournalError> {
-        self.with(|journal| journal.try_record_completed(id.0))
+        self.with_journal(|journal| journal.try_record_completed(id.0))
     }
 
     /// See [`Journal::has_unwritten_end`].
@@ -96,22 +96,22 @@
 
     /// See [`Journal::set_limit`].
     pub fn set_limit(&self, limit: u64) {
-        self.with(|journal| journal.set_limit(limit));
+        self.with_journal(|journal| journal.set_limit(limit));
     }
 
     /// See [`Journal::pause`].
     pub fn pause(&self) -> Result<(), JournalError> {
-        self.with(Journal::pause)
+        self.with_journal(Journal::pause)
     }
 
     /// See [`Journal::resume`].
     pub fn resume(&self) {
-        self.with(Journal::resume);
+        self.with_journal(Journal::resume);
     }
 
     /// See [`Journal::retry`].
     pub fn retry(&self) -> Result<(), JournalError> {
-        self.with(Journal::retry)
+        self.with_journal(Journal::retry)
     }
 
     /// Returns once a write to the journal has failed.
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -15,14 +15,14 @@
 pub enum DeliveryMessage {
     /// A client sent a message.
     Submit {
-    /// The client's message.
-    request: Request,
-    /// Receives whether the message was accepted.
+        /// The client's message.
+        request: Request,
+        /// Receives whether the message was accepted.
         reply: Sender<SubmitReply>,
     },
     /// The client of an accepted message disconnected before the response was written.
     Withdrawn {
-    /// The id of the message.
+        /// The id of the message.
         id: MessageId,
     },
     /// A client that waits for the reply has shut down its sending side; it may still read the reply.
@@ -44,20 +44,20 @@
         command: AdminCommand,
         /// Receives whether the command took effect.
         reply: Sender<Result<(), AdminError>>,
-        },
-        /// A watch of this process received a line that is forwarded to the successor, which keeps the endpoint list
-        /// now.
-        ListLine(ListLine),
-        /// The journal can be written again.
-        JournalWritable,
-        /// The predecessor has ended.
-        PredecessorGone,
-        /// An operator asks for the status of destinations and tenants.
-        DescribeStatus {
+    },
+    /// A watch of this process received a line that is forwarded to the successor, which keeps the endpoint list
+    /// now.
+    ListLine(ListLine),
+    /// The journal can be written again.
+    JournalWritable,
+    /// The predecessor has ended.
+    PredecessorGone,
+    /// An operator asks for the status of destinations and tenants.
+    DescribeStatus {
         /// Receives the status as JSON.
         reply: Sender<Value>,
-        },
-        /// The process is about to end: no more steps are made, but calls that complete are still journaled.
+    },
+    /// The process is about to end: no more steps are made, but calls that complete are still journaled.
     Stop,
 }
 
@@ -87,34 +87,34 @@
     ConfigReloaded,
     /// A watch received a line.
     WatchLine {
-    /// The number of the watch.
-    watch: u64,
-    /// The line that was received.
-    line: Vec<u8>,
+        /// The number of the watch.
+        watch: u64,
+        /// The line that was received.
+        line: Vec<u8>,
     },
     /// A watch has not received anything for too long; it is still read.
     WatchSilent {
-    /// The number of the watch.
-    watch: u64,
+        /// The number of the watch.
+        watch: u64,
     },
     /// A watch that was replaced need not be read any longer.
     ReplacedWatchExpired {
-    /// The number of the watch.
-    watch: u64,
+        /// The number of the watch.
+        watch: u64,
     },
     /// A watch has ended.
     WatchEnded {
-    /// The number of the watch.
-    watch: u64,
-    /// Why the watch ended.
-    end: WatchEnd,
+        /// The number of the watch.
+        watch: u64,
+        /// Why the watch ended.
+        end: WatchEnd,
     },
     /// The time for which a new process waits for its first list has expired.
     InitialListTimeout,
     /// A successor takes over the list: this process does not change it any more.
     HandOver {
-    /// Receives the list.
-    reply: Sender<MembershipSnapshot>,
+        /// Receives the list.
+        reply: Sender<MembershipSnapshot>,
     },
     /// The successor did not take over: this process keeps the list up to date again.
     HandOverAborted,
@@ -124,20 +124,20 @@
     PredecessorLine(ListLine),
     /// An operator cordons an endpoint, or ends its cordon.
     Cordon {
-    /// The endpoint's id in the list.
-    id: String,
-    /// True to cordon the endpoint, false to end the cordon.
-    cordoned: bool,
-    /// Receives whether the command took effect.
-    reply: Sender<Result<(), AdminError>>,
+        /// The endpoint's id in the list.
+        id: String,
+        /// True to cordon the endpoint, false to end the cordon.
+        cordoned: bool,
+        /// Receives whether the command took effect.
+        reply: Sender<Result<(), AdminError>>,
     },
     /// The registry answered a poll.
     RegistryUpdate {
-    /// The update of the list in the answer.
-    update: SourceUpdate,
-    /// When the answer was received.
-    received_at: Micros,
-    /// Receives whether a part of the update is doubted, so that it needs a confirmation.
+        /// The update of the list in the answer.
+        update: SourceUpdate,
+        /// When the answer was received.
+        received_at: Micros,
+        /// Receives whether a part of the update is doubted, so that it needs a confirmation.
         doubted: Sender<bool>,
     },
 }
@@ -157,9 +157,9 @@
 pub enum WatchEnd {
     /// The platform's agent rejected the watch.
     Rejected {
-    /// The status code of the response.
-    status: u16,
-    /// The retry-after of the response, in microseconds.
+        /// The status code of the response.
+        status: u16,
+        /// The retry-after of the response, in microseconds.
         retry_after: Option<Micros>,
     },
     /// The connection of the watch failed.
@@ -194,9 +194,9 @@
 pub enum AdminCommand {
     /// Cordons an endpoint, or ends its cordon.
     Cordon {
-    /// The endpoint's id in the list.
-    id: String,
-    /// True to cordon the endpoint, false to end the cordon.
+        /// The endpoint's id in the list.
+        id: String,
+        /// True to cordon the endpoint, false to end the cordon.
         #[serde(rename = "out")]
         cordoned: bool,
     },
@@ -221,10 +221,10 @@
 
 /// A process that asks to take over.
 pub struct Successor {
-/// The connection to the successor, on which it waits for the state.
-pub connection: HttpConnection,
-/// The endpoint list; the endpoint list actor does not change it any more.
-pub list: MembershipSnapshot,
-/// Whether the successor accepts the lines that this process's watches still receive.
+    /// The connection to the successor, on which it waits for the state.
+    pub connection: HttpConnection,
+    /// The endpoint list; the endpoint list actor does not change it any more.
+    pub list: MembershipSnapshot,
+    /// Whether the successor accepts the lines that this process's watches still receive.
     pub accepts_list_lines: bool,
 }
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -12,15 +12,16 @@
 use std::sync::Arc;
 
 /// The name in the report for messages that no route matches.
-const UNMATCHED: &str = "(unmatched)";
+const UNMATCHED_ROUTE_NAME: &str = "(unmatched)";
 /// The number of routes with a histogram of delivery times of their own, at about 10 kB each. Further routes share
 /// one histogram.
 const MAX_HISTOGRAMS: usize = 256;
 /// The longest recorded delivery time in milliseconds: one day, the maximum lifetime of a message.
-const MAX_DELIVERY_MS: u64 = 86_400_000;
+const MAX_DELIVERY_TIME_MS: u64 = 86_400_000;
 /// The precision of the recorded delivery times, in decimal digits.
 const SIGNIFICANT_FIGURES: u8 = 2;
 
+/// The delivery times of messages, in milliseconds.
 type DeliveryTimes = Rc<RefCell<Histogram<u32>>>;
 
 /// The statistics of one route.
@@ -77,8 +78,8 @@
     fn report(&self) -> Value {
         let times = self.delivery_times.borrow().as_ref().map(|times| {
             let times = times.borrow();
-            let at = |quantile: f64| times.value_at_quantile(quantile);
-            json!({"count": times.len(), "p50": at(0.5), "p99": at(0.99), "p99.9": at(0.999)})
+            let value_at = |quantile: f64| times.value_at_quantile(quantile);
+            json!({"count": times.len(), "p50": value_at(0.5), "p99": value_at(0.99), "p99.9": value_at(0.999)})
         });
         json!({
             "held": self.open.get(), "attempts": self.attempts.get(), "outcomes": *self.outcomes.borrow(),
@@ -93,59 +94,62 @@
     plan: RefCell<Option<Arc<Plan>>>,
     /// The statistics of the plan's routes, in their order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
+    /// The statistics of messages that no route matches.
     unmatched: Rc<RouteStats>,
+    /// The histogram that routes without an own one share.
     shared_delivery_times: RefCell<Option<DeliveryTimes>>,
-    histograms: Cell<usize>,
+    /// The number of routes with a histogram of their own.
+    own_histograms: Cell<usize>,
 }
 
 impl Routes {
     /// Replaces the plan. A route that keeps its name keeps its statistics; open messages stay with the route that
     /// applied when they were received.
     pub fn apply(&self, plan: Option<Arc<Plan>>) {
-        let mut before: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
+        let mut previous_stats: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
             let entries = self.entries.borrow();
             let named = old.routes().iter().zip(entries.iter());
-            before.extend(named.map(|(route, stats)| (route.name.clone(), stats.clone())));
+            previous_stats.extend(named.map(|(route, stats)| (route.name.clone(), stats.clone())));
         }
-        let routes = plan.as_ref().map_or(&[][..], |p| p.routes());
+        let routes = plan.as_ref().map_or(&[][..], |plan| plan.routes());
         let entries: Vec<_> =
-            routes.iter().map(|route| before.remove(&route.name).unwrap_or_default()).collect();
+            routes.iter().map(|route| previous_stats.remove(&route.name).unwrap_or_default()).collect();
         let with_histogram = entries.iter().filter(|stats| stats.delivery_times.borrow().is_some());
-        self.histograms.set(with_histogram.count());
+        self.own_histograms.set(with_histogram.count());
         *self.entries.borrow_mut() = entries;
         *self.plan.borrow_mut() = plan;
     }
 
     /// The statistics of the route that applies to a message; `None` without a site file.
-    pub fn of(
+    pub fn stats_for(
         &self,
         destination: DestinationId,
         kind: Option<KindId>,
         class: ClassId,
     ) -> Option<Rc<RouteStats>> {
         let plan = self.plan.borrow();
-        let found = plan.as_ref()?.find(destination, kind, class);
-        Some(match found {
+        let matched = plan.as_ref()?.find(destination, kind, class);
+        Some(match matched {
             Some(route) => self.entries.borrow()[route.0 as usize].clone(),
             None => self.unmatched.clone(),
         })
     }
 
     /// Records the time from the receipt of a message to its delivery, in microseconds.
-    pub fn delivered(&self, stats: &RouteStats, delivery_time: Micros) {
-        let mut own = stats.delivery_times.borrow_mut();
-        let times = own.get_or_insert_with(|| {
-            let fresh = || {
-                let times = Histogram::new_with_bounds(1, MAX_DELIVERY_MS, SIGNIFICANT_FIGURES)
-                    .expect("bounds that are in order");
+    pub fn record_delivery(&self, stats: &RouteStats, delivery_time: Micros) {
+        let mut own_times = stats.delivery_times.borrow_mut();
+        let times = own_times.get_or_insert_with(|| {
+            let new_histogram = || {
+                let times = Histogram::new_with_bounds(1, MAX_DELIVERY_TIME_MS, SIGNIFICANT_FIGURES)
+                    .expect("valid histogram bounds");
                 Rc::new(RefCell::new(times))
             };
-            if self.histograms.get() < MAX_HISTOGRAMS {
-                self.histograms.set(self.histograms.get() + 1);
-                fresh()
+            if self.own_histograms.get() < MAX_HISTOGRAMS {
+                self.own_histograms.set(self.own_histograms.get() + 1);
+                new_histogram()
             } else {
-                self.shared_delivery_times.borrow_mut().get_or_insert_with(fresh).clone()
+                self.shared_delivery_times.borrow_mut().get_or_insert_with(new_histogram).clone()
             }
         });
         times.borrow_mut().saturating_record((delivery_time / 1000).max(1));
@@ -156,11 +160,12 @@
         let plan = self.plan.borrow();
         let routes = plan.as_ref()?.routes();
         let entries = self.entries.borrow();
-        let used = |stats: &RouteStats| {
+        let is_used = |stats: &RouteStats| {
             stats.open.get() > 0 || !stats.ends.borrow().is_empty() || stats.attempts.get() > 0
         };
         let named = routes.iter().map(|route| route.name.as_str()).zip(entries.iter());
-        let named = named.chain([(UNMATCHED, &self.unmatched)]).filter(|(_, stats)| used(stats));
+        let named =
+            named.chain([(UNMATCHED_ROUTE_NAME, &self.unmatched)]).filter(|(_, stats)| is_used(stats));
         Some(named.map(|(name, stats)| (name.to_owned(), stats.report())).collect::<Map<_, _>>().into())
     }
 }
--- a/src/net/storage.rs
+++ b/src/net/storage.rs
@@ -8,7 +8,7 @@
 /// A folder with the journal's files, of which the newest one is open for appending.
 pub struct FolderStorage {
     path: PathBuf,
-    newest: Option<File>,
+    newest_file: Option<File>,
 }
 
 impl FolderStorage {
@@ -19,11 +19,11 @@
     /// If the folder cannot be created.
     pub fn open(path: &Path) -> io::Result<FolderStorage> {
         fs::create_dir_all(path)?;
-        Ok(FolderStorage { path: path.to_owned(), newest: None })
+        Ok(FolderStorage { path: path.to_owned(), newest_file: None })
     }
 
-    fn newest(&mut self) -> io::Result<&mut File> {
-        self.newest.as_mut().ok_or_else(|| io::Error::other("no file was created"))
+    fn newest_file(&mut self) -> io::Result<&mut File> {
+        self.newest_file.as_mut().ok_or_else(|| io::Error::other("no journal file was created"))
     }
 }
 
@@ -45,18 +45,18 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.newest = None;
+        self.newest_file = None;
         let file = OpenOptions::new().create_new(true).append(true).open(self.path.join(name))?;
-        self.newest = Some(file);
+        self.newest_file = Some(file);
         Ok(())
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.newest()?.write_all(bytes)
+        self.newest_file()?.write_all(bytes)
     }
 
     fn truncate_newest(&mut self, size: u64) -> io::Result<()> {
-        self.newest()?.set_len(size)
+        self.newest_file()?.set_len(size)
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
--- a/tests/endpoint_table.rs
+++ b/tests/endpoint_table.rs
@@ -8,50 +8,50 @@
 #[test]
 fn a_removed_endpoint_is_kept_for_a_while_and_a_listed_one_for_good() {
     /// The retention of removed endpoints, in microseconds: no call to one is in flight any more by then.
-    const KEPT_AFTER_DRAIN: u64 = 120_000_000;
+    const RETENTION_AFTER_DRAIN: u64 = 120_000_000;
     let clock = Clock::start();
     let table = EndpointTable::new(clock, 250_000);
     let address = "127.0.0.1:1".parse().expect("an address");
-    let known = EndpointState::new(address, DestinationId(1), ZoneId(0), false);
-    table.update(EndpointId(1), Lifecycle::Listed, clock.now(), known.clone());
-    table.update(EndpointId(2), Lifecycle::Removed, clock.now(), known);
-    let kept = |now| {
+    let state = EndpointState::new(address, DestinationId(1), ZoneId(0), false);
+    table.update(EndpointId(1), Lifecycle::Listed, clock.now(), state.clone());
+    table.update(EndpointId(2), Lifecycle::Removed, clock.now(), state);
+    let is_kept = |now| {
         table.prune(now);
-        [1, 2].map(|e| table.get(EndpointId(e)).is_some())
+        [1, 2].map(|endpoint| table.get(EndpointId(endpoint)).is_some())
     };
-    assert_eq!(kept(clock.now()), [true, true]);
-    assert_eq!(kept(clock.now() + KEPT_AFTER_DRAIN), [true, false]);
+    assert_eq!(is_kept(clock.now()), [true, true]);
+    assert_eq!(is_kept(clock.now() + RETENTION_AFTER_DRAIN), [true, false]);
 }
 
 /// Guards against a first byte after the drain grace: a process may be stalled for 0.15 s between reading the clock
 /// and writing.
 #[test]
 fn the_grace_of_a_drain_covers_a_process_that_is_held_up_before_it_writes() {
-    const HELD_UP: u64 = 150_000;
+    const STALL: u64 = 150_000;
     let clock = Clock::start();
     let grace = 250_000;
     let table = EndpointTable::new(clock, grace);
     let refusal = |endpoint| {
-        let open = SendFacts {
+        let facts = SendFacts {
             now: clock.now(),
             message_complete: false,
             handed_over: false,
             journal_writable: true,
             abandon_at: u64::MAX,
             send_by: u64::MAX,
-            drain_grace: table.grace(),
+            drain_grace: table.drain_grace(),
             endpoint: table.facts(endpoint),
         };
-        may_send(&open).err()
+        may_send(&facts).err()
     };
-    let known =
+    let state =
         EndpointState::new("127.0.0.1:1".parse().expect("an address"), DestinationId(1), ZoneId(0), false);
-    table.update(EndpointId(1), Lifecycle::Draining, clock.now() - (grace - HELD_UP), known.clone());
+    table.update(EndpointId(1), Lifecycle::Draining, clock.now() - (grace - STALL), state.clone());
     assert_eq!(
         refusal(EndpointId(1)),
         Some(SendRefusal::Draining),
         "a byte delayed by a stall would be written past the grace"
     );
-    table.update(EndpointId(2), Lifecycle::Draining, clock.now(), known);
-    assert_eq!(refusal(EndpointId(2)), None, "what was decided before the drain goes through");
+    table.update(EndpointId(2), Lifecycle::Draining, clock.now(), state);
+    assert_eq!(refusal(EndpointId(2)), None, "a call that was decided on before the drain may still be sent");
 }
