--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -287,13 +287,13 @@
         if ended_sending {
             // It may still read: the response says that the message was not accepted.
             self.context.counters.unavailable.add();
-            self.context.rejected(&request.request_id, Rejection::ClientGone);
+            self.context.record_rejection(&request.request_id, Rejection::ClientGone);
             let response = Response::service_unavailable(DEFAULT_RETRY_AFTER);
             return Err(self.close_with(&response, CloseReason::ClientGone).await);
         }
         if !self.context.endpoint_table.has_destination(request.destination) {
             self.context.counters.unavailable.add();
-            self.context.rejected(&request.request_id, Rejection::UnknownDestination);
+            self.context.record_rejection(&request.request_id, Rejection::UnknownDestination);
             info!(self.context.log, "unknown destination"; "destination" => request.destination.0);
             return Ok(Response::service_unavailable(UNKNOWN_DESTINATION_RETRY_AFTER_US));
         }
--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -68,7 +68,8 @@
                 Ok(0) => {
                     has_ended_sending.set(true);
                     // The delivery actor ends only with the process.
-                    let _ = self.context.delivery.send(DeliveryMessage::ClientEnded { request_id }).await;
+                    let _ =
+                        self.context.delivery.send(DeliveryMessage::ClientHalfClosed { request_id }).await;
                     future::pending().await
                 }
                 Ok(_) => {
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -253,7 +253,7 @@
 
     /// Why this configuration cannot replace `other` without a restart; `None` if it can. Open messages depend on the
     /// names of the other configuration, and the address and the folder are opened only at the start.
-    pub fn needs_restart(&self, other: &Config) -> Option<RestartReason> {
+    pub fn restart_reason(&self, other: &Config) -> Option<RestartReason> {
         let same_process = self.name == other.name
             && self.listen_address == other.listen_address
             && self.state_folder == other.state_folder;
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -10,7 +10,7 @@
 use super::platform::eureka::counts::RegistryCounts;
 use super::platform::list_status::EndpointListStatus;
 use super::request_ids::RequestIds;
-use super::route_stats::Routes;
+use super::route_stats::RouteStatsTable;
 use super::runtime::clock::Clock;
 use super::runtime::lifecycle::Lifecycle;
 use super::runtime::stall_detector::StallDetector;
@@ -46,7 +46,7 @@
     /// The journal; written by the delivery actor and by calls.
     pub journal: JournalHandle,
     /// The lock of the state folder; written by the hand-over.
-    pub folder: Rc<FolderOwnership>,
+    pub folder_ownership: Rc<FolderOwnership>,
     /// Event counts since the start of the process; written by all actors.
     pub counters: Counters,
     /// The numbers of open messages, connections and calls; [`Gauges`] names the writer of each.
@@ -57,11 +57,11 @@
     /// calls.
     pub ledger: RefCell<Ledger>,
     /// Message counts by the routes of the site file; written by the delivery actor.
-    pub routes: Routes,
+    pub route_stats: RouteStatsTable,
     /// Counts of the requests to the registry; written by the registry poller.
-    pub registry: RegistryCounts,
+    pub registry_counts: RegistryCounts,
     config: RefCell<Rc<Config>>,
-    listen: SocketAddr,
+    listen_address: SocketAddr,
 }
 
 /// The parts of a [`Context`] that the start of the process supplies.
@@ -79,13 +79,13 @@
     /// The configuration.
     pub config: Config,
     /// The address on which clients connect, with the port that the system assigned.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
 }
 
 impl Context {
     /// Creates the context of a process that starts.
     pub fn new(parts: ContextParts) -> Self {
-        let ContextParts { log, clock, executor, delivery, journal, config, listen } = parts;
+        let ContextParts { log, clock, executor, delivery, journal, config, listen_address } = parts;
         Context {
             endpoint_table: EndpointTable::new(clock, config.drain_grace).into(),
             stall_detector: StallDetector::new(clock.now()).into(),
@@ -94,17 +94,17 @@
             executor,
             delivery,
             journal,
-            listen,
+            listen_address,
             config: RefCell::new(Rc::new(config)),
             lifecycle: Lifecycle::default(),
             endpoint_list: EndpointListStatus::default(),
-            folder: Rc::default(),
+            folder_ownership: Rc::default(),
             counters: Counters::default(),
             gauges: Gauges::default(),
             request_ids: RequestIds::default(),
             ledger: RefCell::default(),
-            routes: Routes::default(),
-            registry: RegistryCounts::default(),
+            route_stats: RouteStatsTable::default(),
+            registry_counts: RegistryCounts::default(),
         }
     }
 
@@ -119,8 +119,8 @@
     }
 
     /// The address on which clients connect, with the port that the system assigned.
-    pub fn listen(&self) -> SocketAddr {
-        self.listen
+    pub fn listen_address(&self) -> SocketAddr {
+        self.listen_address
     }
 
     /// Whether this process has an endpoint list and is not shutting down.
@@ -142,11 +142,11 @@
     /// The JSON report of `/_counters`: the counters since the start of the process, and the gauges.
     pub fn report(&self) -> Value {
         let mut report = self.counters.report();
-        if let Some(routes) = self.routes.report() {
+        if let Some(routes) = self.route_stats.report() {
             report["routes"] = routes;
         }
         if let Some(view) = self.endpoint_list.registry_view().as_ref() {
-            report["registry"] = self.registry.report(view, self.clock.now());
+            report["registry"] = self.registry_counts.report(view, self.clock.now());
             report["drains"] = self.endpoint_table.drain_report();
         }
         if self.config().operator_address.is_some() {
@@ -165,7 +165,7 @@
     }
 
     /// Counts and logs the rejection of a message.
-    pub fn rejected(&self, request_id: &str, rejection: Rejection) {
+    pub fn record_rejection(&self, request_id: &str, rejection: Rejection) {
         self.counters.count_rejection(rejection);
         info!(self.log, "message"; "state" => "rejected", "id" => request_id, "reason" => rejection.name());
     }
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -164,7 +164,7 @@
         match message {
             DeliveryMessage::Submit { request, reply } => self.submit(request, reply),
             DeliveryMessage::Withdrawn { id } => self.withdraw(id),
-            DeliveryMessage::ClientEnded { request_id } => self.client_ended(&request_id),
+            DeliveryMessage::ClientHalfClosed { request_id } => self.client_half_closed(&request_id),
             DeliveryMessage::EndpointList(update) => {
                 self.endpoints.update(&update);
                 self.events.push(Event::EndpointList(update));
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -66,7 +66,7 @@
     }
 
     fn reject(&self, request_id: &str, rejection: Rejection, reply: &Sender<SubmitReply>) {
-        self.context.rejected(request_id, rejection);
+        self.context.record_rejection(request_id, rejection);
         let submit_reply = match rejection {
             Rejection::IdInUse => SubmitReply::DuplicateId,
             _ => {
@@ -86,7 +86,7 @@
     ) {
         let (destination, class) = (message.request.destination, message.request.class);
         message.route_stats =
-            self.context.routes.stats_for(destination, self.endpoints.kind(destination), class);
+            self.context.route_stats.stats_for(destination, self.endpoints.kind(destination), class);
         message.route_stats.iter().for_each(|stats| stats.message_opened());
         let event = Event::Message(message.to_new_message(self.context.clock.now()));
         self.open_message(message, None, reply);
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -164,7 +164,7 @@
             let stats = message.and_then(|message| message.route_stats.as_ref());
             if let Some((received_at, stats)) = received_at.zip(stats) {
                 let delivery_time = self.context.clock.now().saturating_sub(received_at);
-                self.context.routes.record_delivery(stats, delivery_time);
+                self.context.route_stats.record_delivery(stats, delivery_time);
             }
         }
         self.context.journal.record_completed(id);
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -14,7 +14,7 @@
 
 impl DeliveryActor {
     /// The state that is sent to a successor. Must be called just after a step, when no events wait for the policy.
-    pub fn state(&self, list: MembershipSnapshot) -> HandOverState {
+    pub fn hand_over_state(&self, list: MembershipSnapshot) -> HandOverState {
         let open_messages = self.messages.iter().map(|(id, open)| HandOverMessage {
             id: *id,
             attempts: open.message.attempts(),
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -59,7 +59,7 @@
     /// Withdraws a message without a reply so far, as its client has shut down its sending side, and replies that the
     /// message was not accepted. If the end cannot be journaled, a restart would find the message open; it then stays
     /// open here too.
-    pub(super) fn client_ended(&mut self, request_id: &str) {
+    pub(super) fn client_half_closed(&mut self, request_id: &str) {
         let is_undecided =
             |open: &&mut OpenMessage| open.reply.is_some() && open.message.request.request_id == request_id;
         let Some(open) = self.messages.values_mut().find(is_undecided) else { return };
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -29,7 +29,7 @@
     let mut open_attempts = vec![true; call.attempts.len()];
     let mut result = perform_call(&context, &call, idle, pool, &mut open_attempts).await;
     if let Some(retry_after) = result.retry_after {
-        context.endpoint_table.retry_after(call.endpoint, retry_after);
+        context.endpoint_table.record_retry_after(call.endpoint, retry_after);
     }
     let unreported: Vec<usize> = (0..call.attempts.len()).filter(|index| open_attempts[*index]).collect();
     result.attempts = unreported.iter().map(|index| result.attempts[*index]).collect();
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -35,7 +35,7 @@
             within(LATE_RESPONSE_TIMEOUT, async { connection.read_response().await.ok() }).await.flatten();
         if let Some(retry_after) = head.as_ref().and_then(read_retry_after) {
             info!(context.log, "late retry_after received"; "endpoint" => endpoint.0, "ms" => retry_after / 1000);
-            context.endpoint_table.retry_after(endpoint, retry_after);
+            context.endpoint_table.record_retry_after(endpoint, retry_after);
             report_retry_after(&context, endpoint, retry_after).await;
         }
         context.gauges.late_response_readers.decrement();
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -92,7 +92,7 @@
     }
 
     /// Replaces the drain grace, in microseconds.
-    pub fn set_grace(&self, drain_grace: Micros) {
+    pub fn set_drain_grace(&self, drain_grace: Micros) {
         self.drain_grace.set(drain_grace);
     }
 
@@ -154,10 +154,10 @@
         })
     }
 
-    /// Marks all endpoints that are not `named` as draining from now on, unless they are draining already.
-    pub fn keep_only(&self, named: &[EndpointId]) {
+    /// Marks all endpoints that are not `listed` as draining from now on, unless they are draining already.
+    pub fn drain_unlisted(&self, listed: &[EndpointId]) {
         for (endpoint, state) in self.endpoints.borrow_mut().iter_mut() {
-            if !named.contains(endpoint) {
+            if !listed.contains(endpoint) {
                 state.draining_since.get_or_insert_with(|| self.clock.now());
             }
         }
@@ -186,7 +186,7 @@
 
     /// Records that an endpoint has sent a retry-after, in microseconds from now. A later end that was recorded
     /// before stays.
-    pub fn retry_after(&self, endpoint: EndpointId, retry_after: Micros) {
+    pub fn record_retry_after(&self, endpoint: EndpointId, retry_after: Micros) {
         let Some(scope) = self.retry_after_scope(endpoint) else { return };
         let mut ends = self.retry_after_until.borrow_mut();
         let until = ends.entry(scope).or_default();
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -43,7 +43,7 @@
     };
     // From here on the successor decides. It listens, so this process's listener may close.
     context.lifecycle.enter_hand_over(HandOverPhase::HandedOver);
-    context.folder.release();
+    context.folder_ownership.release();
     // Where the successor is gone, the relay ends at once.
     let _ = link.frames.send(&PredecessorFrame::Granted).await;
     info!(context.log, "handed over"; "ms" => begun.elapsed().as_millis() as u64,
@@ -75,7 +75,7 @@
     // What could not be written would not be in the folder that the successor reads.
     context.journal.pause().map_err(|_| HandOverError::JournalNotWritable)?;
     let mut link = Link::new(successor.connection, &context.executor)?;
-    let state = Box::new(actor.state(successor.list));
+    let state = Box::new(actor.hand_over_state(successor.list));
     link.frames.send(&PredecessorFrame::State(state)).await?;
     match link.read().await?.head {
         SuccessorFrame::Owns => Ok(link),
--- a/src/net/handover/relay.rs
+++ b/src/net/handover/relay.rs
@@ -95,7 +95,7 @@
             }
             // The successor has its own list and settings, is asked for its status itself, and replies soon in any case.
             DeliveryMessage::ListLine(_)
-            | DeliveryMessage::ClientEnded { .. }
+            | DeliveryMessage::ClientHalfClosed { .. }
             | DeliveryMessage::EndpointList(_)
             | DeliveryMessage::Settings(_)
             | DeliveryMessage::HandOver(_)
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -77,7 +77,7 @@
             PredecessorFrame::Withdrawn { id } => delivery.send(DeliveryMessage::Withdrawn { id }).await,
             PredecessorFrame::CallCompleted(completion) => {
                 if let Some(retry_after) = completion.result.retry_after {
-                    self.context.endpoint_table.retry_after(completion.endpoint, retry_after);
+                    self.context.endpoint_table.record_retry_after(completion.endpoint, retry_after);
                 }
                 delivery.send(DeliveryMessage::CallCompleted(completion)).await
             }
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -170,10 +170,10 @@
         endpoint_list: &Sender<EndpointListMessage>,
     ) -> io::Result<()> {
         let owner = self.owner.ok_or_else(|| io::Error::other("the folder is not owned"))?;
-        context.folder.acquire(owner, &this_process.token);
+        context.folder_ownership.acquire(owner, &this_process.token);
         context
             .executor
-            .spawn(write_owner(context.folder.clone(), context.log.clone(), this_process))
+            .spawn(write_owner(context.folder_ownership.clone(), context.log.clone(), this_process))
             .detach();
         if let Some(link) = self.link {
             let serving = served_frames::serve(context.clone(), link, endpoint_list.clone());
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -26,7 +26,7 @@
         id: MessageId,
     },
     /// A client that waits for the reply has shut down its sending side; it may still read the reply.
-    ClientEnded {
+    ClientHalfClosed {
         /// The client's id of the message.
         request_id: String,
     },
--- a/src/net/operator/handover.rs
+++ b/src/net/operator/handover.rs
@@ -31,7 +31,7 @@
     /// Whether a successor may take over; if so, nothing changes any more on its way there.
     async fn begin_hand_over(&self, head: &RequestHead) -> Result<MembershipSnapshot, Response> {
         let header = |name: &str| head.headers.get(name).unwrap_or_default();
-        if head.method != "POST" || !self.context.folder.is_token(header("X-Token")) {
+        if head.method != "POST" || !self.context.folder_ownership.is_token(header("X-Token")) {
             return Err(Response::plain(404, "no such call\n"));
         }
         if header("X-Format") != FORMAT.to_string() {
--- a/src/net/platform/endpoint_list/publish.rs
+++ b/src/net/platform/endpoint_list/publish.rs
@@ -73,7 +73,7 @@
         let unchanged = self.membership.endpoints().filter(|change| !changed.contains(&change.endpoint));
         entries.extend(unchanged.map(|change| self.write_to_table(&change)));
         let endpoints: Vec<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
-        self.context.endpoint_table.keep_only(&endpoints);
+        self.context.endpoint_table.drain_unlisted(&endpoints);
         entries
     }
 
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -120,7 +120,7 @@
                 registry.poller.succeeded(clock.now(), next.kind, hash_matches, in_doubt);
             }
             Err(error) => {
-                increment(&context.registry.failures);
+                increment(&context.registry_counts.failures);
                 let address = registry.address(next.address_index);
                 warn!(context.log, "the registry did not answer"; "address" => address, "error" => %error);
                 registry.poller.failed(clock.now(), rng.f64());
@@ -137,7 +137,7 @@
     address: usize,
     question: PollKind,
 ) {
-    let counts = &context.registry;
+    let counts = &context.registry_counts;
     increment(&counts.polls);
     increment(if question == PollKind::Delta { &counts.deltas } else { &counts.complete });
     counts.address.set(address);
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -112,7 +112,7 @@
     let mut entry = Entry {
         registration,
         name: config.name.clone(),
-        listen: context.listen(),
+        listen: context.listen_address(),
         clients: clients(&settings),
         address: 0,
     };
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -90,7 +90,7 @@
 
 /// The statistics of all routes of the current plan.
 #[derive(Default)]
-pub struct Routes {
+pub struct RouteStatsTable {
     plan: RefCell<Option<Arc<Plan>>>,
     /// The statistics of the plan's routes, in their order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
@@ -102,10 +102,10 @@
     own_histograms: Cell<usize>,
 }
 
-impl Routes {
+impl RouteStatsTable {
     /// Replaces the plan. A route that keeps its name keeps its statistics; open messages stay with the route that
     /// applied when they were received.
-    pub fn apply(&self, plan: Option<Arc<Plan>>) {
+    pub fn set_plan(&self, plan: Option<Arc<Plan>>) {
         let mut previous_stats: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
             let entries = self.entries.borrow();
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -59,12 +59,12 @@
     let load = load.clone();
     let loaded = run_blocking(move || load(Reading::Reload)).await;
     let (config, settings) = loaded.ok_or(ReloadError::CheckPanicked)??;
-    if let Some(reason) = config.needs_restart(&context.config()) {
+    if let Some(reason) = config.restart_reason(&context.config()) {
         return Err(ReloadError::NeedsRestart(reason));
     }
     context.journal.set_limit(config.journal_limit_bytes());
-    context.endpoint_table.set_grace(config.drain_grace);
-    context.routes.apply(settings.routes.clone());
+    context.endpoint_table.set_drain_grace(config.drain_grace);
+    context.route_stats.set_plan(settings.routes.clone());
     context.set_config(config);
     warn_without_index(context);
     // A step of the wall clock takes effect here: between reloads it must move no time slot.
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -167,10 +167,11 @@
     };
     let (delivery, delivery_mail) = async_channel::bounded(DELIVERY_MAILBOX);
     let journal = JournalHandle::new(journal);
-    let parts = ContextParts { log, clock, executor, delivery, journal, config, listen: sockets.listen };
+    let parts =
+        ContextParts { log, clock, executor, delivery, journal, config, listen_address: sockets.listen };
     let context = Rc::new(Context::new(parts));
     context.gauges.predecessor_connections.set(state.as_ref().map_or(0, |state| state.client_connections));
-    context.routes.apply(routes);
+    context.route_stats.set_plan(routes);
     reload::warn_without_index(&context);
     let reports = start_background(&context);
     let (endpoint_list, endpoint_list_mail) = async_channel::bounded(ENDPOINT_LIST_MAILBOX);
