--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -123,10 +123,8 @@
     /// The name, the listen address or the state folder of the process has changed.
     #[error("`name`, `listen` and `state` can be changed only by a restart")]
     Process,
-    /// Names or repeat rules that open messages depend on have changed.
-    #[error(
-        "names of classes, tenants, zones and kinds, and repeat rules, can be changed only by a restart"
-    )]
+    /// Names, or the idempotency of classes, have changed, on which open messages depend.
+    #[error("class, tenant, zone and kind names and class idempotency can be changed only by a restart")]
     Names,
     /// The entry that this forwarder registers in the registry has changed.
     #[error("`register` of the registry can be changed only by a restart")]
@@ -242,6 +240,7 @@
 
     fn check(&self) -> Result<(), ConfigReadError> {
         let (descriptors, calls) = (self.max_descriptors, self.max_concurrent_calls);
+        // Half of the descriptors must suffice for all calls and 32 other files; see `max_idle_connections`.
         if descriptors < 64 + 2 * calls {
             return Err(ConfigReadError::TooFewDescriptors { descriptors, calls });
         }
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -19,6 +19,7 @@
 /// A message that has not ended, or has an attempt in flight.
 pub(super) struct OpenMessage {
     pub message: Rc<InFlightMessage>,
+    /// `None` while no attempt is in flight.
     pub attempt: Option<AttemptInFlight>,
     /// The channel for the reply to the client; `None` once the reply was sent, or if an earlier process accepted the
     /// message.
@@ -137,7 +138,7 @@
         &self,
         mailbox: &Receiver<DeliveryMessage>,
     ) -> Option<Result<DeliveryMessage, async_channel::RecvError>> {
-        // A stopped actor makes no step that removes due timers: one of them would make this loop spin.
+        // A stopped actor ignores its timers: no step would remove a due one, and `run` would loop without a pause.
         let next_timer = self.timers.peek().filter(|_| !self.stopped).map(|timer| timer.0.due_at);
         let clock = self.context.clock;
         let timer_due = async {
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -93,7 +93,7 @@
         self.events.push(event);
     }
 
-    /// Adds a message to the open ones: reserves its request id, and tracks it in the ledger and the gauge.
+    /// Adds a message to the open messages: marks its request id as in use, and tracks it in the ledger and the gauge.
     pub(super) fn open_message(
         &mut self,
         message: InFlightMessage,
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -52,8 +52,8 @@
         let mut message = InFlightMessage::new(id, request, attempts);
         message.restored = true;
         message.first_attempt = first_attempt.map(|start| {
-            // If the zone was removed from the settings, `usize::MAX` matches no other: a retry that must stay in it
-            // is not sent.
+            // `usize::MAX` stands for a zone that was removed from the settings. It equals no other zone, so a retry
+            // that must stay in the removed zone is not sent.
             let zone = self.names.zones.iter().position(|zone| *zone == start.zone).unwrap_or(usize::MAX);
             (start.started_at, ZoneId(zone))
         });
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -84,7 +84,7 @@
     check_sendable(context, call, progress)?;
     let zone = context.endpoint_table.get(call.endpoint).map(|state| state.zone);
     journal_attempts(context, call, zone, progress)?;
-    // Checked again, as writing to the journal can take long.
+    // Checked again, as writing to the journal can take a while.
     let permit = check_sendable(context, call, progress)?;
     progress.stage.set(Stage::Writing);
     record_first_byte(context, call, zone.unwrap_or_default());
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -12,6 +12,7 @@
 use std::rc::Rc;
 use std::task::{self, Poll, Waker};
 
+/// A connection in the pool.
 struct IdleConnection {
     connection: HttpConnection,
     /// The remote address, to detect that the endpoint has moved.
@@ -66,7 +67,7 @@
     /// run.
     pub fn close_unusable(&mut self) {
         let now = self.context.clock.now();
-        let address = self.context.endpoint_table.get(self.endpoint).map(|known| known.address);
+        let address = self.context.endpoint_table.get(self.endpoint).map(|state| state.address);
         let mut task = task::Context::from_waker(Waker::noop());
         for index in (0..self.idle.len()).rev() {
             let idle = &mut self.idle[index];
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -70,7 +70,7 @@
     /// How long calls may still be sent to an endpoint after its drain began.
     drain_grace: Cell<Micros>,
     endpoints: RefCell<BTreeMap<EndpointId, EndpointState>>,
-    /// Until when no calls may be sent.
+    /// The times until which retry-afters forbid calls.
     retry_after_until: RefCell<BTreeMap<RetryAfterScope, Micros>>,
     /// The time from learning of an endpoint's drain to the first byte of the last call sent there, in microseconds.
     last_send_delays: RefCell<Histogram<u32>>,
@@ -184,8 +184,8 @@
         self.endpoints.borrow().values().any(|state| state.destination == destination)
     }
 
-    /// Records that an endpoint has sent a retry-after, in microseconds from now. A later end that was recorded
-    /// before stays.
+    /// Records that an endpoint has sent a retry-after, in microseconds from now. It doesn't shorten an earlier one
+    /// that ends later.
     pub fn record_retry_after(&self, endpoint: EndpointId, retry_after: Micros) {
         let Some(scope) = self.retry_after_scope(endpoint) else { return };
         let mut ends = self.retry_after_until.borrow_mut();
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -54,12 +54,20 @@
         self.journal.borrow().is_paused()
     }
 
-    /// See [`Journal::record_received`].
+    /// Records a message that is about to be accepted; see [`Journal::record_received`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal has no space, is failing or is paused.
     pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
         self.with_journal(|journal| journal.record_received(id.0, message))
     }
 
-    /// See [`Journal::record_attempt`].
+    /// Records an attempt that is about to be sent; see [`Journal::record_attempt`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal is failing or paused.
     pub fn record_attempt(
         &self,
         id: MessageId,
@@ -69,47 +77,59 @@
         self.with_journal(|journal| journal.record_attempt(id.0, number, start))
     }
 
-    /// See [`Journal::record_never_ran`].
+    /// Records that an attempt never ran; see [`Journal::record_never_ran`].
     pub fn record_never_ran(&self, id: MessageId, number: u32) {
         self.with_journal(|journal| journal.record_never_ran(id.0, number));
     }
 
-    /// See [`Journal::record_end`].
+    /// Records how a message ended, which is still to be reported to the platform; see [`Journal::record_end`].
     pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
         self.with_journal(|journal| journal.record_end(id.0, end));
     }
 
-    /// See [`Journal::record_completed`].
+    /// Records that nothing more is to be done for a message; see [`Journal::record_completed`].
     pub fn record_completed(&self, id: MessageId) {
         self.with_journal(|journal| journal.record_completed(id.0));
     }
 
-    /// See [`Journal::try_record_completed`].
+    /// Records that a message is complete before its client is told; see [`Journal::try_record_completed`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal is failing or paused; nothing is recorded then.
     pub fn try_record_completed(&self, id: MessageId) -> Result<(), JournalError> {
         self.with_journal(|journal| journal.try_record_completed(id.0))
     }
 
-    /// See [`Journal::has_unwritten_end`].
+    /// Whether the end of a message is still to be written; see [`Journal::has_unwritten_end`].
     pub fn has_unwritten_end(&self, id: MessageId) -> bool {
         self.journal.borrow().has_unwritten_end(id.0)
     }
 
-    /// See [`Journal::set_limit`].
+    /// Sets the maximum size of the journal, in bytes; see [`Journal::set_limit`].
     pub fn set_limit(&self, limit: u64) {
         self.with_journal(|journal| journal.set_limit(limit));
     }
 
-    /// See [`Journal::pause`].
+    /// Pauses writing before another process may own the folder; see [`Journal::pause`].
+    ///
+    /// # Errors
+    ///
+    /// If a queued record cannot be written; writing is not paused then.
     pub fn pause(&self) -> Result<(), JournalError> {
         self.with_journal(Journal::pause)
     }
 
-    /// See [`Journal::resume`].
+    /// Resumes writing after a pause; see [`Journal::resume`].
     pub fn resume(&self) {
         self.with_journal(Journal::resume);
     }
 
-    /// See [`Journal::retry`].
+    /// Tries again to write the queued records; see [`Journal::retry`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal is paused or still failing.
     pub fn retry(&self) -> Result<(), JournalError> {
         self.with_journal(Journal::retry)
     }
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -27,10 +27,15 @@
 /// The statistics of one route.
 #[derive(Debug, Default)]
 pub struct RouteStats {
+    /// Messages that have not ended.
     open: Cell<u64>,
+    /// Attempts that the policy has decided on.
     attempts: Cell<u64>,
+    /// Completed attempts, by the name of the outcome.
     outcomes: RefCell<BTreeMap<&'static str, u64>>,
+    /// Ended messages, by the name of the end.
     ends: RefCell<BTreeMap<&'static str, u64>>,
+    /// `None` until the first message was delivered.
     delivery_times: RefCell<Option<DeliveryTimes>>,
 }
 
@@ -38,6 +43,7 @@
     cell.set(cell.get() + 1);
 }
 
+/// The key of an outcome in the report, which is the same as in [`Counters`](crate::net::counters::Counters).
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -96,7 +102,7 @@
     entries: RefCell<Vec<Rc<RouteStats>>>,
     /// The statistics of messages that no route matches.
     unmatched: Rc<RouteStats>,
-    /// The histogram that routes without an own one share.
+    /// The histogram shared by the routes without a histogram of their own.
     shared_delivery_times: RefCell<Option<DeliveryTimes>>,
     /// The number of routes with a histogram of their own.
     own_histograms: Cell<usize>,
