--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -109,7 +109,7 @@
     }
 
     /// The completion of the call, in a form that can be sent to another process.
-    pub fn completed(&self, result: CallResult) -> CallCompletion {
+    pub fn completion(&self, result: CallResult) -> CallCompletion {
         let attempts = self.attempts.iter().map(Attempt::id).collect();
         CallCompletion { endpoint: self.endpoint, decided_at: self.decided_at, attempts, result }
     }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -47,7 +47,7 @@
         self.add_many(1);
     }
 
-    /// Adds a number.
+    /// Adds a number of events.
     pub fn add_many(&self, number: usize) {
         self.0.set(self.0.get() + number as u64);
     }
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -87,7 +87,7 @@
         let delivery = self.context.delivery.clone();
         let send_completion = async move {
             // This actor's own mailbox is closed only when the process ends.
-            let _ = delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
+            let _ = delivery.send(DeliveryMessage::CallCompleted(call.completion(result))).await;
         };
         self.context.executor.spawn(send_completion).detach();
     }
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -83,7 +83,7 @@
         predecessor: &FrameSender,
     ) {
         let Some(class) = self.class_of(&journaled) else { return };
-        let request = self.request_of(journaled, class, false);
+        let request = self.rebuild_request(journaled, class, false);
         let mut message = InFlightMessage::new(handed_over.id, request, handed_over.attempts);
         message.received_at = handed_over.received_at;
         let attempt = handed_over.in_flight.map(|HandOverAttempt { number, endpoint }| {
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -48,7 +48,7 @@
         let class = self.class_of(&journaled).unwrap_or_default();
         let may_have_run = journaled.progress.may_have_run();
         let Progress { attempts, first_attempt, .. } = journaled.progress.clone();
-        let request = self.request_of(journaled, class, may_have_run);
+        let request = self.rebuild_request(journaled, class, may_have_run);
         let mut message = InFlightMessage::new(id, request, attempts);
         message.restored = true;
         message.first_attempt = first_attempt.map(|start| {
@@ -66,7 +66,7 @@
     }
 
     /// Builds the client's request from a journaled message. `may_have_run`: an attempt may have run at an endpoint.
-    pub(super) fn request_of(
+    pub(super) fn rebuild_request(
         &self,
         journaled: JournaledMessage,
         class: ClassId,
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -41,7 +41,7 @@
 
 async fn send_completion(context: &Context, call: &Call, result: CallResult) {
     // Sending fails only as the process ends, with no delivery actor left to notify.
-    let _ = context.delivery.send(DeliveryMessage::CallCompleted(call.completed(result))).await;
+    let _ = context.delivery.send(DeliveryMessage::CallCompleted(call.completion(result))).await;
 }
 
 async fn perform_call(
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -2,7 +2,7 @@
 //! attempts, writes the request and reads the response.
 
 use super::request;
-use super::response::{read_retry_after, Response, RESPONSE_STALL_TIMEOUT};
+use super::response::{parse_retry_after, Response, RESPONSE_STALL_TIMEOUT};
 use crate::invariants::{may_send, SendFacts, SendPermit, SendRefusal, Violation};
 use crate::journal::AttemptStart;
 use crate::net::call::Call;
@@ -184,7 +184,7 @@
     let head = connection.read_response().await?;
     progress.status.set(Some(head.status));
     // The retry-after must be honored even if the body cannot be read.
-    progress.retry_after.set(read_retry_after(&head));
+    progress.retry_after.set(parse_retry_after(&head));
     if head.status == 200 && call.attempts.len() == 1 {
         // The message is delivered. The body only decides whether the connection can be reused.
         connection.stall_timeout = Some(DELIVERED_BODY_STALL_TIMEOUT);
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -1,7 +1,7 @@
 //! Reads a late response on the connection of an abandoned call. The response may contain a retry-after, which
 //! applies from the moment the endpoint wrote it; if it were not read, calls would be sent during that time.
 
-use super::response::{read_retry_after, RESPONSE_STALL_TIMEOUT};
+use super::response::{parse_retry_after, RESPONSE_STALL_TIMEOUT};
 use crate::net::call::{AttemptResult, CallCompletion, CallResult};
 use crate::net::http::HttpConnection;
 use crate::net::messages::DeliveryMessage;
@@ -33,7 +33,7 @@
     let read_response = async move {
         let head =
             within(LATE_RESPONSE_TIMEOUT, async { connection.read_response().await.ok() }).await.flatten();
-        if let Some(retry_after) = head.as_ref().and_then(read_retry_after) {
+        if let Some(retry_after) = head.as_ref().and_then(parse_retry_after) {
             info!(context.log, "late retry_after received"; "endpoint" => endpoint.0, "ms" => retry_after / 1000);
             context.endpoint_table.record_retry_after(endpoint, retry_after);
             report_retry_after(&context, endpoint, retry_after).await;
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -24,7 +24,7 @@
 }
 
 /// The retry-after in the head of a response, in microseconds. Values that are not finite or not positive are ignored.
-pub(super) fn read_retry_after(head: &ResponseHead) -> Option<Micros> {
+pub(super) fn parse_retry_after(head: &ResponseHead) -> Option<Micros> {
     let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|text| text.parse::<f64>().ok());
     let wait_ms = wait_ms.filter(|wait_ms| wait_ms.is_finite() && *wait_ms > 0.0);
     wait_ms.map(|wait_ms| (wait_ms.min(MAX_RETRY_AFTER_MS) * 1000.0) as Micros)
@@ -47,7 +47,7 @@
     retry_after: Option<Micros>,
     reused: bool,
 ) -> CallResult {
-    let report = response.head.headers.get("X-Load").and_then(read_load);
+    let report = response.head.headers.get("X-Load").and_then(parse_load_report);
     let status_result = match response.head.status {
         200 if call.attempts.len() > 1 => None,
         _ => Some(result_of_status(log, call, &response.head, retry_after, reused)),
@@ -109,7 +109,7 @@
 
 /// Parses a load report (`x0`: the share of the quota that is left, `x1`: the rate limit in calls per second).
 /// Returns `None` if a value is missing or out of range, so that the policy ignores a malformed report.
-pub fn read_load(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let value = |name: &str, range: RangeInclusive<f64>| {
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         let value = pairs.find(|(key, _)| *key == name)?.1.parse::<f64>().ok()?;
--- a/tests/endpoint_responses.rs
+++ b/tests/endpoint_responses.rs
@@ -1,7 +1,7 @@
 //! How failures of endpoint connections are classified and how load reports are parsed. Needs no sockets.
 
 use cedarbridge::net::endpoint::connection_end::{CallFailure, STALE_CONNECTION_WINDOW};
-use cedarbridge::net::endpoint::response::read_load;
+use cedarbridge::net::endpoint::response::parse_load_report;
 use cedarbridge::net::http::HttpError;
 use cedarbridge::Outcome;
 
@@ -19,7 +19,7 @@
 /// the destination until their deadlines.
 #[test]
 fn a_load_report_out_of_range_is_ignored() {
-    let rate = |text| read_load(text).map(|report| report.rate);
+    let rate = |text| parse_load_report(text).map(|report| report.rate);
     assert_eq!(rate("x0=0.4,x1=25"), Some(25.0));
     assert_eq!(rate("x0=0, x1=0, x2=9"), Some(0.0));
     for malformed in
