--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -158,7 +158,7 @@
     }
 
     fn start_connection(&mut self, stream: Async<TcpStream>, address: SocketAddr) {
-        self.context.counters.accepted.add();
+        self.context.counters.connections_accepted.increment();
         self.context.gauges.client_connections.increment();
         let accepted = AcceptedConnection { stream, address, waiting_since: self.waiting_since() };
         let serving = connection::serve(self.context.clone(), self.registry.clone(), accepted);
@@ -172,7 +172,7 @@
         self.waiting_since();
         self.failures_in_a_row += 1;
         let failures = self.failures_in_a_row;
-        self.context.counters.accept_failures.add();
+        self.context.counters.accept_failures.increment();
         if failures.is_power_of_two() {
             warn!(self.context.log, "cannot accept"; "error" => %error, "in_a_row" => failures);
         }
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -278,7 +278,7 @@
         let request = match read {
             Ok(request) => request,
             Err(error) => {
-                self.context.counters.bad_requests.add();
+                self.context.counters.bad_requests.increment();
                 info!(self.context.log, "bad request"; "reason" => %error);
                 return Ok(Response::plain(400, format!("{error}\n")));
             }
@@ -286,13 +286,13 @@
         self.log_age(&request, sent_at);
         if ended_sending {
             // It may still read: the response says that the message was not accepted.
-            self.context.counters.unavailable.add();
+            self.context.counters.unavailable.increment();
             self.context.record_rejection(&request.request_id, Rejection::ClientGone);
             let response = Response::service_unavailable(DEFAULT_RETRY_AFTER);
             return Err(self.close_with(&response, CloseReason::ClientGone).await);
         }
         if !self.context.endpoint_table.has_destination(request.destination) {
-            self.context.counters.unavailable.add();
+            self.context.counters.unavailable.increment();
             self.context.record_rejection(&request.request_id, Rejection::UnknownDestination);
             info!(self.context.log, "unknown destination"; "destination" => request.destination.0);
             return Ok(Response::service_unavailable(UNKNOWN_DESTINATION_RETRY_AFTER_US));
@@ -327,13 +327,13 @@
 
     /// Rejects a request that is not complete as the program ends.
     async fn reject_as_closing(&mut self) -> ConnectionEnd {
-        self.context.counters.unavailable.add();
+        self.context.counters.unavailable.increment();
         self.close_with(&Response::service_unavailable(DEFAULT_RETRY_AFTER), CloseReason::Closing).await
     }
 
     /// Ends the connection with an error.
     async fn reject(&mut self, status: u16, why: &str, reason: CloseReason) -> ConnectionEnd {
-        self.context.counters.bad_requests.add();
+        self.context.counters.bad_requests.increment();
         self.close_with(&Response::plain(status, format!("{why}\n")), reason).await
     }
 
--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -90,7 +90,7 @@
             Some(SubmitReply::Unavailable(retry_after)) => Response::service_unavailable(retry_after),
             Some(SubmitReply::Failed) => Response::plain(500, "failed\n"),
             Some(SubmitReply::DuplicateId) => {
-                self.context.counters.bad_requests.add();
+                self.context.counters.bad_requests.increment();
                 Response::plain(409, "a message of that id is not over yet\n")
             }
             None => Response::service_unavailable(DEFAULT_RETRY_AFTER),
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -37,18 +37,18 @@
     reason: &'static str,
 }
 
-/// A counter.
+/// Counts events of one kind.
 #[derive(Debug, Default)]
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
-    pub fn add(&self) {
-        self.add_many(1);
+    /// Counts one event.
+    pub fn increment(&self) {
+        self.add(1);
     }
 
-    /// Adds a number of events.
-    pub fn add_many(&self, number: usize) {
+    /// Counts `number` events.
+    pub fn add(&self, number: usize) {
         self.0.set(self.0.get() + number as u64);
     }
 }
@@ -97,17 +97,17 @@
     /// Messages returned to their clients by a delivery report.
     returned = "returned",
     /// Delivery reports that the platform has confirmed.
-    notices = "notices",
+    reports_confirmed = "notices",
     /// Connections opened to endpoints.
     connections_opened = "opened",
     /// Calls on a reused connection.
     connections_reused = "reused",
     /// Connections accepted from clients.
-    accepted = "accepted",
+    connections_accepted = "accepted",
     /// Failed attempts to accept a connection from the listener's queue.
     accept_failures = "accept_failures",
     /// Versions of the endpoint list received from the watch.
-    lists = "lists",
+    list_versions_received = "lists",
     /// Reloads of the configuration.
     reloads = "reloads",
     /// How often the journal became unwritable.
@@ -170,6 +170,6 @@
             Outcome::NotSent => &self.attempts_not_sent,
             Outcome::NotJournaled => &self.attempts_not_journaled,
         }
-        .add();
+        .increment();
     }
 }
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -70,7 +70,7 @@
         let submit_reply = match rejection {
             Rejection::IdInUse => SubmitReply::DuplicateId,
             _ => {
-                self.context.counters.unavailable.add();
+                self.context.counters.unavailable.increment();
                 SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)
             }
         };
@@ -122,7 +122,7 @@
         self.stopped = true;
         for (id, open) in &mut self.messages {
             if let Some(reply) = open.reply.take() {
-                self.context.counters.messages_accepted.add();
+                self.context.counters.messages_accepted.increment();
                 // Sending fails if the client has disconnected; the journaled message must be delivered all the same.
                 let _ = reply.try_send(SubmitReply::Accepted(*id));
             }
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -159,7 +159,7 @@
         let delivered = outcome == Outcome::Ok;
         let end = if delivered { MessageEnd::Delivered } else { MessageEnd::Expired };
         if self.end_message(id, end) && delivered {
-            self.context.counters.delivered.add();
+            self.context.counters.delivered.increment();
             let received_at = message.and_then(|message| message.received_at);
             let stats = message.and_then(|message| message.route_stats.as_ref());
             if let Some((received_at, stats)) = received_at.zip(stats) {
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -91,7 +91,7 @@
             AttemptInFlight { number, endpoint, cancel }
         });
         self.open_message(message, attempt, None);
-        self.context.counters.inherited.add();
+        self.context.counters.inherited.increment();
     }
 
     /// Returns a completion for each attempt that was in flight at a predecessor that is gone. The outcome says that
--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -50,7 +50,7 @@
     pub(super) fn withdraw(&mut self, id: MessageId) {
         if self.end_message(id, MessageEnd::Withdrawn) {
             self.context.journal.record_completed(id);
-            self.context.counters.withdrawn.add();
+            self.context.counters.withdrawn.increment();
             self.events.push(Event::Withdrawn { id });
             self.remove_if_ended(id);
         }
@@ -69,7 +69,7 @@
         }
         let reply = open.reply.take();
         self.withdraw(id);
-        self.context.counters.unavailable.add();
+        self.context.counters.unavailable.increment();
         // Sending fails if the client has disconnected; nobody needs the reply then.
         let _ = reply.map(|reply| reply.try_send(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)));
     }
@@ -97,14 +97,14 @@
     /// open: the client is then told that the message is accepted, as the journal says, and false is returned.
     fn reply_end(&self, id: MessageId, abandonment: Abandonment, reply: &Sender<SubmitReply>) -> bool {
         if self.context.journal.try_record_completed(id).is_err() {
-            self.context.counters.messages_accepted.add();
+            self.context.counters.messages_accepted.increment();
             // Sending fails if the client has disconnected; a delivery report follows in any case.
             let _ = reply.try_send(SubmitReply::Accepted(id));
             return false;
         }
         match abandonment {
-            Abandonment::Returned(_) => self.context.counters.unavailable.add(),
-            Abandonment::Failed => self.context.counters.failed.add(),
+            Abandonment::Returned(_) => self.context.counters.unavailable.increment(),
+            Abandonment::Failed => self.context.counters.failed.increment(),
         }
         // Sending fails if the client has disconnected; nobody needs the reply then.
         let _ = reply.try_send(abandonment.reply());
@@ -147,8 +147,8 @@
     /// Queues a delivery report for an end that was journaled before.
     pub(super) async fn queue_report(&mut self, report: DeliveryReport) {
         match report.end {
-            ReportedEnd::Failed => self.context.counters.failed.add(),
-            ReportedEnd::Returned(_) => self.context.counters.returned.add(),
+            ReportedEnd::Failed => self.context.counters.failed.increment(),
+            ReportedEnd::Returned(_) => self.context.counters.returned.increment(),
         }
         self.context.gauges.reports_pending.increment();
         self.context.request_ids.acquire(&report.request_id);
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -11,7 +11,7 @@
     /// not be sent again.
     pub async fn restore(&mut self, journaled: Vec<(u64, JournaledMessage)>) {
         for (id, journaled) in journaled {
-            self.context.counters.restored.add();
+            self.context.counters.restored.increment();
             let id = MessageId(id);
             let end = self.end_without_attempt(&journaled);
             let report = |end: ReportedEnd, journaled: JournaledMessage| DeliveryReport {
--- a/src/net/delivery/step.rs
+++ b/src/net/delivery/step.rs
@@ -123,7 +123,7 @@
         if reply.try_send(SubmitReply::Accepted(message.id)).is_err() {
             return self.withdraw(message.id);
         }
-        self.context.counters.messages_accepted.add();
+        self.context.counters.messages_accepted.increment();
         let request_id = open.message.request.request_id.as_str();
         info!(self.context.log, "message"; "state" => "accepted", "id" => request_id, "class" => message.class.0,
             "destination" => message.destination.0, "left_ms" => message.time_left / 1000);
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -62,7 +62,7 @@
     };
     let end = until_end(context, call, exchange, &progress, open_attempts).await;
     if reused && matches!(progress.stage.get(), Stage::Writing | Stage::Written) {
-        context.counters.connections_reused.add();
+        context.counters.connections_reused.increment();
     }
     let ended = EndedCall { context, call, progress, reused };
     let failure = match end {
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -99,7 +99,7 @@
     let Some(state) = context.endpoint_table.get(endpoint) else {
         return Err(HttpError::Malformed("unknown endpoint"));
     };
-    context.counters.connections_opened.add();
+    context.counters.connections_opened.increment();
     let timeout = Duration::from_micros(context.config().dial_timeout);
     Ok(HttpConnection::new(connect_within(state.address, timeout).await?))
 }
@@ -167,8 +167,8 @@
             "endpoint" => call.endpoint.0, "left_ms" => attempt.timeout_at.saturating_sub(now) / 1000);
     }
     table.record_first_byte(call.endpoint);
-    context.counters.calls.add();
-    context.counters.attempts.add_many(call.attempts.len());
+    context.counters.calls.increment();
+    context.counters.attempts.add(call.attempts.len());
 }
 
 /// Writes a request. No other function writes to an endpoint, so none is written without a [`SendPermit`].
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -226,7 +226,7 @@
             info!(context.log, "message"; "state" => "reported", "id" => &report.request_id, "end" => ?report.end);
             context.journal.record_completed(report.id);
             context.request_ids.release(&report.request_id);
-            context.counters.notices.add();
+            context.counters.reports_confirmed.increment();
             context.gauges.reports_pending.decrement();
         }
         self.batch_limit = MAX_BATCH;
--- a/src/net/platform/endpoint_list/watching.rs
+++ b/src/net/platform/endpoint_list/watching.rs
@@ -182,7 +182,7 @@
         self.generation_source = self.watches.current.as_ref().map(|watch| watch.address);
         info!(self.context.log, "endpoint list received"; "generation" => generation, "complete" => complete,
             "entries" => listings.len());
-        self.context.counters.lists.add();
+        self.context.counters.list_versions_received.increment();
         self.apply_version(received_at, complete, listings).await;
         // Only now: the endpoint table has it.
         self.context.endpoint_list.set_received();
--- a/src/net/runtime/background.rs
+++ b/src/net/runtime/background.rs
@@ -38,7 +38,7 @@
     loop {
         journal.until_failing().await;
         let failing_since = Instant::now();
-        context.counters.journal_failures.add();
+        context.counters.journal_failures.increment();
         warn!(context.log, "the journal cannot be written, no message is accepted and no attempt starts";
             "reason" => "journal", "open" => context.gauges.open_messages.get());
         retry_until_writable(journal).await;
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -50,7 +50,7 @@
     // Both actors end only with the process.
     let _ = context.delivery.send(DeliveryMessage::Settings(Box::new(settings))).await;
     let _ = endpoint_list.send(EndpointListMessage::ConfigReloaded).await;
-    context.counters.reloads.add();
+    context.counters.reloads.increment();
 }
 
 /// Loads and checks the configuration in a thread of its own: a large file takes a while, and a watch event must not wait for it,
