--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -13,7 +13,7 @@
 pub struct AttemptId {
     /// The message that is delivered.
     pub message: MessageId,
-    /// Counts the attempts of the message, from 0.
+    /// The number of the attempt, counted from 0 for each message.
     pub number: u32,
 }
 
@@ -34,11 +34,11 @@
 pub struct Attempt {
     /// The message that is delivered.
     pub message: Rc<InFlightMessage>,
-    /// Counts the attempts of the message, from 0.
+    /// The number of the attempt, counted from 0 for each message.
     pub number: u32,
     /// When the attempt is abandoned.
     pub timeout_at: Micros,
-    /// The first byte of the attempt must not be written after this time.
+    /// The first byte of the attempt must be written before this time.
     pub send_by: Micros,
     /// Whether the attempt times out at the message's deadline, so that no other attempt can follow.
     pub final_attempt: bool,
@@ -84,7 +84,7 @@
         open.map(|(attempt, _)| attempt.timeout_at).min().unwrap_or(0)
     }
 
-    /// The latest time at which the first byte may be written: the earliest `send_by` of all attempts.
+    /// The time before which the first byte must be written: the earliest `send_by` of all attempts.
     pub fn send_by(&self) -> Micros {
         self.attempts.iter().map(|attempt| attempt.send_by).min().unwrap_or(0)
     }
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -54,7 +54,7 @@
 }
 
 counters! {
-    /// Messages accepted.
+    /// Messages that were accepted from clients.
     messages_accepted = "taken",
     /// Messages restored from the journal at the start.
     restored = "restored",
@@ -90,9 +90,9 @@
     attempts_not_sent = "moot",
     /// Attempts that were not sent since they could not be journaled. The policy does not count them as attempts.
     attempts_not_journaled = "unsent",
-    /// Messages delivered.
+    /// Messages that an endpoint has processed.
     delivered = "delivered",
-    /// Messages that failed.
+    /// Messages that ended without a delivery and may have taken effect.
     failed = "failed",
     /// Messages returned to their clients by a delivery report.
     returned = "returned",
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -28,7 +28,7 @@
 
 /// The attempt in flight of a message, made by this process or by its predecessor.
 pub(super) struct AttemptInFlight {
-    /// Counts the attempts of the message, from 0.
+    /// The number of the attempt, counted from 0 for each message.
     pub number: u32,
     pub endpoint: EndpointId,
     /// Closing this channel cancels the call.
