--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -168,7 +168,7 @@
 
     /// Starts a task that serves an accepted connection.
     fn start_connection(&mut self, stream: Async<TcpStream>, address: SocketAddr) {
-        self.context.counters.accepted.add();
+        self.context.counters.connections_accepted.increment();
         self.context.gauges.client_connections.increment();
         let accepted = AcceptedConnection { stream, address, waiting_since: self.waiting_since() };
         let serving = connection::serve(self.context.clone(), self.registry.clone(), accepted);
@@ -182,7 +182,7 @@
         self.waiting_since();
         self.consecutive_failures += 1;
         let failures = self.consecutive_failures;
-        self.context.counters.accept_failures.add();
+        self.context.counters.accept_failures.increment();
         if failures.is_power_of_two() {
             warn!(self.context.log, "cannot accept a connection"; "error" => %error, "in_a_row" => failures);
         }
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -285,7 +285,7 @@
         let request = match read {
             Ok(request) => request,
             Err(error) => {
-                self.context.counters.bad_requests.add();
+                self.context.counters.bad_requests.increment();
                 info!(self.context.log, "bad request"; "reason" => %error);
                 return Ok(Response::plain(400, format!("{error}\n")));
             }
@@ -293,14 +293,14 @@
         self.log_age(&request, sent_at);
         if ended_sending {
             // The client may still read: the response tells it that the message was not accepted.
-            self.context.counters.unavailable.add();
-            self.context.rejected(&request.request_id, Rejection::ClientGone);
+            self.context.counters.unavailable.increment();
+            self.context.record_rejection(&request.request_id, Rejection::ClientGone);
             let response = Response::service_unavailable(DEFAULT_RETRY_AFTER);
             return Err(self.close_with(&response, CloseReason::ClientGone).await);
         }
         if !self.context.endpoint_table.has_destination(request.destination) {
-            self.context.counters.unavailable.add();
-            self.context.rejected(&request.request_id, Rejection::UnknownDestination);
+            self.context.counters.unavailable.increment();
+            self.context.record_rejection(&request.request_id, Rejection::UnknownDestination);
             info!(self.context.log, "unknown destination"; "destination" => request.destination.0);
             return Ok(Response::service_unavailable(UNKNOWN_DESTINATION_RETRY_AFTER_US));
         }
@@ -336,13 +336,13 @@
 
     /// Rejects a request that is not complete when decisions stop in the shutdown.
     async fn reject_as_closing(&mut self) -> ConnectionEnd {
-        self.context.counters.unavailable.add();
+        self.context.counters.unavailable.increment();
         self.close_with(&Response::service_unavailable(DEFAULT_RETRY_AFTER), CloseReason::Closing).await
     }
 
     /// Counts a bad request and ends the connection with an error response.
     async fn reject(&mut self, status: u16, explanation: &str, reason: CloseReason) -> ConnectionEnd {
-        self.context.counters.bad_requests.add();
+        self.context.counters.bad_requests.increment();
         self.close_with(&Response::plain(status, format!("{explanation}\n")), reason).await
     }
 
--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -71,7 +71,8 @@
                 Ok(0) => {
                     has_ended_sending.set(true);
                     // Sending fails only if the delivery actor has ended, and it ends only with the process.
-                    let _ = self.context.delivery.send(DeliveryMessage::ClientEnded { request_id }).await;
+                    let _ =
+                        self.context.delivery.send(DeliveryMessage::ClientHalfClosed { request_id }).await;
                     future::pending().await
                 }
                 Ok(_) => {
@@ -93,7 +94,7 @@
             Some(SubmitReply::Unavailable(retry_after)) => Response::service_unavailable(retry_after),
             Some(SubmitReply::Failed) => Response::plain(500, "failed\n"),
             Some(SubmitReply::DuplicateId) => {
-                self.context.counters.bad_requests.add();
+                self.context.counters.bad_requests.increment();
                 Response::plain(409, "a message of that id is not over yet\n")
             }
             None => Response::service_unavailable(DEFAULT_RETRY_AFTER),
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: a message that a client sent is rejected, or journaled and brought to the policy.
+//! Admission of messages from clients: each is either rejected, or journaled and passed to the policy.
 
 use super::actor::{AttemptInFlight, DeliveryActor, OpenMessage};
 use crate::invariants::{may_admit, AdmissionFacts, Rejection, TrackedAttempt, TrackedMessage};
@@ -12,12 +12,12 @@
 use std::rc::Rc;
 
 impl DeliveryActor {
-    /// Admits a message, or rejects it by the reply.
+    /// Admits a client's message, or replies with a rejection.
     pub(super) fn submit(&mut self, request: Request, reply: Sender<SubmitReply>) {
         if let Some(received) = request.tenant.and_then(|tenant| self.received_by_tenant.get_mut(tenant.0)) {
             *received += 1;
         }
-        // A captured day is made of these lines.
+        // The rehearsal tool builds captures of real traffic from these log lines.
         debug!(self.context.log, "message received"; "id" => &request.request_id,
             "destination" => request.destination.0,
             "channel" => request.tenant.and_then(|tenant| self.names.tenants.get(tenant.0)),
@@ -26,13 +26,13 @@
             Ok(id) => {
                 let mut message = InFlightMessage::new(id, request, 0);
                 message.received_at = Some(self.context.clock.now());
-                self.open_new(message, Some(reply));
+                self.open_new_message(message, Some(reply));
             }
             Err(rejection) => self.reject(&request.request_id, rejection, &reply),
         }
     }
 
-    /// Journals a message under a new id, if it may be admitted.
+    /// Journals a message under a new id, or returns why it must not be admitted.
     fn admit(&mut self, request: &Request) -> Result<MessageId, Rejection> {
         may_admit(&AdmissionFacts {
             draining: self.stopped,
@@ -41,7 +41,7 @@
             max_open_messages: self.context.config().max_open_messages,
             journal_writable: self.context.journal.is_writable(),
         })?;
-        let message = self.journaled(request);
+        let message = self.journaled_message(request);
         self.last_id += 1;
         let id = MessageId(self.last_id);
         self.context.journal.record_received(id, &message).map_err(|error| match error {
@@ -51,13 +51,13 @@
         Ok(id)
     }
 
-    fn journaled(&self, request: &Request) -> JournaledMessage {
-        let name = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
+    fn journaled_message(&self, request: &Request) -> JournaledMessage {
+        let name_at = |names: &[String], index: usize| names.get(index).cloned().unwrap_or_default();
         JournaledMessage {
             request_id: request.request_id.clone(),
             key: request.key.clone(),
-            class: name(&self.names.classes, request.class.0),
-            tenant: request.tenant.map(|tenant| name(&self.names.tenants, tenant.0)),
+            class: name_at(&self.names.classes, request.class.0),
+            tenant: request.tenant.map(|tenant| name_at(&self.names.tenants, tenant.0)),
             destination: request.destination.0,
             deadline: request.deadline,
             body: request.body.to_vec(),
@@ -66,39 +66,44 @@
     }
 
     fn reject(&self, request_id: &str, rejection: Rejection, reply: &Sender<SubmitReply>) {
-        self.context.rejected(request_id, rejection);
-        let answer = match rejection {
+        self.context.record_rejection(request_id, rejection);
+        let submit_reply = match rejection {
             Rejection::IdInUse => SubmitReply::DuplicateId,
             _ => {
-                self.context.counters.unavailable.add();
+                self.context.counters.unavailable.increment();
                 SubmitReply::Unavailable(DEFAULT_RETRY_AFTER)
             }
         };
-        // Where the client is gone, nobody waits for the reply.
-        let _ = reply.try_send(answer);
+        // Sending fails if the client has disconnected; nobody needs the reply then.
+        let _ = reply.try_send(submit_reply);
     }
 
-    /// Opens a message that the policy does not know, and brings it to the policy.
-    pub(super) fn open_new(&mut self, mut message: InFlightMessage, reply: Option<Sender<SubmitReply>>) {
+    /// Opens a message that the policy does not know yet, and queues it for the policy's next step.
+    pub(super) fn open_new_message(
+        &mut self,
+        mut message: InFlightMessage,
+        reply: Option<Sender<SubmitReply>>,
+    ) {
         let (destination, class) = (message.request.destination, message.request.class);
-        message.stats = self.context.routes.of(destination, self.endpoints.kind(destination), class);
-        message.stats.iter().for_each(|stats| stats.message_opened());
-        let event = Event::Message(message.message(self.context.clock.now()));
-        self.open(message, None, reply);
+        message.route_stats =
+            self.context.route_stats.stats_for(destination, self.endpoints.kind(destination), class);
+        message.route_stats.iter().for_each(|stats| stats.message_opened());
+        let event = Event::Message(message.to_new_message(self.context.clock.now()));
+        self.open_message(message, None, reply);
         self.events.push(event);
     }
 
-    /// Opens a message.
-    pub(super) fn open(
+    /// Adds a message to the open messages: marks its request id as in use, and tracks it in the ledger and the gauge.
+    pub(super) fn open_message(
         &mut self,
         message: InFlightMessage,
         attempt: Option<AttemptInFlight>,
         reply: Option<Sender<SubmitReply>>,
     ) {
         self.context.request_ids.acquire(&message.request.request_id);
-        let rules = self.context.config().repeat_policies[message.request.class.0];
+        let repeat_policy = self.context.config().repeat_policies[message.request.class.0];
         let tracked = TrackedMessage {
-            repeats: rules,
+            repeats: repeat_policy,
             attempts: message.attempts(),
             first_attempt: message
                 .first_attempt
@@ -110,14 +115,15 @@
         self.context.gauges.open_messages.increment();
     }
 
-    /// Makes no step any more. Messages that wait for the next step are accepted: they are journaled, so they are owed, and without
-    /// a reply their clients' connections would end on a request that was read.
+    /// Stops making steps. Messages that wait for the next step are accepted: they are journaled, so the next process
+    /// will deliver them, and without a reply their clients' connections would be closed after a request that was
+    /// read.
     pub(super) fn stop(&mut self) {
         self.stopped = true;
         for (id, open) in &mut self.messages {
             if let Some(reply) = open.reply.take() {
-                self.context.counters.messages_accepted.add();
-                // Where the client is gone, the message is owed all the same.
+                self.context.counters.messages_accepted.increment();
+                // Sending fails if the client has disconnected; the journaled message must be delivered all the same.
                 let _ = reply.try_send(SubmitReply::Accepted(*id));
             }
         }
--- a/src/net/delivery/status.rs
+++ b/src/net/delivery/status.rs
@@ -1,11 +1,11 @@
-//! The status for operators.
+//! The status report of destinations and tenants for operators.
 
 use super::actor::DeliveryActor;
 use crate::{DestinationStatus, Micros};
 use serde_json::{json, Value};
 
 impl DeliveryActor {
-    /// Each destination with its breaker, and what was received of each tenant.
+    /// The state of each destination, and how many messages were received from each tenant.
     pub(super) fn status(&self) -> Value {
         let now = self.context.clock.now();
         let destinations: Vec<Value> = self.policy.status(now).map(destination_status).collect();
@@ -17,16 +17,16 @@
 }
 
 fn destination_status(status: DestinationStatus) -> Value {
-    let ms = |time: f64| time / 1e3;
-    let retry_after = |time: Micros| ms(time as f64);
+    let to_ms = |time: f64| time / 1e3;
+    let micros_to_ms = |time: Micros| to_ms(time as f64);
     json!({
         "destination": status.destination.0,
         "breaker": status.breaker.name(),
         "held": status.waiting,
         "out": status.in_flight,
-        "wait_ms": retry_after(status.retry_after),
+        "wait_ms": micros_to_ms(status.retry_after),
         "cold": status.warming_up,
-        "answer_ms": status.mean_latency_us.map(ms),
+        "answer_ms": status.mean_latency_us.map(to_ms),
         "limit_per_s": status.rate_limit.map(|limit| limit.rate),
         "limit_left": status.rate_limit.map(|limit| limit.remaining_share),
     })
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -1,5 +1,5 @@
-//! Opens connections. This goes through the C library, as all other socket calls of the program do, so that tests can make each
-//! step fail.
+//! Opens TCP connections. All socket calls of the program go through the C library, so that tests can make each of
+//! them fail.
 
 use crate::net::http::HttpError;
 use crate::net::within_or_error;
@@ -10,61 +10,61 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// The pause after the first try that failed because this machine ran out of something; it doubles with each.
-const FIRST_SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
-/// The longest such pause.
-const MAX_SHORTAGE_PAUSE: Duration = Duration::from_millis(10);
+/// The pause after the first connect that failed as this machine lacked a resource. It doubles with each failure.
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// The upper bound of that pause.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Opens a connection; it may take as long as the system tries.
+/// Opens a connection, with no other time limit than that of the operating system.
 ///
 /// # Errors
 ///
-/// Those of the socket, also what this machine runs out of for a moment.
+/// Any error of the socket, including a temporary lack of resources on this machine.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
     match socket.connect(&address.into()) {
         Ok(()) => {}
-        // An interrupted connect goes on as well.
-        Err(e) if has_errno(&e, &[Errno::INPROGRESS, Errno::INTR]) => {}
-        Err(e) => return Err(e),
+        // The system continues an interrupted connect in the background, like one in progress.
+        Err(error) if has_errno(&error, &[Errno::INPROGRESS, Errno::INTR]) => {}
+        Err(error) => return Err(error),
     }
     let stream = Async::new(TcpStream::from(socket))?;
     stream.writable().await?;
     match stream.get_ref().take_error()? {
         None => Ok(stream),
-        Some(e) => Err(e),
+        Some(error) => Err(error),
     }
 }
 
-/// Opens a connection within a time. What this machine runs out of for a moment says nothing of the other side, so the
-/// connect is tried again.
+/// Opens a connection within a time limit. If this machine temporarily lacks a resource, the connect is retried,
+/// since that says nothing about the remote side.
 ///
 /// # Errors
 ///
-/// Those of the socket; silence up to the limit is a malformed answer.
+/// Any other error of the socket, or [`HttpError::Malformed`] if the connection is not established within the limit.
 pub async fn connect_within(address: SocketAddr, limit: Duration) -> Result<Async<TcpStream>, HttpError> {
-    let connecting = async {
-        let mut pause = FIRST_SHORTAGE_PAUSE;
+    let connect_with_retries = async {
+        let mut pause = INITIAL_RETRY_PAUSE;
         loop {
             match connect(address).await {
-                Err(e) if is_shortage(&e) => {
+                Err(error) if is_resource_shortage(&error) => {
                     Timer::after(pause).await;
-                    pause = (2 * pause).min(MAX_SHORTAGE_PAUSE);
+                    pause = (2 * pause).min(MAX_RETRY_PAUSE);
                 }
                 result => return Ok(result?),
             }
         }
     };
-    within_or_error(connecting, limit).await
+    within_or_error(connect_with_retries, limit).await
 }
 
 fn has_errno(error: &io::Error, numbers: &[Errno]) -> bool {
     error.raw_os_error().is_some_and(|number| numbers.contains(&Errno::from_raw_os_error(number)))
 }
 
-/// Descriptors, memory or ports have run out on this machine.
-fn is_shortage(error: &io::Error) -> bool {
+/// Whether the error is a lack of file descriptors, memory or ports on this machine.
+fn is_resource_shortage(error: &io::Error) -> bool {
     let shortages =
         [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
     has_errno(error, &shortages)
--- a/src/net/endpoint/actor.rs
+++ b/src/net/endpoint/actor.rs
@@ -1,4 +1,4 @@
-//! The actor of an endpoint: it owns the idle connections and starts the calls.
+//! The actor of an endpoint: it owns the idle connections to the endpoint and starts the calls.
 
 use super::call;
 use super::connection_end::ConnectionEnd;
@@ -10,25 +10,26 @@
 use futures_lite::future;
 use std::rc::Rc;
 
-/// Runs until the mailbox is closed: the endpoint was removed, and its calls are complete. `own` is the mailbox's sender.
+/// Runs until all senders of the mailbox are dropped, that is until the endpoint was removed from the list and its
+/// calls are complete. `own_mailbox` is the sender of the same mailbox, by which calls return their connections.
 pub async fn run(
     context: Rc<Context>,
     endpoint: EndpointId,
-    mail: Receiver<EndpointMessage>,
-    own: WeakSender<EndpointMessage>,
+    mailbox: Receiver<EndpointMessage>,
+    own_mailbox: WeakSender<EndpointMessage>,
 ) {
     let mut pool = Pool::new(context.clone(), endpoint);
     loop {
-        let disturbed = async {
+        let pool_disturbed = async {
             pool.until_disturbed().await;
             None
         };
-        match future::or(async { Some(mail.recv().await) }, disturbed).await {
+        match future::or(async { Some(mailbox.recv().await) }, pool_disturbed).await {
             None => pool.close_unusable(),
             Some(Ok(EndpointMessage::Call(call))) => {
-                let idle = pool.take();
-                // Where the endpoint was removed, connections are not returned to the pool.
-                let pool_mailbox = own.upgrade();
+                let idle = pool.take_most_recent();
+                // `None` once the endpoint was removed: the call's connection is then closed instead of returned.
+                let pool_mailbox = own_mailbox.upgrade();
                 context.executor.spawn(call::run(context.clone(), call, idle, pool_mailbox)).detach();
             }
             Some(Ok(EndpointMessage::CloseIdle)) => pool.close_all(ConnectionEnd::CloseIdle),
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -1,4 +1,4 @@
-//! What a response says: the result of each attempt, the endpoint's load, and the wait that it asks for.
+//! Reads an endpoint's response: the result of each attempt, the load report and the retry-after.
 
 use crate::net::call::{AttemptResult, Call, CallResult};
 use crate::net::http::{HttpConnection, ResponseHead};
@@ -7,29 +7,31 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A response that has begun and pauses for so long is broken: its call must not take a slot until the timeout, and its
-/// connection is of no more use.
-pub(super) const RESPONSE_STALL: Duration = Duration::from_millis(500);
+/// The longest pause within a response. After a longer one the response has failed: its call must not occupy a slot
+/// until its timeout, and its connection cannot be reused.
+pub(super) const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// No endpoint takes more calls a second than that: a reported rate beyond it is an error.
+/// The highest rate limit that a load report may contain, in calls per second. No endpoint accepts more, so a higher
+/// one is an error of the endpoint.
 const MAX_RATE_PER_S: f64 = 1e6;
-/// A longer wait counts as this one, lest its sum with the clock overflow: 115 days.
+/// Longer retry-afters are reduced to this, 115 days in milliseconds, so that adding them to the clock cannot overflow.
 const MAX_RETRY_AFTER_MS: f64 = 1e10;
 
-/// A complete response.
+/// A response that was received completely.
 pub(super) struct Response {
     pub head: ResponseHead,
     pub body: Vec<u8>,
 }
 
-/// The wait that the head of a response asks for.
-pub(super) fn read_retry_after(head: &ResponseHead) -> Option<Micros> {
+/// The retry-after in the head of a response, in microseconds. Values that are not finite or not positive are ignored.
+pub(super) fn parse_retry_after(head: &ResponseHead) -> Option<Micros> {
     let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|text| text.parse::<f64>().ok());
     let wait_ms = wait_ms.filter(|wait_ms| wait_ms.is_finite() && *wait_ms > 0.0);
     wait_ms.map(|wait_ms| (wait_ms.min(MAX_RETRY_AFTER_MS) * 1000.0) as Micros)
 }
 
-/// Whether a response whose head cannot be read has a complete status line that says 200.
+/// Whether the unread bytes of a connection start with a complete status line with code 200, for a response whose
+/// head is malformed or incomplete.
 pub(super) fn starts_with_ok(connection: &HttpConnection) -> bool {
     let mut lines = connection.buffer.bytes().split_inclusive(|byte| *byte == b'\n');
     let status_line = lines.next().and_then(|line| line.strip_suffix(b"\n")).unwrap_or_default();
@@ -37,7 +39,7 @@
     matches!(words.next(), Some(b"HTTP/1.1" | b"HTTP/1.0")) && words.next() == Some(b"200")
 }
 
-/// The results that a response gives.
+/// Reads the result of each attempt of a call from its response. `reused`: the call was sent on a reused connection.
 pub(super) fn read_result(
     log: &Logger,
     call: &Call,
@@ -45,20 +47,21 @@
     retry_after: Option<Micros>,
     reused: bool,
 ) -> CallResult {
-    let report = response.head.headers.get("X-Load").and_then(read_load);
-    let of_status = match response.head.status {
+    let report = response.head.headers.get("X-Load").and_then(parse_load_report);
+    let status_result = match response.head.status {
         200 if call.attempts.len() > 1 => None,
         _ => Some(result_of_status(log, call, &response.head, retry_after, reused)),
     };
     let body = String::from_utf8_lossy(&response.body);
     let results = call.attempts.iter().map(|attempt| {
         let request_id = &attempt.message.request.request_id;
-        of_status.unwrap_or_else(|| result_in_batch(&body, request_id, retry_after))
+        status_result.unwrap_or_else(|| result_in_batch(&body, request_id, retry_after))
     });
     CallResult { attempts: results.collect(), report, retry_after }
 }
 
-/// The result of all attempts of a call, but for a batch with status 200.
+/// The result that the status code gives to all attempts of a call. For a batch with status 200 the body has the
+/// results.
 fn result_of_status(
     log: &Logger,
     call: &Call,
@@ -67,43 +70,46 @@
     reused: bool,
 ) -> AttemptResult {
     match head.status {
-        200 => AttemptResult::of(Outcome::Ok),
+        200 => AttemptResult::from_outcome(Outcome::Ok),
         503 if head.headers.get("X-Over-Slots").is_some_and(|value| value != "0") => not_run(false),
-        // The endpoint has too many connections: it closes a new one, where one that is full keeps it.
+        // The endpoint has too many connections, so it closes the new one. An endpoint that lacks capacity for the
+        // call keeps it open.
         503 if !reused && !head.keep_alive && retry_after.is_none() => {
-            AttemptResult::of(Outcome::ConnectFailed)
+            AttemptResult::from_outcome(Outcome::ConnectFailed)
         }
-        429 | 503 => AttemptResult::of(Outcome::Rejected(retry_after)),
+        429 | 503 => AttemptResult::from_outcome(Outcome::Rejected(retry_after)),
         504 => not_run(false),
         410 => not_run(true),
         400 | 413 => {
-            warn!(log, "call not understood"; "endpoint" => call.endpoint.0, "status" => head.status);
+            warn!(log, "endpoint rejected the request as invalid"; "endpoint" => call.endpoint.0,
+                "status" => head.status);
             not_run(false)
         }
-        _ => AttemptResult::of(Outcome::Error),
+        _ => AttemptResult::from_outcome(Outcome::Error),
     }
 }
 
-/// The result of one attempt in the body of a batch's response.
+/// The result of one attempt, as the body of a batch's response names it.
 fn result_in_batch(body: &str, request_id: &str, retry_after: Option<Micros>) -> AttemptResult {
     let mut lines = body.lines().filter_map(|line| line.trim().split_once(' '));
     match lines.find(|(id, _)| *id == request_id).map(|(_, result)| result) {
-        Some("delivered") => AttemptResult::of(Outcome::Ok),
-        Some("refused") => AttemptResult::of(Outcome::Rejected(retry_after)),
+        Some("delivered") => AttemptResult::from_outcome(Outcome::Ok),
+        Some("refused") => AttemptResult::from_outcome(Outcome::Rejected(retry_after)),
         Some("over") => not_run(true),
         Some("spent") => not_run(false),
-        // Also where the response does not name it: it may have run.
-        _ => AttemptResult::of(Outcome::Error),
+        // Any other result, or none: the message may have run.
+        _ => AttemptResult::from_outcome(Outcome::Error),
     }
 }
 
-/// The endpoint did not run the message; `ended` if nothing more is owed for it.
+/// The result of an attempt that the endpoint did not run. `ended`: the message has expired and must not be sent again.
 fn not_run(ended: bool) -> AttemptResult {
     AttemptResult { outcome: Outcome::NotSent, ended }
 }
 
-/// A load report; `None` if its share or rate is out of range, so that no decision rests on it.
-pub fn read_load(text: &str) -> Option<LoadReport> {
+/// Parses a load report (`x0`: the share of the quota that is left, `x1`: the rate limit in calls per second).
+/// Returns `None` if a value is missing or out of range, so that the policy ignores a malformed report.
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let value = |name: &str, range: RangeInclusive<f64>| {
         let mut pairs = text.split(',').filter_map(|pair| pair.trim().split_once('='));
         let value = pairs.find(|(key, _)| *key == name)?.1.parse::<f64>().ok()?;
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -44,7 +44,7 @@
     };
     // From here on the successor makes all decisions. It listens already, so the listener of this process may close.
     context.lifecycle.enter_hand_over(HandOverPhase::HandedOver);
-    context.folder.release();
+    context.folder_ownership.release();
     // Sending fails only if the successor is gone; the relay below then ends at once.
     let _ = link.frames.send(&PredecessorFrame::Granted).await;
     info!(context.log, "handed over"; "ms" => started_at.elapsed().as_millis() as u64,
@@ -76,7 +76,7 @@
     // A record that could not be written would be missing in the state folder that the successor reads.
     context.journal.pause().map_err(|_| HandOverError::JournalNotWritable)?;
     let mut link = Link::new(successor.connection, &context.executor)?;
-    let state = Box::new(actor.state(successor.list));
+    let state = Box::new(actor.hand_over_state(successor.list));
     link.frames.send(&PredecessorFrame::State(state)).await?;
     match link.read().await?.head {
         SuccessorFrame::Owns => Ok(link),
--- a/src/net/handover/relay.rs
+++ b/src/net/handover/relay.rs
@@ -105,7 +105,7 @@
             // The successor has its own endpoint list and settings, serves its own status, and replies soon even without
             // being told that a client has stopped sending.
             DeliveryMessage::ListLine(_)
-            | DeliveryMessage::ClientEnded { .. }
+            | DeliveryMessage::ClientHalfClosed { .. }
             | DeliveryMessage::EndpointList(_)
             | DeliveryMessage::Settings(_)
             | DeliveryMessage::HandOver(_)
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -177,10 +177,10 @@
     ) -> io::Result<()> {
         let owner_lock =
             self.owner_lock.ok_or_else(|| io::Error::other("this process does not own the state folder"))?;
-        context.folder.acquire(owner_lock, &this_process.token);
+        context.folder_ownership.acquire(owner_lock, &this_process.token);
         context
             .executor
-            .spawn(write_owner(context.folder.clone(), context.log.clone(), this_process))
+            .spawn(write_owner(context.folder_ownership.clone(), context.log.clone(), this_process))
             .detach();
         if let Some(link) = self.link {
             let serving = served_frames::serve(context.clone(), link, endpoint_list.clone());
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -1,129 +1,150 @@
-//! The journal as the actors use it, and whether it can be written.
+//! The actors' access to the journal, and whether the journal can be written.
 //!
-//! While it fails, open messages wait and new ones are rejected; what has happened already is queued and written first once the
-//! journal can be written again.
+//! While the journal is failing, open messages wait and new ones are rejected. Records of events that have already
+//! happened are queued, and written first once the journal can be written again.
 
 use crate::journal::{AttemptStart, Journal, JournalError, JournaledMessage, ReportedEnd};
 use crate::net::runtime::latch::Latch;
 use crate::MessageId;
 use std::cell::RefCell;
 
-/// How much the journal holds.
+/// The size of the journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct JournalUsage {
-    /// The size of the folder in bytes.
+    /// The size of the folder, in bytes.
     pub disk_bytes: u64,
-    /// Records of what has happened that are not written yet.
+    /// The number of queued records of events that have happened and could not be written yet.
     pub unwritten_records: usize,
 }
 
 /// The journal of this process.
 pub struct JournalHandle {
     journal: RefCell<Journal>,
+    /// Set when a write fails; cleared once the journal was written again.
     failing: Latch,
 }
 
 impl JournalHandle {
-    /// A handle to an opened journal.
+    /// Creates the handle to an opened journal.
     pub fn new(journal: Journal) -> Self {
         let handle = JournalHandle { journal: RefCell::new(journal), failing: Latch::default() };
-        handle.notice_failure();
+        handle.update_failing();
         handle
     }
 
-    fn notice_failure(&self) {
+    fn update_failing(&self) {
         if self.journal.borrow().is_failing() {
             self.failing.set();
         }
     }
 
-    fn with<T>(&self, operation: impl FnOnce(&mut Journal) -> T) -> T {
+    fn with_journal<T>(&self, operation: impl FnOnce(&mut Journal) -> T) -> T {
         let result = operation(&mut self.journal.borrow_mut());
-        self.notice_failure();
+        self.update_failing();
         result
     }
 
-    /// Something may be started that must be recorded first.
+    /// Whether the journal is not failing, so that messages may be accepted and attempts sent.
     pub fn is_writable(&self) -> bool {
         !self.journal.borrow().is_failing()
     }
 
-    /// Another process may own the folder: see [`Journal::is_paused`].
+    /// Whether writing is paused as another process may own the folder: see [`Journal::is_paused`].
     pub fn is_paused(&self) -> bool {
         self.journal.borrow().is_paused()
     }
 
-    /// See [`Journal::record_received`].
+    /// Records a message that is about to be accepted; see [`Journal::record_received`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal has no space, is failing or is paused.
     pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
-        self.with(|journal| journal.record_received(id.0, message))
+        self.with_journal(|journal| journal.record_received(id.0, message))
     }
 
-    /// See [`Journal::record_attempt`].
+    /// Records an attempt that is about to be sent; see [`Journal::record_attempt`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal is failing or paused.
     pub fn record_attempt(
         &self,
         id: MessageId,
         number: u32,
         start: AttemptStart,
     ) -> Result<(), JournalError> {
-        self.with(|journal| journal.record_attempt(id.0, number, start))
+        self.with_journal(|journal| journal.record_attempt(id.0, number, start))
     }
 
-    /// See [`Journal::record_never_ran`].
+    /// Records that an attempt never ran; see [`Journal::record_never_ran`].
     pub fn record_never_ran(&self, id: MessageId, number: u32) {
-        self.with(|journal| journal.record_never_ran(id.0, number));
+        self.with_journal(|journal| journal.record_never_ran(id.0, number));
     }
 
-    /// See [`Journal::record_end`].
+    /// Records how a message ended, which is still to be reported to the platform; see [`Journal::record_end`].
     pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
-        self.with(|journal| journal.record_end(id.0, end));
+        self.with_journal(|journal| journal.record_end(id.0, end));
     }
 
-    /// See [`Journal::record_completed`].
+    /// Records that nothing more is to be done for a message; see [`Journal::record_completed`].
     pub fn record_completed(&self, id: MessageId) {
-        self.with(|journal| journal.record_completed(id.0));
+        self.with_journal(|journal| journal.record_completed(id.0));
     }
 
-    /// See [`Journal::try_record_completed`].
+    /// Records that a message is complete before its client is told; see [`Journal::try_record_completed`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal is failing or paused; nothing is recorded then.
     pub fn try_record_completed(&self, id: MessageId) -> Result<(), JournalError> {
-        self.with(|journal| journal.try_record_completed(id.0))
+        self.with_journal(|journal| journal.try_record_completed(id.0))
     }
 
-    /// See [`Journal::has_unwritten_end`].
+    /// Whether the end of a message is still to be written; see [`Journal::has_unwritten_end`].
     pub fn has_unwritten_end(&self, id: MessageId) -> bool {
         self.journal.borrow().has_unwritten_end(id.0)
     }
 
-    /// See [`Journal::set_limit`].
+    /// Sets the maximum size of the journal, in bytes; see [`Journal::set_limit`].
     pub fn set_limit(&self, limit: u64) {
-        self.with(|journal| journal.set_limit(limit));
+        self.with_journal(|journal| journal.set_limit(limit));
     }
 
-    /// See [`Journal::pause`].
+    /// Pauses writing before another process may own the folder; see [`Journal::pause`].
+    ///
+    /// # Errors
+    ///
+    /// If a queued record cannot be written; writing is not paused then.
     pub fn pause(&self) -> Result<(), JournalError> {
-        self.with(Journal::pause)
+        self.with_journal(Journal::pause)
     }
 
-    /// See [`Journal::resume`].
+    /// Resumes writing after a pause; see [`Journal::resume`].
     pub fn resume(&self) {
-        self.with(Journal::resume);
+        self.with_journal(Journal::resume);
     }
 
-    /// See [`Journal::retry`].
+    /// Tries again to write the queued records; see [`Journal::retry`].
+    ///
+    /// # Errors
+    ///
+    /// If the journal is paused or still failing.
     pub fn retry(&self) -> Result<(), JournalError> {
-        self.with(Journal::retry)
+        self.with_journal(Journal::retry)
     }
 
-    /// Returns once the journal cannot be written.
+    /// Returns once a write to the journal has failed.
     pub async fn until_failing(&self) {
         self.failing.wait().await;
     }
 
-    /// The journal was written again.
+    /// Records that the journal could be written again.
     pub fn clear_failing(&self) {
         self.failing.clear();
     }
 
-    /// How much the journal holds.
+    /// The current size of the journal.
     pub fn usage(&self) -> JournalUsage {
         let journal = self.journal.borrow();
         JournalUsage { disk_bytes: journal.disk_bytes(), unwritten_records: journal.unwritten_records() }
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -1,4 +1,5 @@
-//! Counts of messages by the entry of the site file that applied when they were received. It decides nothing.
+//! Statistics of messages by the route of the site file that applied when they were received. They influence no
+//! decision.
 
 use crate::net::message_end::MessageEnd;
 use crate::routes::Plan;
@@ -10,24 +11,31 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The name under which messages are counted that no entry matches.
-const UNMATCHED: &str = "(unmatched)";
-/// So many entries have a histogram of delivery times of their own, at about 10 kB each; further ones share one.
+/// The name in the report for messages that no route matches.
+const UNMATCHED_ROUTE_NAME: &str = "(unmatched)";
+/// The number of routes with a histogram of delivery times of their own, at about 10 kB each. Further routes share
+/// one histogram.
 const MAX_HISTOGRAMS: usize = 256;
-/// The longest time that a message can live: one day. Delivery times up to this are recorded in milliseconds.
-const MAX_DELIVERY_MS: u64 = 86_400_000;
-/// Precision of the recorded delivery times.
+/// The longest recorded delivery time in milliseconds: one day, the maximum lifetime of a message.
+const MAX_DELIVERY_TIME_MS: u64 = 86_400_000;
+/// The precision of the recorded delivery times, in decimal digits.
 const SIGNIFICANT_FIGURES: u8 = 2;
 
+/// The delivery times of messages, in milliseconds.
 type DeliveryTimes = Rc<RefCell<Histogram<u32>>>;
 
-/// The counts of one entry.
+/// The statistics of one route.
 #[derive(Debug, Default)]
 pub struct RouteStats {
+    /// Messages that have not ended.
     open: Cell<u64>,
+    /// Attempts that the policy has decided on.
     attempts: Cell<u64>,
+    /// Completed attempts, by the name of the outcome.
     outcomes: RefCell<BTreeMap<&'static str, u64>>,
+    /// Ended messages, by the name of the end.
     ends: RefCell<BTreeMap<&'static str, u64>>,
+    /// `None` until the first message was delivered.
     delivery_times: RefCell<Option<DeliveryTimes>>,
 }
 
@@ -35,6 +43,7 @@
     cell.set(cell.get() + 1);
 }
 
+/// The key of an outcome in the report, which is the same as in [`Counters`](crate::net::counters::Counters).
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -51,22 +60,22 @@
 }
 
 impl RouteStats {
-    /// A message was opened.
+    /// Counts a message that was opened.
     pub fn message_opened(&self) {
         increment(&self.open);
     }
 
-    /// An attempt was decided on.
+    /// Counts an attempt that the policy has decided on.
     pub fn attempt_begun(&self) {
         increment(&self.attempts);
     }
 
-    /// An attempt is complete.
+    /// Counts a completed attempt by its outcome.
     pub fn attempt_completed(&self, outcome: Outcome) {
         *self.outcomes.borrow_mut().entry(outcome_name(outcome)).or_default() += 1;
     }
 
-    /// An open message has ended.
+    /// Counts the end of an open message.
     pub fn message_ended(&self, end: MessageEnd) {
         self.open.set(self.open.get().saturating_sub(1));
         *self.ends.borrow_mut().entry(end.name()).or_default() += 1;
@@ -75,8 +84,8 @@
     fn report(&self) -> Value {
         let times = self.delivery_times.borrow().as_ref().map(|times| {
             let times = times.borrow();
-            let at = |quantile: f64| times.value_at_quantile(quantile);
-            json!({"count": times.len(), "p50": at(0.5), "p99": at(0.99), "p99.9": at(0.999)})
+            let value_at = |quantile: f64| times.value_at_quantile(quantile);
+            json!({"count": times.len(), "p50": value_at(0.5), "p99": value_at(0.99), "p99.9": value_at(0.999)})
         });
         json!({
             "held": self.open.get(), "attempts": self.attempts.get(), "outcomes": *self.outcomes.borrow(),
@@ -85,80 +94,84 @@
     }
 }
 
-/// The counts of all entries of the plan in force.
+/// The statistics of all routes of the current plan.
 #[derive(Default)]
-pub struct Routes {
+pub struct RouteStatsTable {
     plan: RefCell<Option<Arc<Plan>>>,
-    /// One for each entry of the plan, in its order.
+    /// The statistics of the plan's routes, in their order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
+    /// The statistics of messages that no route matches.
     unmatched: Rc<RouteStats>,
+    /// The histogram shared by the routes without a histogram of their own.
     shared_delivery_times: RefCell<Option<DeliveryTimes>>,
-    histograms: Cell<usize>,
+    /// The number of routes with a histogram of their own.
+    own_histograms: Cell<usize>,
 }
 
-impl Routes {
-    /// Puts another plan in force. An entry that keeps its name keeps its counts; open messages stay with the entry that applied
-    /// when they were received.
-    pub fn apply(&self, plan: Option<Arc<Plan>>) {
-        let mut before: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
+impl RouteStatsTable {
+    /// Replaces the plan. A route that keeps its name keeps its statistics; open messages stay with the route that
+    /// applied when they were received.
+    pub fn set_plan(&self, plan: Option<Arc<Plan>>) {
+        let mut previous_stats: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
             let entries = self.entries.borrow();
             let named = old.routes().iter().zip(entries.iter());
-            before.extend(named.map(|(route, stats)| (route.name.clone(), stats.clone())));
+            previous_stats.extend(named.map(|(route, stats)| (route.name.clone(), stats.clone())));
         }
-        let routes = plan.as_ref().map_or(&[][..], |p| p.routes());
+        let routes = plan.as_ref().map_or(&[][..], |plan| plan.routes());
         let entries: Vec<_> =
-            routes.iter().map(|route| before.remove(&route.name).unwrap_or_default()).collect();
+            routes.iter().map(|route| previous_stats.remove(&route.name).unwrap_or_default()).collect();
         let with_histogram = entries.iter().filter(|stats| stats.delivery_times.borrow().is_some());
-        self.histograms.set(with_histogram.count());
+        self.own_histograms.set(with_histogram.count());
         *self.entries.borrow_mut() = entries;
         *self.plan.borrow_mut() = plan;
     }
 
-    /// Where a message is counted; `None` without a site file.
-    pub fn of(
+    /// The statistics of the route that applies to a message; `None` without a site file.
+    pub fn stats_for(
         &self,
         destination: DestinationId,
         kind: Option<KindId>,
         class: ClassId,
     ) -> Option<Rc<RouteStats>> {
         let plan = self.plan.borrow();
-        let found = plan.as_ref()?.find(destination, kind, class);
-        Some(match found {
+        let matched = plan.as_ref()?.find(destination, kind, class);
+        Some(match matched {
             Some(route) => self.entries.borrow()[route.0 as usize].clone(),
             None => self.unmatched.clone(),
         })
     }
 
-    /// Records the time from a message's receipt to its delivery.
-    pub fn delivered(&self, stats: &RouteStats, delivery_time: Micros) {
-        let mut own = stats.delivery_times.borrow_mut();
-        let times = own.get_or_insert_with(|| {
-            let fresh = || {
-                let times = Histogram::new_with_bounds(1, MAX_DELIVERY_MS, SIGNIFICANT_FIGURES)
-                    .expect("bounds that are in order");
+    /// Records the time from the receipt of a message to its delivery, in microseconds.
+    pub fn record_delivery(&self, stats: &RouteStats, delivery_time: Micros) {
+        let mut own_times = stats.delivery_times.borrow_mut();
+        let times = own_times.get_or_insert_with(|| {
+            let new_histogram = || {
+                let times = Histogram::new_with_bounds(1, MAX_DELIVERY_TIME_MS, SIGNIFICANT_FIGURES)
+                    .expect("valid histogram bounds");
                 Rc::new(RefCell::new(times))
             };
-            if self.histograms.get() < MAX_HISTOGRAMS {
-                self.histograms.set(self.histograms.get() + 1);
-                fresh()
+            if self.own_histograms.get() < MAX_HISTOGRAMS {
+                self.own_histograms.set(self.own_histograms.get() + 1);
+                new_histogram()
             } else {
-                self.shared_delivery_times.borrow_mut().get_or_insert_with(fresh).clone()
+                self.shared_delivery_times.borrow_mut().get_or_insert_with(new_histogram).clone()
             }
         });
         times.borrow_mut().saturating_record((delivery_time / 1000).max(1));
     }
 
-    /// The counts by name, of the entries that were ever used; `None` without a site file.
+    /// The JSON report of all routes that were used, by name; `None` without a site file.
     pub fn report(&self) -> Option<Value> {
         let plan = self.plan.borrow();
         let routes = plan.as_ref()?.routes();
         let entries = self.entries.borrow();
-        let used = |stats: &RouteStats| {
+        let is_used = |stats: &RouteStats| {
             stats.open.get() > 0 || !stats.ends.borrow().is_empty() || stats.attempts.get() > 0
         };
         let named = routes.iter().map(|route| route.name.as_str()).zip(entries.iter());
-        let named = named.chain([(UNMATCHED, &self.unmatched)]).filter(|(_, stats)| used(stats));
+        let named =
+            named.chain([(UNMATCHED_ROUTE_NAME, &self.unmatched)]).filter(|(_, stats)| is_used(stats));
         Some(named.map(|(name, stats)| (name.to_owned(), stats.report())).collect::<Map<_, _>>().into())
     }
 }
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -55,7 +55,7 @@
     // Sending fails only if an actor has ended, and both end only with the process.
     let _ = context.delivery.send(DeliveryMessage::Settings(Box::new(settings))).await;
     let _ = endpoint_list.send(EndpointListMessage::ConfigReloaded).await;
-    context.counters.reloads.add();
+    context.counters.reloads.increment();
 }
 
 /// Loads the configuration and puts it in force; returns the settings for the delivery policy. Loading runs on a thread of
@@ -65,12 +65,12 @@
     let load_config = load_config.clone();
     let loaded = run_blocking(move || load_config(LoadOccasion::Reload)).await;
     let (config, settings) = loaded.ok_or(ReloadError::LoadPanicked)??;
-    if let Some(reason) = config.needs_restart(&context.config()) {
+    if let Some(reason) = config.restart_reason(&context.config()) {
         return Err(ReloadError::NeedsRestart(reason));
     }
     context.journal.set_limit(config.journal_limit_bytes());
-    context.endpoint_table.set_grace(config.drain_grace);
-    context.routes.apply(settings.routes.clone());
+    context.endpoint_table.set_drain_grace(config.drain_grace);
+    context.route_stats.set_plan(settings.routes.clone());
     context.set_config(config);
     warn_without_index(context);
     // A step of the wall clock takes effect only here, so that it moves no time slot between two reloads.
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -178,11 +178,18 @@
     };
     let (delivery, delivery_mailbox) = async_channel::bounded(DELIVERY_MAILBOX_CAPACITY);
     let journal = JournalHandle::new(journal);
-    let parts =
-        ContextParts { log, clock, executor, delivery, journal, config, listen: listeners.client_address };
+    let parts = ContextParts {
+        log,
+        clock,
+        executor,
+        delivery,
+        journal,
+        config,
+        listen_address: listeners.client_address,
+    };
     let context = Rc::new(Context::new(parts));
     context.gauges.predecessor_connections.set(state.as_ref().map_or(0, |state| state.client_connections));
-    context.routes.apply(routes);
+    context.route_stats.set_plan(routes);
     reload::warn_without_index(&context);
     let reports = start_background(&context);
     let (endpoint_list, endpoint_list_mailbox) = async_channel::bounded(ENDPOINT_LIST_MAILBOX_CAPACITY);
--- a/src/net/storage.rs
+++ b/src/net/storage.rs
@@ -1,29 +1,29 @@
-//! The journal's storage in a folder of the file system.
+//! The journal's storage as files in a folder.
 
 use crate::journal::storage::Storage;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder, and the file in it that is being appended to.
+/// A folder with the journal's files, of which the newest one is open for appending.
 pub struct FolderStorage {
     path: PathBuf,
-    newest: Option<File>,
+    newest_file: Option<File>,
 }
 
 impl FolderStorage {
-    /// Opens the folder at a path, and creates it if it is not there.
+    /// Opens the folder at a path, and creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// If it cannot be created.
+    /// If the folder cannot be created.
     pub fn open(path: &Path) -> io::Result<FolderStorage> {
         fs::create_dir_all(path)?;
-        Ok(FolderStorage { path: path.to_owned(), newest: None })
+        Ok(FolderStorage { path: path.to_owned(), newest_file: None })
     }
 
-    fn newest(&mut self) -> io::Result<&mut File> {
-        self.newest.as_mut().ok_or_else(|| io::Error::other("no file was created"))
+    fn newest_file(&mut self) -> io::Result<&mut File> {
+        self.newest_file.as_mut().ok_or_else(|| io::Error::other("no journal file was created"))
     }
 }
 
@@ -32,7 +32,8 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // The journal's own names are ASCII; of any other file only the size counts.
+            // The journal's own file names are ASCII. Other files only count with their size, so a lossy name does no
+            // harm.
             let name = entry.file_name().to_string_lossy().into_owned();
             files.push((name, entry.metadata()?.len()));
         }
@@ -44,18 +45,18 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.newest = None;
+        self.newest_file = None;
         let file = OpenOptions::new().create_new(true).append(true).open(self.path.join(name))?;
-        self.newest = Some(file);
+        self.newest_file = Some(file);
         Ok(())
     }
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.newest()?.write_all(bytes)
+        self.newest_file()?.write_all(bytes)
     }
 
     fn truncate_newest(&mut self, size: u64) -> io::Result<()> {
-        self.newest()?.set_len(size)
+        self.newest_file()?.set_len(size)
     }
 
     fn truncate(&mut self, name: &str, size: u64) -> io::Result<()> {
