--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -1,26 +1,26 @@
-//! What sources say of endpoints, and the changes of the merged list that follow.
+//! The entries and updates that sources send, and the changes of the merged list that result from them.
 
 use crate::{DestinationId, EndpointId, KindId, Lifecycle, Micros, ZoneId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a source says of an entry.
+/// The state of an entry according to its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
-    /// In service.
+    /// The endpoint is in service.
     Up,
-    /// Nothing new should be sent there.
+    /// The endpoint must get no new calls.
     #[serde(rename = "Leaving")]
     Draining,
-    /// Removed.
+    /// The source has removed the entry.
     #[serde(rename = "Gone")]
     Removed,
-    /// Not known: whatever the source said before still holds.
+    /// The source does not know the state; the previous state of the entry stays.
     Unknown,
 }
 
 impl State {
-    /// Its name in what the program prints.
+    /// The name of the state in the output of commands.
     pub fn name(self) -> &'static str {
         match self {
             State::Up => "Up",
@@ -31,73 +31,73 @@
     }
 }
 
-/// What identifies an entry within its source: its group (an application of the registry; empty where there are no groups) and
-/// its id.
+/// Identifies an entry within its source.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// The group.
+    /// The application in the registry; empty for a source without groups.
     pub group: String,
-    /// The id.
+    /// The id within the group.
     pub id: String,
 }
 
 /// An entry as its source lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// What identifies it.
+    /// Identifies the entry within its source.
     pub key: Key,
-    /// Where it listens.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Which destination it serves.
+    /// The destination that the endpoint serves.
     pub destination: DestinationId,
-    /// Its failure domain.
+    /// The failure domain of the endpoint.
     pub zone: ZoneId,
-    /// The kind of its destination.
+    /// The kind of the destination.
     pub kind: KindId,
-    /// Its capacity in relation to others, as far as the source says.
+    /// The capacity relative to other endpoints; 1.0 if the source gives none.
     pub weight: f64,
-    /// What its source says of it.
+    /// The state according to the source.
     pub state: State,
-    /// When it last changed, by its source's own clock or count; never compared between entries of two sources.
+    /// When the entry last changed, as a time or counter of its source; 0 if the source has none. Stamps of different sources
+    /// are never compared.
     pub stamp: u64,
 }
 
-/// What a source has sent.
+/// An update that a source has sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SourceUpdate {
-    /// All its entries; what is missing is removed.
+    /// All entries of the source; entries that are missing from it are removed.
     Complete {
-        /// Its version, where the source counts them.
+        /// The version of the list, if the source numbers its versions.
         version: Option<u64>,
-        /// The entries.
+        /// All entries of the source.
         listings: Vec<Listing>,
     },
-    /// Entries that changed.
+    /// Only the entries that have changed.
     Patch {
-        /// As they are now.
+        /// The changed entries in their new state.
         listings: Vec<Listing>,
-        /// Those that are removed, with their stamps.
+        /// The removed entries, with the stamps of their removal.
         removed: Vec<(Key, u64)>,
     },
 }
 
-/// A source, by its position among the sources.
+/// Index of a source in the list of sources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SourceId(pub usize);
 
 /// A change of the merged list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipChange {
-    /// Which endpoint.
+    /// The endpoint that has changed.
     pub endpoint: EndpointId,
-    /// The entry that it comes from.
+    /// The source's entry for the endpoint.
     pub listing: Listing,
-    /// What holds for it now.
+    /// The lifecycle of the endpoint from now on.
     pub lifecycle: Lifecycle,
-    /// When it was observed.
+    /// When the change was observed.
     pub observed_at: Micros,
-    /// From which source.
+    /// The source of the entry.
     pub source: SourceId,
-    /// Why it is what it is, for logs and operators.
+    /// Why the endpoint has this lifecycle; for logs and operators.
     pub reason: &'static str,
 }
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Which entries of the sources' views make an endpoint of the merged list, and what changes by an update.
+//! Merges the sources' views: which entries become endpoints of the merged list, and which changes an update causes.
 
 use super::listing::{Listing, MembershipChange, SourceId};
 use super::merged_list::{EndpointIdentity, Membership};
@@ -7,7 +7,7 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// An entry that may be the endpoint at an address.
+/// An entry that may become the endpoint at its address.
 struct Candidate {
     listing: Listing,
     effective: Effective,
@@ -15,8 +15,8 @@
 }
 
 impl Candidate {
-    /// The better of two: of several ids the one that changed last; of one id in several groups the newest entry, and draining
-    /// if either is.
+    /// Returns the candidate to publish. Of two ids it is the one that changed last. Of one id in two groups it is the newer
+    /// entry, which drains if either of them drains.
     fn better(self, other: Candidate) -> Candidate {
         let is_newer = other.listing.stamp > self.listing.stamp;
         if self.listing.key.id != other.listing.key.id {
@@ -29,7 +29,7 @@
 }
 
 impl Membership {
-    /// Works out what changes by the entries that an update touched.
+    /// Merges the entries that an update touched; returns the resulting changes of the merged list.
     pub(super) fn merge(
         &mut self,
         now: Micros,
@@ -49,7 +49,7 @@
         changes
     }
 
-    /// Notes where the entries of a source that identifies by address are now; returns the addresses concerned, each once.
+    /// Updates the address index for entries of a source that identifies by address. Returns the affected addresses, each once.
     fn move_entries(&mut self, source: SourceId, touched: Vec<TouchedEntry>) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = Vec::new();
         for TouchedEntry { key, previous_address } in touched {
@@ -92,14 +92,14 @@
             }
             None => self.publish_removal(now, &identity, source, "missing", changes),
         }
-        // What other sources list at these addresses may hold again, or no longer.
+        // An entry of another source at one of these addresses may become visible again, or hidden.
         for address in left_address.into_iter().chain(current_address) {
             self.merge_address(now, address, changes);
         }
     }
 
-    /// Merges the entries at an address, of the sources that identify by address. Where a source that identifies by key lists
-    /// the address, that entry holds alone.
+    /// Merges the entries at an address that come from sources that identify by address. If a source that identifies by key
+    /// lists the address, its entry replaces all of them.
     fn merge_address(&mut self, now: Micros, address: SocketAddr, changes: &mut Vec<MembershipChange>) {
         let best = self.best_candidate(now, address);
         let best_identity =
@@ -116,7 +116,7 @@
             self.publish_removal(now, &identity, source, reason, changes);
         }
         let Some((best, identity)) = best.zip(best_identity) else { return };
-        // What drains and was never in service is not added.
+        // An entry that drains and was never in service is not added.
         if best.effective.lifecycle == Lifecycle::Listed || self.published.contains_key(&identity) {
             self.publish(identity, best, changes);
         }
@@ -146,7 +146,7 @@
         let Effective { lifecycle, observed_at, reason } = effective;
         let change = MembershipChange { endpoint, listing, lifecycle, observed_at, source, reason };
         let known = self.published.get(&identity);
-        // A source that identifies by key is passed on as it sends; of the others only what changes.
+        // Every entry that a source identified by key sends is published; of the other sources only actual changes are.
         let is_news = matches!(identity, EndpointIdentity::ByKey(..))
             || known.is_none_or(|known| differs(known, &change));
         let known_address = known.map(|known| known.listing.address);
@@ -185,7 +185,7 @@
     }
 }
 
-/// A change means something else for the endpoint than the last one did.
+/// Whether a change alters anything about the endpoint compared with its last published change.
 fn differs(known: &MembershipChange, change: &MembershipChange) -> bool {
     let (old, new) = (&known.listing, &change.listing);
     known.lifecycle != change.lifecycle
@@ -195,7 +195,7 @@
         || old.weight != new.weight
 }
 
-/// Removes a value from the set at an address; no empty set is kept.
+/// Removes a value from the set of an address, and drops the set once it is empty.
 fn remove_at<T: Ord>(sets: &mut HashMap<SocketAddr, BTreeSet<T>>, address: SocketAddr, value: &T) {
     if let Some(set) = sets.get_mut(&address) {
         set.remove(value);
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,18 +1,19 @@
-//! The endpoint list, from several sources: the view of each source is kept by itself, and the views are merged into the one
-//! list that the policy and the endpoint table get. It decides what of an update is believed and when an endpoint that
-//! returns is used again. It does no I/O, takes time as an argument, and implies nothing about health.
+//! Merges the endpoint lists of several sources. Each source has a view of its own, and the views are merged into the one list
+//! that the delivery policy and the endpoint table use. This module decides which parts of an update are accepted, and when an
+//! endpoint that returns to service is used again. It does no I/O, takes time as an argument, and says nothing about the health
+//! of endpoints.
 //!
-//! | module | concern |
+//! | module | content |
 //! |---|---|
-//! | `listing` | what sources say, and the changes that follow |
-//! | `source_view` | one source: what it said, and what of that is believed |
-//! | `merged_list` | the one list, with the operators' cordons applied |
-//! | `merge` | which entries of the views make an endpoint of the list |
-//! | `poll` | which registry is polled next, and when |
-//! | `watch_backoff` | when the watch of the pushed list is opened next |
-//! | `settings` | what the site file says of a registry |
+//! | `listing` | entries and updates of a source, and the changes of the merged list |
+//! | `source_view` | the view of one source: its entries, and which updates are accepted |
+//! | `merged_list` | the merged list, with the operators' cordons applied |
+//! | `merge` | which entries of the views become endpoints of the merged list |
+//! | `poll` | which registry address is polled next, and when |
+//! | `watch_backoff` | the delay before the watch of the pushed list is opened again |
+//! | `settings` | the registry settings of the site file |
 //!
-//! `docs/registry.md` weighs the ways; `docs/operating-registry.md` is for operators.
+//! `docs/registry.md` compares the design alternatives; `docs/operating-registry.md` is the guide for operators.
 
 mod listing;
 mod merge;
--- a/src/membership/poll.rs
+++ b/src/membership/poll.rs
@@ -1,30 +1,31 @@
-//! Which registry is polled next, what for, and when. It does no I/O; time and random draws are arguments.
+//! Schedules the polls of a registry: which address is polled next, for what, and when. It does no I/O; time and random draws
+//! are arguments.
 
 use super::settings::{PollBackoff, PollScope, RegistrySettings};
 use super::watch_backoff::up_to_half_shorter;
 use crate::Micros;
 
-/// What is polled.
+/// What a poll asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollKind {
     /// The complete list.
     Complete,
-    /// What changed lately.
+    /// The recent changes.
     Delta,
 }
 
-/// The next poll.
+/// A scheduled poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollRequest {
-    /// When.
+    /// When to send it.
     pub at: Micros,
-    /// Of which of the addresses.
+    /// Index of the registry address to poll.
     pub address_index: usize,
-    /// What for.
+    /// What to ask for.
     pub kind: PollKind,
 }
 
-/// How the polls went so far, and what follows from it.
+/// Schedules polls by the outcomes of the earlier ones.
 #[derive(Clone, Debug)]
 pub struct Poller {
     addresses: usize,
@@ -33,7 +34,7 @@
     preferred_retry_after: Micros,
     uses_deltas: bool,
     current_address: usize,
-    /// Failures in a row, at whatever address.
+    /// Consecutive failed polls, counted over all addresses.
     failures: u32,
     preferred_failed_at: Option<Micros>,
     needs_complete: bool,
@@ -41,7 +42,7 @@
 }
 
 impl Poller {
-    /// The first poll goes to the preferred address at once, for the complete list.
+    /// Creates a schedule whose first poll is due now, at the preferred address, and asks for the complete list.
     pub fn new(settings: &RegistrySettings, now: Micros) -> Self {
         Poller {
             addresses: settings.addresses.len(),
@@ -57,13 +58,13 @@
         }
     }
 
-    /// The next poll.
+    /// Returns the next poll. Goes back to the preferred address once that is due for a retry.
     pub fn next_request(&mut self) -> PollRequest {
         let preferred_is_due = self
             .preferred_failed_at
             .is_none_or(|failed_at| self.next_at >= failed_at + self.preferred_retry_after);
         if self.current_address != 0 && preferred_is_due {
-            // Another replica may know other things: its complete list is needed.
+            // Another replica may have other entries, so that a delta from it would not be enough.
             (self.current_address, self.needs_complete) = (0, true);
         }
         let is_complete = self.needs_complete || !self.uses_deltas;
@@ -71,20 +72,20 @@
         PollRequest { at: self.next_at, address_index: self.current_address, kind }
     }
 
-    /// A poll was answered. If the answer does not fit the view, or the view is in doubt, the next poll is for the complete list;
-    /// after a delta that does not fit, at once.
-    pub fn succeeded(&mut self, now: Micros, kind: PollKind, fits: bool, in_doubt: bool) {
+    /// Records a successful poll. The next poll asks for the complete list if the hash of the answer did not match the cached
+    /// registry, or if the view is in doubt. After a delta with a mismatch it is sent at once.
+    pub fn succeeded(&mut self, now: Micros, kind: PollKind, hash_matches: bool, in_doubt: bool) {
         self.failures = 0;
         if self.current_address == 0 {
             self.preferred_failed_at = None;
         }
-        self.needs_complete = !fits || in_doubt;
-        let is_at_once = !fits && kind == PollKind::Delta;
-        self.next_at = if is_at_once { now } else { now + self.poll_interval };
+        self.needs_complete = !hash_matches || in_doubt;
+        let is_immediate = !hash_matches && kind == PollKind::Delta;
+        self.next_at = if is_immediate { now } else { now + self.poll_interval };
     }
 
-    /// A poll failed. The next address is polled at once; after all have failed in turn, after a pause that grows and is
-    /// shortened up to half by a random draw from 0 to 1.
+    /// Records a failed poll. The next address is polled at once. After each round in which all addresses have failed there is a
+    /// pause, which doubles with each round and is shortened by up to half by a random draw from 0 to 1.
     pub fn failed(&mut self, now: Micros, draw: f64) {
         if self.current_address == 0 {
             self.preferred_failed_at = Some(now);
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -1,97 +1,97 @@
-//! What the site file says of a registry, checked. It knows nothing of the protocol.
+//! The checked registry settings of the site file, independent of the registry's protocol.
 
 use super::source_view::{HoldDown, ShrinkGuard, SourcePolicy};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Where a registry listens: host, port and the prefix of its paths.
+/// The address of a registry server and the prefix of its paths.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RegistryAddress {
-    /// A name or an address.
+    /// A host name or an IP address.
     pub host: String,
-    /// Its port.
+    /// The TCP port.
     pub port: u16,
-    /// What comes before `/apps`, without a slash at its end.
+    /// The path before `/apps`, without a slash at its end; may be empty.
     pub path_prefix: String,
 }
 
-/// What is polled for.
+/// Which part of the registry is polled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollScope {
-    /// The complete list, then its changes.
+    /// The whole registry: a complete poll, then deltas.
     All,
-    /// These applications, each completely.
+    /// The applications with these names; each poll asks for all instances of each.
     Applications(Vec<String>),
-    /// What serves this virtual address, completely.
+    /// The instances behind this virtual address; each poll asks for all of them.
     VirtualAddress(String),
 }
 
-/// The keys of an instance's metadata under which the figures of an endpoint are.
+/// The keys of an instance's metadata that hold the properties of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetadataNames {
-    /// The number of its destination.
+    /// The key of the destination's number.
     pub destination: String,
-    /// The name of its kind in the platform's settings.
+    /// The key of the kind, whose value is a name of the platform's settings.
     pub kind: String,
-    /// The name of its zone there.
+    /// The key of the zone, whose value is a name of the platform's settings.
     pub zone: String,
-    /// Its weight.
+    /// The key of the weight.
     pub weight: String,
 }
 
-/// This forwarder as an entry of the registry.
+/// The settings of this forwarder's own entry in the registry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Its application.
+    /// The application under which it is registered.
     pub application: String,
-    /// From one renewal of its lease to the next.
+    /// Time between two renewals of its lease.
     pub renewal_interval: Micros,
-    /// How long a lease lasts without one.
+    /// How long a lease lasts if it is not renewed.
     pub lease_duration: Micros,
-    /// What else it publishes of itself.
+    /// The metadata that the entry publishes.
     pub metadata: BTreeMap<String, String>,
 }
 
-/// The first and the longest pause after failed polls.
+/// The limits of the backoff after failed polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollBackoff {
-    /// After the first round of failures; doubled with each further one, and drawn up to half shorter ...
+    /// The pause after the first round of failures. It doubles with each further round and is shortened at random by up to half.
     pub first: Micros,
-    /// ... up to this.
+    /// The longest pause.
     pub max: Micros,
 }
 
-/// The section `registry`.
+/// The checked `registry` section of the site file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegistrySettings {
-    /// Where it listens, the preferred one first.
+    /// The addresses of the registry, the preferred one first.
     pub addresses: Vec<RegistryAddress>,
-    /// What is polled for.
+    /// Which part of the registry is polled.
     pub scope: PollScope,
-    /// From one answer to the next poll.
+    /// Time from an answer to the next poll.
     pub poll_interval: Micros,
-    /// How long one poll may take.
+    /// The longest time for one request to the registry.
     pub timeout: Micros,
-    /// The pauses after failures.
+    /// The pauses after failed polls.
     pub backoff: PollBackoff,
-    /// So long after it failed, the preferred address is tried again.
+    /// Time from a failure of the preferred address until that address is polled again.
     pub preferred_retry_after: Micros,
-    /// The largest answer that is read, in bytes after decompression.
+    /// The largest body that is read, in bytes after decompression.
     pub max_response_bytes: usize,
-    /// Under which metadata the figures of an endpoint are.
+    /// The metadata keys of an endpoint's properties.
     pub metadata: MetadataNames,
-    /// How long what comes back into service waits.
+    /// How long an entry that returns to service is held down.
     pub hold_down: HoldDown,
-    /// When complete answers that lack much are doubted.
+    /// When a complete answer is doubted because it lacks entries.
     pub shrink_guard: ShrinkGuard,
-    /// With no answer from the registry for so long after a start, the last persisted view is used.
+    /// How long a new process waits for an answer of the registry before it uses the persisted view.
     pub use_snapshot_after: Micros,
-    /// This forwarder's own entry there.
+    /// This forwarder's own entry; `None` if it does not register.
     pub registration: Option<Registration>,
 }
 
 impl RegistrySettings {
-    /// How far the registry is believed.
+    /// The policy by which updates from the registry are accepted.
     pub fn source_policy(&self) -> SourcePolicy {
         SourcePolicy {
             hold_down: Some(self.hold_down),
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -1,70 +1,71 @@
-//! The view of one source: what it has sent, what of that is believed, and since when. It knows nothing of the other sources.
+//! The view of one source: the entries that it has sent and that were accepted. It is independent of the other sources.
 
 use super::listing::{Key, Listing, SourceUpdate, State};
 use crate::{Lifecycle, Micros};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// How far a source is believed.
+/// How updates of a source are checked before they are accepted.
 #[derive(Clone, Debug, Default)]
 pub struct SourcePolicy {
-    /// What comes back into service waits, so that flapping costs neither late drains nor stampedes.
+    /// How long an entry that returns to service is held down; `None` for not at all. An entry that flaps is then not used, so
+    /// that it causes neither late drains nor bursts of calls.
     pub hold_down: Option<HoldDown>,
-    /// A complete update that lacks too much is not believed at once.
+    /// When a complete update is doubted because it lacks entries; `None` for never.
     pub shrink_guard: Option<ShrinkGuard>,
-    /// An entry is identified by its id and its address: an id elsewhere, or another id there, is another endpoint. Without it
-    /// an id is one endpoint wherever it listens.
+    /// Whether an endpoint is identified by its id and its address together. If so, the same id at another address, or another
+    /// id at the same address, is another endpoint. If not, an id is the same endpoint at any address.
     pub by_address: bool,
 }
 
-/// How long what comes back into service waits before it is used again.
+/// How long an entry that returns to service is held down, which means that it is not used although its source lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldDown {
-    /// After the first time that it left service; doubled with each further one ...
+    /// The time after the entry left service once; it doubles with each further time.
     pub first: Micros,
-    /// ... up to this.
+    /// The longest time.
     pub max: Micros,
-    /// One time is forgotten for each such span without another.
+    /// For each period of this length in which the entry does not leave service, one earlier time is forgotten.
     pub forget_after: Micros,
 }
 
-/// What a complete update may lack before it is doubted.
+/// When a complete update is doubted because it lacks entries of the view.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShrinkGuard {
-    /// More than this share of the view's entries.
+    /// The share of the view's entries that an update may lack without being doubted.
     pub max_missing_share: f64,
-    /// What is missing in a doubted update is removed if it is still missing in an update so long after.
+    /// An entry that is missing from a doubted update is removed if an update after this time lacks it as well.
     pub confirm_after: Micros,
 }
 
-/// What was counted of a source's updates.
+/// Counters of a source's updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceStats {
-    /// Entries with a lower stamp than the view's.
+    /// Entries and updates that were ignored because the view had newer ones.
     pub stale_entries: u64,
-    /// Times that an entry left service.
+    /// How often an entry left service.
     pub flaps: u64,
-    /// Times that an entry returned to service and was held down.
+    /// How often an entry returned to service and was held down.
     pub held_down: u64,
-    /// Complete updates whose gaps were not believed at once.
+    /// Complete updates that were doubted.
     pub doubted_updates: u64,
-    /// When the source last sent something, if it ever did.
+    /// When the source last sent an update; `None` if it has not sent any.
     pub last_update_at: Option<Micros>,
 }
 
-/// What holds for an entry now.
+/// The lifecycle that results from an entry's state and its hold-down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Effective {
-    /// Listed or draining; what is removed has none.
+    /// Listed or draining; a removed entry has no effective lifecycle.
     pub lifecycle: Lifecycle,
-    /// Since when.
+    /// When the lifecycle began.
     pub observed_at: Micros,
-    /// Why it is so.
+    /// Why the entry has this lifecycle.
     pub reason: &'static str,
 }
 
 impl Effective {
-    /// The one of two that allows less; this one if both allow the same.
+    /// Returns the draining one of the two if only one drains, otherwise `self`.
     pub fn most_restrictive(self, other: Effective) -> Effective {
         match (self.lifecycle, other.lifecycle) {
             (Lifecycle::Listed, Lifecycle::Draining) => other,
@@ -76,38 +77,38 @@
 /// An entry that an update touched.
 pub(super) struct TouchedEntry {
     pub key: Key,
-    /// Where it was before, if it was known.
+    /// The address before the update; `None` if the entry was not in the view.
     pub previous_address: Option<SocketAddr>,
 }
 
 struct Entry {
     listing: Listing,
     observed_at: Micros,
-    /// It is up, but not used before this.
+    /// The entry is up, but is not used before this time.
     held_down_until: Option<Micros>,
 }
 
-/// How often an entry left service of late.
+/// How often and when an entry recently left service.
 struct FlapHistory {
     count: u32,
     last_at: Micros,
 }
 
 impl FlapHistory {
-    /// The count without the times that are forgotten.
+    /// The count without the times that are forgotten by now.
     fn recent_count(&self, now: Micros, hold_down: &HoldDown) -> u32 {
         let forgotten = now.saturating_sub(self.last_at) / hold_down.forget_after.max(1);
         self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
     }
 }
 
-/// That an entry was removed: an update that is not newer does not bring it back.
+/// Remembers a removed entry, so that an update with the same or a lower stamp does not add it again.
 struct Tombstone {
     stamp: u64,
     removed_at: Micros,
 }
 
-/// What a source has sent, by key.
+/// The accepted entries of one source, by key.
 #[derive(Default)]
 pub(super) struct SourceView {
     pub policy: SourcePolicy,
@@ -115,13 +116,13 @@
     entries: HashMap<Key, Entry>,
     flaps: HashMap<Key, FlapHistory>,
     tombstones: HashMap<Key, Tombstone>,
-    /// Since when an entry has been missing in updates that are in doubt.
+    /// When each entry was first missing from a doubted update.
     missing_since: HashMap<Key, Micros>,
     version: Option<u64>,
-    /// Since when the versions of updates have been lower than the view's.
+    /// When the versions of updates first became lower than the view's version.
     version_lower_since: Option<Micros>,
     newest_stamp: u64,
-    /// When hold-downs end.
+    /// The ends of all hold-downs, earliest first.
     timers: BTreeSet<(Micros, Key)>,
 }
 
@@ -142,7 +143,7 @@
         !self.missing_since.is_empty() || self.version_lower_since.is_some()
     }
 
-    /// What holds for an entry, if it is there.
+    /// The lifecycle that an entry has now; `None` if it is not in the view.
     pub fn effective(&self, key: &Key, now: Micros) -> Option<Effective> {
         let entry = self.entries.get(key)?;
         let (lifecycle, observed_at, reason) = match (entry.listing.state, entry.held_down_until) {
@@ -158,7 +159,7 @@
         self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Entries whose hold-down has ended; each is returned once.
+    /// Returns the entries whose hold-down has ended, each only once.
     pub fn take_due(&mut self, now: Micros) -> Vec<TouchedEntry> {
         let mut touched = Vec::new();
         while self.next_due().is_some_and(|at| at <= now) {
@@ -169,7 +170,7 @@
         touched
     }
 
-    /// Takes persisted entries; any update of the source overrides them.
+    /// Adds persisted entries with the stamp 0, so that any update of the source overrides them.
     pub fn restore(&mut self, now: Micros, listings: Vec<Listing>) -> Vec<TouchedEntry> {
         let mut touched = Vec::new();
         for listing in listings {
@@ -204,7 +205,7 @@
         self.policy.shrink_guard.map_or(0, |guard| guard.confirm_after)
     }
 
-    /// Forgets tombstones and flaps that no longer bind.
+    /// Forgets tombstones and flap histories that have no effect any more.
     fn forget_expired(&mut self, now: Micros) {
         let tombstone_lifetime = self.confirm_after();
         self.tombstones.retain(|_, tombstone| now < tombstone.removed_at + tombstone_lifetime);
@@ -214,8 +215,8 @@
         }
     }
 
-    /// Whether a complete update of a version is believed. A lower version than before comes from a replica that lags; if
-    /// versions stay lower, the registry has started anew.
+    /// Whether a complete update of this version is accepted. A lower version than before comes from a replica that lags. If
+    /// versions stay lower for the confirmation time, the registry has restarted and its versions are accepted.
     fn accept_version(&mut self, now: Micros, version: Option<u64>) -> bool {
         let is_lower = version.zip(self.version).is_some_and(|(version, known)| version < known);
         if is_lower {
@@ -254,7 +255,8 @@
         }
     }
 
-    /// A complete update is doubted if it lacks many entries, or any while its stamps are lower than the view's.
+    /// Whether a complete update is doubted: it lacks too many entries, or it lacks any entry and all its stamps are lower than
+    /// the view's newest.
     fn doubts(&self, missing: usize, newest_stamp: u64) -> bool {
         let Some(guard) = self.policy.shrink_guard else { return false };
         let max_missing = guard.max_missing_share * self.entries.len() as f64;
@@ -278,7 +280,7 @@
         if known.is_none() && listing.state == State::Removed {
             return;
         }
-        // A delta repeats a change for minutes. What is identified by key is passed on each time it is sent.
+        // A registry repeats a change in its deltas for minutes. Entries that are identified by key are published each time.
         if self.policy.by_address && known == Some(&listing) {
             self.missing_since.remove(&listing.key);
             return;
@@ -293,7 +295,7 @@
         self.upsert(now, listing, touched);
     }
 
-    /// The view has something newer. A stamp of 0 says nothing; what was removed comes back only with a newer one.
+    /// Whether the view has a newer entry, or a tombstone that is not older. An entry with the stamp 0 is never stale.
     fn is_stale(&self, listing: &Listing) -> bool {
         let is_older = self.get(&listing.key).is_some_and(|known| listing.stamp < known.stamp);
         let tombstone = self.tombstones.get(&listing.key);
@@ -311,7 +313,7 @@
         let has_moved = previous_address.is_some_and(|address| address != listing.address);
         let held_down_until = match (previous_state, listing.state) {
             (Some(State::Up), State::Up) if !has_moved => previous.as_ref().and_then(|e| e.held_down_until),
-            // At another address it is another process: it has a past only under its key.
+            // An entry that has moved to another address is a new process: it is held down only by the flaps of its key.
             (_, State::Up) => self.hold_down(now, &key),
             (Some(State::Up), _) => {
                 self.count_flap(now, &key);
@@ -326,7 +328,7 @@
         touched.push(TouchedEntry { key, previous_address });
     }
 
-    /// An entry left service.
+    /// Counts that an entry left service.
     fn count_flap(&mut self, now: Micros, key: &Key) {
         let Some(hold_down) = self.policy.hold_down else { return };
         self.stats.flaps += 1;
@@ -334,7 +336,8 @@
         self.flaps.insert(key.clone(), FlapHistory { count: recent + 1, last_at: now });
     }
 
-    /// Up to when an entry that entered service is not used, if it left service lately.
+    /// Starts the hold-down of an entry that entered service; returns its end, or `None` if the entry did not leave service
+    /// recently.
     fn hold_down(&mut self, now: Micros, key: &Key) -> Option<Micros> {
         let hold_down = self.policy.hold_down?;
         let recent = self.flaps.get(key)?.recent_count(now, &hold_down);
@@ -354,7 +357,7 @@
         if entry.listing.state == State::Up {
             self.count_flap(now, key);
         }
-        // One that an update lacked may be there in the next: only an explicit removal leaves a tombstone.
+        // Only an explicit removal leaves a tombstone: an entry that one complete update lacks may be in the next.
         if let Some(stamp) = stamp.filter(|_| self.policy.shrink_guard.is_some()) {
             let stamp = stamp.max(entry.listing.stamp);
             self.tombstones.insert(key.clone(), Tombstone { stamp, removed_at: now });
--- a/src/membership/watch_backoff.rs
+++ b/src/membership/watch_backoff.rs
@@ -1,37 +1,39 @@
-//! When a watch of the pushed list is opened next: backoff from a platform that may be rejecting callers, so that a whole fleet
-//! that lost its watches at once does not keep it from answering any. It does no I/O; random draws are arguments.
+//! Backoff between attempts to open the watch of the pushed endpoint list. It keeps a fleet that has lost all its watches at
+//! once from overloading the platform with new ones. It does no I/O; random draws are arguments.
 
 use crate::Micros;
 
-/// What the whole fleet may ask in a second: one forwarder's share of it sets its first pause after a rejection, which is
-/// doubled with each further one up to the longest, and drawn up to half shorter.
+/// The request rate that the whole fleet may cause together. Each forwarder's share of it sets the forwarder's first pause after
+/// a rejection. The pause doubles with each further rejection up to the maximum, and is shortened at random by up to half.
 const FLEET_REQUESTS_PER_SECOND: f64 = 10.0;
-/// The first pause after a rejection, in a small fleet.
+/// The shortest first pause after a rejection, which applies to small fleets.
 const MIN_FIRST_REJECTION_PAUSE: Micros = 250_000;
 /// The longest pause after a rejection.
 const MAX_REJECTION_PAUSE: Micros = 15_000_000;
-/// All may be rejected at once: the next watches are spread over this part of the first pause.
+/// After a first rejection without `Retry-After`, the pause is drawn from zero to this part of the first pause: the whole fleet
+/// may have been rejected at the same moment.
 const FIRST_REJECTION_SPREAD: f64 = 0.6;
-/// The first pause after a watch that broke, doubled with each further one up to the longest, and drawn up to half shorter. What
-/// the agent has counts as received meanwhile, so it is short; an agent that refuses connections is not loaded by them.
+/// The first pause after a watch failed. It doubles with each further failure up to the maximum, and is shortened at random by up
+/// to half. It is short because a list that the agent has counts as received even while no watch is open, and because refused
+/// connections put no load on the agent.
 const FIRST_FAILURE_PAUSE: Micros = 20_000;
-/// The longest pause after a watch that broke.
+/// The longest pause after a watch failed.
 const MAX_FAILURE_PAUSE: Micros = 1_000_000;
-/// The pause is doubled no more often than that, so that the shift cannot overflow.
+/// Limit of the doublings, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How the last watches went.
+/// The backoff state of a forwarder's watches.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchBackoff {
     first_rejection_pause: Micros,
-    /// Watches in a row that were rejected.
+    /// Consecutive watches that the platform rejected.
     rejections: u32,
-    /// Watches in a row that broke.
+    /// Consecutive watches that failed.
     failures: u32,
 }
 
 impl WatchBackoff {
-    /// The backoff of one of so many forwarders.
+    /// Creates the backoff of one forwarder in a fleet of the given size.
     pub fn new(forwarders: usize) -> Self {
         let first_pause = (forwarders as f64 / FLEET_REQUESTS_PER_SECOND * 1e6) as Micros;
         WatchBackoff {
@@ -41,13 +43,13 @@
         }
     }
 
-    /// Something was received by a watch: backoff starts anew.
+    /// Resets the backoff, as a watch has received a list.
     pub fn received(&mut self) {
         (self.rejections, self.failures) = (0, 0);
     }
 
-    /// A watch was rejected; returns how long the next one waits, in microseconds, from the Retry-After of the platform and a
-    /// random draw from 0 to 1.
+    /// Records that a watch was rejected. Returns the delay before the next one in microseconds, from the platform's
+    /// `Retry-After` and a random draw from 0 to 1.
     pub fn after_rejection(&mut self, retry_after: Option<Micros>, draw: f64) -> Micros {
         self.rejections += 1;
         if self.rejections == 1 && retry_after.is_none() {
@@ -56,12 +58,12 @@
         let doublings = self.rejections.max(2) - 2;
         let pause = doubled(self.first_rejection_pause, doublings).min(MAX_REJECTION_PAUSE);
         let pause = up_to_half_shorter(pause, draw);
-        // After a Retry-After each waits a little longer than that, as not all of them must come at once.
+        // A random part is added to Retry-After, so that the whole fleet does not come back at the same moment.
         retry_after.map_or(pause, |retry_after| retry_after.saturating_add(pause / 2))
     }
 
-    /// A watch broke, or could not be opened; returns how long the next one waits, in microseconds, from a random draw from 0 to
-    /// 1.
+    /// Records that a watch broke or could not be opened. Returns the delay before the next one in microseconds, from a random
+    /// draw from 0 to 1.
     pub fn after_failure(&mut self, draw: f64) -> Micros {
         let pause = doubled(FIRST_FAILURE_PAUSE, self.failures).min(MAX_FAILURE_PAUSE);
         self.failures += 1;
@@ -73,7 +75,7 @@
     first.saturating_mul(1 << doublings.min(MAX_DOUBLINGS))
 }
 
-/// A pause shortened by up to a half, by a random draw from 0 to 1.
+/// Shortens a pause by up to half, by a random draw from 0 to 1.
 pub(super) fn up_to_half_shorter(pause: Micros, draw: f64) -> Micros {
     (pause as f64 * (1.0 - draw / 2.0)) as Micros
 }
