--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -57,8 +57,8 @@
     pub weight: f64,
     /// The state according to the source.
     pub state: State,
-    /// When the entry last changed, as a time or counter of its source; 0 if the source has none. Stamps of different sources
-    /// are never compared.
+    /// When the entry last changed, as a time or counter of its source; 0 if the source has none. Stamps of different
+    /// sources are never compared.
     pub stamp: u64,
 }
 
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -49,7 +49,8 @@
         changes
     }
 
-    /// Updates the address index for entries of a source that identifies by address. Returns the affected addresses, each once.
+    /// Updates the address index for entries of a source that identifies by address. Returns the affected addresses, each
+    /// once.
     fn move_entries(&mut self, source: SourceId, touched: Vec<TouchedEntry>) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = Vec::new();
         for TouchedEntry { key, previous_address } in touched {
--- a/src/membership/merged_list.rs
+++ b/src/membership/merged_list.rs
@@ -75,8 +75,8 @@
         Some(self.changes_of_id(id, "cordoned"))
     }
 
-    /// Ends the cordon of an id, so that its entries have the state that their sources report. Returns the resulting changes,
-    /// or `None` if the id is neither cordoned nor listed.
+    /// Ends the cordon of an id, so that its entries have the state that their sources report. Returns the resulting
+    /// changes, or `None` if the id is neither cordoned nor listed.
     pub fn uncordon(&mut self, now: Micros, id: &str) -> Option<Vec<MembershipChange>> {
         if self.cordons.remove(id).is_none() {
             return self.lists_id(id).then(Vec::new);
@@ -147,8 +147,8 @@
         self.merge(now, source, touched)
     }
 
-    /// Restores the view of a source from persisted entries; returns the resulting changes. The source's own updates override
-    /// these entries.
+    /// Restores the view of a source from persisted entries; returns the resulting changes. The source's own updates
+    /// override these entries.
     pub fn restore(
         &mut self,
         now: Micros,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! Merges the endpoint lists of several sources. Each source has a view of its own, and the views are merged into the one list
-//! that the delivery policy and the endpoint table use. This module decides which parts of an update are accepted, and when an
-//! endpoint that returns to service is used again. It does no I/O, takes time as an argument, and says nothing about the health
-//! of endpoints.
+//! Merges the endpoint lists of several sources. Each source has a view of its own, and the views are merged into the one
+//! list that the delivery policy and the endpoint table use. This module decides which parts of an update are accepted, and
+//! when an endpoint that returns to service is used again. It does no I/O, takes time as an argument, and says nothing about
+//! the health of endpoints.
 //!
 //! | module | content |
 //! |---|---|
--- a/src/membership/poll.rs
+++ b/src/membership/poll.rs
@@ -1,5 +1,5 @@
-//! Schedules the polls of a registry: which address is polled next, for what, and when. It does no I/O; time and random draws
-//! are arguments.
+//! Schedules the polls of a registry: which address is polled next, for what, and when. It does no I/O; time and random
+//! draws are arguments.
 
 use super::settings::{PollBackoff, PollScope, RegistrySettings};
 use super::watch_backoff::up_to_half_shorter;
@@ -72,8 +72,8 @@
         PollRequest { at: self.next_at, address_index: self.current_address, kind }
     }
 
-    /// Records a successful poll. The next poll asks for the complete list if the hash of the answer did not match the cached
-    /// registry, or if the view is in doubt. After a delta with a mismatch it is sent at once.
+    /// Records a successful poll. The next poll asks for the complete list if the hash of the answer did not match the
+    /// cached registry, or if the view is in doubt. After a delta with a mismatch it is sent at once.
     pub fn succeeded(&mut self, now: Micros, kind: PollKind, hash_matches: bool, in_doubt: bool) {
         self.failures = 0;
         if self.current_address == 0 {
@@ -84,8 +84,8 @@
         self.next_at = if is_immediate { now } else { now + self.poll_interval };
     }
 
-    /// Records a failed poll. The next address is polled at once. After each round in which all addresses have failed there is a
-    /// pause, which doubles with each round and is shortened by up to half by a random draw from 0 to 1.
+    /// Records a failed poll. The next address is polled at once. After each round in which all addresses have failed there
+    /// is a pause, which doubles with each round and is shortened by up to half by a random draw from 0 to 1.
     pub fn failed(&mut self, now: Micros, draw: f64) {
         if self.current_address == 0 {
             self.preferred_failed_at = Some(now);
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -55,7 +55,8 @@
 /// The limits of the backoff after failed polls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollBackoff {
-    /// The pause after the first round of failures. It doubles with each further round and is shortened at random by up to half.
+    /// The pause after the first round of failures. It doubles with each further round and is shortened at random by up to
+    /// half.
     pub first: Micros,
     /// The longest pause.
     pub max: Micros,
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -8,13 +8,13 @@
 /// How updates of a source are checked before they are accepted.
 #[derive(Clone, Debug, Default)]
 pub struct SourcePolicy {
-    /// How long an entry that returns to service is held down; `None` for not at all. An entry that flaps is then not used, so
-    /// that it causes neither late drains nor bursts of calls.
+    /// How long an entry that returns to service is held down; `None` for not at all. An entry that flaps is then not used,
+    /// so that it causes neither late drains nor bursts of calls.
     pub hold_down: Option<HoldDown>,
     /// When a complete update is doubted because it lacks entries; `None` for never.
     pub shrink_guard: Option<ShrinkGuard>,
-    /// Whether an endpoint is identified by its id and its address together. If so, the same id at another address, or another
-    /// id at the same address, is another endpoint. If not, an id is the same endpoint at any address.
+    /// Whether an endpoint is identified by its id and its address together. If so, the same id at another address, or
+    /// another id at the same address, is another endpoint. If not, an id is the same endpoint at any address.
     pub by_address: bool,
 }
 
@@ -255,8 +255,8 @@
         }
     }
 
-    /// Whether a complete update is doubted: it lacks too many entries, or it lacks any entry and all its stamps are lower than
-    /// the view's newest.
+    /// Whether a complete update is doubted: it lacks too many entries, or it lacks any entry and all its stamps are lower
+    /// than the view's newest.
     fn doubts(&self, missing: usize, newest_stamp: u64) -> bool {
         let Some(guard) = self.policy.shrink_guard else { return false };
         let max_missing = guard.max_missing_share * self.entries.len() as f64;
--- a/src/membership/watch_backoff.rs
+++ b/src/membership/watch_backoff.rs
@@ -3,19 +3,20 @@
 
 use crate::Micros;
 
-/// The request rate that the whole fleet may cause together. Each forwarder's share of it sets the forwarder's first pause after
-/// a rejection. The pause doubles with each further rejection up to the maximum, and is shortened at random by up to half.
+/// The request rate that the whole fleet may cause together. Each forwarder's share of it sets the forwarder's first pause
+/// after a rejection. The pause doubles with each further rejection up to the maximum, and is shortened at random by up to
+/// half.
 const FLEET_REQUESTS_PER_SECOND: f64 = 10.0;
 /// The shortest first pause after a rejection, which applies to small fleets.
 const MIN_FIRST_REJECTION_PAUSE: Micros = 250_000;
 /// The longest pause after a rejection.
 const MAX_REJECTION_PAUSE: Micros = 15_000_000;
-/// After a first rejection without `Retry-After`, the pause is drawn from zero to this part of the first pause: the whole fleet
-/// may have been rejected at the same moment.
+/// After a first rejection without `Retry-After`, the pause is drawn from zero to this part of the first pause: the whole
+/// fleet may have been rejected at the same moment.
 const FIRST_REJECTION_SPREAD: f64 = 0.6;
-/// The first pause after a watch failed. It doubles with each further failure up to the maximum, and is shortened at random by up
-/// to half. It is short because a list that the agent has counts as received even while no watch is open, and because refused
-/// connections put no load on the agent.
+/// The first pause after a watch failed. It doubles with each further failure up to the maximum, and is shortened at random
+/// by up to half. It is short because a list that the agent has counts as received even while no watch is open, and because
+/// refused connections put no load on the agent.
 const FIRST_FAILURE_PAUSE: Micros = 20_000;
 /// The longest pause after a watch failed.
 const MAX_FAILURE_PAUSE: Micros = 1_000_000;
@@ -62,8 +63,8 @@
         retry_after.map_or(pause, |retry_after| retry_after.saturating_add(pause / 2))
     }
 
-    /// Records that a watch broke or could not be opened. Returns the delay before the next one in microseconds, from a random
-    /// draw from 0 to 1.
+    /// Records that a watch broke or could not be opened. Returns the delay before the next one in microseconds, from a
+    /// random draw from 0 to 1.
     pub fn after_failure(&mut self, draw: f64) -> Micros {
         let pause = doubled(FIRST_FAILURE_PAUSE, self.failures).min(MAX_FAILURE_PAUSE);
         self.failures += 1;
