--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -1,6 +1,6 @@
-//! Reports to the platform how accepted messages ended that were not delivered.
+//! Reports to the platform the accepted messages that were not delivered, each as failed or returned.
 
-use super::report_post::{post, LateAnswer, LatePosts, PlatformConnection, PostAnswer};
+use super::report_post::{post, LatePosts, LateResponse, PlatformConnection, PostResponse};
 use crate::journal::ReportedEnd;
 use crate::net::http::HttpError;
 use crate::net::messages::DeliveryReport;
@@ -15,16 +15,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The platform answers at once. A message is lost 300 ms after its time, so a connection that has fallen silent must leave
-/// time for another try; a report that comes twice does no harm.
+/// Time limit for the platform's response. The platform normally responds at once. A message counts as lost 300 ms after its
+/// deadline, so a silent connection must leave time for another attempt. A report that arrives twice does no harm.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
-/// The pause after a try that failed.
+/// The pause after a failed attempt.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// After tries that were not answered the pause doubles up to this, unless there is a report that was not tried yet.
+/// The longest pause after attempts without a response. The pause doubles up to this limit, and starts again at
+/// [`RETRY_PAUSE`] when there is a report that has not been sent yet.
 const MAX_SILENT_PAUSE: Duration = Duration::from_secs(1);
-/// Time between two looks at whether a held report may be sent.
+/// Interval at which held reports are checked for whether they may be sent.
 const HELD_POLL: Duration = Duration::from_millis(10);
-/// At most so many reports are sent in one request.
+/// The most reports in one request.
 const MAX_BATCH: usize = 100;
 
 impl DeliveryReport {
@@ -40,12 +41,13 @@
     }
 }
 
-/// Sends reports until each is confirmed, in batches of those that are pending.
+/// Runs the actor that sends the pending reports in batches and repeats each until it is confirmed. Returns when the mailbox
+/// is closed or the process has handed over.
 pub async fn run(context: Rc<Context>, mailbox: Receiver<DeliveryReport>) {
     let mut reporter = Reporter::new(context, mailbox);
     while reporter.until_pending().await.is_ok() {
         if reporter.context.lifecycle.is_handed_over() {
-            // They are in the journal, and the successor sends them.
+            // The unconfirmed reports are in the journal, and the successor sends them.
             return;
         }
         if let Some(pause) = reporter.send_batch().await {
@@ -57,21 +59,22 @@
 struct Reporter {
     context: Rc<Context>,
     mailbox: Receiver<DeliveryReport>,
-    /// Reports that may not be sent yet: a restart could still call for their messages.
+    /// Reports that may not be sent yet, because a restarted process could still send their messages to an endpoint.
     held: Vec<DeliveryReport>,
+    /// Reports that are to be sent, or have been sent without a confirmation.
     pending: VecDeque<DeliveryReport>,
     connection: Option<PlatformConnection>,
     batch_limit: usize,
-    /// The pause after the next try that is not answered.
+    /// The pause after the next attempt without a response.
     silent_pause: Duration,
     late: LatePosts,
 }
 
-/// What the reporter waits for.
+/// An event that the reporter waits for.
 enum Input {
     Report(DeliveryReport),
-    Late(LateAnswer),
-    TimeOver,
+    Late(LateResponse),
+    TimerExpired,
 }
 
 impl Reporter {
@@ -88,12 +91,12 @@
         }
     }
 
-    /// The next report or late answer, or that a time is over.
+    /// Waits for the next report, the next late response, or the given time.
     async fn next_input(&mut self, until: Option<Instant>) -> Result<Input, RecvError> {
         let received = async { self.mailbox.recv().await.map(Input::Report) };
         let late = async {
             match self.late.next().await {
-                Some(answer) => Ok(Input::Late(answer)),
+                Some(response) => Ok(Input::Late(response)),
                 None => future::pending().await,
             }
         };
@@ -102,12 +105,12 @@
                 Some(until) => drop(Timer::at(until).await),
                 None => future::pending().await,
             }
-            Ok(Input::TimeOver)
+            Ok(Input::TimerExpired)
         };
         future::or(late, future::or(received, expired)).await
     }
 
-    /// Takes all reports from the mailbox; waits until one may be sent if none is pending.
+    /// Takes all reports from the mailbox, and waits until at least one is pending.
     async fn until_pending(&mut self) -> Result<(), RecvError> {
         loop {
             while let Ok(report) = self.mailbox.try_recv() {
@@ -117,16 +120,17 @@
             if !self.pending.is_empty() {
                 return Ok(());
             }
-            let look_at = (!self.held.is_empty()).then(|| Instant::now() + HELD_POLL);
-            match self.next_input(look_at).await? {
+            let recheck_at = (!self.held.is_empty()).then(|| Instant::now() + HELD_POLL);
+            match self.next_input(recheck_at).await? {
                 Input::Report(report) => self.held.push(report),
-                Input::Late(answer) => self.take_late(answer),
-                Input::TimeOver => {}
+                Input::Late(late) => self.handle_late(late),
+                Input::TimerExpired => {}
             }
         }
     }
 
-    /// A report may be sent once a restart cannot call for its message any more: its end is on disk, or its time is over.
+    /// Moves held reports to the pending ones once a restarted process cannot send their messages any more: the end of the
+    /// message is on disk, or its deadline is over.
     fn release_held(&mut self) {
         let now = self.context.clock.now();
         let journal = &self.context.journal;
@@ -139,44 +143,44 @@
         }
     }
 
-    /// Waits before the next try. A report that was not tried yet waits no longer than after any failure.
+    /// Waits before the next attempt. A new report shortens the wait to [`RETRY_PAUSE`].
     async fn pause(&mut self, pause: Duration) {
-        let begun = Instant::now();
-        let mut until = begun + pause;
+        let started = Instant::now();
+        let mut until = started + pause;
         while !self.pending.is_empty() {
             match self.next_input(Some(until)).await {
                 Ok(Input::Report(report)) => {
                     self.held.push(report);
-                    until = until.min(begun + RETRY_PAUSE);
+                    until = until.min(started + RETRY_PAUSE);
                 }
-                Ok(Input::Late(answer)) => self.take_late(answer),
-                Ok(Input::TimeOver) | Err(_) => return,
+                Ok(Input::Late(late)) => self.handle_late(late),
+                Ok(Input::TimerExpired) | Err(_) => return,
             }
         }
     }
 
-    /// Sends a batch once; the pause before the next try if it was not confirmed.
+    /// Sends a batch once. Returns the pause before the next attempt, or `None` if the batch was confirmed.
     async fn send_batch(&mut self) -> Option<Duration> {
         let count = self.pending.len().min(self.batch_limit);
         let batch = self.pending.iter().take(count);
         let ids: Vec<MessageId> = batch.clone().map(|report| report.id).collect();
         let body: String = batch.map(|report| report.line() + "\n").collect();
-        // Read anew each time: what is owed goes to where the platform listens now.
+        // A reload may have moved the platform, so the address is read for each attempt.
         let address = self.context.config().agent_address;
-        if self.connection.take_if(|open| open.address != address).is_some() {
+        if self.connection.take_if(|reusable| reusable.address != address).is_some() {
             info!(self.context.log, "connection ended"; "side" => "delivery-reports", "reason" => "moved");
         }
-        let open = self.connection.take().map(|open| open.connection);
-        let mut posting = post(address, open, body);
-        match within(RESPONSE_TIMEOUT, posting.as_mut()).await {
-            Some(Ok(answer)) => self.take_answer(&ids, answer),
+        let reusable = self.connection.take().map(|reusable| reusable.connection);
+        let mut pending_post = post(address, reusable, body);
+        match within(RESPONSE_TIMEOUT, pending_post.as_mut()).await {
+            Some(Ok(response)) => self.handle_response(&ids, response),
             Some(Err(error)) => {
                 self.log_failed(&error);
                 Some(RETRY_PAUSE)
             }
             None => {
                 self.log_failed(&HttpError::TimedOut);
-                self.late.wait_for(&self.context.executor, ids, posting);
+                self.late.wait_for(&self.context.executor, ids, pending_post);
                 Some(self.next_silent_pause())
             }
         }
@@ -193,16 +197,18 @@
             "reason" => error.code(), "error" => %error);
     }
 
-    /// Takes the answer to the first reports in the queue; the pause before the next try if they were not confirmed.
-    fn take_answer(&mut self, ids: &[MessageId], answer: PostAnswer) -> Option<Duration> {
-        let PostAnswer { status, connection } = answer;
+    /// Handles the response for the first reports in the queue. Returns the pause before the next attempt, or `None` if they
+    /// were confirmed.
+    fn handle_response(&mut self, ids: &[MessageId], response: PostResponse) -> Option<Duration> {
+        let PostResponse { status, connection } = response;
         self.connection = connection;
         if status == 204 {
-            self.confirmed(ids);
+            self.confirm(ids);
             return None;
         }
         warn!(self.context.log, "delivery reports rejected"; "status" => status, "count" => ids.len());
-        // One that the platform cannot read must not block the others: alone, it goes to the end of the queue.
+        // A report that the platform cannot read must not block the others: each is sent alone from now on, and a rejected
+        // one goes to the end of the queue.
         if ids.len() == 1 {
             self.pending.rotate_left(1);
         }
@@ -210,14 +216,16 @@
         Some(RETRY_PAUSE)
     }
 
-    /// Takes the end of a request whose answer was late. Only a confirmation counts: the reports were sent again meanwhile.
-    fn take_late(&mut self, late: LateAnswer) {
-        let Some(PostAnswer { status: 204, connection }) = late.answer else { return };
+    /// Handles the outcome of a request whose response was late. Anything but a confirmation is ignored, as the reports have
+    /// been sent again meanwhile.
+    fn handle_late(&mut self, late: LateResponse) {
+        let Some(PostResponse { status: 204, connection }) = late.response else { return };
         self.connection = self.connection.take().or(connection);
-        self.confirmed(&late.ids);
+        self.confirm(&late.ids);
     }
 
-    fn confirmed(&mut self, ids: &[MessageId]) {
+    /// Removes confirmed reports from the queue and records their messages as completed.
+    fn confirm(&mut self, ids: &[MessageId]) {
         let context = &self.context;
         let is_confirmed = |report: &DeliveryReport| ids.contains(&report.id);
         let (confirmed, pending): (VecDeque<_>, VecDeque<_>) = self.pending.drain(..).partition(is_confirmed);
--- a/src/net/platform/endpoint_list/decode.rs
+++ b/src/net/platform/endpoint_list/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes a version of the endpoint list as the platform's agent and the configuration write it.
+//! Decodes a version of the endpoint list from the JSON of the platform's agent or of the configuration.
 
 use crate::membership::{Key, Listing, State};
 use crate::settings_json::{index_of, Names, UnknownName};
@@ -7,57 +7,57 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Why a version of the list, or an entry of it, cannot be used.
+/// Why a version of the list, or one of its entries, cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It is no JSON.
+    /// The text is not valid JSON.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A field that must be there is not.
-    #[error("missing setting `{0}`")]
+    /// A required field is missing.
+    #[error("missing field `{0}`")]
     MissingField(&'static str),
-    /// A field has a value of another type.
-    #[error("setting `{field}`: expected a {expected}, got {found}")]
+    /// A field has a value of the wrong type.
+    #[error("field `{field}`: expected {expected}, got {found}")]
     WrongType {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What it should be.
+        /// The expected type, with its article.
         expected: &'static str,
-        /// What it is.
+        /// The value in the list.
         found: Value,
     },
-    /// There is no list of instances.
-    #[error("no `instances`")]
+    /// The array `instances` is missing.
+    #[error("missing array `instances`")]
     NoInstances,
-    /// An instance's address cannot be read.
-    #[error("`{0}` has no address")]
-    NoAddress(String),
-    /// An instance's lifecycle is none of the protocol.
-    #[error("`{id}` has the unknown lifecycle `{lifecycle}`")]
+    /// The address of an instance cannot be parsed.
+    #[error("instance `{0}` has an invalid `hostPort`")]
+    InvalidAddress(String),
+    /// The lifecycle of an instance is not part of the protocol.
+    #[error("instance `{id}` has the unknown lifecycle `{lifecycle}`")]
     UnknownLifecycle {
-        /// The instance.
+        /// The id of the instance.
         id: String,
-        /// Its lifecycle.
+        /// The lifecycle in the list.
         lifecycle: String,
     },
-    /// An instance's kind or zone is not among the configured ones.
+    /// The kind or zone of an instance is not configured.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
 }
 
-/// A version of the list.
+/// A decoded version of the list.
 pub struct ListVersion {
-    /// Its number.
+    /// The number of the version; it increases with each.
     pub generation: u64,
-    /// It names every endpoint; otherwise only those that have changed.
+    /// Whether it contains every endpoint; otherwise it contains only those that have changed.
     pub complete: bool,
-    /// Its entries.
+    /// The entries that can be used.
     pub listings: Vec<Listing>,
-    /// Why each of the entries that cannot be used was left out.
+    /// For each entry that was left out, why it cannot be used.
     pub unusable_entries: Vec<DecodeError>,
 }
 
-/// A version of the list of which only the JSON has been read.
+/// A version of the list as parsed JSON, whose entries have not been decoded yet.
 #[derive(Default, Deserialize)]
 pub struct RawList {
     generation: Option<Field<u64>>,
@@ -77,7 +77,7 @@
     weight: Option<Field<f64>>,
 }
 
-/// A field's value. One of another type is kept as it is, for the error's text.
+/// The value of a field. A value of another type is kept for the error message.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Field<T> {
@@ -94,7 +94,7 @@
     }
 }
 
-/// The value of a field that must be there.
+/// Returns the value of a required field.
 fn required<T>(
     field: Option<Field<T>>,
     name: &'static str,
@@ -108,14 +108,15 @@
 }
 
 fn required_text(field: Option<Field<String>>, name: &'static str) -> Result<String, DecodeError> {
-    required(field, name, "text")
+    required(field, name, "a string")
 }
 
 fn required_integer(field: Option<Field<u64>>, name: &'static str) -> Result<u64, DecodeError> {
-    required(field, name, "whole number")
+    required(field, name, "a non-negative integer")
 }
 
-/// Reads the fields of an object. What is no object has none; an array would be read as fields in their order.
+/// Reads the fields of an object. Any other value counts as an object without fields; without this check serde would read an
+/// array as the fields in their order.
 fn read_fields<T: Default + for<'de> Deserialize<'de>>(value: Value) -> Result<T, DecodeError> {
     if !value.is_object() {
         return Ok(T::default());
@@ -124,25 +125,25 @@
 }
 
 impl RawList {
-    /// Reads a line of a watch.
+    /// Parses a line of a watch.
     ///
     /// # Errors
     ///
-    /// If it is no JSON.
+    /// If the line is not valid JSON.
     pub fn parse(line: &[u8]) -> Result<Self, DecodeError> {
         Self::from_value(serde_json::from_slice(line)?)
     }
 
-    /// Reads a list that the configuration holds.
+    /// Reads a list in the configuration.
     ///
     /// # Errors
     ///
-    /// None as long as the value came from JSON.
+    /// None if the value was parsed from JSON.
     pub fn from_value(value: Value) -> Result<Self, DecodeError> {
         read_fields(value)
     }
 
-    /// The number of the version, if it has one.
+    /// The number of the version; `None` if it is missing or of the wrong type.
     pub fn generation(&self) -> Option<u64> {
         match self.generation {
             Some(Field::Typed(generation)) => Some(generation),
@@ -150,16 +151,16 @@
         }
     }
 
-    /// It names every endpoint.
+    /// Whether the version contains every endpoint.
     pub fn is_complete(&self) -> bool {
         matches!(self.reset, Some(Field::Typed(true)))
     }
 
-    /// Gives the entries their meaning. One that cannot be used does not hide the others.
+    /// Decodes the entries. One that cannot be used is left out and does not affect the others.
     ///
     /// # Errors
     ///
-    /// If the number of the version or the list of instances is missing or of another type.
+    /// If the version's number or the array of instances is missing or of the wrong type.
     pub fn decode(self, names: &Names) -> Result<ListVersion, DecodeError> {
         let complete = self.is_complete();
         let generation = required_integer(self.generation, "generation")?;
@@ -180,7 +181,7 @@
     fn decode(self, names: &Names) -> Result<Listing, DecodeError> {
         let id = required_text(self.instance_id, "instanceId")?;
         let host_port = required_text(self.host_port, "hostPort")?;
-        let address: SocketAddr = host_port.parse().map_err(|_| DecodeError::NoAddress(id.clone()))?;
+        let address: SocketAddr = host_port.parse().map_err(|_| DecodeError::InvalidAddress(id.clone()))?;
         let state = match required_text(self.lifecycle, "lifecycle")?.as_str() {
             "active" => State::Up,
             "leaving" => State::Draining,
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -1,4 +1,5 @@
-//! The actor that keeps the endpoint list: from the platform's watch, the registry, the configuration and operators.
+//! The actor that maintains the endpoint list from the platform's watch, the registry, the configuration and the operators'
+//! cordons.
 
 mod cordon;
 pub mod decode;
@@ -28,11 +29,11 @@
 use std::time::Duration;
 use watching::Watches;
 
-/// A new process keeps its first calls waiting until it has received a list, but no longer than this: the agent answers at
-/// once unless it is down, and what it has sent counts as observed from the first moment on. Where a slow platform has a whole
-/// fleet wait, all of it calls at the same moment afterwards.
+/// How long a new process holds its first calls back if it has not received a list. The limit is short because the agent
+/// responds at once unless it is down, and because its list counts as observed from the start of the process. A longer wait
+/// on a slow platform would make a whole fleet send its first calls at the same moment.
 const INITIAL_LIST_TIMEOUT: Duration = Duration::from_millis(300);
-/// What was removed before this process began counts as received so long before its start.
+/// A removal that happened before this process started counts as received this long before the start.
 const RECEIVED_BEFORE_START_US: Micros = 60_000_000;
 
 /// The platform's watch as a source of the list.
@@ -40,42 +41,43 @@
 /// The registry as a source of the list.
 const REGISTRY: SourceId = SourceId(1);
 
-/// The endpoint list of this process.
+/// The actor that maintains the endpoint list of this process.
 pub struct EndpointListActor {
     context: Rc<Context>,
     names: Arc<Names>,
-    /// This actor's mailbox, for its watches and timers.
-    own: Sender<EndpointListMessage>,
+    /// The sender of this actor's own mailbox, for its watches and timers.
+    own_mailbox: Sender<EndpointListMessage>,
     membership: Membership,
     watches: Watches,
-    /// When something last came on the current watch. All that the agent had by then has been received; what the next watch
-    /// sends first may have been there ever since, and counts as received then.
+    /// When the current watch last received something, by which time it had received all that the agent had. The first list
+    /// of the next watch may have been there ever since, so it counts as received at this time.
     last_line_at: Micros,
-    approach: WatchBackoff,
+    watch_backoff: WatchBackoff,
+    /// The generation of the last version of the pushed list; `None` before the first.
     generation: Option<u64>,
-    /// Which agent gave that generation; not known of the list that the configuration brings.
+    /// The agent that numbered that generation; `None` if it came from the configuration.
     generation_source: Option<SocketAddr>,
     registry: Option<RegistrySource>,
     drain_log: DrainLog,
     /// When the endpoint table was last pruned.
     pruned_at: Micros,
-    /// A successor was sent the list, and keeps it from then on if it takes over.
+    /// Whether a successor was sent the list; it maintains the list from then on if it takes over.
     handed_over: bool,
-    /// What the watches have sent since, until it has taken over.
+    /// The lines that the watches have received since the list was sent to the successor, until it has taken over.
     lines_for_successor: Vec<ListLine>,
 }
 
 impl EndpointListActor {
-    /// An actor without a list; its mailbox is for its watches.
-    pub fn new(context: Rc<Context>, own: Sender<EndpointListMessage>) -> Self {
+    /// Creates the actor without a list. Its watches and timers send to the given mailbox.
+    pub fn new(context: Rc<Context>, own_mailbox: Sender<EndpointListMessage>) -> Self {
         let sources = vec![("pushed", SourcePolicy::default()), ("registry", identified_by_address())];
         EndpointListActor {
             names: context.config().names.clone(),
-            own,
+            own_mailbox,
             membership: Membership::new(sources),
             watches: Watches::default(),
             last_line_at: context.clock.now().saturating_sub(RECEIVED_BEFORE_START_US),
-            approach: WatchBackoff::new(context.config().forwarders),
+            watch_backoff: WatchBackoff::new(context.config().forwarders),
             generation: None,
             generation_source: None,
             registry: None,
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Restores the list that the configuration brings; it may be old.
+    /// Restores the endpoint list in the configuration, which may be old.
     pub async fn restore_known(&mut self, known: &Value) {
         match RawList::from_value(known.clone()).and_then(|list| self.decode(list)) {
             Ok(version) => {
@@ -100,12 +102,12 @@
         }
     }
 
-    /// Goes on with the list of the predecessor, under the same endpoint ids.
-    pub async fn inherit(&mut self, carried: MembershipSnapshot) {
-        self.membership.adopt_ids(&carried);
+    /// Takes over the list of the predecessor with the same endpoint ids.
+    pub async fn inherit(&mut self, inherited: MembershipSnapshot) {
+        self.membership.adopt_ids(&inherited);
         self.context.endpoint_list.set_received();
         let now = self.context.clock.now();
-        for (source, listings) in carried.views.into_iter().enumerate() {
+        for (source, listings) in inherited.views.into_iter().enumerate() {
             let source = SourceId(source);
             let kind = if source == PUSHED { UpdateKind::Cached } else { UpdateKind::Patch };
             let changes = self.membership.restore(now, source, listings);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Keeps the list until the mailbox is closed.
+    /// Runs the actor until its mailbox is closed.
     pub async fn run(mut self, mailbox: Receiver<EndpointListMessage>) {
         self.start_initial_list_timeout();
         self.apply_config().await;
@@ -139,16 +141,16 @@
     }
 
     fn start_initial_list_timeout(&self) {
-        let own = self.own.clone();
+        let own_mailbox = self.own_mailbox.clone();
         let timeout = async move {
             Timer::after(INITIAL_LIST_TIMEOUT).await;
-            // Without the actor nobody waits for a list.
-            let _ = own.send(EndpointListMessage::InitialListTimeout).await;
+            // If the actor has ended, no call waits for a list.
+            let _ = own_mailbox.send(EndpointListMessage::InitialListTimeout).await;
         };
         self.context.executor.spawn(timeout).detach();
     }
 
-    /// When something is due by time alone; nothing is where a successor keeps the list.
+    /// When the next timed work is due; `None` if there is none, or if a successor maintains the list.
     fn next_due(&self) -> Option<Micros> {
         if self.handed_over {
             return None;
@@ -157,7 +159,7 @@
         [self.membership.next_tick(), registry, self.drain_log.next_due()].into_iter().flatten().min()
     }
 
-    /// Does what is due by time alone.
+    /// Does the timed work that is due: hold-downs, the drain log and the registry's view.
     async fn handle_due(&mut self) {
         let now = self.context.clock.now();
         let changes = self.membership.tick(now);
@@ -170,28 +172,28 @@
 
     async fn receive(&mut self, message: EndpointListMessage) {
         if self.handed_over {
-            self.pass_on(&message).await;
+            self.pass_to_successor(&message).await;
         }
         if !self.handed_over || self.is_still_handled(&message) {
             self.handle(message).await;
         }
     }
 
-    /// Whether a message is handled here although a successor was sent the list. It may not take over after all: up to then the
-    /// watches are read on, or what they send would be missed.
+    /// Whether a message is handled although a successor was sent the list. The successor may still fail to take over, so
+    /// the watches are read until it has done so; otherwise their lines would be lost.
     fn is_still_handled(&self, message: &EndpointListMessage) -> bool {
         match message {
             EndpointListMessage::HandOver { .. }
             | EndpointListMessage::HandOverAborted
             | EndpointListMessage::HandedOver => true,
-            // They change the state folder.
+            // Handling these would change the state folder.
             EndpointListMessage::RegistryUpdate { .. } | EndpointListMessage::Cordon { .. } => false,
             _ => !self.context.lifecycle.is_handed_over(),
         }
     }
 
-    /// Keeps for the successor what the watches send that it has not been sent with the list; once it has taken over, it is sent that.
-    async fn pass_on(&mut self, message: &EndpointListMessage) {
+    /// Keeps the lines that arrive after the list was sent to the successor, and sends them to it once it has taken over.
+    async fn pass_to_successor(&mut self, message: &EndpointListMessage) {
         let line = match message {
             EndpointListMessage::WatchLine { watch, line } if !is_heartbeat(line) => {
                 let Some(address) = self.watches.address_of(*watch) else { return };
@@ -216,18 +218,18 @@
     async fn handle(&mut self, message: EndpointListMessage) {
         match message {
             EndpointListMessage::ConfigReloaded => self.apply_config().await,
-            // A watch that waits to be opened is on its way: a fleet that is rejected must not ask all the more.
+            // No watch is opened beside one that waits for its backoff: a rejected fleet must not send even more requests.
             EndpointListMessage::Resubscribe if self.watches.is_empty() => self.open_watch(0),
             EndpointListMessage::Resubscribe => {}
-            EndpointListMessage::WatchLine { watch, line } => self.take_line(watch, &line).await,
-            EndpointListMessage::PredecessorLine(line) => self.take_predecessor_line(line).await,
+            EndpointListMessage::WatchLine { watch, line } => self.handle_line(watch, &line).await,
+            EndpointListMessage::PredecessorLine(line) => self.handle_predecessor_line(line).await,
             EndpointListMessage::WatchSilent { watch } => self.watch_silent(watch),
             EndpointListMessage::ReplacedWatchExpired { watch } => self.replaced_watch_expired(watch),
             EndpointListMessage::WatchEnded { watch, end } => self.watch_ended(watch, end),
             EndpointListMessage::InitialListTimeout => self.initial_list_timeout(),
             EndpointListMessage::HandOver { reply } => {
                 self.handed_over = true;
-                // If nobody waits any more, the hand-over is aborted.
+                // If the receiver is gone, the hand-over has been aborted.
                 let _ = reply.try_send(self.membership.snapshot());
             }
             EndpointListMessage::HandOverAborted => {
@@ -237,12 +239,12 @@
             EndpointListMessage::HandedOver => self.send_lines_to_successor().await,
             EndpointListMessage::Cordon { id, cordoned, reply } => self.cordon(&id, cordoned, &reply).await,
             EndpointListMessage::RegistryUpdate { update, received_at, doubted } => {
-                self.take_registry_update(update, received_at, &doubted).await;
+                self.apply_registry_update(update, received_at, &doubted).await;
             }
         }
     }
 
-    /// Polls and watches where the configuration says.
+    /// Starts the registry's poller and the watch at the addresses in the configuration.
     async fn apply_config(&mut self) {
         self.apply_registry_settings().await;
         self.reconnect();
@@ -257,12 +259,12 @@
     }
 }
 
-/// Whether a line of a watch is empty, so that it only keeps the connection alive.
+/// Whether a line of a watch is empty, which the agent sends only to keep the connection alive.
 fn is_heartbeat(line: &[u8]) -> bool {
     line.iter().all(u8::is_ascii_whitespace)
 }
 
-/// What is believed of a source whose endpoints are identified by their address.
+/// The policy of a source whose endpoints are identified by address, without hold-down and shrink guard.
 fn identified_by_address() -> SourcePolicy {
     SourcePolicy { by_address: true, ..SourcePolicy::default() }
 }
--- a/src/net/platform/endpoint_list/publish.rs
+++ b/src/net/platform/endpoint_list/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes changes of the list: to the endpoint table, the log and the delivery actor, in this order.
+//! Publishes changes of the list to the endpoint table, the log and the delivery actor, in this order.
 
 use super::drain_log::SETTLED_AFTER_US;
 use super::EndpointListActor;
@@ -9,26 +9,26 @@
 use slog::info;
 use std::collections::HashSet;
 
-/// More changes at once are logged as one line.
+/// The most changes of one update that are logged one by one; a larger update is logged as one line.
 const MAX_LOGGED_CHANGES: usize = 100;
-/// The table is pruned no more often than this: a large list is not gone through at each change of it.
+/// The shortest time between two prunings of the endpoint table, so that a large list is not scanned at each change.
 const PRUNE_INTERVAL_US: Micros = SETTLED_AFTER_US;
 
-/// How the delivery actor is to take changes.
+/// How the delivery actor applies an update.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum UpdateKind {
-    /// The endpoints that have changed.
+    /// The update contains the endpoints that have changed.
     Patch,
-    /// All endpoints; others are removed.
+    /// The update contains all endpoints; any other endpoint is removed.
     Complete,
-    /// All endpoints of a list that may be old.
+    /// The update contains all endpoints of a list that may be old.
     Cached,
 }
 
 impl EndpointListActor {
     /// Writes changes to the endpoint table, then sends them to the delivery actor.
     pub(super) async fn publish(&mut self, kind: UpdateKind, changes: Vec<MembershipChange>) {
-        self.drain_log.log_returning(&changes);
+        self.drain_log.log_changed_again(&changes);
         let entries = match kind {
             UpdateKind::Patch => changes.iter().map(|change| self.write_to_table(change)).collect(),
             UpdateKind::Complete | UpdateKind::Cached => self.replace_table(&changes),
@@ -47,7 +47,7 @@
         let _ = self.context.delivery.send(DeliveryMessage::EndpointList(update)).await;
     }
 
-    /// Writes a change to the endpoint table; what the delivery actor is sent of it.
+    /// Writes a change to the endpoint table; returns the entry for the delivery actor.
     pub(super) fn write_to_table(&self, change: &MembershipChange) -> EndpointEntry {
         let listing = &change.listing;
         let per_endpoint_breaker = self.context.config().kinds[listing.kind.0].per_endpoint_breaker;
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Writes changes and then the rest of the list to the endpoint table, which keeps nothing else.
+    /// Replaces the contents of the endpoint table by the changes and the unchanged rest of the list.
     fn replace_table(&self, changes: &[MembershipChange]) -> Vec<EndpointEntry> {
-        // An endpoint that a complete list does not name is removed by that.
+        // Removed endpoints are left out, as a complete update removes every endpoint that it does not contain.
         let listed = changes.iter().filter(|change| change.lifecycle != Lifecycle::Removed);
         let mut entries: Vec<EndpointEntry> = listed.map(|change| self.write_to_table(change)).collect();
         let changed: HashSet<EndpointId> = changes.iter().map(|change| change.endpoint).collect();
@@ -84,20 +84,21 @@
         }
         self.pruned_at = now;
         let table = &self.context.endpoint_table;
-        // With thousands of endpoints that costs more than all else that a change does.
+        // With thousands of endpoints this takes longer than the rest of an update.
         if table.prune(now) {
             self.membership.retain_ids(|id| table.get(id).is_some());
         }
     }
 
-    /// Logs one line for each change, and remembers endpoints that left for the drain log.
+    /// Logs one line for each change, and adds endpoints that drain or are removed to the drain log.
     fn log_changes(&mut self, changes: &[MembershipChange]) {
-        // A complete registry that comes at once is one line, but for the endpoints that leave.
-        let many = changes.len() > MAX_LOGGED_CHANGES;
-        if many {
+        // A large update, such as the first complete answer of a registry, is one line and a line for each endpoint that
+        // leaves.
+        let is_large = changes.len() > MAX_LOGGED_CHANGES;
+        if is_large {
             info!(self.context.log, "endpoint list changed"; "entries" => changes.len());
         }
-        for change in changes.iter().filter(|change| !many || change.lifecycle != Lifecycle::Listed) {
+        for change in changes.iter().filter(|change| !is_large || change.lifecycle != Lifecycle::Listed) {
             let source = self.membership.source_name(change.source);
             info!(self.context.log, "endpoint list changed"; "endpoint" => change.endpoint.0,
                 "id" => &change.listing.key.id, "address" => %change.listing.address,
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -1,4 +1,4 @@
-//! The registry as a source of the list: its poller, and its last view on the disk.
+//! The registry as a source of the list: its poller, and its last view, which is persisted on disk.
 
 use super::publish::UpdateKind;
 use super::{identified_by_address, EndpointListActor, REGISTRY};
@@ -12,34 +12,34 @@
 use slog::warn;
 use std::sync::Arc;
 
-/// The registry's view is persisted no more often than this.
+/// The shortest time between two writes of the registry's view.
 const PERSIST_INTERVAL_US: Micros = 2_000_000;
 
-/// The registry as a source; dropped, it is polled no more.
+/// The registry as a source of the list. Dropping it stops the polls.
 pub(super) struct RegistrySource {
     settings: Arc<RegistrySettings>,
     _poller: Task<()>,
     snapshot: RegistrySnapshot,
     view: ServedView,
-    /// When the view is to be persisted next.
+    /// When the view is persisted next; `None` if it has not changed since.
     persist_at: Option<Micros>,
 }
 
-/// Which view of the registry is served.
+/// Which view of the registry the list uses.
 enum ServedView {
-    /// None yet: if nothing comes until then, the persisted one.
+    /// None yet. The persisted view is used if the registry does not answer in time.
     Awaited {
-        /// When the persisted one is read.
+        /// When the persisted view is read.
         read_snapshot_at: Micros,
     },
-    /// The one that an earlier process persisted.
+    /// The view that an earlier process persisted.
     Persisted,
-    /// What the registry has sent, if anything.
+    /// The answers of the registry, if there are any.
     Live,
 }
 
 impl RegistrySource {
-    /// When something is due by time alone, if anything is.
+    /// When the view must be read or persisted next; `None` if neither is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.read_snapshot_at().into_iter().chain(self.persist_at).min()
     }
@@ -53,14 +53,14 @@
 }
 
 impl EndpointListActor {
-    /// Polls the registry that the site file names; what another has sent stands until this one answers. With none
-    /// named any more its entries are removed.
+    /// Starts to poll the registry in the site file if that has changed. The entries of the previous registry stay until the
+    /// new one answers. If the site file has no registry any more, its entries are removed.
     pub(super) async fn apply_registry_settings(&mut self) {
-        let wanted = self.context.config().registry.clone();
-        if self.registry.as_ref().map(|source| &source.settings) == wanted.as_ref() {
+        let configured = self.context.config().registry.clone();
+        if self.registry.as_ref().map(|source| &source.settings) == configured.as_ref() {
             return;
         }
-        match wanted {
+        match configured {
             Some(settings) => self.start_registry(settings),
             None => self.remove_registry().await,
         }
@@ -68,7 +68,7 @@
 
     fn start_registry(&mut self, settings: Arc<RegistrySettings>) {
         self.membership.set_policy(REGISTRY, settings.source_policy());
-        let polling = eureka::run(self.context.clone(), settings.clone(), self.own.clone());
+        let poller = eureka::run(self.context.clone(), settings.clone(), self.own_mailbox.clone());
         let view = match self.membership.stats(REGISTRY).last_update_at {
             Some(_) => ServedView::Live,
             None => ServedView::Awaited {
@@ -77,25 +77,25 @@
         };
         self.registry = Some(RegistrySource {
             snapshot: RegistrySnapshot::new(&self.context.config().state_folder),
-            _poller: self.context.executor.spawn(polling),
+            _poller: self.context.executor.spawn(poller),
             settings,
             view,
             persist_at: None,
         });
-        self.show_registry();
+        self.update_registry_status();
     }
 
     async fn remove_registry(&mut self) {
         self.membership.set_policy(REGISTRY, identified_by_address());
-        let nothing = SourceUpdate::Complete { version: None, listings: Vec::new() };
-        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, nothing);
+        let empty = SourceUpdate::Complete { version: None, listings: Vec::new() };
+        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, empty);
         self.publish(UpdateKind::Patch, changes).await;
         self.registry = None;
         self.context.endpoint_list.set_registry_view(None);
     }
 
-    /// Applies an answer of the registry, then replies whether something of it is in doubt.
-    pub(super) async fn take_registry_update(
+    /// Applies an answer of the registry, then replies to the poller whether any part of the view is in doubt.
+    pub(super) async fn apply_registry_update(
         &mut self,
         update: SourceUpdate,
         received_at: Micros,
@@ -108,47 +108,50 @@
             }
             source.view = ServedView::Live;
         }
-        // A registry without entries is a list to go by as well; after that only changes are published.
+        // An empty registry is a valid list as well, so the first answer is always published; later ones only if they change
+        // it.
         if !changes.is_empty() || !self.context.endpoint_list.is_known() {
             self.publish(UpdateKind::Patch, changes).await;
         }
-        // The poller may have been replaced meanwhile.
+        // The receiver is gone if a reload has replaced the poller meanwhile.
         let _ = in_doubt.try_send(self.membership.needs_complete_poll(REGISTRY));
-        self.show_registry();
+        self.update_registry_status();
     }
 
-    /// Serves or persists the registry's view if that is due.
+    /// Reads the persisted view, or persists the current one, if that is due.
     pub(super) async fn registry_due(&mut self, now: Micros) {
         let Some(source) = &mut self.registry else { return };
         if source.read_snapshot_at().is_some_and(|at| at <= now) {
-            return self.serve_persisted_view(now).await;
+            return self.use_persisted_view(now).await;
         }
         if source.persist_at.take_if(|at| *at <= now).is_some() {
             self.persist_registry_view();
         }
     }
 
-    async fn serve_persisted_view(&mut self, now: Micros) {
+    /// Uses the persisted view, as the registry has not answered since the start.
+    async fn use_persisted_view(&mut self, now: Micros) {
         let Some(source) = &mut self.registry else { return };
         source.view = ServedView::Live;
         let saved = match source.snapshot.read() {
             Ok(Some(saved)) => saved,
             Ok(None) => {
-                warn!(self.context.log, "the registry is silent, and no view of it was kept");
+                warn!(self.context.log, "the registry does not answer, and there is no persisted view");
                 return;
             }
             Err(error) => {
-                warn!(self.context.log, "the registry is silent, its last view is damaged"; "error" => %error);
+                warn!(self.context.log, "the registry does not answer, and the persisted view is damaged";
+                    "error" => %error);
                 return;
             }
         };
         source.view = ServedView::Persisted;
         let age_ms = wall().saturating_sub(saved.written_at) / 1000;
-        warn!(self.context.log, "the registry is silent, its last view is served";
+        warn!(self.context.log, "the registry does not answer, using the persisted view";
             "entries" => saved.listings.len(), "age_ms" => age_ms);
         let changes = self.membership.restore(now, REGISTRY, saved.listings);
         self.publish(UpdateKind::Patch, changes).await;
-        self.show_registry();
+        self.update_registry_status();
     }
 
     fn persist_registry_view(&self) {
@@ -161,15 +164,15 @@
         }
     }
 
-    /// Shows operators what of the list comes from the registry.
-    fn show_registry(&self) {
-        let counts = self.membership.stats(REGISTRY);
-        let serves_persisted =
+    /// Updates the report of the registry's part of the list, which operators see in the counters.
+    fn update_registry_status(&self) {
+        let stats = self.membership.stats(REGISTRY);
+        let uses_persisted =
             self.registry.as_ref().is_some_and(|source| matches!(source.view, ServedView::Persisted));
         let view = json!({
-            "entries": self.membership.source_listings(REGISTRY).count(), "stale_entries": counts.stale_entries, "flaps": counts.flaps,
-            "held_down": counts.held_down, "shrinks_not_believed": counts.doubted_updates, "heard": counts.last_update_at,
-            "serves_kept_view": serves_persisted,
+            "entries": self.membership.source_listings(REGISTRY).count(), "stale_entries": stats.stale_entries, "flaps": stats.flaps,
+            "held_down": stats.held_down, "shrinks_not_believed": stats.doubted_updates, "heard": stats.last_update_at,
+            "serves_kept_view": uses_persisted,
         });
         self.context.endpoint_list.set_registry_view(Some(view));
     }
--- a/src/net/platform/endpoint_list/watch.rs
+++ b/src/net/platform/endpoint_list/watch.rs
@@ -1,4 +1,4 @@
-//! One watch of the platform's endpoint list: a connection on which the agent sends a line for each version.
+//! A watch of the platform's endpoint list: a connection on which the agent sends one line for each version of the list.
 
 use crate::net::dial::connect_within;
 use crate::net::http::{HttpConnection, HttpError};
@@ -13,42 +13,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A watch on which nothing comes for so long has fallen silent: an empty line comes every 2 s. Another is opened beside it,
-/// as what it misses counts as observed 6 s after it fell silent.
+/// A watch is silent if it has received nothing for this long; the agent sends an empty line every 2 s. Another watch is
+/// then opened beside it, because changes that the silent one misses count as observed 6 s after the silence began.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// A watch that has sent no list for so long after it was opened has fallen silent too. With the silence of the one before it
-/// that is 5 s; a shorter span has a whole fleet overload a platform that is slow.
+/// A watch is also silent if it has received no list this long after it was opened. Together with the silence of the watch
+/// before it that makes 5 s. With a shorter time a whole fleet would overload a slow platform.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2400);
-/// One that stays silent is still read for so long, in case its answer is only late.
+/// How long a silent watch is read on, as its response may only be late.
 const GIVE_UP_TIMEOUT: Duration = Duration::from_millis(8000);
-/// The longest line.
+/// The longest line that is accepted.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
-/// The longest `Retry-After` that is followed.
+/// A longer `Retry-After` is ignored.
 const MAX_RETRY_AFTER_S: f64 = 60.0;
 
-/// A watch; dropped, it closes its connection.
+/// An open watch, or one that is being opened. Dropping it closes its connection.
 pub(super) struct Watch {
     /// Its number among the watches of this process.
     pub number: u64,
-    /// Where the agent listens.
+    /// The address of the agent.
     pub address: SocketAddr,
     _task: Task<()>,
 }
 
-/// What a watch is to be opened with.
+/// The parameters of a new watch.
 pub(super) struct WatchRequest {
     /// Its number among the watches of this process.
     pub number: u64,
-    /// Where the agent listens.
+    /// The address of the agent.
     pub address: SocketAddr,
-    /// The version that is known; without one the agent sends a complete list.
+    /// The version of the list that this process has; with `None` the agent sends a complete list.
     pub after_generation: Option<u64>,
-    /// When to open it, counted from now.
+    /// The delay before it is opened.
     pub delay: Duration,
 }
 
 impl Watch {
-    /// Opens a watch that sends its lines, its silence and its end to the endpoint list actor.
+    /// Opens a watch, which sends its lines, its silence and its end to the endpoint list actor.
     pub fn start(
         executor: &LocalExecutor<'static>,
         log: &Logger,
@@ -70,7 +70,7 @@
                     info!(log, "connection ended"; "side" => "endpoint-list", "reason" => error.code());
                 }
             };
-            // Without the actor nobody needs the list any more.
+            // If the actor has ended, the list is not needed any more.
             let _ = reader.actor.send(EndpointListMessage::WatchEnded { watch: number, end }).await;
         });
         Watch { number, address, _task: task }
@@ -83,16 +83,16 @@
     actor: Sender<EndpointListMessage>,
 }
 
-/// What the agent answers to a watch.
+/// The agent's response to the request for a watch.
 enum Opened {
-    /// It is watched; the first chunk has come with the answer.
+    /// The watch is open, and its first chunk has arrived; `None` if the body has ended.
     Watching { connection: HttpConnection, first_chunk: Option<Vec<u8>> },
-    /// The agent refuses the watch.
+    /// The agent has rejected the watch.
     Rejected { status: u16, retry_after: Option<Micros> },
 }
 
 impl WatchReader {
-    /// Sends line after line to the actor until the connection ends; why it did.
+    /// Sends each line to the actor until the connection ends; returns why it ended.
     async fn run(&self, after_generation: Option<u64>) -> WatchEnd {
         match self.open_and_read(after_generation).await {
             Ok(end) => end,
@@ -132,12 +132,12 @@
             let retry_after = seconds.map(|seconds| (seconds * 1e6) as Micros);
             return Ok(Opened::Rejected { status: head.status, retry_after });
         }
-        // The first list comes at once, too.
+        // The agent sends the first list together with the head of the response.
         let first_chunk = connection.read_chunk(MAX_LINE_BYTES).await?;
         Ok(Opened::Watching { connection, first_chunk })
     }
 
-    /// Sends all complete lines to the actor and leaves the rest.
+    /// Sends all complete lines to the actor and leaves an incomplete last line in the buffer.
     async fn send_lines(&self, unsent: &mut Vec<u8>) -> Result<(), HttpError> {
         while let Some(end) = unsent.iter().position(|byte| *byte == b'\n') {
             let rest = unsent.split_off(end + 1);
@@ -148,18 +148,18 @@
         Ok(())
     }
 
-    /// Reads with a time limit. Silence is reported after a first span, and ends the watch only long after.
+    /// Awaits a read. Reports silence to the actor after the given time, but ends the watch only after [`GIVE_UP_TIMEOUT`].
     async fn report_silence<T>(
         &self,
         silence_timeout: Duration,
-        reading: impl Future<Output = Result<T, HttpError>>,
+        read: impl Future<Output = Result<T, HttpError>>,
     ) -> Result<T, HttpError> {
-        let mut reading = std::pin::pin!(reading);
-        if let Some(read) = within(silence_timeout, reading.as_mut()).await {
-            return read;
+        let mut read = std::pin::pin!(read);
+        if let Some(result) = within(silence_timeout, read.as_mut()).await {
+            return result;
         }
-        // Without the actor the next line ends the watch.
+        // If the actor has ended, the watch ends with its next line.
         let _ = self.actor.send(EndpointListMessage::WatchSilent { watch: self.number }).await;
-        within_or_error(reading, GIVE_UP_TIMEOUT.saturating_sub(silence_timeout)).await
+        within_or_error(read, GIVE_UP_TIMEOUT.saturating_sub(silence_timeout)).await
     }
 }
--- a/src/net/platform/endpoint_list/watching.rs
+++ b/src/net/platform/endpoint_list/watching.rs
@@ -1,4 +1,4 @@
-//! Which watch the list comes from: opening one, replacing one that fell silent, and taking their lines.
+//! Manages the watches of the pushed list: opens them, replaces silent ones, and applies their lines.
 
 use super::decode::{DecodeError, ListVersion, RawList};
 use super::publish::UpdateKind;
@@ -14,26 +14,26 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// At most so many watches are being opened at once.
+/// The most watches that are being opened at the same time.
 const MAX_CONNECTING: usize = 3;
-/// A watch that another has replaced is still read for so long.
-const REPLACED_READ_FOR: Duration = Duration::from_millis(200);
+/// How long a replaced watch is still read.
+const REPLACED_WATCH_READ_TIME: Duration = Duration::from_millis(200);
 
 /// The watches that are open or being opened.
 #[derive(Default)]
 pub(super) struct Watches {
-    /// The one that the list comes from.
+    /// The watch that the list currently comes from.
     pub current: Option<Watch>,
-    /// The one before it, for a moment: what it had sent and was not read yet was sent all the same.
+    /// The watch before the current one. It is read for a short time, because lines on it may not have been read yet.
     pub replaced: Option<Watch>,
-    /// Those of which the first to send its list becomes the current one, the newest last.
+    /// The watches that are being opened, the newest last. The first one that receives a list becomes the current one.
     pub connecting: VecDeque<Watch>,
-    /// The number of the newest.
+    /// The number of the newest watch.
     last_number: u64,
 }
 
 impl Watches {
-    /// Whether the list comes, or is about to come, from anywhere.
+    /// Whether there is neither a current watch nor one that is being opened.
     pub fn is_empty(&self) -> bool {
         self.current.is_none() && self.connecting.is_empty()
     }
@@ -55,13 +55,13 @@
         self.connecting.iter().position(|watch| watch.number == number)
     }
 
-    /// Where the agent of a watch listens.
+    /// The address of a watch's agent; `None` if the watch is closed.
     pub fn address_of(&self, number: u64) -> Option<SocketAddr> {
         let all = self.current.iter().chain(&self.replaced).chain(&self.connecting);
         all.into_iter().find(|watch| watch.number == number).map(|watch| watch.address)
     }
 
-    fn watches(&self, address: SocketAddr) -> bool {
+    fn has_current_at(&self, address: SocketAddr) -> bool {
         self.current.as_ref().is_some_and(|watch| watch.address == address)
     }
 
@@ -74,37 +74,37 @@
 }
 
 impl EndpointListActor {
-    /// Opens a watch where the platform's agent listens, unless one is open there or on its way.
+    /// Opens a watch at the address of the platform's agent, unless one is open there or being opened.
     pub(super) fn reconnect(&mut self) {
-        let wanted = self.context.config().agent_address;
-        self.watches.connecting.retain(|watch| watch.address == wanted);
-        if self.watches.watches(wanted) {
+        let agent = self.context.config().agent_address;
+        self.watches.connecting.retain(|watch| watch.address == agent);
+        if self.watches.has_current_at(agent) {
             self.watches.connecting.clear();
         } else if self.watches.connecting.is_empty() {
             self.open_watch(0);
         }
     }
 
-    /// Opens a watch after a delay; of too many that are being opened the oldest is dropped.
+    /// Opens a watch after a delay in microseconds. If too many are being opened, the oldest of them is dropped.
     pub(super) fn open_watch(&mut self, delay_us: Micros) {
         let address = self.context.config().agent_address;
-        // A generation means nothing at an address that did not give it: there, the complete list is asked for.
-        let from_here = self.generation_source.is_none_or(|source| source == address);
+        // A generation is only valid at the agent that numbered it; another agent is asked for its complete list.
+        let is_same_agent = self.generation_source.is_none_or(|source| source == address);
         self.watches.last_number += 1;
         let request = WatchRequest {
             number: self.watches.last_number,
             address,
-            after_generation: self.generation.filter(|_| from_here),
+            after_generation: self.generation.filter(|_| is_same_agent),
             delay: Duration::from_micros(delay_us),
         };
-        let watch = Watch::start(&self.context.executor, &self.context.log, &self.own, request);
+        let watch = Watch::start(&self.context.executor, &self.context.log, &self.own_mailbox, request);
         self.watches.connecting.push_back(watch);
         if self.watches.connecting.len() > MAX_CONNECTING {
             self.watches.connecting.pop_front();
         }
     }
 
-    /// A watch has fallen silent. Another is opened beside it, unless a newer one is on its way.
+    /// Handles a silent watch: opens another beside it, unless a newer one is already being opened.
     pub(super) fn watch_silent(&mut self, number: u64) {
         if self.watches.is_newest(number) {
             info!(self.context.log, "the watch is silent, opening another";
@@ -113,42 +113,45 @@
         }
     }
 
-    /// A watch has ended. While another address is wanted than the one that is watched, only a watch there counts.
+    /// Handles the end of a watch: opens another after the backoff, unless one is open at the configured address or being
+    /// opened.
     pub(super) fn watch_ended(&mut self, number: u64, end: WatchEnd) {
         self.watches.remove(number);
-        // The agent is there and sends nothing: that is no reason to keep calls waiting.
+        // Calls must not wait any longer for an agent that rejects or breaks watches.
         self.context.endpoint_list.set_received();
-        if !self.watches.connecting.is_empty() || self.watches.watches(self.context.config().agent_address) {
+        if !self.watches.connecting.is_empty()
+            || self.watches.has_current_at(self.context.config().agent_address)
+        {
             return;
         }
         let delay_us = match end {
             WatchEnd::Rejected { retry_after, .. } => {
-                self.approach.after_rejection(retry_after, fastrand::f64())
+                self.watch_backoff.after_rejection(retry_after, fastrand::f64())
             }
-            WatchEnd::Failed(_) => self.approach.after_failure(fastrand::f64()),
+            WatchEnd::Failed(_) => self.watch_backoff.after_failure(fastrand::f64()),
         };
         self.open_watch(delay_us);
     }
 
-    /// The time for which a replaced watch was still read is over.
+    /// Closes a replaced watch whose read time is over.
     pub(super) fn replaced_watch_expired(&mut self, number: u64) {
         self.watches.replaced.take_if(|watch| watch.number == number);
     }
 
-    /// The earliest time at which a line may have come that a watch has just sent.
+    /// The earliest time at which the line that a watch has just received may have been available.
     pub(super) fn earliest_arrival(&self, number: u64) -> Micros {
         if self.watches.connecting_index(number).is_some() {
-            // What a new watch sends first may have been there since the current one last received anything.
+            // The first list of a new watch may have been there since the current watch last received anything.
             return self.last_line_at;
         }
         self.context.stall_detector.arrived_since(self.context.clock.now())
     }
 
-    /// Takes a line of a watch, which is empty where only the connection is kept alive.
-    pub(super) async fn take_line(&mut self, number: u64, line: &[u8]) {
+    /// Handles a line of a watch: a version of the list, or an empty line that keeps the connection alive.
+    pub(super) async fn handle_line(&mut self, number: u64, line: &[u8]) {
         let received_at = self.earliest_arrival(number);
         if self.watches.is_replaced(number) {
-            return self.take_line_of_replaced(line, received_at).await;
+            return self.handle_replaced_watch_line(line, received_at).await;
         }
         let is_current = self.watches.is_current(number);
         let connecting = self.watches.connecting_index(number);
@@ -163,7 +166,7 @@
             Ok(version) => version,
             Err(error) => {
                 warn!(self.context.log, "endpoint list malformed"; "error" => %error);
-                let error = HttpError::Malformed("the list makes no sense");
+                let error = HttpError::Malformed("the endpoint list is malformed");
                 return self.watch_ended(number, WatchEnd::Failed(error));
             }
         };
@@ -171,49 +174,51 @@
             self.make_current(index);
         }
         self.last_line_at = now;
-        self.take_version(received_at, version).await;
+        self.handle_version(received_at, version).await;
     }
 
-    /// Applies a version of the list that the current watch has sent.
-    async fn take_version(&mut self, received_at: Micros, version: ListVersion) {
+    /// Applies a version of the list from the current watch, and records its generation.
+    async fn handle_version(&mut self, received_at: Micros, version: ListVersion) {
         let ListVersion { generation, complete, listings, .. } = version;
         self.generation = Some(generation);
-        self.approach.received();
+        self.watch_backoff.received();
         self.generation_source = self.watches.current.as_ref().map(|watch| watch.address);
         info!(self.context.log, "endpoint list received"; "generation" => generation, "complete" => complete,
             "entries" => listings.len());
         self.context.counters.lists.add();
         self.apply_version(received_at, complete, listings).await;
-        // Only now: the endpoint table has it.
+        // Calls may go out only now that the list is in the endpoint table.
         self.context.endpoint_list.set_received();
     }
 
-    async fn take_line_of_replaced(&mut self, line: &[u8], received_at: Micros) {
-        if let Some(generation) = self.take_line_from_elsewhere(line, received_at).await {
+    async fn handle_replaced_watch_line(&mut self, line: &[u8], received_at: Micros) {
+        if let Some(generation) = self.apply_line_of_other_watch(line, received_at).await {
             info!(self.context.log, "endpoint list received"; "generation" => generation, "replaced" => true);
         }
     }
 
-    /// Takes a line that a watch of the predecessor has sent: what the platform's agent has is binding from then on, although the
-    /// watch of this process may not be open yet.
-    pub(super) async fn take_predecessor_line(&mut self, line: ListLine) {
-        // Another agent numbers its versions in another way, and the one that this process watches has told its list.
+    /// Handles a line that a watch of the predecessor received. A version of the list applies from the time at which the
+    /// platform's agent has it, even if the watch of this process is not open yet.
+    pub(super) async fn handle_predecessor_line(&mut self, line: ListLine) {
+        // Generations of different agents cannot be compared, and this process already has a list of the agent that it
+        // watches.
         if self.generation_source.is_some_and(|source| source != line.address) {
             return;
         }
-        if let Some(generation) = self.take_line_from_elsewhere(&line.line, line.received_at).await {
+        if let Some(generation) = self.apply_line_of_other_watch(&line.line, line.received_at).await {
             info!(self.context.log, "endpoint list received"; "generation" => generation, "predecessor" => true);
         }
     }
 
-    /// What another watch than the current one sends counts if it is newer than what that one has sent; its generation then.
-    async fn take_line_from_elsewhere(&mut self, line: &[u8], received_at: Micros) -> Option<u64> {
+    /// Applies a line of a watch other than the current one if its version is newer; returns its generation, or `None` if
+    /// the line was ignored.
+    async fn apply_line_of_other_watch(&mut self, line: &[u8], received_at: Micros) -> Option<u64> {
         let list = RawList::parse(line).ok()?;
-        // A complete list would replace what the current watch has sent.
+        // A complete list is ignored, as it would replace the list of the current watch.
         if list.generation() <= self.generation || list.is_complete() && self.generation.is_some() {
             return None;
         }
-        // The generation stays: the current watch goes on from what it has sent itself.
+        // `self.generation` stays, because it counts only the versions that the current watch has received itself.
         let ListVersion { generation, complete, listings, .. } = self.decode(list).ok()?;
         self.apply_version(received_at, complete, listings).await;
         Some(generation)
@@ -237,8 +242,8 @@
         Ok(version)
     }
 
-    /// Puts a watch that has sent its list in the place of the current one. Only now that one is replaced: nothing that it
-    /// sent meanwhile was missed.
+    /// Makes a connecting watch, which has received its list, the current one. The previous one was read until now, so that
+    /// no line of it is missed.
     fn make_current(&mut self, index: usize) {
         let next = self.watches.connecting.remove(index);
         self.watches.connecting.clear();
@@ -247,16 +252,16 @@
         }
     }
 
-    /// Reads a replaced watch for a moment more. Guards against lines that lay unread on it, as after a stall, and that the
-    /// current one does not have yet.
+    /// Reads a replaced watch for a short time. Guards against the loss of lines that are still unread on it, as after a
+    /// stall, and that the current watch has not received.
     fn keep_replaced(&mut self, watch: Watch) {
         info!(self.context.log, "connection ended"; "side" => "endpoint-list", "reason" => "moved");
-        let (own, number) = (self.own.clone(), watch.number);
+        let (own_mailbox, number) = (self.own_mailbox.clone(), watch.number);
         self.watches.replaced = Some(watch);
         let expiry = async move {
-            Timer::after(REPLACED_READ_FOR).await;
-            // Without the actor the watch is gone, too.
-            let _ = own.send(EndpointListMessage::ReplacedWatchExpired { watch: number }).await;
+            Timer::after(REPLACED_WATCH_READ_TIME).await;
+            // If the actor has ended, its watches are closed.
+            let _ = own_mailbox.send(EndpointListMessage::ReplacedWatchExpired { watch: number }).await;
         };
         self.context.executor.spawn(expiry).detach();
     }
--- a/src/net/platform/eureka/cache.rs
+++ b/src/net/platform/eureka/cache.rs
@@ -1,5 +1,5 @@
-//! The registry as its answers have it: every instance, also those that are no endpoints of ours, so that the hash of a
-//! delta can be checked; and what of an answer is an update of the endpoint list. It does no I/O.
+//! Caches the status of every instance in the registry and converts answers to updates of the endpoint list. The cache
+//! includes instances that are not endpoints, because the hash of a delta covers them as well. This module does no I/O.
 
 use super::model::{hash_code, Action, Applications, Instance, Status};
 use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
@@ -8,70 +8,70 @@
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// At most so many unusable entries are remembered, so that each is reported once.
+/// How many keys of unusable entries are remembered, so that each is reported only once. The set is cleared when it is full.
 const MAX_REPORTED: usize = 10_000;
 
-/// Everything that the registry has sent.
+/// The status of each instance in the registry, and the unusable entries that have been reported.
 #[derive(Default)]
 pub struct RegistryCache {
     statuses: HashMap<Key, Status>,
     reported_unusable: HashSet<Key>,
 }
 
-/// What an answer has changed.
+/// The result of applying an answer to the cache.
 pub struct AppliedAnswer {
-    /// The update of the endpoint list.
+    /// The update for the endpoint list.
     pub update: SourceUpdate,
-    /// Entries that cannot be used; each is reported once.
+    /// The entries that cannot be used and were not reported before.
     pub unusable_entries: Vec<UnusableEntry>,
-    /// The cached registry hashes to what the answer says.
+    /// Whether the hash of the cached instances equals the hash in the answer; `true` if the answer has none.
     pub hash_matches: bool,
 }
 
-/// An entry that cannot be used.
+/// An entry that cannot be used as an endpoint.
 #[derive(Debug)]
 pub struct UnusableEntry {
-    /// Which.
+    /// The application and id of the entry.
     pub key: Key,
-    /// Why.
+    /// Why the entry cannot be used.
     pub reason: UnusableReason,
 }
 
-/// Why an entry cannot be used.
+/// Why an entry cannot be used as an endpoint. The commands print these texts.
 #[derive(Debug, thiserror::Error)]
 pub enum UnusableReason {
-    /// Its metadata lacks a name.
+    /// A required key is missing from its metadata.
     #[error("its metadata has no `{0}`")]
     MissingMetadata(String),
-    /// Its destination is no number.
+    /// The destination in its metadata is not a number.
     #[error("`{name}` is no number: `{value}`")]
     MalformedDestination {
-        /// The name in the metadata.
+        /// The key in the metadata.
         name: String,
-        /// Its value.
+        /// The value in the metadata.
         value: String,
     },
     /// Its kind or zone is not configured.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// Its weight is no rate above 0.
+    /// The weight in its metadata is not a finite number above 0.
     #[error("`{name}` is no rate: `{value}`")]
     MalformedWeight {
-        /// The name in the metadata.
+        /// The key in the metadata.
         name: String,
-        /// Its value.
+        /// The value in the metadata.
         value: String,
     },
-    /// Its IP address cannot be read.
+    /// Its IP address cannot be parsed.
     #[error("`{0}` is no address")]
     MalformedAddress(String),
-    /// It has no port, or none that is enabled.
+    /// It has no enabled port.
     #[error("it has no port that is enabled")]
     NoPort,
 }
 
 impl RegistryCache {
-    /// Applies an answer, which is the complete registry or a delta.
+    /// Applies an answer, which is either the complete registry or a delta.
     pub fn apply(
         &mut self,
         answer: Applications,
@@ -90,7 +90,7 @@
                 Ok(listing) => listings.push(listing),
                 Err(reason) => {
                     removed.push((key.clone(), instance.modified_at_ms));
-                    // Of one that is deleted the name is enough, whatever else it lacks.
+                    // A deletion needs nothing but the key, so an otherwise unusable entry is not reported.
                     if instance.action != Action::Delete && self.is_first_report(&key) {
                         unusable_entries.push(UnusableEntry { key, reason });
                     }
@@ -107,7 +107,7 @@
         AppliedAnswer { update, unusable_entries, hash_matches }
     }
 
-    /// How many unusable entries are remembered.
+    /// How many unusable entries have been reported since the set was last cleared.
     pub fn unusable_entry_count(&self) -> usize {
         self.reported_unusable.len()
     }
@@ -141,7 +141,7 @@
     }
 }
 
-/// Reads an endpoint, by the names under which its figures stand in the metadata; nothing is guessed.
+/// Converts an instance to an entry of the list, by the configured metadata keys. There are no defaults for missing values.
 fn listing(instance: &Instance, metadata: &MetadataNames, names: &Names) -> Result<Listing, UnusableReason> {
     let value = |name: &str| {
         let value = instance.metadata.get(name).map(|value| value.trim());
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -1,4 +1,4 @@
-//! One registry address over HTTP: a request, its response within time and size limits. It decides nothing.
+//! HTTP client for one registry address, with limits for the time and the size of a response.
 
 use super::model::{Applications, DecodeError};
 use super::{json, xml};
@@ -11,30 +11,30 @@
 use std::net::{IpAddr, SocketAddr, ToSocketAddrs};
 use std::time::Duration;
 
-/// Why a request has no response that can be used.
+/// Why a request has no usable response.
 #[derive(Debug, thiserror::Error)]
 pub enum RegistryError {
-    /// The host's name leads nowhere.
-    #[error("the name `{0}` leads nowhere")]
+    /// The host name cannot be resolved.
+    #[error("cannot resolve host `{0}`")]
     UnknownHost(String),
-    /// The connection failed, or what was received is no HTTP within the limits.
+    /// The connection failed, or the response is not valid HTTP within the limits.
     #[error("{0}")]
     Http(#[from] HttpError),
-    /// Another status than wanted.
+    /// The response has an unexpected status.
     #[error("status {0}")]
     Status(u16),
-    /// It cannot be decompressed.
-    #[error("it cannot be unpacked: {0}")]
+    /// The body cannot be decompressed.
+    #[error("decompression failed: {0}")]
     Decompression(io::Error),
-    /// It decompresses to more than this.
-    #[error("it cannot be unpacked: more than {0} bytes")]
+    /// The decompressed body is larger than this limit in bytes.
+    #[error("decompression failed: more than {0} bytes")]
     TooLarge(usize),
-    /// It cannot be read.
+    /// The body cannot be decoded.
     #[error("{0}")]
     Malformed(#[from] DecodeError),
 }
 
-/// A registry address, with its connection while that can be used again.
+/// The client of one registry address, which keeps a reusable connection.
 pub struct RegistryClient {
     address: RegistryAddress,
     timeout: Duration,
@@ -42,16 +42,16 @@
     connection: Option<HttpConnection>,
 }
 
-/// A response, its body decompressed.
+/// A response of the registry.
 pub struct RegistryResponse {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// Its body.
+    /// The decompressed body.
     pub body: Vec<u8>,
 }
 
 impl RegistryClient {
-    /// A client of that address. Each request may take so many microseconds, and each body so many bytes.
+    /// Creates a client for an address, with a time limit for each request and a size limit for each response body.
     pub fn new(address: RegistryAddress, timeout_us: Micros, max_body_bytes: usize) -> Self {
         RegistryClient {
             address,
@@ -61,22 +61,22 @@
         }
     }
 
-    /// Sends a request below the address's prefix and receives the response. A connection that was kept and has died
-    /// meanwhile is not a failure: the request is sent once more.
+    /// Sends a request for a path below the address's prefix and receives the response. If a reused connection turns out to
+    /// be closed, the request is sent once more on a new one.
     ///
     /// # Errors
     ///
-    /// If there is no response within the limits.
+    /// If no response was received within the limits.
     pub async fn send(
         &mut self,
         method: &str,
         path: &str,
         body: Option<&str>,
     ) -> Result<RegistryResponse, RegistryError> {
-        let kept = self.connection.take();
-        let is_reused = kept.is_some();
+        let reusable = self.connection.take();
+        let is_reused = reusable.is_some();
         let timeout = self.timeout;
-        match within_or_error(self.exchange(kept, method, path, body), timeout).await {
+        match within_or_error(self.exchange(reusable, method, path, body), timeout).await {
             Err(RegistryError::Http(HttpError::Closed | HttpError::Socket(_))) if is_reused => {
                 within_or_error(self.exchange(None, method, path, body), timeout).await
             }
@@ -86,12 +86,12 @@
 
     async fn exchange(
         &mut self,
-        kept: Option<HttpConnection>,
+        reusable: Option<HttpConnection>,
         method: &str,
         path: &str,
         body: Option<&str>,
     ) -> Result<RegistryResponse, RegistryError> {
-        let mut connection = match kept {
+        let mut connection = match reusable {
             Some(connection) => connection,
             None => {
                 let address = resolve(&self.address).await?;
@@ -125,7 +125,7 @@
         request
     }
 
-    /// A small body may decompress to a huge one: it is read no further than the limit.
+    /// Decompresses a body. Stops at the size limit, as a small body may decompress to a huge one.
     fn decompress(&self, body: &[u8]) -> Result<Vec<u8>, RegistryError> {
         let mut plain = Vec::new();
         let mut reader = flate2::read::GzDecoder::new(body).take(self.max_body_bytes as u64 + 1);
@@ -136,14 +136,14 @@
         Ok(plain)
     }
 
-    /// Asks for applications and reads them, by what they look like: servers name their types loosely.
+    /// Requests applications and decodes them.
     ///
     /// # Errors
     ///
-    /// If there is no response with status 200 within the limits, or it cannot be read.
+    /// If no response with status 200 was received within the limits, or it cannot be decoded.
     pub async fn applications(&mut self, path: &str) -> Result<Applications, RegistryError> {
         match self.send("GET", path, None).await? {
-            RegistryResponse { status: 200, body } => Ok(read(&body)?),
+            RegistryResponse { status: 200, body } => Ok(decode(&body)?),
             RegistryResponse { status, .. } => Err(RegistryError::Status(status)),
         }
     }
@@ -154,25 +154,27 @@
         return Ok(SocketAddr::new(ip, address.port));
     }
     let (host, port) = (address.host.clone(), address.port);
-    let lookup = move || (host.as_str(), port).to_socket_addrs().ok().and_then(|mut found| found.next());
-    let found = run_blocking(lookup).await.flatten();
-    found.ok_or_else(|| RegistryError::UnknownHost(address.host.clone()))
+    let lookup =
+        move || (host.as_str(), port).to_socket_addrs().ok().and_then(|mut addresses| addresses.next());
+    let resolved = run_blocking(lookup).await.flatten();
+    resolved.ok_or_else(|| RegistryError::UnknownHost(address.host.clone()))
 }
 
-/// A name as a segment of a path (RFC 3986, section 2.3: what is not unreserved is written as octets).
+/// Encodes a name as one segment of a path. All bytes but the unreserved characters of RFC 3986, section 2.3, and `:` are
+/// percent-encoded.
 pub fn percent_encode(name: &str) -> String {
-    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte);
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~:".contains(&byte);
     let encode =
-        |byte: u8| if is_plain(byte) { char::from(byte).to_string() } else { format!("%{byte:02X}") };
+        |byte: u8| if is_allowed(byte) { char::from(byte).to_string() } else { format!("%{byte:02X}") };
     name.bytes().map(encode).collect()
 }
 
-/// Reads a response, JSON or XML.
+/// Decodes a body as XML or JSON. The first character decides, as servers do not set `Content-Type` reliably.
 ///
 /// # Errors
 ///
-/// If it is no response of a registry.
-pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
+/// If the body is not an answer of a registry.
+pub fn decode(body: &[u8]) -> Result<Applications, DecodeError> {
     match body.iter().find(|byte| !byte.is_ascii_whitespace()) {
         Some(b'<') => xml::read(body),
         _ => json::read(body),
--- a/src/net/platform/eureka/counts.rs
+++ b/src/net/platform/eureka/counts.rs
@@ -1,30 +1,30 @@
-//! Counts of what the registry was asked.
+//! Counters of the polls of the registry.
 
 use crate::Micros;
 use serde_json::{json, Value};
 use std::cell::Cell;
 
-/// Counts of polls and of their answers.
+/// Counters of polls and their answers.
 #[derive(Debug, Default)]
 pub struct RegistryCounts {
-    /// Polls that were answered.
+    /// Successful polls.
     pub polls: Cell<u64>,
-    /// Of these, polls for changes.
+    /// Successful polls for deltas.
     pub deltas: Cell<u64>,
-    /// Of these, polls for the complete registry.
+    /// Successful polls for the complete registry.
     pub complete: Cell<u64>,
     /// Answers whose hash did not match the cached registry.
     pub mismatches: Cell<u64>,
-    /// Polls that failed.
+    /// Failed polls.
     pub failures: Cell<u64>,
-    /// Entries that could not be used.
+    /// Entries that have been reported as unusable.
     pub unusable_entries: Cell<usize>,
     /// The index of the address that answered last.
     pub address: Cell<usize>,
 }
 
 impl RegistryCounts {
-    /// The report of all counts, with what the endpoint list actor shows of the registry's view.
+    /// Reports all counters, merged with the endpoint list actor's report of the registry's view.
     pub fn report(&self, view: &Value, now: Micros) -> Value {
         let mut report = json!({
             "polls": self.polls.get(), "deltas": self.deltas.get(), "wholes": self.complete.get(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Counts one more.
+/// Adds one to a counter.
 pub(super) fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
--- a/src/net/platform/eureka/json.rs
+++ b/src/net/platform/eureka/json.rs
@@ -1,5 +1,5 @@
-//! Answers of a registry in JSON, as real servers write it: one element in place of a list, numbers as text,
-//! attributes as `"@enabled"` and `"$"`, fields that nobody knows. It gives no meaning to what it reads.
+//! Decodes a registry's answers in JSON. Accepts the variations of real servers: a single element in place of a list,
+//! numbers as strings, XML attributes as `"@enabled"` and `"$"`, and unknown fields. The values are interpreted elsewhere.
 
 use super::model::{check_text_lengths, Action, Applications, DecodeError, Instance, Status};
 use serde::de::{Deserializer, IgnoredAny, MapAccess, SeqAccess, Visitor};
@@ -8,7 +8,7 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// A text or a number, as text.
+/// The text of a string, number or boolean; empty for null.
 #[derive(Default)]
 struct LooseText(String);
 
@@ -18,7 +18,7 @@
     type Value = LooseText;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a text, a number, true or false")
+        f.write_str("a string, a number or a boolean")
     }
 
     fn visit_str<E>(self, v: &str) -> Result<LooseText, E> {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A list, or the one element that stands in its place.
+/// A list, or a single element that a server sends in place of a list of one.
 struct OneOrMany<T>(Vec<T>);
 
 impl<T> Default for OneOrMany<T> {
@@ -104,7 +104,7 @@
     }
 }
 
-/// A port with its switch, or a bare number.
+/// The number of an enabled port, given as an object with `@enabled` or as a plain number.
 #[derive(Default)]
 struct Port(Option<u16>);
 
@@ -148,7 +148,7 @@
     }
 }
 
-/// Metadata: names and plain values; what has a structure, such as `@class` objects, is passed over.
+/// The plain values of the metadata as text. Attributes such as `@class` and structured values are left out.
 #[derive(Default)]
 struct Metadata(BTreeMap<String, String>);
 
@@ -199,7 +199,7 @@
     application: OneOrMany<RawApplication>,
 }
 
-/// What may stand at the top: all applications, one, or one instance.
+/// The top level of an answer: all applications, or one of them.
 #[derive(Deserialize)]
 struct Document {
     applications: Option<RawApplications>,
@@ -208,26 +208,26 @@
 
 fn instance(raw: RawInstance, app: &str) -> Result<Instance, DecodeError> {
     let non_empty_or = |text: String, default: &str| if text.is_empty() { default.to_owned() } else { text };
-    let deleted = raw.action_type.0 == "DELETED";
+    let is_deleted = raw.action_type.0 == "DELETED";
     let instance = Instance {
         app: non_empty_or(raw.app.0, app).to_uppercase(),
         id: non_empty_or(raw.instance_id.0, &raw.host_name.0),
         ip: non_empty_or(raw.ip_addr.0, &raw.host_name.0),
         port: raw.port.0.or(raw.secure_port.0),
-        status: Status::read(&raw.status.0),
+        status: Status::from_name(&raw.status.0),
         modified_at_ms: raw.last_updated_timestamp.number().max(raw.last_dirty_timestamp.number()),
         metadata: raw.metadata.0,
-        action: if deleted { Action::Delete } else { Action::Upsert },
+        action: if is_deleted { Action::Delete } else { Action::Upsert },
     };
     check_text_lengths(&instance)?;
     Ok(instance)
 }
 
-/// Reads an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
+/// Decodes an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
 ///
 /// # Errors
 ///
-/// If it is no JSON, has overlong names, or is no answer of a registry.
+/// If the body is not valid JSON, has a name or value that is too long, or is not an answer of a registry.
 pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
     let document: Document = serde_json::from_slice(body).map_err(DecodeError::Json)?;
     let raw = match (document.applications, document.application) {
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -1,5 +1,5 @@
-//! The registry as a source of the endpoint list: polled again and again, its answers sent to the endpoint list actor. What is
-//! believed of them is decided in [`crate::membership`]. Source of the protocol: Eureka's published REST operations.
+//! Polls a Eureka registry and sends its answers to the endpoint list actor. [`crate::membership`] decides which parts of
+//! them are accepted. The protocol follows Eureka's published REST operations.
 
 pub mod cache;
 pub mod client;
@@ -26,35 +26,36 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A registry, polled as the poller says. It is used by the forwarder and by the commands alike.
+/// The client side of a registry: its addresses, the schedule of polls and the cached answers. The forwarder and the
+/// commands both use it.
 pub struct Registry {
     settings: Arc<RegistrySettings>,
     names: Arc<Names>,
     clients: Vec<RegistryClient>,
-    /// What is to be asked, and when.
+    /// Decides which address is polled next, and when.
     pub poller: Poller,
     cache: RegistryCache,
 }
 
 impl Registry {
-    /// A registry of which nothing is known.
+    /// Creates the client with an empty cache; its first poll is due at `now`.
     pub fn new(settings: Arc<RegistrySettings>, names: Arc<Names>, now: Micros) -> Self {
         let clients = clients(&settings);
         let poller = Poller::new(&settings, now);
         Registry { settings, names, clients, poller, cache: RegistryCache::default() }
     }
 
-    /// Polls one address, by its index among the addresses.
+    /// Polls the address with the given index and applies the answer to the cache.
     ///
     /// # Errors
     ///
-    /// If there is no answer that can be read.
-    pub async fn poll(&mut self, address: usize, question: PollKind) -> Result<AppliedAnswer, RegistryError> {
-        let answer = match question {
+    /// If no valid answer was received.
+    pub async fn poll(&mut self, address: usize, kind: PollKind) -> Result<AppliedAnswer, RegistryError> {
+        let answer = match kind {
             PollKind::Delta => self.clients[address].applications("/apps/delta").await?,
             PollKind::Complete => self.poll_complete(address).await?,
         };
-        let complete = question == PollKind::Complete;
+        let complete = kind == PollKind::Complete;
         Ok(self.cache.apply(answer, complete, &self.settings.metadata, &self.names))
     }
 
@@ -71,7 +72,7 @@
         for app in apps {
             match client.applications(&format!("/apps/{}", percent_encode(app))).await {
                 Ok(one) => all.instances.extend(one.instances),
-                // An application without instances is no failure.
+                // The registry answers with 404 for an application without instances.
                 Err(RegistryError::Status(404)) => {}
                 Err(error) => return Err(error),
             }
@@ -79,19 +80,19 @@
         Ok(all)
     }
 
-    /// How many entries could not be used.
+    /// How many entries have been reported as unusable.
     pub fn unusable_entry_count(&self) -> usize {
         self.cache.unusable_entry_count()
     }
 
-    /// Host and port of an address, by its index among the addresses.
+    /// The host and port of the address with the given index.
     pub fn address(&self, index: usize) -> String {
         let address = &self.settings.addresses[index];
         format!("{}:{}", address.host, address.port)
     }
 }
 
-/// A client for each address, in their order.
+/// Creates a client for each address, in the order of the settings.
 fn clients(settings: &RegistrySettings) -> Vec<RegistryClient> {
     let client = |address: &RegistryAddress| {
         RegistryClient::new(address.clone(), settings.timeout, settings.max_response_bytes)
@@ -99,7 +100,7 @@
     settings.addresses.iter().map(client).collect()
 }
 
-/// Polls without end and sends the answers to the endpoint list actor; ended by being dropped.
+/// Polls the registry endlessly and sends the answers to the endpoint list actor. Ends when it is dropped.
 pub async fn run(
     context: Rc<Context>,
     settings: Arc<RegistrySettings>,
@@ -107,7 +108,7 @@
 ) {
     let names = context.config().names.clone();
     let clock = context.clock;
-    let mut rng = fastrand::Rng::with_seed(context.config().seed);
+    let mut random = fastrand::Rng::with_seed(context.config().seed);
     let mut registry = Registry::new(settings, names, clock.now());
     loop {
         let next = registry.poller.next_request();
@@ -122,24 +123,24 @@
             Err(error) => {
                 increment(&context.registry.failures);
                 let address = registry.address(next.address_index);
-                warn!(context.log, "the registry did not answer"; "address" => address, "error" => %error);
-                registry.poller.failed(clock.now(), rng.f64());
+                warn!(context.log, "registry poll failed"; "address" => address, "error" => %error);
+                registry.poller.failed(clock.now(), random.f64());
             }
         }
     }
 }
 
-/// Counts and logs an answer.
+/// Counts an answer, and logs its unusable entries and a mismatch of its hash.
 fn record_answer(
     context: &Context,
     registry: &Registry,
     answer: &AppliedAnswer,
     address: usize,
-    question: PollKind,
+    kind: PollKind,
 ) {
     let counts = &context.registry;
     increment(&counts.polls);
-    increment(if question == PollKind::Delta { &counts.deltas } else { &counts.complete });
+    increment(if kind == PollKind::Delta { &counts.deltas } else { &counts.complete });
     counts.address.set(address);
     for entry in &answer.unusable_entries {
         info!(context.log, "entry ignored"; "app" => &entry.key.group, "id" => &entry.key.id,
@@ -148,11 +149,12 @@
     counts.unusable_entries.set(registry.unusable_entry_count());
     if !answer.hash_matches {
         increment(&counts.mismatches);
-        info!(context.log, "the registry's hash does not match"; "address" => registry.address(address));
+        info!(context.log, "registry hash mismatch"; "address" => registry.address(address));
     }
 }
 
-/// Sends an answer to the endpoint list actor; whether something of it is in doubt, or `None` without the actor.
+/// Sends an answer to the endpoint list actor. Returns whether a part of the view is in doubt, or `None` if the actor has
+/// ended.
 async fn send_update(
     context: &Context,
     endpoint_list: &Sender<EndpointListMessage>,
--- a/src/net/platform/eureka/model.rs
+++ b/src/net/platform/eureka/model.rs
@@ -1,55 +1,56 @@
-//! What a registry's answers hold, as far as it matters here, and the hash that it takes over them. Source: the
-//! published REST operations of Eureka (application/instance documents, `/apps`, `/apps/delta`). It reads nothing.
+//! The parts of a registry's answers that the forwarder needs, and the hash over all instances. They follow Eureka's
+//! published REST operations (application and instance documents, `/apps`, `/apps/delta`). Parsing is done in `json` and
+//! `xml`.
 
 use std::collections::BTreeMap;
 
-/// Why an answer cannot be read.
+/// Why an answer cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// It is no JSON, or has other types than an answer.
-    #[error("not as JSON should be: {0}")]
+    /// The body is not valid JSON, or a field has the wrong type.
+    #[error("invalid JSON: {0}")]
     Json(serde_json::Error),
-    /// It is no XML.
-    #[error("not as XML should be: {0}")]
+    /// The body is not valid XML.
+    #[error("invalid XML: {0}")]
     Xml(String),
-    /// It has elements within elements beyond this depth.
-    #[error("it nests deeper than {0}")]
+    /// The XML elements are nested more deeply than this limit.
+    #[error("elements nested more than {0} deep")]
     TooDeep(usize),
-    /// It refers to an entity that XML does not have.
-    #[error("the unknown entity `{0}`")]
+    /// The XML refers to an entity that is not predefined.
+    #[error("unknown entity `{0}`")]
     UnknownEntity(String),
-    /// It ends within an element.
-    #[error("it ends in its middle")]
+    /// The XML ends within an element.
+    #[error("unexpected end of XML")]
     Incomplete,
-    /// It is no answer of a registry.
-    #[error("neither `applications` nor `application`")]
+    /// The body is not an answer of a registry.
+    #[error("neither `applications` nor `application` found")]
     NoApplications,
-    /// A name or value has so many bytes, which is too many.
-    #[error("a name of {0} bytes")]
-    NameTooLong(usize),
+    /// A name or value is too long; its length in bytes.
+    #[error("name or value too long: {0} bytes")]
+    TextTooLong(usize),
 }
 
-/// The longest name or value that is taken; no registry has longer ones.
-pub const LONGEST_NAME: usize = 4 * 1024;
+/// The longest name or value that is accepted, in bytes. Real registries have no longer ones.
+pub const MAX_TEXT_BYTES: usize = 4 * 1024;
 
-/// A status of the protocol.
+/// The status of an instance in the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Status {
-    /// Takes traffic.
+    /// The instance accepts traffic.
     Up,
-    /// Does not work.
+    /// The instance does not work.
     Down,
-    /// Not ready yet.
+    /// The instance is not ready yet.
     Starting,
-    /// Taken out on purpose.
+    /// The instance was taken out of service deliberately.
     OutOfService,
-    /// Nothing is known.
+    /// The status is not known.
     Unknown,
 }
 
 impl Status {
-    /// From the protocol's name; any other name is unknown.
-    pub fn read(name: &str) -> Status {
+    /// Parses the protocol's name in any case; any other name gives [`Status::Unknown`].
+    pub fn from_name(name: &str) -> Status {
         match name.to_ascii_uppercase().as_str() {
             "UP" => Status::Up,
             "DOWN" => Status::Down,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The protocol's name.
+    /// The name of the status in the protocol.
     pub fn name(self) -> &'static str {
         match self {
             Status::Up => "UP",
@@ -71,49 +72,49 @@
     }
 }
 
-/// What a delta says of an instance.
+/// What a delta does to an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// It is there, new or changed.
+    /// The instance is added or changed.
     Upsert,
-    /// It is gone.
+    /// The instance is deleted.
     Delete,
 }
 
-/// An instance.
+/// An instance of an application.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// Its application.
+    /// The application's name, in upper case.
     pub app: String,
-    /// Its id: `instanceId`, or the host's name where a server sends none.
+    /// `instanceId`, or the host name if the server sends no id.
     pub id: String,
-    /// Its address, as text.
+    /// The IP address as text, or the host name if the server sends no address; not validated.
     pub ip: String,
-    /// Its port, if one is enabled.
+    /// The plain port, or else the secure one; `None` if neither is enabled.
     pub port: Option<u16>,
-    /// Its status.
+    /// The status that the registry reports.
     pub status: Status,
-    /// The later of `lastUpdatedTimestamp` and `lastDirtyTimestamp`, in milliseconds.
+    /// The later of `lastUpdatedTimestamp` and `lastDirtyTimestamp`, in milliseconds of Unix time; 0 if both are missing.
     pub modified_at_ms: u64,
-    /// Its metadata.
+    /// The plain values of the instance's metadata.
     pub metadata: BTreeMap<String, String>,
-    /// In a delta, what became of it.
+    /// In a delta, whether the instance was changed or deleted.
     pub action: Action,
 }
 
-/// An answer.
+/// A decoded answer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Applications {
-    /// `versions__delta`, if it is a number.
+    /// `versions__delta`; `None` if it is not a number.
     pub version: Option<u64>,
-    /// `apps__hashcode`; that of an empty registry is empty.
+    /// `apps__hashcode`, which is empty for an empty registry; `None` if the answer has none.
     pub hash: Option<String>,
-    /// All instances.
+    /// The instances of all applications.
     pub instances: Vec<Instance>,
 }
 
-/// The hash over the statuses of all instances: each status that occurs, in the order of its name, with its count,
-/// as `DOWN_1_UP_2_`.
+/// The hash over the statuses of all instances: each status that occurs, sorted by name, with the count of its instances,
+/// such as `DOWN_1_UP_2_`.
 pub fn hash_code(statuses: impl Iterator<Item = Status>) -> String {
     const BY_NAME: [Status; 5] =
         [Status::Down, Status::OutOfService, Status::Starting, Status::Unknown, Status::Up];
@@ -126,16 +127,16 @@
     occurring.map(|(status, count)| format!("{}_{count}_", status.name())).collect()
 }
 
-/// Checks that no text of an instance is longer than any registry's is.
+/// Checks that no name or value of an instance is longer than [`MAX_TEXT_BYTES`].
 ///
 /// # Errors
 ///
-/// If one is.
+/// [`DecodeError::TextTooLong`] for the first one that is longer.
 pub fn check_text_lengths(instance: &Instance) -> Result<(), DecodeError> {
     let metadata = instance.metadata.iter().flat_map(|(name, value)| [name, value]);
     let mut texts = [&instance.app, &instance.id, &instance.ip].into_iter().chain(metadata);
-    match texts.find(|text| text.len() > LONGEST_NAME) {
-        Some(text) => Err(DecodeError::NameTooLong(text.len())),
+    match texts.find(|text| text.len() > MAX_TEXT_BYTES) {
+        Some(text) => Err(DecodeError::TextTooLong(text.len())),
         None => Ok(()),
     }
 }
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -1,5 +1,5 @@
-//! This forwarder's own entry in the registry: registered, renewed, taken out of service when the shutdown begins, and
-//! cancelled at its end. No decision depends on it.
+//! Keeps this forwarder's own entry in the registry: registers it, renews its lease, sets it out of service when the
+//! shutdown begins, and cancels the lease at the end. Nothing else in the forwarder depends on the entry.
 
 use super::client::{percent_encode, RegistryClient, RegistryError};
 use super::clients;
@@ -15,19 +15,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After a failure the next address is tried after this.
+/// The pause before the next attempt to register, at the next address.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// At the end, the request that cancels the lease may take so long.
+/// Time limit for the request that cancels the lease at the end of the process.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(150);
 
 struct Entry<'a> {
     registration: &'a Registration,
-    /// This forwarder's name.
+    /// The name of this forwarder, which is its instance id.
     name: String,
-    /// Where its clients connect.
+    /// The address at which clients connect to this forwarder.
     listen: SocketAddr,
     clients: Vec<RegistryClient>,
-    /// The index of the address that is in use.
+    /// The index of the registry address in use.
     address: usize,
 }
 
@@ -57,7 +57,7 @@
         .to_string()
     }
 
-    /// Sends a request; the status of its response. After a failure the next request goes to the next address.
+    /// Sends a request and returns the status of its response. After a failure the next request goes to the next address.
     async fn send(&mut self, method: &str, path: &str, body: Option<&str>) -> Result<u16, RegistryError> {
         let result = self.clients[self.address].send(method, path, body).await;
         if result.is_err() {
@@ -66,7 +66,7 @@
         result.map(|response| response.status)
     }
 
-    /// Registers the entry; whether the registry has the lease.
+    /// Registers the entry; returns whether the registry has granted the lease.
     async fn register(&mut self, context: &Context) -> bool {
         let document = self.document("UP");
         let error = match self.send("POST", &self.app_path(), Some(&document)).await {
@@ -74,23 +74,23 @@
             Ok(status) => format!("status {status}"),
             Err(error) => error.to_string(),
         };
-        warn!(context.log, "not registered"; "error" => error);
+        warn!(context.log, "registration failed"; "error" => error);
         false
     }
 
-    /// Renews the lease, or registers the entry again if it was lost; whether the registry has the lease.
+    /// Renews the lease, or registers the entry again if the registry has lost it; returns whether the lease is in place.
     async fn renew(&mut self, context: &Context) -> bool {
         match self.send("PUT", &self.path(), None).await {
             Ok(200..=299) => true,
             Ok(404) => {
-                info!(context.log, "the lease was lost");
+                info!(context.log, "registry lease lost, registering again");
                 self.register(context).await
             }
             Ok(_) | Err(_) => false,
         }
     }
 
-    /// Registers the entry and renews its lease without end.
+    /// Registers the entry and renews its lease endlessly.
     async fn keep_registered(&mut self, context: &Context) {
         let renewal_interval = Duration::from_micros(self.registration.renewal_interval);
         let mut has_lease = self.register(context).await;
@@ -104,8 +104,8 @@
     }
 }
 
-/// Keeps the entry until the shutdown begins, then takes it out of service; cancels it once `end` is closed.
-/// `done` is closed when nothing more is to be done.
+/// Keeps the entry registered until the shutdown begins, then sets it out of service, and cancels its lease once `end` is
+/// closed. Drops `done` when it has finished.
 pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, end: Receiver<()>, done: Sender<()>) {
     let Some(registration) = &settings.registration else { return };
     let config = context.config();
@@ -117,14 +117,14 @@
         address: 0,
     };
     future::or(entry.keep_registered(&context), context.lifecycle.until_closing()).await;
-    // A request may have been cut short: its connection is of no more use.
+    // The renewal may have been cancelled in the middle of a request, so its connection cannot be reused.
     entry.clients = clients(&settings);
     let path = entry.path();
     let response = entry.send("PUT", &format!("{path}/status?value=OUT_OF_SERVICE"), None).await;
-    info!(context.log, "taken out of service"; "answer" => ?response.ok());
-    // Nothing is ever sent: it is closed.
+    info!(context.log, "registry entry set out of service"; "answer" => ?response.ok());
+    // Nothing is sent on this channel; it returns when the channel is closed.
     let _ = end.recv().await;
     let response = within(CANCEL_TIMEOUT, entry.send("DELETE", &path, None)).await;
-    info!(context.log, "lease cancelled"; "answer" => ?response.and_then(Result::ok));
+    info!(context.log, "registry lease cancelled"; "answer" => ?response.and_then(Result::ok));
     drop(done);
 }
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -1,5 +1,5 @@
-//! The last view of the registry, persisted in the state folder for a start while the registry is silent. Its checksum is
-//! verified as it is read, and it is replaced atomically.
+//! Persists the last view of the registry in the state folder, for a start while the registry does not answer. The file is
+//! replaced atomically, and its checksum is verified when it is read.
 
 use crate::membership::{Key, Listing, State};
 use crate::{DestinationId, KindId, Micros, ZoneId};
@@ -12,13 +12,13 @@
 
 const FILE_NAME: &str = "registry.view";
 const NEXT_FILE_NAME: &str = "registry.next";
-/// The format of the file.
+/// The version of the file format.
 const VERSION: u32 = 1;
-/// The checksum in front of the compressed view.
+/// The length of the checksum before the compressed view.
 const CHECKSUM_BYTES: usize = 4;
-/// No view decompresses to more.
+/// The most bytes that are decompressed.
 const MAX_PLAIN_BYTES: u64 = 64 * 1024 * 1024;
-/// The view and its replacement may each take this fraction of the folder's limit: one sixteenth.
+/// The view and its replacement may each use the state folder's limit divided by this.
 const FOLDER_DIVISOR: u64 = 16;
 
 #[derive(Serialize, Deserialize)]
@@ -36,27 +36,27 @@
 #[derive(Serialize, Deserialize)]
 struct File {
     version: u32,
-    /// When it was written, in microseconds of Unix time.
+    /// When the file was written, in microseconds of Unix time.
     #[serde(rename = "at")]
     written_at: Micros,
     entries: Vec<Entry>,
 }
 
-/// Where the view is persisted.
+/// The file in which the view is persisted.
 pub struct RegistrySnapshot {
     folder: PathBuf,
 }
 
-/// A view that was persisted.
+/// A persisted view.
 pub struct SavedView {
     /// When it was written, in microseconds of Unix time.
     pub written_at: Micros,
-    /// Its entries.
+    /// The entries of the view, all with the stamp 0.
     pub listings: Vec<Listing>,
 }
 
 impl RegistrySnapshot {
-    /// In that folder.
+    /// Uses the file in the given state folder; neither reads nor creates it.
     pub fn new(folder: &Path) -> Self {
         RegistrySnapshot { folder: folder.to_owned() }
     }
@@ -65,32 +65,33 @@
     ///
     /// # Errors
     ///
-    /// If it cannot be read or is damaged.
+    /// If the file cannot be read or is damaged.
     pub fn read(&self) -> io::Result<Option<SavedView>> {
         let bytes = match fs::read(self.folder.join(FILE_NAME)) {
-            Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
-            read => read?,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
+            result => result?,
         };
-        let (checksum, packed) = bytes.split_at_checked(CHECKSUM_BYTES).ok_or(Damage::Cut)?;
-        if checksum != crc32fast::hash(packed).to_le_bytes() {
-            return Err(Damage::Checksum.into());
+        let (checksum, compressed) =
+            bytes.split_at_checked(CHECKSUM_BYTES).ok_or(InvalidSnapshot::Truncated)?;
+        if checksum != crc32fast::hash(compressed).to_le_bytes() {
+            return Err(InvalidSnapshot::Checksum.into());
         }
         let mut plain = Vec::new();
-        GzDecoder::new(packed).take(MAX_PLAIN_BYTES).read_to_end(&mut plain)?;
-        let file: File = serde_json::from_slice(&plain).map_err(Damage::Json)?;
+        GzDecoder::new(compressed).take(MAX_PLAIN_BYTES).read_to_end(&mut plain)?;
+        let file: File = serde_json::from_slice(&plain).map_err(InvalidSnapshot::Json)?;
         if file.version != VERSION {
-            return Err(Damage::Version.into());
+            return Err(InvalidSnapshot::Version.into());
         }
         let listings = file.entries.into_iter().map(Listing::from).collect();
         Ok(Some(SavedView { written_at: file.written_at, listings }))
     }
 
-    /// Replaces the persisted view, within a limit in bytes of the folder; how many bytes the view and its replacement
-    /// take at the most, or `None` if it is too large to be persisted.
+    /// Replaces the persisted view. `folder_limit` is the size limit of the state folder in bytes. Returns how many bytes
+    /// the view and its replacement use at most, or `None` if the view is too large and was not persisted.
     ///
     /// # Errors
     ///
-    /// If it cannot be written; the persisted view stays then.
+    /// If the file cannot be written; the earlier view then stays.
     pub fn write<'a>(
         &self,
         written_at: Micros,
@@ -101,42 +102,42 @@
         entries.sort_by(|a, b| (&a.app, &a.id).cmp(&(&b.app, &b.id)));
         let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
         serde_json::to_writer(&mut encoder, &File { version: VERSION, written_at, entries })?;
-        let packed = encoder.finish()?;
-        let size = (packed.len() + CHECKSUM_BYTES) as u64;
+        let compressed = encoder.finish()?;
+        let size = (compressed.len() + CHECKSUM_BYTES) as u64;
         if size > folder_limit / FOLDER_DIVISOR {
             return Ok(None);
         }
         let next = self.folder.join(NEXT_FILE_NAME);
         let mut file = fs::File::create(&next)?;
-        file.write_all(&crc32fast::hash(&packed).to_le_bytes())?;
-        file.write_all(&packed)?;
+        file.write_all(&crc32fast::hash(&compressed).to_le_bytes())?;
+        file.write_all(&compressed)?;
         drop(file);
         fs::rename(&next, self.folder.join(FILE_NAME))?;
         Ok(Some(2 * size))
     }
 
-    /// The most bytes that the view and its replacement may take of a folder with a limit in bytes.
+    /// The most bytes that the view and its replacement may use together in a folder with the given size limit in bytes.
     pub fn max_bytes(folder_limit: u64) -> u64 {
         2 * (folder_limit / FOLDER_DIVISOR)
     }
 }
 
-/// How a persisted view is damaged.
+/// Why a persisted view is invalid.
 #[derive(Debug, thiserror::Error)]
-enum Damage {
-    #[error("it is cut")]
-    Cut,
-    #[error("its sum does not fit")]
+enum InvalidSnapshot {
+    #[error("the file is truncated")]
+    Truncated,
+    #[error("checksum mismatch")]
     Checksum,
     #[error("{0}")]
     Json(serde_json::Error),
-    #[error("its version is not known")]
+    #[error("unknown format version")]
     Version,
 }
 
-impl From<Damage> for io::Error {
-    fn from(damage: Damage) -> Self {
-        io::Error::new(io::ErrorKind::InvalidData, damage)
+impl From<InvalidSnapshot> for io::Error {
+    fn from(error: InvalidSnapshot) -> Self {
+        io::Error::new(io::ErrorKind::InvalidData, error)
     }
 }
 
--- a/src/net/platform/eureka/xml.rs
+++ b/src/net/platform/eureka/xml.rs
@@ -1,19 +1,23 @@
-//! Answers of a registry in XML, for servers that write nothing else. It gives no meaning to what it reads.
+//! Decodes a registry's answers in XML, for servers that do not support JSON. The values are interpreted elsewhere.
 
-use super::model::{check_text_lengths, Action, Applications, DecodeError, Instance, Status, LONGEST_NAME};
+use super::model::{
+    check_text_lengths, Action, Applications, DecodeError, Instance, Status, MAX_TEXT_BYTES,
+};
 use quick_xml::events::{BytesRef, BytesStart, Event};
 use quick_xml::Reader;
 use std::collections::BTreeMap;
 use std::fmt::Display;
 
-/// No answer nests deeper: applications, application, instance, metadata, a name.
+/// The deepest nesting that is accepted. A valid answer has five levels: applications, application, instance, metadata and a
+/// metadata key.
 const MAX_DEPTH: usize = 16;
 
-/// Reads an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
+/// Decodes an answer to `/apps`, `/apps/delta`, `/apps/{app}` or `/vips/{vip}`.
 ///
 /// # Errors
 ///
-/// If it is no XML, nests too deeply, has overlong names or entities of its own, or is no answer of a registry.
+/// If the body is not valid XML, is nested too deeply, has a name or value that is too long, uses entities that are not
+/// predefined, or is not an answer of a registry.
 pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
     let mut reader = Reader::from_reader(body);
     let mut decoder = Decoder::default();
@@ -34,18 +38,19 @@
     DecodeError::Xml(error.to_string())
 }
 
-/// What has been read of an answer.
+/// The state of decoding an answer.
 #[derive(Default)]
 struct Decoder {
     answer: Applications,
-    /// The open elements, the innermost last.
+    /// The names of the open elements, the innermost last.
     path: Vec<String>,
-    /// The name of the open application.
+    /// The name of the current application.
     app: String,
-    /// The open instance.
+    /// The current instance; `None` outside of instances.
     instance: Option<PartialInstance>,
     /// The text since the last start or end of an element.
     text: String,
+    /// Whether an `applications` or `application` element was found.
     has_applications: bool,
 }
 
@@ -78,7 +83,7 @@
         match (quick_xml::escape::resolve_predefined_entity(&entity), character) {
             (Some(text), _) => self.text.push_str(text),
             (None, Some(character)) => self.text.push(character),
-            // Entities of a document's own are how small files grow without end.
+            // Entities that a document defines itself are rejected, as a small document can expand to a huge one with them.
             (None, None) => return Err(DecodeError::UnknownEntity(entity.into_owned())),
         }
         Ok(())
@@ -116,12 +121,12 @@
     }
 }
 
-/// An instance of which some fields have been read.
+/// The fields of an instance that have been read so far.
 #[derive(Default)]
 struct PartialInstance {
     fields: BTreeMap<String, String>,
     metadata: BTreeMap<String, String>,
-    /// The fields that say of themselves that they are not enabled.
+    /// The names of the fields with the attribute `enabled="false"`.
     disabled: Vec<String>,
 }
 
@@ -135,7 +140,7 @@
             id: non_empty_or(self.take("instanceId"), &host),
             ip: non_empty_or(self.take("ipAddr"), &host),
             port: port.or(secure_port),
-            status: Status::read(self.take("status").trim()),
+            status: Status::from_name(self.take("status").trim()),
             modified_at_ms: self
                 .take_number("lastUpdatedTimestamp")
                 .max(self.take_number("lastDirtyTimestamp")),
@@ -170,8 +175,8 @@
 
 fn element_name(tag: &BytesStart<'_>) -> Result<String, DecodeError> {
     let name = tag.local_name();
-    if name.as_ref().len() > LONGEST_NAME {
-        return Err(DecodeError::NameTooLong(name.as_ref().len()));
+    if name.as_ref().len() > MAX_TEXT_BYTES {
+        return Err(DecodeError::TextTooLong(name.as_ref().len()));
     }
     Ok(String::from_utf8_lossy(name.as_ref()).into_owned())
 }
--- a/src/net/platform/list_status.rs
+++ b/src/net/platform/list_status.rs
@@ -1,10 +1,10 @@
-//! What the endpoint list actor shows other actors of the list.
+//! The state of the endpoint list that the endpoint list actor shares with the other actors.
 
 use crate::net::runtime::latch::Latch;
 use serde_json::Value;
 use std::cell::{Cell, Ref, RefCell};
 
-/// Whether there is a list, and what operators see of it. Written by the endpoint list actor alone.
+/// Whether there is an endpoint list, and the parts of it that operators see. Only the endpoint list actor writes it.
 #[derive(Default)]
 pub struct EndpointListStatus {
     known: Cell<bool>,
@@ -14,27 +14,27 @@
 }
 
 impl EndpointListStatus {
-    /// Whether the delivery policy has a list to decide by.
+    /// Whether the delivery policy has been sent a list, which may be an old one.
     pub fn is_known(&self) -> bool {
         self.known.get()
     }
 
-    /// The delivery policy has a list.
+    /// Records that the delivery policy has been sent a list.
     pub fn set_known(&self) {
         self.known.set(true);
     }
 
-    /// Whether this process has received a list from the platform, or has waited long enough for one.
+    /// Whether calls may go out: this process has received a list from the platform, or has waited long enough for one.
     pub fn is_received(&self) -> bool {
         self.received.is_set()
     }
 
-    /// Calls may go out.
+    /// Lets calls go out.
     pub fn set_received(&self) {
         self.received.set();
     }
 
-    /// Returns once [`is_received`](Self::is_received) holds.
+    /// Returns once [`is_received`](Self::is_received) is true.
     pub async fn until_received(&self) {
         self.received.wait().await;
     }
@@ -49,12 +49,12 @@
         *self.cordoned.borrow_mut() = ids;
     }
 
-    /// What counters show of the registry's part of the list, where there is a registry.
+    /// The registry's part of the list, as the counters report it; `None` without a registry.
     pub fn registry_view(&self) -> Ref<'_, Option<Value>> {
         self.registry_view.borrow()
     }
 
-    /// Replaces what counters show of the registry's part of the list.
+    /// Replaces the report of the registry's part of the list.
     pub fn set_registry_view(&self, view: Option<Value>) {
         *self.registry_view.borrow_mut() = view;
     }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,4 +1,4 @@
-//! What is exchanged with the platform around the forwarder: the endpoint list, delivery reports, the registry.
+//! Communication with the platform that the forwarder runs on: the endpoint list, the delivery reports and the registry.
 
 pub mod delivery_reports;
 pub mod endpoint_list;
--- a/src/net/platform/report_post.rs
+++ b/src/net/platform/report_post.rs
@@ -1,4 +1,4 @@
-//! One request that brings delivery reports to the platform, and those that are still waited for although they are late.
+//! Sends delivery reports to the platform in one request, and waits in the background for responses that are late.
 
 use crate::net::dial::connect_within;
 use crate::net::http::{HttpConnection, HttpError};
@@ -11,37 +11,37 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-/// A connection to the platform comes up within this, or another is tried.
+/// Time limit for establishing a connection to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// A late answer is waited for so long.
+/// How long a late response is waited for.
 const LATE_TIMEOUT: Duration = Duration::from_secs(10);
-/// So many late answers are waited for at once.
+/// How many late responses are waited for at the same time.
 const MAX_LATE: usize = 3;
-/// The largest body of a response that is read.
+/// The largest response body that is read.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// A connection that can be used again.
+/// A reusable connection to the platform.
 pub(super) struct PlatformConnection {
     pub address: SocketAddr,
     pub connection: HttpConnection,
 }
 
-/// What the platform has answered.
-pub(super) struct PostAnswer {
-    /// The status of the response.
+/// The platform's response to a request with delivery reports.
+pub(super) struct PostResponse {
+    /// The HTTP status.
     pub status: u16,
-    /// The connection, if it can be used again.
+    /// The connection, if it can be reused.
     pub connection: Option<PlatformConnection>,
 }
 
-/// A request that is under way.
-pub(super) type Posting = Pin<Box<dyn Future<Output = Result<PostAnswer, HttpError>>>>;
+/// A request in flight.
+pub(super) type PendingPost = Pin<Box<dyn Future<Output = Result<PostResponse, HttpError>>>>;
 
-/// Sends reports to an address, on a connection that leads there or on a new one, and receives the response.
-pub(super) fn post(address: SocketAddr, open: Option<HttpConnection>, body: String) -> Posting {
+/// Sends reports to an address and receives the response. Opens a connection if none is given.
+pub(super) fn post(address: SocketAddr, reusable: Option<HttpConnection>, body: String) -> PendingPost {
     Box::pin(async move {
-        let mut connection = match open {
-            Some(open) => open,
+        let mut connection = match reusable {
+            Some(reusable) => reusable,
             None => HttpConnection::new(connect_within(address, CONNECT_TIMEOUT).await?),
         };
         let head = format!("POST /reports HTTP/1.1\r\nHost: {address}\r\nContent-Type: application/json\r\n");
@@ -50,52 +50,53 @@
         let response = connection.read_response().await?;
         connection.response_body(&response, MAX_RESPONSE_BYTES).await?;
         let connection = response.keep_alive.then_some(PlatformConnection { address, connection });
-        Ok(PostAnswer { status: response.status, connection })
+        Ok(PostResponse { status: response.status, connection })
     })
 }
 
-/// How a late request ended.
-pub(super) struct LateAnswer {
-    /// The messages whose reports it brought.
+/// The outcome of a request whose response was late.
+pub(super) struct LateResponse {
+    /// The messages whose reports the request contained.
     pub ids: Vec<MessageId>,
-    /// The answer, unless its connection failed or stayed silent.
-    pub answer: Option<PostAnswer>,
+    /// The response; `None` if the connection failed or no response came.
+    pub response: Option<PostResponse>,
 }
 
-/// Requests whose answers are late. Guards against reports that are repeated without end to a platform that is slow: each try
-/// would be abandoned just before it is confirmed.
+/// The requests whose responses are late. Without them, reports to a slow platform would be repeated endlessly: each attempt
+/// would be abandoned shortly before its confirmation.
 pub(super) struct LatePosts {
     waiting: usize,
-    ended: Sender<LateAnswer>,
-    answers: Receiver<LateAnswer>,
+    sender: Sender<LateResponse>,
+    receiver: Receiver<LateResponse>,
 }
 
 impl LatePosts {
-    /// None yet.
+    /// Creates the set without any late request.
     pub fn new() -> Self {
-        let (ended, answers) = async_channel::bounded(MAX_LATE);
-        LatePosts { waiting: 0, ended, answers }
+        let (sender, receiver) = async_channel::bounded(MAX_LATE);
+        LatePosts { waiting: 0, sender, receiver }
     }
 
-    /// Waits for an answer in the background. Beyond the limit the request is dropped: those before it are closer to theirs.
-    pub fn wait_for(&mut self, executor: &LocalExecutor<'static>, ids: Vec<MessageId>, posting: Posting) {
+    /// Waits for a response in the background. If too many requests are waiting already, the new one is dropped, because the
+    /// earlier ones are closer to their responses.
+    pub fn wait_for(&mut self, executor: &LocalExecutor<'static>, ids: Vec<MessageId>, post: PendingPost) {
         if self.waiting >= MAX_LATE {
             return;
         }
         self.waiting += 1;
-        let ended = self.ended.clone();
-        let waiting = async move {
-            let answer = within_or_error(posting, LATE_TIMEOUT).await.ok();
-            // Where the process has handed over, the successor sends the reports.
-            let _ = ended.send(LateAnswer { ids, answer }).await;
+        let sender = self.sender.clone();
+        let wait = async move {
+            let response = within_or_error(post, LATE_TIMEOUT).await.ok();
+            // The receiver is gone only after a hand-over; the successor then sends the reports.
+            let _ = sender.send(LateResponse { ids, response }).await;
         };
-        executor.spawn(waiting).detach();
+        executor.spawn(wait).detach();
     }
 
-    /// The next late request that ends.
-    pub async fn next(&mut self) -> Option<LateAnswer> {
-        let ended = self.answers.recv().await.ok()?;
+    /// Waits for the outcome of the next late request.
+    pub async fn next(&mut self) -> Option<LateResponse> {
+        let late = self.receiver.recv().await.ok()?;
         self.waiting -= 1;
-        Some(ended)
+        Some(late)
     }
 }
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -1,25 +1,27 @@
-//! What makes a file of routes unfit: names, matches and overlaps of the entries. Each error names what collides and what
-//! would be right.
+//! Checks the names, matches and overlaps of the entries in the `routes` section. Each error names the conflicting values
+//! and what would be valid.
 
 use super::check_timing::check_timing;
 use super::plan::{MatchShape, Plan, Route};
-use super::{Pause, Platform, Timing, WrittenMatch, WrittenRoute};
+use super::{Pause, Platform, Timing, ParsedMatch, ParsedRoute};
 use crate::config_error::{ConfigError, ErrorCode, Located, Position};
 use crate::durations::format_duration;
 use crate::{ClassId, DestinationId, KindId};
 use std::collections::hash_map::{Entry, HashMap};
 
-/// An entry whose `match` can be read.
+/// A route whose `match` is valid.
 struct AcceptedRoute {
     route: Route,
     destinations: Vec<DestinationId>,
-    /// Where its `match` stands.
+    /// The position of the `match` map in the file.
     match_at: Position,
+    /// Whether the route overlaps with an equally specific one.
     overlaps: bool,
 }
 
-/// Checks the entries and makes a plan of those whose `match` can be read; it may be used only if no error was recorded.
-pub fn check_routes(entries: &[WrittenRoute], platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Plan {
+/// Checks the entries and builds the route table from those whose `match` is valid. The table may be used only if no error
+/// was recorded.
+pub fn check_routes(entries: &[ParsedRoute], platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Plan {
     check_names(entries, errors);
     let mut accepted: Vec<AcceptedRoute> =
         entries.iter().filter_map(|entry| accept(entry, platform, errors)).collect();
@@ -33,7 +35,7 @@
 }
 
 fn accept(
-    entry: &WrittenRoute,
+    entry: &ParsedRoute,
     platform: Platform<'_>,
     errors: &mut Vec<ConfigError>,
 ) -> Option<AcceptedRoute> {
@@ -42,18 +44,18 @@
     if entry.is_complete {
         check_timing(entry, shape, &timing, platform, errors);
     }
-    let named = entry.matches.destinations.iter().flatten();
+    let destinations = entry.matches.destinations.iter().flatten();
     Some(AcceptedRoute {
         route: Route { name: entry.name.value.clone(), line: entry.at.line, shape, timing },
-        destinations: named.map(|destination| destination.value).collect(),
+        destinations: destinations.map(|destination| destination.value).collect(),
         match_at: entry.matches.at,
         overlaps: false,
     })
 }
 
-fn check_names(entries: &[WrittenRoute], errors: &mut Vec<ConfigError>) {
+fn check_names(entries: &[ParsedRoute], errors: &mut Vec<ConfigError>) {
     let mut positions: HashMap<&str, Position> = HashMap::new();
-    for WrittenRoute { name, .. } in entries {
+    for ParsedRoute { name, .. } in entries {
         match positions.entry(&name.value) {
             Entry::Vacant(vacant) => {
                 vacant.insert(name.at);
@@ -67,7 +69,7 @@
 }
 
 fn resolve(
-    matches: &WrittenMatch,
+    matches: &ParsedMatch,
     platform: Platform<'_>,
     errors: &mut Vec<ConfigError>,
 ) -> Option<MatchShape> {
@@ -78,7 +80,7 @@
     Some(MatchShape { names_destinations: matches.destinations.is_some(), kind, class })
 }
 
-/// The position of a name that may be left out; none if it is unknown.
+/// Looks up an optional name. Returns `Some(None)` if no name is given, and `None` if the name is unknown.
 fn resolve_name(
     given: &Option<Located<String>>,
     known: &[String],
@@ -96,12 +98,12 @@
     index.map(Some)
 }
 
-/// The figures of an entry; the pauses are checked against each other.
-fn timing_of(entry: &WrittenRoute, errors: &mut Vec<ConfigError>) -> Timing {
+/// Converts the timing of an entry; checks that its longest pause is not shorter than the first.
+fn timing_of(entry: &ParsedRoute, errors: &mut Vec<ConfigError>) -> Timing {
     if let Some(pause) = entry.pause.filter(|pause| pause.max.value < pause.first.value) {
         let (first, longest) = (format_duration(pause.first.value), format_duration(pause.max.value));
         let reason =
-            format!("the longest pause {longest} is under the first one {first}; it must be {first} or more");
+            format!("the longest pause {longest} is shorter than the first, {first}; it must be {first} or more");
         errors.push(ConfigError::new(pause.max.at, ErrorCode::Pause, reason));
     }
     Timing {
@@ -113,18 +115,22 @@
     }
 }
 
-/// What one entry shares with an earlier one of the same shape.
+/// The overlap of a route with an earlier one that has the same criteria.
 struct Overlap {
+    /// Index of the earlier route.
     earlier: usize,
+    /// The first destination that both routes name; `None` if they do not name destinations.
     first_destination: Option<DestinationId>,
+    /// The number of destinations that both routes name.
     count: usize,
 }
 
-/// Entries of one shape exclude each other but for what their lists of destinations share.
+/// Records an error for each pair of routes with the same criteria that match a common message: routes that name
+/// destinations overlap in the destinations that both name, other routes overlap entirely.
 fn check_overlaps(accepted: &mut [AcceptedRoute], errors: &mut Vec<ConfigError>) {
-    let mut first_by_criterion: HashMap<(MatchShape, Option<DestinationId>), usize> = HashMap::new();
+    let mut first_by_criteria: HashMap<(MatchShape, Option<DestinationId>), usize> = HashMap::new();
     for index in 0..accepted.len() {
-        for overlap in overlaps_of(index, &accepted[index], &mut first_by_criterion) {
+        for overlap in overlaps_of(index, &accepted[index], &mut first_by_criteria) {
             errors.push(overlap_error(&accepted[index], &accepted[overlap.earlier], &overlap));
             accepted[index].overlaps = true;
             accepted[overlap.earlier].overlaps = true;
@@ -135,7 +141,7 @@
 fn overlaps_of(
     index: usize,
     accepted: &AcceptedRoute,
-    first_by_criterion: &mut HashMap<(MatchShape, Option<DestinationId>), usize>,
+    first_by_criteria: &mut HashMap<(MatchShape, Option<DestinationId>), usize>,
 ) -> Vec<Overlap> {
     let shape = accepted.route.shape;
     let destinations: Vec<Option<DestinationId>> = match shape.names_destinations {
@@ -144,7 +150,7 @@
     };
     let mut overlaps: Vec<Overlap> = Vec::new();
     for destination in destinations {
-        let earlier = *first_by_criterion.entry((shape, destination)).or_insert(index);
+        let earlier = *first_by_criteria.entry((shape, destination)).or_insert(index);
         if earlier == index {
             continue;
         }
@@ -160,17 +166,18 @@
     let common = match (overlap.first_destination, overlap.count) {
         (Some(destination), 1) => format!("destination {}", destination.0),
         (Some(destination), count) => format!("destination {} and {} more", destination.0, count - 1),
-        (None, _) => "all that they match".into(),
+        (None, _) => "every message that they match".into(),
     };
     let reason = format!(
         "`{}` and `{}` (line {}) are equally specific and could both win for {common}; make one of them more \
-         specific, or give it to one only",
+         specific, or match these messages in only one of them",
         later.route.name, earlier.route.name, earlier.route.line
     );
     ConfigError::new(later.match_at, ErrorCode::Overlap, reason)
 }
 
-/// Entries that can never win. One that overlaps with another or names no destination that can be read has an error already.
+/// Records an error for each route that can never win. A route that overlaps with another, or has no valid destination, has
+/// an error already.
 fn check_shadowed(accepted: &[AcceptedRoute], plan: &Plan, errors: &mut Vec<ConfigError>) {
     for (accepted, wins) in accepted.iter().zip(plan.winners()) {
         let names_none = accepted.route.shape.names_destinations && accepted.destinations.is_empty();
@@ -178,7 +185,7 @@
             continue;
         }
         let reason = format!(
-            "`{}` never wins: for every message that it matches, a more specific entry does; remove it or them",
+            "`{}` never wins: for every message that it matches, a more specific entry wins; remove it, or the others",
             accepted.route.name
         );
         errors.push(ConfigError::new(accepted.match_at, ErrorCode::Shadowed, reason));
--- a/src/routes/check_timing.rs
+++ b/src/routes/check_timing.rs
@@ -1,15 +1,16 @@
-//! The figures of an entry, checked against each other, the settings and the classes that the entry is for.
+//! Checks the timing of an entry against itself, the settings and the classes that the entry matches.
 
 use super::plan::MatchShape;
-use super::{worst_case, Platform, Timing, WrittenRoute, MAX_ATTEMPTS_PER_MESSAGE};
+use super::{worst_case, Platform, Timing, ParsedRoute, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::durations::format_duration;
 use crate::policy::max_attempt_timeout;
 use crate::{Class, Idempotency, Micros};
 
-/// Checks the figures of an entry. Of several classes the one with the least slack is reported.
+/// Checks the timing of an entry. If several matching classes have the same error, only the one with the least slack is
+/// reported.
 pub(super) fn check_timing(
-    entry: &WrittenRoute,
+    entry: &ParsedRoute,
     shape: MatchShape,
     timing: &Timing,
     platform: Platform<'_>,
@@ -34,8 +35,8 @@
     }
 }
 
-/// Whether the number of attempts is allowed, or not given.
-fn check_attempts(entry: &WrittenRoute, platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> bool {
+/// Checks the number of attempts; returns whether it is allowed or left out.
+fn check_attempts(entry: &ParsedRoute, platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> bool {
     let allowed = platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE);
     let Some(attempts) = entry.attempts else { return true };
     let problem = match attempts.value {
@@ -48,13 +49,13 @@
         }
         _ => return true,
     };
-    let reason = format!("{problem}; 1 to {allowed} are right");
+    let reason = format!("{problem}; 1 to {allowed} are allowed");
     errors.push(ConfigError::new(attempts.at, ErrorCode::Attempts, reason));
     false
 }
 
 fn matching_classes<'a>(
-    entry: &'a WrittenRoute,
+    entry: &'a ParsedRoute,
     shape: MatchShape,
     timing: &'a Timing,
     platform: Platform<'a>,
@@ -66,7 +67,7 @@
 }
 
 fn check_hedge(
-    entry: &WrittenRoute,
+    entry: &ParsedRoute,
     timing: &Timing,
     classes: &[ClassCheck<'_>],
     settings_allow_hedging: bool,
@@ -75,33 +76,33 @@
     let Some(after) = entry.hedge_after else { return };
     let longest_timeout = classes.iter().map(ClassCheck::attempt_timeout).max().unwrap_or(0);
     if after.value < longest_timeout {
-        let (copy, cut) = (format_duration(after.value), format_duration(longest_timeout));
+        let (delay, timeout) = (format_duration(after.value), format_duration(longest_timeout));
         let mut reason = format!(
-            "a second copy after {copy} would go out while the first may be out for {cut}; `after` must be {cut} \
-             or more"
+            "a second copy after {delay} would be sent while the first may be in flight for {timeout}; `after` must be \
+             {timeout} or more"
         );
         if timing.timeout.is_none() {
-            reason += ", or a `timeout` be set";
+            reason += ", or a `timeout` must be set";
         }
         if settings_allow_hedging {
-            reason += " (that the settings allow two at once changes nothing: a message never has two out)";
+            reason += " (even if the settings allow hedging, a message never has two attempts in flight)";
         }
         errors.push(ConfigError::new(after.at, ErrorCode::HedgedRequest, reason));
     }
     let mut classes = classes.iter();
     if let Some(single) = classes.find(|checked| checked.class.idempotency == Idempotency::NonIdempotent) {
         let reason = format!(
-            "class `{}` allows one attempt that may have run, and a second copy would be another; leave it out, \
-             or match other classes only",
+            "class `{}` allows only one attempt that may have run, and a second copy would be another; remove \
+             `second-copy`, or match other classes only",
             single.name
         );
         errors.push(ConfigError::new(after.at, ErrorCode::NonIdempotent, reason));
     }
 }
 
-/// An entry checked against one class that it is for.
+/// Checks an entry against one class that it matches.
 struct ClassCheck<'a> {
-    entry: &'a WrittenRoute,
+    entry: &'a ParsedRoute,
     timing: &'a Timing,
     class: &'a Class,
     name: &'a str,
@@ -109,19 +110,19 @@
 }
 
 impl ClassCheck<'_> {
-    /// How long an attempt may be in flight.
+    /// The longest time that an attempt may be in flight.
     fn attempt_timeout(&self) -> Micros {
         self.timing.attempt_timeout(max_attempt_timeout(self.class.idempotency))
     }
 
-    /// The attempts that the entry sets: what it leaves to the policy ends in time by itself.
+    /// The number of attempts that the entry determines. Other attempts are left to the policy, which ends them in time.
     fn attempts(&self) -> u32 {
-        let copies = 1 + u32::from(self.timing.hedge_after.is_some());
-        let default = if self.timing.timeout.is_some() { copies } else { copies - 1 };
+        let with_hedge = 1 + u32::from(self.timing.hedge_after.is_some());
+        let default = if self.timing.timeout.is_some() { with_hedge } else { with_hedge - 1 };
         self.timing.attempts.unwrap_or(default)
     }
 
-    /// The end of the worst case of so many attempts, counted from the receipt of the message.
+    /// The end of the worst case of the given number of attempts, counted from the receipt of the message.
     fn worst_end_of(&self, attempts: u32) -> Micros {
         let worst_case = worst_case(self.timing, self.attempt_timeout(), attempts);
         worst_case.last().map_or(0, |attempt| attempt.abandoned_at)
@@ -131,25 +132,25 @@
         self.worst_end_of(self.attempts())
     }
 
-    /// Where an error of the sum is reported.
-    fn sum_position(&self) -> Position {
+    /// The position at which an error of the worst case is reported.
+    fn worst_case_position(&self) -> Position {
         let attempts = self.entry.attempts.map(|attempts| attempts.at);
         let timeout = self.entry.timeout.map(|timeout| timeout.at);
         attempts.or(timeout).unwrap_or(self.entry.at)
     }
 
-    /// How the worst case adds up.
-    fn describe_sum(&self) -> String {
+    /// Describes how long the attempts take in the worst case.
+    fn describe_worst_case(&self) -> String {
         let timeout = format_duration(self.attempt_timeout());
         let is_set = self.timing.timeout.is_some();
-        let origin = if is_set { "" } else { ", the longest that is left to the module," };
+        let origin = if is_set { "" } else { ", the longest timeout of the policy," };
         let has_pauses = self.timing.pause.is_some() || self.timing.hedge_after.is_some();
-        let pauses = if has_pauses { " with what lies between them" } else { "" };
+        let pauses = if has_pauses { " with the pauses between them" } else { "" };
         let end = format_duration(self.worst_end());
         format!("{} attempts of {timeout}{origin}{pauses} may take {end}", self.attempts())
     }
 
-    /// How many attempts would end in time.
+    /// Describes how many attempts would end before the limit.
     fn describe_fitting(&self, limit: Micros) -> String {
         let fits = |attempts: &u32| self.worst_end_of(*attempts) + self.min_step_interval <= limit;
         match (1..self.attempts()).rev().find(fits) {
@@ -165,7 +166,7 @@
         };
         let (given, deadline) = (format_duration(after.value), format_duration(self.class.deadline));
         let reason = format!(
-            "give-up after {given} lies beyond the deadline {deadline} of class `{}`; {deadline} at most is right",
+            "`give-up` after {given} is later than the deadline {deadline} of class `{}`; it must be {deadline} or less",
             self.name
         );
         errors.push(ConfigError::new(after.at, ErrorCode::Deadline, reason));
@@ -176,18 +177,18 @@
         let deadline = self.class.deadline;
         if end > deadline {
             let reason = format!(
-                "{}, which cannot end before the deadline {} of class `{}`; {}",
-                self.describe_sum(),
+                "{}, which is too long for the deadline {} of class `{}`; {}",
+                self.describe_worst_case(),
                 format_duration(deadline),
                 self.name,
                 self.describe_fitting(deadline)
             );
-            errors.push(ConfigError::new(self.sum_position(), ErrorCode::Deadline, reason));
+            errors.push(ConfigError::new(self.worst_case_position(), ErrorCode::Deadline, reason));
         }
         if let Some(after) = self.entry.abandon_after.filter(|after| end > after.value) {
             let reason = format!(
-                "{}, which cannot end before the give-up after {}; {}",
-                self.describe_sum(),
+                "{}, which is too long for `give-up` after {}; {}",
+                self.describe_worst_case(),
                 format_duration(after.value),
                 self.describe_fitting(after.value)
             );
@@ -198,19 +199,19 @@
     fn check_deduplication_window(&self, errors: &mut Vec<ConfigError>) {
         let attempts = worst_case(self.timing, self.attempt_timeout(), self.attempts());
         let window = self.class.deduplication_window;
-        let mut repeats = attempts.iter().skip(1);
-        let Some(late) = repeats.find(|repeat| repeat.starts_at + self.min_step_interval >= window) else {
+        let mut retries = attempts.iter().skip(1);
+        let Some(late) = retries.find(|retry| retry.starts_at + self.min_step_interval >= window) else {
             return;
         };
         let reason = format!(
-            "attempt {} could begin {} after the first that may have run, but repeats of class `{}` are dropped \
-             only for {}; {} at most are right",
+            "attempt {} could start {} after the first that may have run, but duplicates of class `{}` are dropped \
+             only for {}; at most {} are allowed",
             late.number,
             format_duration(late.starts_at),
             self.name,
             format_duration(window),
             late.number - 1
         );
-        errors.push(ConfigError::new(self.sum_position(), ErrorCode::DeduplicationWindow, reason));
+        errors.push(ConfigError::new(self.worst_case_position(), ErrorCode::DeduplicationWindow, reason));
     }
 }
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -1,8 +1,8 @@
-//! Per-route timing: how long an attempt may take, how many there are, the pauses between them and when a message is
-//! abandoned, by destination, kind and class. It decides nothing about health, rate or endpoints, does no I/O and takes time
-//! as an argument; the policy asks it.
+//! Timeouts, retry limits, pauses and abandonment times per route. A route matches messages by their destination, its kind
+//! and the message's class. The delivery policy looks up the timing here; health, rate and the choice of the endpoint are
+//! decided elsewhere. This module does no I/O and takes time as an argument.
 //!
-//! `docs/routes.md` weighs the ways; `docs/operating-routes.md` is for operators.
+//! `docs/routes.md` compares the design alternatives; `docs/operating-routes.md` is the guide for operators.
 
 mod check;
 mod check_timing;
@@ -17,117 +17,118 @@
 pub use plan::{Plan, Route, RouteId};
 pub use timeline::{worst_case, WorstCaseAttempt};
 
-/// No message has more attempts than this, whatever the settings allow: a rule of the platform.
+/// The most attempts that a message may have, whatever the settings allow. It is a rule of the platform.
 pub const MAX_ATTEMPTS_PER_MESSAGE: u32 = 12;
 
-/// The pauses before further attempts, as written.
+/// The pauses between attempts in a parsed entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WrittenPause {
-    /// Before the second attempt; doubled before each further one ...
+pub struct ParsedPause {
+    /// The pause before the second attempt; it doubles before each further one.
     pub first: Located<Micros>,
-    /// ... up to this.
+    /// The longest pause.
     pub max: Located<Micros>,
 }
 
-/// Which messages an entry is for: all that is given must hold.
+/// The match of a parsed entry. It matches a message if all given criteria hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WrittenMatch {
-    /// Where it starts.
+pub struct ParsedMatch {
+    /// The position of the `match` map in the file.
     pub at: Position,
-    /// Any of these destinations.
+    /// The destinations of which the message must have one; `None` for any destination.
     pub destinations: Option<Vec<Located<DestinationId>>>,
-    /// The kind of the destination, by its name in the settings.
+    /// The name of the destination's kind; `None` for any kind.
     pub kind: Option<Located<String>>,
-    /// The class of the message, by its name in the settings.
+    /// The name of the message's class; `None` for any class.
     pub class: Option<Located<String>>,
 }
 
-/// An entry as it is written, not yet checked.
+/// A parsed entry of the `routes` section, not yet checked. Values that it leaves out are `None`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WrittenRoute {
-    /// Where it starts.
+pub struct ParsedRoute {
+    /// The position of the entry in the file.
     pub at: Position,
-    /// What operators call it.
+    /// The name of the route, for operators.
     pub name: Located<String>,
-    /// Which messages it is for.
-    pub matches: WrittenMatch,
-    /// How long one attempt may be in flight.
+    /// The messages to which the route applies.
+    pub matches: ParsedMatch,
+    /// The longest time that one attempt may be in flight.
     pub timeout: Option<Located<Micros>>,
-    /// Attempts, the first one included.
+    /// The most attempts, including the first.
     pub attempts: Option<Located<u64>>,
-    /// Before a further attempt.
-    pub pause: Option<WrittenPause>,
-    /// From the start of an attempt that timed out to the start of the hedged request at another endpoint.
+    /// The pauses between attempts.
+    pub pause: Option<ParsedPause>,
+    /// Time from the start of an attempt that timed out to the start of the hedged request to another endpoint.
     pub hedge_after: Option<Located<Micros>>,
-    /// From the receipt of a message to its abandonment.
+    /// Time from the receipt of a message to its abandonment.
     pub abandon_after: Option<Located<Micros>>,
-    /// All of it could be read: its figures can be checked against each other.
+    /// Whether all values could be read, so that they can be checked against each other.
     pub is_complete: bool,
 }
 
-/// What the platform's settings say; entries are checked against it.
+/// The platform's settings, against which the entries are checked.
 #[derive(Clone, Copy)]
 pub struct Platform<'a> {
-    /// Attempts, classes, kinds.
+    /// The limits of attempts, and the properties of the classes and kinds.
     pub settings: &'a Settings,
-    /// What classes and kinds are called.
+    /// The names of the classes and kinds.
     pub names: &'a Names,
 }
 
-/// The pauses before further attempts; none by default.
+/// The pauses between attempts; both are 0 by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pause {
-    /// Before the second attempt, in microseconds; doubled before each further one ...
+    /// The pause before the second attempt, in microseconds; it doubles before each further one.
     pub first: Micros,
-    /// ... up to this.
+    /// The longest pause, in microseconds.
     pub max: Micros,
 }
 
-/// What an entry sets for a message. What it leaves out is left to the policy.
+/// The timing that a route sets for a message. The delivery policy decides each value that is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Timing {
-    /// How long one attempt may be in flight.
+    /// The longest time that one attempt may be in flight.
     pub timeout: Option<Micros>,
-    /// Attempts, the first one included.
+    /// The most attempts, including the first.
     pub attempts: Option<u32>,
-    /// The pauses before further attempts.
+    /// The pauses between attempts.
     pub pause: Option<Pause>,
-    /// From the start of an attempt that timed out to the start of the hedged request at another endpoint.
+    /// Time from the start of an attempt that timed out to the start of the hedged request to another endpoint.
     pub hedge_after: Option<Micros>,
-    /// From the receipt of a message to its abandonment.
+    /// Time from the receipt of a message to its abandonment.
     pub abandon_after: Option<Micros>,
 }
 
 impl Timing {
-    /// How long an attempt may be in flight, given what the policy would allow it.
+    /// The timeout of an attempt: the route's, or else the policy's adaptive one.
     pub fn attempt_timeout(&self, adaptive: Micros) -> Micros {
         self.timeout.unwrap_or(adaptive)
     }
 
-    /// The most attempts, given what the settings allow.
+    /// The most attempts: the smaller of the route's limit and the one in the settings.
     pub fn max_attempts(&self, allowed: u32) -> u32 {
-        self.attempts.map_or(allowed, |a| a.min(allowed))
+        self.attempts.map_or(allowed, |attempts| attempts.min(allowed))
     }
 
-    /// When a message ends that was received and has its deadline at these times.
+    /// When a message is abandoned: at its deadline, or earlier if the route says so.
     pub fn ends_at(&self, received_at: Micros, deadline: Micros) -> Micros {
-        self.abandon_after.map_or(deadline, |g| deadline.min(received_at.saturating_add(g)))
+        self.abandon_after.map_or(deadline, |after| deadline.min(received_at.saturating_add(after)))
     }
 
-    /// The pause after so many attempts.
+    /// The pause after the given number of attempts; 0 if the route sets none.
     pub fn pause_after(&self, attempts: u32) -> Micros {
         let pause = self.pause.unwrap_or_default();
         let factor = 1u64.checked_shl(attempts.saturating_sub(1)).unwrap_or(u64::MAX);
         pause.first.saturating_mul(factor).min(pause.max)
     }
 
-    /// The earliest time of a further attempt, after so many, the last of which was sent at one time and has
-    /// come back at another. A copy of an attempt that was cut goes a set time after that one was sent; it
-    /// never goes while that one is out, as nothing asks before it has come back.
-    pub fn next_attempt(&self, attempts: u32, sent: Micros, back: Micros, cut: bool) -> Micros {
-        match self.hedge_after.filter(|_| cut) {
-            Some(after) => sent.saturating_add(after),
-            None => back.saturating_add(self.pause_after(attempts)),
+    /// The earliest time of the next attempt, from the number of attempts so far and from when the last one was sent and
+    /// ended. If the last one timed out and the route has a hedged request, that request follows a fixed time after the last
+    /// attempt was sent. It never goes out while that attempt is in flight, because this method is only called after the
+    /// attempt has ended.
+    pub fn next_attempt(&self, attempts: u32, sent_at: Micros, ended_at: Micros, timed_out: bool) -> Micros {
+        match self.hedge_after.filter(|_| timed_out) {
+            Some(after) => sent_at.saturating_add(after),
+            None => ended_at.saturating_add(self.pause_after(attempts)),
         }
     }
 }
--- a/src/routes/plan.rs
+++ b/src/routes/plan.rs
@@ -1,85 +1,90 @@
-//! The plan: which entry wins for a message, found in constant time and without allocation.
+//! The route table, which finds the route of a message in constant time and without allocation.
 
 use super::Timing;
 use crate::{ClassId, DestinationId, KindId};
 use rustc_hash::FxHashMap;
 
-/// Index of an entry in its plan.
+/// Index of a route in its table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteId(pub u32);
 
-/// An entry that was accepted.
+/// A route that was accepted from the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// What operators call it.
+    /// The name of the route, for operators.
     pub name: String,
-    /// The line of the file where it starts.
+    /// The line of the file in which the entry starts.
     pub line: u32,
-    /// What it matches: how many destinations (none: any), which kind, which class.
+    /// The criteria by which the route matches messages, without the list of destinations.
     pub shape: MatchShape,
-    /// What it sets.
+    /// The timing that the route sets.
     pub timing: Timing,
 }
 
-/// What an entry's `match` gives, resolved.
+/// The resolved criteria of an entry's `match`. The destinations themselves are kept in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct MatchShape {
-    /// It names destinations.
+    /// Whether the route is limited to a list of destinations.
     pub names_destinations: bool,
-    /// Its kind.
+    /// The kind of the destination; `None` for any.
     pub kind: Option<KindId>,
-    /// Its class.
+    /// The class of the message; `None` for any.
     pub class: Option<ClassId>,
 }
 
 impl MatchShape {
-    /// The higher wins: destination over kind over class over none, two criteria over either of them alone.
+    /// The rank by which the matching routes are ordered; the highest wins. Destination ranks over kind, and kind over
+    /// class. Two criteria rank over either of them alone.
     pub fn specificity(self) -> u8 {
         4 * u8::from(self.names_destinations)
             + 2 * u8::from(self.kind.is_some())
             + u8::from(self.class.is_some())
     }
 
-    /// Every criterion but the destination holds for such a message.
+    /// Whether the criteria match a message of this class to a destination of this kind. The destination itself is not
+    /// checked.
     pub fn matches(self, kind: Option<KindId>, class: ClassId) -> bool {
-        self.kind.is_none_or(|k| Some(k) == kind) && self.class.is_none_or(|c| c == class)
+        self.kind.is_none_or(|required| Some(required) == kind)
+            && self.class.is_none_or(|required| required == class)
     }
 
-    /// In words, for people.
+    /// Describes the criteria in words, for operators.
     pub fn describe(self, names: &crate::settings_json::Names) -> String {
-        let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
-        let kind = self.kind.map(|k| format!("kind {}", name(&names.kinds, k.0)));
-        let class = self.class.map(|c| format!("class {}", name(&names.classes, c.0)));
+        let name = |all: &[String], index: usize| all.get(index).cloned().unwrap_or_default();
+        let kind = self.kind.map(|kind| format!("kind {}", name(&names.kinds, kind.0)));
+        let class = self.class.map(|class| format!("class {}", name(&names.classes, class.0)));
         let destination = self.names_destinations.then(|| "its destination".to_owned());
-        let all: Vec<String> = [destination, kind, class].into_iter().flatten().collect();
-        if all.is_empty() {
+        let criteria: Vec<String> = [destination, kind, class].into_iter().flatten().collect();
+        if criteria.is_empty() {
             "everything".into()
         } else {
-            all.join(", ")
+            criteria.join(", ")
         }
     }
 }
 
-/// No entry.
-const NONE: u32 = u32::MAX;
+/// The value of a cell for which no route matches.
+const NO_ROUTE: u32 = u32::MAX;
 
-/// What was accepted of a file's routes. Empty, it leaves everything to the policy.
+/// The accepted routes of a file, with the winner for each combination of destination, kind and class precomputed. If it is
+/// empty, the delivery policy decides all timing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
     routes: Vec<Route>,
     kinds: usize,
     classes: usize,
-    /// The row of cells of each destination that an entry names.
+    /// The row of each destination that a route names.
     rows: FxHashMap<u64, u32>,
-    /// A row for each set of entries, the first for destinations that none names; in it a cell for each kind, the last for an
-    /// unknown kind, and each class.
+    /// The winning routes, in rows of equal width. There is one row for each distinct set of routes that name a destination;
+    /// the first row is for destinations that no route names. A row has a cell for each pair of kind and class, and an
+    /// unknown kind comes after all others.
     cells: Vec<u32>,
-    /// For each row, the entries that name its destinations; in the first, those that name none.
+    /// For each row, the routes that name its destinations; for the first row, the routes that name no destinations.
     members: Vec<Vec<u32>>,
 }
 
 impl Plan {
-    /// Lays out the cells for accepted entries, with the destinations that each names.
+    /// Builds the table from the accepted routes and the destinations that each of them names.
     pub(super) fn build(
         routes: Vec<Route>,
         destinations: &[Vec<DestinationId>],
@@ -88,27 +93,27 @@
     ) -> Plan {
         let mut by_destination: FxHashMap<u64, Vec<u32>> = FxHashMap::default();
         let mut general = Vec::new();
-        for (at, route) in routes.iter().enumerate() {
+        for (index, route) in routes.iter().enumerate() {
             if route.shape.names_destinations {
-                for d in &destinations[at] {
-                    by_destination.entry(d.0).or_default().push(at as u32);
+                for destination in &destinations[index] {
+                    by_destination.entry(destination.0).or_default().push(index as u32);
                 }
             } else {
-                general.push(at as u32);
+                general.push(index as u32);
             }
         }
         let mut plan = Plan { routes, kinds, classes, ..Plan::default() };
         plan.add_row(&general, None);
-        // Destinations of one list share a row: a long list costs a key each, no cells.
-        let mut known: FxHashMap<Vec<u32>, u32> = FxHashMap::default();
+        // Destinations named by the same routes share a row, so that each further one in a long list costs only a map entry.
+        let mut row_of_routes: FxHashMap<Vec<u32>, u32> = FxHashMap::default();
         let mut named: Vec<_> = by_destination.into_iter().collect();
         named.sort();
-        for (destination, own) in named {
-            let row = match known.get(&own) {
+        for (destination, naming_routes) in named {
+            let row = match row_of_routes.get(&naming_routes) {
                 Some(row) => *row,
                 None => {
-                    let row = plan.add_row(&own, Some(0));
-                    known.insert(own, row);
+                    let row = plan.add_row(&naming_routes, Some(0));
+                    row_of_routes.insert(naming_routes, row);
                     row
                 }
             };
@@ -117,67 +122,77 @@
         plan
     }
 
-    fn add_row(&mut self, entries: &[u32], base: Option<u32>) -> u32 {
+    /// Adds a row for the given routes and returns its index. A cell for which none of them matches is copied from the base
+    /// row.
+    fn add_row(&mut self, routes: &[u32], base_row: Option<u32>) -> u32 {
         let width = self.width();
         let row = self.members.len() as u32;
-        self.members.push(entries.to_vec());
-        for at in 0..width {
-            let (kind, class) = (at / self.classes, ClassId(at % self.classes));
+        self.members.push(routes.to_vec());
+        for column in 0..width {
+            let (kind, class) = (column / self.classes, ClassId(column % self.classes));
             let kind = (kind < self.kinds).then_some(KindId(kind));
-            let inherited = base.map_or(NONE, |b| self.cells[b as usize * width + at]);
-            let own = entries.iter().copied().filter(|e| self.routes[*e as usize].shape.matches(kind, class));
-            let best = own.max_by_key(|e| self.routes[*e as usize].shape.specificity());
+            let inherited = base_row.map_or(NO_ROUTE, |base| self.cells[base as usize * width + column]);
+            let matching =
+                routes.iter().copied().filter(|route| self.routes[*route as usize].shape.matches(kind, class));
+            let best = matching.max_by_key(|route| self.routes[*route as usize].shape.specificity());
             self.cells.push(best.unwrap_or(inherited));
         }
         row
     }
 
+    /// The number of cells in a row.
     fn width(&self) -> usize {
         (self.kinds + 1) * self.classes
     }
 
-    /// The entry that wins for a message; the kind is none while no endpoint of the destination was listed.
-    pub fn find(&self, to: DestinationId, kind: Option<KindId>, class: ClassId) -> Option<RouteId> {
+    /// Finds the route that wins for a message; `None` if no route matches. The kind is `None` as long as no endpoint of the
+    /// destination has been listed.
+    pub fn find(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Option<RouteId> {
         if class.0 >= self.classes {
             return None;
         }
-        let row = self.rows.get(&to.0).copied().unwrap_or(0) as usize;
-        let kind = kind.map_or(self.kinds, |k| k.0.min(self.kinds));
+        let row = self.rows.get(&destination.0).copied().unwrap_or(0) as usize;
+        let kind = kind.map_or(self.kinds, |kind| kind.0.min(self.kinds));
         let cell = self.cells[row * self.width() + kind * self.classes + class.0];
-        (cell != NONE).then_some(RouteId(cell))
+        (cell != NO_ROUTE).then_some(RouteId(cell))
     }
 
-    /// What holds for a message.
-    pub fn timing(&self, to: DestinationId, kind: Option<KindId>, class: ClassId) -> Timing {
-        self.find(to, kind, class).map_or(Timing::default(), |r| self.routes[r.0 as usize].timing)
+    /// The timing of the route that wins for a message; empty if no route matches.
+    pub fn timing(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Timing {
+        self.find(destination, kind, class).map_or(Timing::default(), |id| self.routes[id.0 as usize].timing)
     }
 
-    /// All entries that match a message, the one that wins first.
-    pub fn matching(&self, to: DestinationId, kind: Option<KindId>, class: ClassId) -> Vec<&Route> {
-        let own = self.rows.get(&to.0).map(|r| &self.members[*r as usize]);
-        let all = own.into_iter().chain(self.members.first()).flatten().map(|e| &self.routes[*e as usize]);
-        let mut all: Vec<&Route> = all.filter(|r| r.shape.matches(kind, class)).collect();
-        all.sort_by_key(|r| std::cmp::Reverse(r.shape.specificity()));
-        all
+    /// All routes that match a message, the winner first.
+    pub fn matching(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Vec<&Route> {
+        let naming_routes = self.rows.get(&destination.0).map(|row| &self.members[*row as usize]);
+        let candidates = naming_routes
+            .into_iter()
+            .chain(self.members.first())
+            .flatten()
+            .map(|index| &self.routes[*index as usize]);
+        let mut matching: Vec<&Route> =
+            candidates.filter(|route| route.shape.matches(kind, class)).collect();
+        matching.sort_by_key(|route| std::cmp::Reverse(route.shape.specificity()));
+        matching
     }
 
-    /// The entries, in the order of the file.
+    /// All routes, in the order of the file.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// There is no entry: everything is as without a file.
+    /// Whether there are no routes, so that the delivery policy decides all timing.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Which entries win for some message whose destination has a known kind.
+    /// For each route, whether it wins for any message whose destination has a known kind.
     pub(super) fn winners(&self) -> Vec<bool> {
         let mut wins = vec![false; self.routes.len()];
         let width = self.width();
-        let known = self.kinds * self.classes;
-        for (at, cell) in self.cells.iter().enumerate() {
-            if *cell != NONE && at % width < known {
+        let known_kind_columns = self.kinds * self.classes;
+        for (index, cell) in self.cells.iter().enumerate() {
+            if *cell != NO_ROUTE && index % width < known_kind_columns {
                 wins[*cell as usize] = true;
             }
         }
--- a/src/routes/timeline.rs
+++ b/src/routes/timeline.rs
@@ -1,4 +1,4 @@
-//! The worst case of an entry: attempt by attempt, if each times out and nothing else delays it.
+//! The worst case of a route: the times of all attempts if each one times out and nothing else delays them.
 
 use super::Timing;
 use crate::Micros;
@@ -6,28 +6,28 @@
 /// An attempt of the worst case; times count from the receipt of the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorstCaseAttempt {
-    /// Which attempt, from 1.
+    /// The number of the attempt, from 1.
     pub number: u32,
-    /// It starts at the latest then, if nothing but the attempts before it delays it.
+    /// The latest start, if only the earlier attempts delay it.
     pub starts_at: Micros,
-    /// It is abandoned at the latest then.
+    /// The latest time at which the attempt is abandoned.
     pub abandoned_at: Micros,
 }
 
-/// The worst case of so many attempts, each in flight for the timeout at most. An attempt that times out may be followed by a
-/// hedged request, one that ends just before its timeout by a pause: the later of the two counts.
+/// Computes the worst case of the given number of attempts with the given timeout. An attempt that times out may be followed
+/// by a hedged request, and one that ends just before its timeout by a pause; the later of the two counts.
 pub fn worst_case(timing: &Timing, timeout: Micros, attempts: u32) -> Vec<WorstCaseAttempt> {
-    let mut begins: Micros = 0;
+    let mut start: Micros = 0;
     (1..=attempts)
         .map(|attempt| {
             let step = WorstCaseAttempt {
                 number: attempt,
-                starts_at: begins,
-                abandoned_at: begins.saturating_add(timeout),
+                starts_at: start,
+                abandoned_at: start.saturating_add(timeout),
             };
-            let paused = step.abandoned_at.saturating_add(timing.pause_after(attempt));
-            let copied = timing.hedge_after.map_or(0, |after| begins.saturating_add(after));
-            begins = paused.max(copied);
+            let after_pause = step.abandoned_at.saturating_add(timing.pause_after(attempt));
+            let hedge_start = timing.hedge_after.map_or(0, |after| start.saturating_add(after));
+            start = after_pause.max(hedge_start);
             step
         })
         .collect()
--- a/src/site/fields.rs
+++ b/src/site/fields.rs
@@ -1,50 +1,57 @@
-//! Typed reading of the tree: each reader returns the value or records an error, so that one pass finds them all.
+//! Typed readers for the parsed tree. Each returns the value or records an error, so that one pass finds all errors.
 
 use super::node::{Node, NodeValue};
 use crate::config_error::{shortened, ConfigError, ErrorCode, Located, Position};
 use crate::durations::{parse_duration, DurationError};
 use crate::Micros;
 
-/// The keys of a map, each known and given once.
+/// The keys and values of a map whose keys have been checked.
 pub struct Fields<'a> {
     at: Position,
-    what: String,
-    all: &'a [(Located<String>, Node)],
+    /// What the map is called in errors.
+    subject: String,
+    entries: &'a [(Located<String>, Node)],
 }
 
 impl<'a> Fields<'a> {
-    /// Opens a map; records an error for each key that does not exist or is given twice.
-    pub fn open(node: &'a Node, what: &str, known: &[&str], errors: &mut Vec<ConfigError>) -> Option<Self> {
-        let NodeValue::Map(all) = &node.value else {
-            report_wrong_type(node, what, "a map", errors);
+    /// Opens a map; returns `None` and records an error if the value is not a map. Records an error for each key that is
+    /// unknown or given twice. `subject` is what errors call the map.
+    pub fn open(
+        node: &'a Node,
+        subject: &str,
+        known_keys: &[&str],
+        errors: &mut Vec<ConfigError>,
+    ) -> Option<Self> {
+        let NodeValue::Map(entries) = &node.value else {
+            report_wrong_type(node, subject, "a map", errors);
             return None;
         };
-        for (at, (key, _)) in all.iter().enumerate() {
+        for (index, (key, _)) in entries.iter().enumerate() {
             let name = shortened(&key.value);
-            if !known.contains(&key.value.as_str()) {
-                let reason = format!("{what} has no key `{name}`; its keys are {}", quoted_list(known));
+            if !known_keys.contains(&key.value.as_str()) {
+                let reason = format!("{subject} has no key `{name}`; its keys are {}", quoted_list(known_keys));
                 errors.push(ConfigError::new(key.at, ErrorCode::UnknownKey, reason));
-            } else if let Some((first, _)) = all[..at].iter().find(|f| f.0.value == key.value) {
+            } else if let Some((first, _)) = entries[..index].iter().find(|entry| entry.0.value == key.value) {
                 let reason = format!("`{name}` stands in line {} already", first.at.line);
                 errors.push(ConfigError::new(key.at, ErrorCode::RepeatedKey, reason));
             }
         }
-        Some(Fields { at: node.at, what: what.into(), all })
+        Some(Fields { at: node.at, subject: subject.into(), entries })
     }
 
-    /// The value of a key that may be left out.
+    /// The value of an optional key.
     pub fn get(&self, key: &str) -> Option<&'a Node> {
-        self.all.iter().find(|f| f.0.value == key).map(|f| &f.1)
+        self.entries.iter().find(|entry| entry.0.value == key).map(|entry| &entry.1)
     }
 
-    /// The value of a key that must be there.
+    /// The value of a required key; records an error if it is missing.
     pub fn require(&self, key: &str, errors: &mut Vec<ConfigError>) -> Option<&'a Node> {
-        let found = self.get(key);
-        if found.is_none() {
-            let reason = format!("{} needs a key `{key}`", self.what);
+        let value = self.get(key);
+        if value.is_none() {
+            let reason = format!("{} needs a key `{key}`", self.subject);
             errors.push(ConfigError::new(self.at, ErrorCode::MissingKey, reason));
         }
-        found
+        value
     }
 }
 
@@ -52,59 +59,61 @@
     keys.iter().map(|key| format!("`{key}`")).collect::<Vec<_>>().join(", ")
 }
 
-/// Records that a value has another type than it must have.
-pub fn report_wrong_type(node: &Node, what: &str, expected: &str, errors: &mut Vec<ConfigError>) {
-    let reason = format!("{what} must be {expected}, not {}", node.value.description());
+/// Records that a value has the wrong type.
+pub fn report_wrong_type(node: &Node, subject: &str, expected: &str, errors: &mut Vec<ConfigError>) {
+    let reason = format!("{subject} must be {expected}, not {}", node.value.description());
     errors.push(ConfigError::new(node.at, ErrorCode::Type, reason));
 }
 
-/// A text that is not empty.
-pub fn read_text(node: &Node, what: &str, errors: &mut Vec<ConfigError>) -> Option<Located<String>> {
+/// Reads a string that is not empty.
+pub fn read_text(node: &Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<Located<String>> {
     match &node.value {
-        NodeValue::Text(t) if !t.trim().is_empty() => Some(Located { value: t.clone(), at: node.at }),
+        NodeValue::Text(text) if !text.trim().is_empty() => {
+            Some(Located { value: text.clone(), at: node.at })
+        }
         _ => {
-            report_wrong_type(node, what, "a text", errors);
+            report_wrong_type(node, subject, "a text", errors);
             None
         }
     }
 }
 
-/// A whole number that is not negative.
-pub fn read_whole_number(node: &Node, what: &str, errors: &mut Vec<ConfigError>) -> Option<u64> {
+/// Reads a non-negative integer.
+pub fn read_whole_number(node: &Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<u64> {
     match node.value {
-        NodeValue::Whole(n) => Some(n),
+        NodeValue::Whole(number) => Some(number),
         _ => {
-            report_wrong_type(node, what, "a whole number", errors);
+            report_wrong_type(node, subject, "a whole number", errors);
             None
         }
     }
 }
 
-/// The items of a list.
-pub fn read_list<'a>(node: &'a Node, what: &str, errors: &mut Vec<ConfigError>) -> Option<&'a [Node]> {
+/// Reads the items of a list.
+pub fn read_list<'a>(node: &'a Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<&'a [Node]> {
     match &node.value {
-        NodeValue::List(all) => Some(all),
+        NodeValue::List(items) => Some(items),
         _ => {
-            report_wrong_type(node, what, "a list", errors);
+            report_wrong_type(node, subject, "a list", errors);
             None
         }
     }
 }
 
-/// A duration: a number with `ms`, `s` or `m`, above zero and a day at most.
-pub fn read_duration(node: &Node, what: &str, errors: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
+/// Reads a duration: a number with the unit `ms`, `s` or `m`, above zero and at most a day.
+pub fn read_duration(node: &Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
     let parsed = match &node.value {
         NodeValue::Text(text) => parse_duration(text),
         NodeValue::Whole(_) | NodeValue::Real(_) => Err(DurationError::NoUnit),
         _ => {
-            report_wrong_type(node, what, "a time such as 200ms, 6s or 2m", errors);
+            report_wrong_type(node, subject, "a time such as 200ms, 6s or 2m", errors);
             return None;
         }
     };
     match parsed {
         Ok(value) => Some(Located { value, at: node.at }),
         Err(error) => {
-            errors.push(ConfigError::new(node.at, error.code(), format!("{what}: {error}")));
+            errors.push(ConfigError::new(node.at, error.code(), format!("{subject}: {error}")));
             None
         }
     }
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! The site file: read completely and strictly, with the position of each value kept. What a section means is checked by the
-//! subsystem that it is for.
+//! Reads the site file. It rejects unknown keys and reports all errors at once, each with its position in the file. The
+//! contents of a section are checked by the subsystem that uses it.
 //!
-//! A later subsystem adds a key to `SECTIONS`, a field to [`Site`] and a reader of its own.
+//! To add a section, add its key to `SECTIONS`, a field to [`Site`] and a module that reads it.
 
 mod fields;
 mod node;
@@ -13,27 +13,27 @@
 use crate::routes::{check_routes, Plan, Platform};
 use fields::{read_whole_number, Fields};
 
-/// The one version of the file that is known.
+/// The only supported version of the file format.
 const VERSION: u64 = 1;
-/// No settings file is larger, in bytes; 10,000 entries come to about 2 MB.
+/// The largest file that is read, in bytes; 10,000 routes take about 2 MB.
 const MAX_FILE_BYTES: usize = 16 * 1024 * 1024;
 const SECTIONS: &[&str] = &["version", "routes", "registry"];
 
-/// A site file, checked: what each subsystem goes by.
+/// The checked contents of a site file.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
-    /// Timeouts, attempts, pauses and ends by route.
+    /// The timing of messages by route.
     pub routes: Plan,
-    /// A registry from which the endpoint list also comes.
+    /// The registry that is an additional source of the endpoint list; `None` if there is none.
     pub registry: Option<RegistrySettings>,
 }
 
 impl Site {
-    /// Reads and checks the text of a file against the platform's settings.
+    /// Parses the text of a site file and checks it against the platform's settings.
     ///
     /// # Errors
     ///
-    /// All errors at once, in the order of the file.
+    /// All errors in the file, in the order of their positions.
     pub fn read(text: &str, platform: Platform<'_>) -> Result<Site, Vec<ConfigError>> {
         let mut errors = Vec::new();
         let site = read(text, platform, &mut errors);
--- a/src/site/node.rs
+++ b/src/site/node.rs
@@ -1,4 +1,4 @@
-//! A YAML document as a tree in which every value has its position. It gives no meaning to what it reads.
+//! Parses a YAML document to a tree in which every value has its position. The values are interpreted elsewhere.
 
 use crate::config_error::{shortened, ConfigError, ErrorCode, Located, Position};
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
@@ -8,40 +8,40 @@
 /// A value of the document.
 #[derive(Clone, Debug)]
 pub struct Node {
-    /// Where it starts.
+    /// The position at which the value starts.
     pub at: Position,
-    /// The value.
+    /// The value with its type.
     pub value: NodeValue,
 }
 
-/// The types of YAML.
+/// A YAML value.
 #[derive(Clone, Debug)]
 pub enum NodeValue {
-    /// Nothing.
+    /// A null or empty value.
     Null,
-    /// True or false.
+    /// A boolean.
     Flag(bool),
-    /// A whole number that is not negative.
+    /// A non-negative integer.
     Whole(u64),
     /// Any other number.
     Real(f64),
-    /// A text.
+    /// A string.
     Text(String),
-    /// A list.
+    /// A sequence.
     List(Vec<Node>),
-    /// Keys and their values, in the order of the file, repeated ones too.
+    /// A mapping in the order of the file, including repeated keys.
     Map(Vec<(Located<String>, Node)>),
 }
 
 impl NodeValue {
-    /// What it is called in errors.
+    /// Describes the value for errors.
     pub fn description(&self) -> String {
         match self {
             NodeValue::Null => "nothing".into(),
-            NodeValue::Flag(b) => format!("`{b}`"),
-            NodeValue::Whole(n) => format!("the number {n}"),
-            NodeValue::Real(n) => format!("the number {n}"),
-            NodeValue::Text(t) => format!("the text `{}`", shortened(t)),
+            NodeValue::Flag(flag) => format!("`{flag}`"),
+            NodeValue::Whole(number) => format!("the number {number}"),
+            NodeValue::Real(number) => format!("the number {number}"),
+            NodeValue::Text(text) => format!("the text `{}`", shortened(text)),
             NodeValue::List(_) => "a list".into(),
             NodeValue::Map(_) => "a map".into(),
         }
@@ -122,11 +122,11 @@
     }
 }
 
-/// Parses a document.
+/// Parses a YAML document.
 ///
 /// # Errors
 ///
-/// If it is not YAML, is nested too deep or expands too far.
+/// If the text is not valid YAML, is nested too deeply, or expands to too much through its aliases.
 pub fn parse(text: &str) -> Result<Node, ConfigError> {
     let options = serde_saphyr::options! {
         duplicate_keys: DuplicateKeyPolicy::PassThrough,
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -1,4 +1,4 @@
-//! The section `registry`: read and checked.
+//! Reads and checks the `registry` section of the site file.
 
 use super::fields::{read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields};
 use super::node::{Node, NodeValue};
@@ -26,7 +26,7 @@
     "snapshot-after",
     "register",
 ];
-/// Polled more often than this, a registry is harmed.
+/// The shortest poll interval that is accepted, so that polls do not overload the registry.
 const MIN_POLL_INTERVAL: Micros = 100_000;
 const DEFAULT_POLL_INTERVAL: Micros = 1_000_000;
 const DEFAULT_TIMEOUT: Micros = 2_000_000;
@@ -41,14 +41,14 @@
 const DEFAULT_LEASE_DURATION: Micros = 90_000_000;
 const BYTES_PER_MB: u64 = 1_000_000;
 
-/// A first and a longest pause.
+/// The limits of a pause that grows from a first to a longest value.
 #[derive(Clone, Copy)]
 struct PausePair {
     first: Micros,
     max: Micros,
 }
 
-/// Reads the section; what it leaves out has the figures that Eureka's own clients use, or milder ones.
+/// Reads the section. The defaults are those of Eureka's own clients, or put less load on the registry.
 pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Option<RegistrySettings> {
     let section = Fields::open(node, "`registry`", KEYS, errors)?;
     let poll_interval = poll_interval(node, &section, errors);
@@ -71,16 +71,16 @@
 }
 
 fn duration_or(fields: &Fields<'_>, key: &str, default: Micros, errors: &mut Vec<ConfigError>) -> Micros {
-    let read = fields.get(key).and_then(|node| read_duration(node, &format!("`{key}`"), errors));
-    read.map_or(default, |duration| duration.value)
+    let duration = fields.get(key).and_then(|node| read_duration(node, &format!("`{key}`"), errors));
+    duration.map_or(default, |duration| duration.value)
 }
 
 fn poll_interval(node: &Node, section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Micros {
     let interval = duration_or(section, "poll", DEFAULT_POLL_INTERVAL, errors);
     if interval < MIN_POLL_INTERVAL {
         let at = section.get("poll").map_or(node.at, |poll| poll.at);
-        let (given, least) = (format_duration(interval), format_duration(MIN_POLL_INTERVAL));
-        let reason = format!("polls every {given} harm a registry; {least} at least");
+        let (given, min) = (format_duration(interval), format_duration(MIN_POLL_INTERVAL));
+        let reason = format!("polls every {given} overload a registry; the interval must be {min} or more");
         errors.push(ConfigError::new(at, ErrorCode::Time, reason));
     }
     interval
@@ -95,7 +95,7 @@
     Some(mb)
 }
 
-/// Reads a first and a longest pause, from a section that may have further keys.
+/// Reads a first and a longest pause from a map that may have further keys.
 fn pause_pair(
     section: &Fields<'_>,
     key: &str,
@@ -115,7 +115,7 @@
     if pair.max < pair.first {
         let at = longest.or(first).map_or(node.at, |given| given.at);
         let (max, first) = (format_duration(pair.max), format_duration(pair.first));
-        let reason = format!("the longest, {max}, is under the first, {first}");
+        let reason = format!("the longest pause {max} is shorter than the first, {first}");
         errors.push(ConfigError::new(at, ErrorCode::Pause, reason));
     }
     pair
@@ -137,15 +137,15 @@
     HoldDown { first, max, forget_after }
 }
 
-/// Parses an address such as `http://10.0.0.5:8761/eureka/v2`.
+/// Parses an address such as `http://10.0.0.5:8761/eureka/v2`; `None` if it is invalid.
 fn parse_address(text: &str) -> Option<RegistryAddress> {
     let rest = text.strip_prefix("http://")?;
     let (host_and_port, path) = rest.split_once('/').unwrap_or((rest, ""));
     let (host, port) = host_and_port.rsplit_once(':')?;
     let host = host.trim_start_matches('[').trim_end_matches(']');
     let path = path.trim_end_matches('/');
-    let is_plain = |text: &str| text.chars().all(|c| c.is_ascii_graphic());
-    if host.is_empty() || !is_plain(host) || !is_plain(path) {
+    let is_printable = |text: &str| text.chars().all(|c| c.is_ascii_graphic());
+    if host.is_empty() || !is_printable(host) || !is_printable(path) {
         return None;
     }
     let path_prefix = if path.is_empty() { String::new() } else { format!("/{path}") };
@@ -157,7 +157,7 @@
     let address = parse_address(&given.value);
     if address.is_none() {
         let reason = format!(
-            "`{}` is no address of a registry; write it as http://HOST:PORT/PREFIX, such as \
+            "`{}` is not a registry address; write it as http://HOST:PORT/PREFIX, such as \
              http://10.0.0.5:8761/eureka/v2",
             given.value
         );
@@ -192,7 +192,7 @@
     let vip = section.get("vip").and_then(|node| read_text(node, "`vip`", errors));
     if let Some(vip) = vip {
         if !applications.is_empty() {
-            let reason = "`vip` and `apps` cannot both be asked for; leave one out";
+            let reason = "`vip` and `apps` cannot be combined; remove one of them";
             errors.push(ConfigError::new(vip.at, ErrorCode::Type, reason));
         }
         return PollScope::VirtualAddress(vip.value);
@@ -248,7 +248,7 @@
         let at = fields.get("lease").or(fields.get("renew")).map_or(node.at, |given| given.at);
         let (lease, renewal) = (format_duration(lease_duration), format_duration(renewal_interval));
         let reason =
-            format!("a lease of {lease} ends before it is renewed after {renewal}; it must be longer");
+            format!("a lease of {lease} expires before its renewal after {renewal}; it must be longer");
         errors.push(ConfigError::new(at, ErrorCode::Lease, reason));
     }
     let metadata = published_metadata(&fields, errors);
--- a/src/site/routes.rs
+++ b/src/site/routes.rs
@@ -1,35 +1,37 @@
-//! The section `routes`: its entries as they are written, before they are checked against each other and the settings.
+//! Reads the `routes` section of the site file. [`check_routes`](crate::routes::check_routes) then checks the entries
+//! against each other and the settings.
 
 use super::fields::{read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields};
 use super::node::{Node, NodeValue};
 use crate::config_error::{ConfigError, ErrorCode, Located};
-use crate::routes::{WrittenMatch, WrittenPause, WrittenRoute};
+use crate::routes::{ParsedMatch, ParsedPause, ParsedRoute};
 use crate::{DestinationId, Micros};
 use std::collections::HashMap;
 
 const KEYS: &[&str] = &["name", "match", "timeout", "attempts", "pause", "second-copy", "give-up"];
 
-/// Reads the entries. One with an error is kept, marked, so that the others can be checked against it.
-pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Vec<WrittenRoute> {
+/// Reads the entries. An entry whose timing has an error is kept, with `is_complete` unset, so that the other entries can be
+/// checked against it.
+pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Vec<ParsedRoute> {
     let items = read_list(node, "`routes`", errors).unwrap_or_default();
     items.iter().filter_map(|item| route(item, errors)).collect()
 }
 
-fn route(node: &Node, errors: &mut Vec<ConfigError>) -> Option<WrittenRoute> {
+fn route(node: &Node, errors: &mut Vec<ConfigError>) -> Option<ParsedRoute> {
     let errors_before_keys = errors.len();
     let fields = Fields::open(node, "an entry", KEYS, errors)?;
     let has_key_errors = errors.len() > errors_before_keys;
     let name = fields.require("name", errors).and_then(|node| read_text(node, "`name`", errors));
     let matches = fields.require("match", errors).and_then(|node| match_of(node, errors));
-    let errors_before_figures = errors.len();
+    let errors_before_timing = errors.len();
     let timeout = fields.get("timeout").and_then(|node| read_duration(node, "`timeout`", errors));
     let attempts = fields.get("attempts").and_then(|node| attempts(node, errors));
     let pause = fields.get("pause").and_then(|node| pause(node, errors));
     let hedge_after = fields.get("second-copy").and_then(|node| hedge_after(node, errors));
     let abandon_after = fields.get("give-up").and_then(|node| read_duration(node, "`give-up`", errors));
-    // A figure that was misread or misnamed would collide with the others for no reason.
-    let is_complete = !has_key_errors && errors.len() == errors_before_figures;
-    Some(WrittenRoute {
+    // If a value is missing because of an error, a check against the other values would report errors that do not exist.
+    let is_complete = !has_key_errors && errors.len() == errors_before_timing;
+    Some(ParsedRoute {
         at: node.at,
         name: name?,
         matches: matches?,
@@ -47,11 +49,11 @@
     Some(Located { value, at: node.at })
 }
 
-fn pause(node: &Node, errors: &mut Vec<ConfigError>) -> Option<WrittenPause> {
+fn pause(node: &Node, errors: &mut Vec<ConfigError>) -> Option<ParsedPause> {
     let fields = Fields::open(node, "`pause`", &["first", "longest"], errors)?;
     let first = fields.require("first", errors).and_then(|node| read_duration(node, "`first`", errors));
     let longest = fields.require("longest", errors).and_then(|node| read_duration(node, "`longest`", errors));
-    Some(WrittenPause { first: first?, max: longest? })
+    Some(ParsedPause { first: first?, max: longest? })
 }
 
 fn hedge_after(node: &Node, errors: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
@@ -59,22 +61,22 @@
     fields.require("after", errors).and_then(|node| read_duration(node, "`after`", errors))
 }
 
-fn match_of(node: &Node, errors: &mut Vec<ConfigError>) -> Option<WrittenMatch> {
+fn match_of(node: &Node, errors: &mut Vec<ConfigError>) -> Option<ParsedMatch> {
     let errors_before = errors.len();
     let fields = Fields::open(node, "`match`", &["destination", "kind", "class"], errors)?;
     if errors.len() > errors_before {
-        // What it is for is not known.
+        // With a wrong key it is not known which messages the entry is meant to match.
         return None;
     }
     let destinations = fields.get("destination").map(|node| destinations(node, errors));
     let kind = fields.get("kind").map(|node| read_text(node, "`kind`", errors));
     let class = fields.get("class").map(|node| read_text(node, "`class`", errors));
-    // Without a criterion that could not be read, the entry would seem to match more than it does.
-    let is_unreadable = matches!(kind, Some(None)) || matches!(class, Some(None));
-    if is_unreadable {
+    // Without an invalid criterion, the entry would match more messages than it is meant to.
+    let is_invalid = matches!(kind, Some(None)) || matches!(class, Some(None));
+    if is_invalid {
         return None;
     }
-    Some(WrittenMatch { at: node.at, destinations, kind: kind.flatten(), class: class.flatten() })
+    Some(ParsedMatch { at: node.at, destinations, kind: kind.flatten(), class: class.flatten() })
 }
 
 fn destination(node: &Node) -> Option<Located<DestinationId>> {
@@ -94,7 +96,7 @@
     };
     if items.is_empty() {
         let reason =
-            "`destination` lists nothing, so the entry would match nothing; leave it out to match all";
+            "`destination` is empty, so the entry would match nothing; remove it to match all destinations";
         errors.push(ConfigError::new(node.at, ErrorCode::NoDestination, reason));
     }
     let mut positions = HashMap::new();
