--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -3,7 +3,7 @@
 use super::{print, CommandError, Files};
 use crate::durations::{format_duration, parse_duration};
 use crate::membership::{
-    Listing, Membership, MembershipChange, PollKind, RegistrySettings, SourceId, SourceUpdate, State,
+    EntryState, Listing, Membership, MembershipChange, PollKind, RegistrySettings, SourceId, SourceUpdate,
 };
 use crate::net::platform::eureka::cache::{AppliedAnswer, UnusableEntry};
 use crate::net::platform::eureka::Registry;
@@ -213,7 +213,7 @@
 /// An entry as it is shown if the merged list does not have it. What is not up is never added; it is shown all the same.
 fn not_added(listing: &Listing) -> MembershipChange {
     let reason = match listing.state {
-        State::Up => "another stands at its address",
+        EntryState::Up => "another stands at its address",
         _ => "not in service, so not added",
     };
     MembershipChange {
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -6,7 +6,7 @@
 
 /// The state of an entry according to its source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
+pub enum EntryState {
     /// The endpoint is in service.
     Up,
     /// The endpoint must get no new calls.
@@ -19,21 +19,21 @@
     Unknown,
 }
 
-impl State {
+impl EntryState {
     /// The name of the state in the output of commands.
     pub fn name(self) -> &'static str {
         match self {
-            State::Up => "Up",
-            State::Draining => "Leaving",
-            State::Removed => "Gone",
-            State::Unknown => "Unknown",
+            EntryState::Up => "Up",
+            EntryState::Draining => "Leaving",
+            EntryState::Removed => "Gone",
+            EntryState::Unknown => "Unknown",
         }
     }
 }
 
 /// Identifies an entry within its source.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
+pub struct EntryKey {
     /// The application in the registry; empty for a source without groups.
     pub group: String,
     /// The id within the group.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
     /// Identifies the entry within its source.
-    pub key: Key,
+    pub key: EntryKey,
     /// The address on which the endpoint listens.
     pub address: SocketAddr,
     /// The destination that the endpoint serves.
@@ -56,7 +56,7 @@
     /// The capacity relative to other endpoints; 1.0 if the source gives none.
     pub weight: f64,
     /// The state according to the source.
-    pub state: State,
+    pub state: EntryState,
     /// When the entry last changed, as a time or counter of its source; 0 if the source has none. Stamps of different
     /// sources are never compared.
     pub stamp: u64,
@@ -77,7 +77,7 @@
         /// The changed entries in their new state.
         listings: Vec<Listing>,
         /// The removed entries, with the stamps of their removal.
-        removed: Vec<(Key, u64)>,
+        removed: Vec<(EntryKey, u64)>,
     },
 }
 
--- a/src/membership/merged_list.rs
+++ b/src/membership/merged_list.rs
@@ -1,6 +1,6 @@
 //! The merged endpoint list, built from the sources' views, with the operators' cordons applied.
 
-use super::listing::{Key, Listing, MembershipChange, SourceId, SourceUpdate};
+use super::listing::{EntryKey, Listing, MembershipChange, SourceId, SourceUpdate};
 use super::source_view::{SourcePolicy, SourceStats, SourceView};
 use crate::{EndpointId, Lifecycle, Micros};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 pub(super) enum EndpointIdentity {
     /// The key of an entry, whatever its address.
     #[serde(rename = "Named")]
-    ByKey(SourceId, Key),
+    ByKey(SourceId, EntryKey),
     /// The id and the address of an entry.
     #[serde(rename = "Placed")]
     ByAddress(SocketAddr, String),
@@ -32,9 +32,9 @@
     pub(super) views: Vec<SourceView>,
     source_names: Vec<&'static str>,
     /// The entries at each address that come from sources that identify by address.
-    pub(super) by_address_entries: HashMap<SocketAddr, BTreeSet<(SourceId, Key)>>,
+    pub(super) by_address_entries: HashMap<SocketAddr, BTreeSet<(SourceId, EntryKey)>>,
     /// The entries at each address that come from sources that identify by key.
-    pub(super) by_key_entries: HashMap<SocketAddr, BTreeSet<(SourceId, Key)>>,
+    pub(super) by_key_entries: HashMap<SocketAddr, BTreeSet<(SourceId, EntryKey)>>,
     pub(super) ids: HashMap<EndpointIdentity, EndpointId>,
     pub(super) last_id: u32,
     /// The last published change of each endpoint that is not removed, before cordons are applied.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -23,7 +23,7 @@
 mod source_view;
 mod watch_backoff;
 
-pub use listing::{Key, Listing, MembershipChange, SourceId, SourceUpdate, State};
+pub use listing::{EntryKey, EntryState, Listing, MembershipChange, SourceId, SourceUpdate};
 pub use merged_list::{Membership, MembershipSnapshot};
 pub use poll::{PollKind, PollRequest, Poller};
 pub use settings::{MetadataNames, PollBackoff, PollScope, Registration, RegistryAddress, RegistrySettings};
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -1,6 +1,6 @@
 //! The view of one source: the entries that it has sent and that were accepted. It is independent of the other sources.
 
-use super::listing::{Key, Listing, SourceUpdate, State};
+use super::listing::{EntryKey, EntryState, Listing, SourceUpdate};
 use crate::{Lifecycle, Micros};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -76,7 +76,7 @@
 
 /// An entry that an update touched.
 pub(super) struct TouchedEntry {
-    pub key: Key,
+    pub key: EntryKey,
     /// The address before the update; `None` if the entry was not in the view.
     pub previous_address: Option<SocketAddr>,
 }
@@ -113,17 +113,17 @@
 pub(super) struct SourceView {
     pub policy: SourcePolicy,
     pub stats: SourceStats,
-    entries: HashMap<Key, Entry>,
-    flaps: HashMap<Key, FlapHistory>,
-    tombstones: HashMap<Key, Tombstone>,
+    entries: HashMap<EntryKey, Entry>,
+    flaps: HashMap<EntryKey, FlapHistory>,
+    tombstones: HashMap<EntryKey, Tombstone>,
     /// When each entry was first missing from a doubted update.
-    missing_since: HashMap<Key, Micros>,
+    missing_since: HashMap<EntryKey, Micros>,
     version: Option<u64>,
     /// When the versions of updates first became lower than the view's version.
     version_lower_since: Option<Micros>,
     newest_stamp: u64,
     /// The ends of all hold-downs, earliest first.
-    timers: BTreeSet<(Micros, Key)>,
+    timers: BTreeSet<(Micros, EntryKey)>,
 }
 
 impl SourceView {
@@ -131,7 +131,7 @@
         SourceView { policy, ..SourceView::default() }
     }
 
-    pub fn get(&self, key: &Key) -> Option<&Listing> {
+    pub fn get(&self, key: &EntryKey) -> Option<&Listing> {
         self.entries.get(key).map(|entry| &entry.listing)
     }
 
@@ -144,12 +144,14 @@
     }
 
     /// The lifecycle that an entry has now; `None` if it is not in the view.
-    pub fn effective(&self, key: &Key, now: Micros) -> Option<Effective> {
+    pub fn effective(&self, key: &EntryKey, now: Micros) -> Option<Effective> {
         let entry = self.entries.get(key)?;
         let (lifecycle, observed_at, reason) = match (entry.listing.state, entry.held_down_until) {
-            (State::Up, Some(until)) if now < until => (Lifecycle::Draining, entry.observed_at, "held down"),
-            (State::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
-            (State::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
+            (EntryState::Up, Some(until)) if now < until => {
+                (Lifecycle::Draining, entry.observed_at, "held down")
+            }
+            (EntryState::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
+            (EntryState::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
             _ => (Lifecycle::Draining, entry.observed_at, "not in service"),
         };
         Some(Effective { lifecycle, observed_at, reason })
@@ -234,8 +236,8 @@
 
     fn apply_complete(&mut self, now: Micros, listings: Vec<Listing>, touched: &mut Vec<TouchedEntry>) {
         let newest_stamp = listings.iter().map(|listing| listing.stamp).max().unwrap_or(0);
-        let listed: HashSet<Key> = listings.iter().map(|listing| listing.key.clone()).collect();
-        let mut missing: Vec<Key> =
+        let listed: HashSet<EntryKey> = listings.iter().map(|listing| listing.key.clone()).collect();
+        let mut missing: Vec<EntryKey> =
             self.entries.keys().filter(|key| !listed.contains(*key)).cloned().collect();
         missing.sort();
         let is_doubted = self.doubts(missing.len(), newest_stamp);
@@ -263,7 +265,7 @@
         missing > 0 && (missing as f64 > max_missing || newest_stamp < self.newest_stamp)
     }
 
-    fn apply_removal(&mut self, now: Micros, key: &Key, stamp: u64, touched: &mut Vec<TouchedEntry>) {
+    fn apply_removal(&mut self, now: Micros, key: &EntryKey, stamp: u64, touched: &mut Vec<TouchedEntry>) {
         let is_stale = self.get(key).is_some_and(|known| stamp > 0 && stamp < known.stamp);
         if is_stale {
             self.stats.stale_entries += 1;
@@ -273,11 +275,11 @@
     }
 
     fn apply_listing(&mut self, now: Micros, listing: Listing, touched: &mut Vec<TouchedEntry>) {
-        if listing.state == State::Unknown {
+        if listing.state == EntryState::Unknown {
             return;
         }
         let known = self.get(&listing.key);
-        if known.is_none() && listing.state == State::Removed {
+        if known.is_none() && listing.state == EntryState::Removed {
             return;
         }
         // A registry repeats a change in its deltas for minutes. Entries that are identified by key are published each time.
@@ -289,7 +291,7 @@
             self.stats.stale_entries += 1;
             return;
         }
-        if listing.state == State::Removed {
+        if listing.state == EntryState::Removed {
             return self.remove(now, &listing.key, Some(listing.stamp), touched);
         }
         self.upsert(now, listing, touched);
@@ -312,10 +314,12 @@
         let previous_state = previous.as_ref().map(|entry| entry.listing.state);
         let has_moved = previous_address.is_some_and(|address| address != listing.address);
         let held_down_until = match (previous_state, listing.state) {
-            (Some(State::Up), State::Up) if !has_moved => previous.as_ref().and_then(|e| e.held_down_until),
+            (Some(EntryState::Up), EntryState::Up) if !has_moved => {
+                previous.as_ref().and_then(|e| e.held_down_until)
+            }
             // An entry that has moved to another address is a new process: it is held down only by the flaps of its key.
-            (_, State::Up) => self.hold_down(now, &key),
-            (Some(State::Up), _) => {
+            (_, EntryState::Up) => self.hold_down(now, &key),
+            (Some(EntryState::Up), _) => {
                 self.count_flap(now, &key);
                 None
             }
@@ -329,7 +333,7 @@
     }
 
     /// Counts that an entry left service.
-    fn count_flap(&mut self, now: Micros, key: &Key) {
+    fn count_flap(&mut self, now: Micros, key: &EntryKey) {
         let Some(hold_down) = self.policy.hold_down else { return };
         self.stats.flaps += 1;
         let recent = self.flaps.get(key).map_or(0, |flaps| flaps.recent_count(now, &hold_down));
@@ -338,7 +342,7 @@
 
     /// Starts the hold-down of an entry that entered service; returns its end, or `None` if the entry did not leave service
     /// recently.
-    fn hold_down(&mut self, now: Micros, key: &Key) -> Option<Micros> {
+    fn hold_down(&mut self, now: Micros, key: &EntryKey) -> Option<Micros> {
         let hold_down = self.policy.hold_down?;
         let recent = self.flaps.get(key)?.recent_count(now, &hold_down);
         if recent == 0 {
@@ -351,10 +355,10 @@
         Some(until)
     }
 
-    fn remove(&mut self, now: Micros, key: &Key, stamp: Option<u64>, touched: &mut Vec<TouchedEntry>) {
+    fn remove(&mut self, now: Micros, key: &EntryKey, stamp: Option<u64>, touched: &mut Vec<TouchedEntry>) {
         let Some(entry) = self.entries.remove(key) else { return };
         self.missing_since.remove(key);
-        if entry.listing.state == State::Up {
+        if entry.listing.state == EntryState::Up {
             self.count_flap(now, key);
         }
         // Only an explicit removal leaves a tombstone: an entry that one complete update lacks may be in the next.
--- a/src/net/platform/endpoint_list/decode.rs
+++ b/src/net/platform/endpoint_list/decode.rs
@@ -1,6 +1,6 @@
 //! Decodes a version of the endpoint list from the JSON of the platform's agent or of the configuration.
 
-use crate::membership::{Key, Listing, State};
+use crate::membership::{EntryKey, EntryState, Listing};
 use crate::settings_json::{index_of, Names, UnknownName};
 use crate::{DestinationId, KindId, ZoneId};
 use serde::Deserialize;
@@ -183,9 +183,9 @@
         let host_port = required_text(self.host_port, "hostPort")?;
         let address: SocketAddr = host_port.parse().map_err(|_| DecodeError::InvalidAddress(id.clone()))?;
         let state = match required_text(self.lifecycle, "lifecycle")?.as_str() {
-            "active" => State::Up,
-            "leaving" => State::Draining,
-            "left" => State::Removed,
+            "active" => EntryState::Up,
+            "leaving" => EntryState::Draining,
+            "left" => EntryState::Removed,
             other => return Err(DecodeError::UnknownLifecycle { id, lifecycle: other.to_owned() }),
         };
         let kind = required_text(self.machine_type, "machineType")?;
@@ -193,7 +193,7 @@
         let zone = required_text(self.zone, "zone")?;
         let zone = index_of(&names.zones, &zone, "zone")?;
         Ok(Listing {
-            key: Key { group: String::new(), id },
+            key: EntryKey { group: String::new(), id },
             address,
             destination: DestinationId(required_integer(self.cell, "cell")?),
             zone: ZoneId(zone),
--- a/src/net/platform/eureka/cache.rs
+++ b/src/net/platform/eureka/cache.rs
@@ -2,7 +2,7 @@
 //! includes instances that are not endpoints, because the hash of a delta covers them as well. This module does no I/O.
 
 use super::model::{hash_code, Action, Applications, Instance, Status};
-use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
+use crate::membership::{EntryKey, EntryState, Listing, MetadataNames, SourceUpdate};
 use crate::settings_json::{index_of, Names, UnknownName};
 use crate::{DestinationId, KindId, ZoneId};
 use std::collections::{HashMap, HashSet};
@@ -14,8 +14,8 @@
 /// The status of each instance in the registry, and the unusable entries that have been reported.
 #[derive(Default)]
 pub struct RegistryCache {
-    statuses: HashMap<Key, Status>,
-    reported_unusable: HashSet<Key>,
+    statuses: HashMap<EntryKey, Status>,
+    reported_unusable: HashSet<EntryKey>,
 }
 
 /// The result of applying an answer to the cache.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct UnusableEntry {
     /// The application and id of the entry.
-    pub key: Key,
+    pub key: EntryKey,
     /// Why the entry cannot be used.
     pub reason: UnusableReason,
 }
@@ -112,7 +112,7 @@
         self.reported_unusable.len()
     }
 
-    fn set_status(&mut self, key: &Key, instance: &Instance, complete: bool) {
+    fn set_status(&mut self, key: &EntryKey, instance: &Instance, complete: bool) {
         if instance.action == Action::Delete && !complete {
             self.statuses.remove(key);
         } else {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn is_first_report(&mut self, key: &Key) -> bool {
+    fn is_first_report(&mut self, key: &EntryKey) -> bool {
         if self.reported_unusable.len() >= MAX_REPORTED {
             self.reported_unusable.clear();
         }
@@ -128,16 +128,16 @@
     }
 }
 
-fn key(instance: &Instance) -> Key {
-    Key { group: instance.app.clone(), id: instance.id.clone() }
+fn key(instance: &Instance) -> EntryKey {
+    EntryKey { group: instance.app.clone(), id: instance.id.clone() }
 }
 
-fn state(instance: &Instance) -> State {
+fn state(instance: &Instance) -> EntryState {
     match (instance.action, instance.status) {
-        (Action::Delete, _) => State::Removed,
-        (_, Status::Up) => State::Up,
-        (_, Status::Down | Status::Starting | Status::OutOfService) => State::Draining,
-        (_, Status::Unknown) => State::Unknown,
+        (Action::Delete, _) => EntryState::Removed,
+        (_, Status::Up) => EntryState::Up,
+        (_, Status::Down | Status::Starting | Status::OutOfService) => EntryState::Draining,
+        (_, Status::Unknown) => EntryState::Unknown,
     }
 }
 
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -1,7 +1,7 @@
 //! Persists the last view of the registry in the state folder, for a start while the registry does not answer. The file is
 //! replaced atomically, and its checksum is verified when it is read.
 
-use crate::membership::{Key, Listing, State};
+use crate::membership::{EntryKey, EntryState, Listing};
 use crate::{DestinationId, KindId, Micros, ZoneId};
 use flate2::{read::GzDecoder, write::GzEncoder, Compression};
 use serde::{Deserialize, Serialize};
@@ -144,13 +144,13 @@
 impl From<Entry> for Listing {
     fn from(entry: Entry) -> Self {
         Listing {
-            key: Key { group: entry.app, id: entry.id },
+            key: EntryKey { group: entry.app, id: entry.id },
             address: entry.address,
             destination: DestinationId(entry.destination),
             zone: ZoneId(entry.zone),
             kind: KindId(entry.kind),
             weight: entry.weight,
-            state: if entry.up { State::Up } else { State::Draining },
+            state: if entry.up { EntryState::Up } else { EntryState::Draining },
             stamp: 0,
         }
     }
@@ -166,7 +166,7 @@
             zone: listing.zone.0,
             kind: listing.kind.0,
             weight: listing.weight,
-            up: listing.state == State::Up,
+            up: listing.state == EntryState::Up,
         }
     }
 }
--- a/tests/endpoint_list_decoding.rs
+++ b/tests/endpoint_list_decoding.rs
@@ -1,6 +1,6 @@
 //! Decoding of the platform's endpoint list, and the errors for lists and entries that cannot be used.
 
-use cedarbridge::membership::State;
+use cedarbridge::membership::EntryState;
 use cedarbridge::net::platform::endpoint_list::decode::{DecodeError, ListVersion, RawList};
 use cedarbridge::settings_json::Names;
 
@@ -29,10 +29,10 @@
     let listing = &patch.listings[0];
     assert_eq!((listing.key.id.as_str(), listing.address.to_string()), ("a:1", "10.0.0.1:80".into()));
     assert_eq!((listing.destination.0, listing.zone.0, listing.kind.0), (7, 1, 0));
-    assert_eq!((listing.weight, listing.state), (2.5, State::Up));
+    assert_eq!((listing.weight, listing.state), (2.5, EntryState::Up));
     let complete = decode(r#"{"generation":6,"reset":true,"instances":[]}"#).expect("a list");
     assert!(complete.complete && complete.listings.is_empty());
-    for (lifecycle, state) in [("leaving", State::Draining), ("left", State::Removed)] {
+    for (lifecycle, state) in [("leaving", EntryState::Draining), ("left", EntryState::Removed)] {
         let line = format!(
             r#"{{"generation":7,"instances":[{}]}}"#,
             ACTIVE.replace("\"active\"", &format!("\"{lifecycle}\""))
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,6 +1,6 @@
 //! The decoders of a registry's answers, on what real servers write and on what nobody should.
 
-use cedarbridge::membership::{MetadataNames, SourceUpdate, State};
+use cedarbridge::membership::{EntryState, MetadataNames, SourceUpdate};
 use cedarbridge::net::platform::eureka::cache::RegistryCache;
 use cedarbridge::net::platform::eureka::client::percent_encode;
 use cedarbridge::net::platform::eureka::model::{hash_code, Action, Status};
@@ -58,7 +58,7 @@
     let read = |from: &str, to: &str| json::read(JSON.replace(from, to).as_bytes()).expect("JSON");
     let applied = cache.apply(read("\"ADDED\"", "\"\""), true, &by, &names);
     let SourceUpdate::Complete { version: Some(3), listings } = applied.update else { panic!("whole") };
-    assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, State::Up));
+    assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, EntryState::Up));
     assert_eq!((listings[0].weight, listings[0].address.to_string()), (2.5, "10.0.0.1:8080".into()));
     assert!(applied.hash_matches);
     for (from, to, why) in [
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -22,9 +22,9 @@
     Membership::new(vec![("pushed", SourcePolicy::default()), ("registry", policy())])
 }
 
-fn listing(group: &str, id: &str, port: u16, state: State, stamp: u64) -> Listing {
+fn listing(group: &str, id: &str, port: u16, state: EntryState, stamp: u64) -> Listing {
     Listing {
-        key: Key { group: group.into(), id: id.into() },
+        key: EntryKey { group: group.into(), id: id.into() },
         address: ([127, 0, 0, 1], port).into(),
         destination: DestinationId(u64::from(port) / 10),
         zone: ZoneId(0),
@@ -36,7 +36,7 @@
 }
 
 fn up(id: &str, port: u16, stamp: u64) -> Listing {
-    listing("A", id, port, State::Up, stamp)
+    listing("A", id, port, EntryState::Up, stamp)
 }
 
 fn patch(listings: Vec<Listing>) -> SourceUpdate {
@@ -68,7 +68,7 @@
     for wait in [1, 2, 4, 8, 8] {
         stamp += 1;
         let drained =
-            membership.apply(now, REGISTRY, patch(vec![listing("A", "i", 1, State::Draining, stamp)]));
+            membership.apply(now, REGISTRY, patch(vec![listing("A", "i", 1, EntryState::Draining, stamp)]));
         assert_eq!((summary(&drained), drained[0].observed_at), (vec!["i Draining".into()], now));
         now += 300 * MS;
         stamp += 1;
@@ -81,7 +81,7 @@
     }
     // One flap is forgotten for each 20 s without another.
     now += 61 * SECOND;
-    membership.apply(now, REGISTRY, patch(vec![listing("A", "i", 1, State::Draining, stamp + 1)]));
+    membership.apply(now, REGISTRY, patch(vec![listing("A", "i", 1, EntryState::Draining, stamp + 1)]));
     membership.apply(now, REGISTRY, patch(vec![up("i", 1, stamp + 2)]));
     assert_eq!(membership.next_tick(), Some(now + 4 * SECOND));
 }
@@ -96,10 +96,10 @@
         let now = step * 300 * MS;
         let changes = membership.tick(now);
         returns += changes.iter().filter(|change| change.lifecycle == Lifecycle::Listed).count();
-        let state = if step % 2 == 1 { State::Draining } else { State::Up };
+        let state = if step % 2 == 1 { EntryState::Draining } else { EntryState::Up };
         let changes = membership.apply(now, REGISTRY, patch(vec![listing("A", "i", 1, state, step + 1)]));
         returns += changes.iter().filter(|change| change.lifecycle == Lifecycle::Listed).count();
-        if state == State::Draining {
+        if state == EntryState::Draining {
             assert!(listed_ids(&membership).is_empty(), "drained at once, at {now}");
         }
     }
@@ -132,11 +132,11 @@
     membership.apply(0, REGISTRY, complete(all()));
     assert_eq!(summary(&membership.apply(SECOND, REGISTRY, complete(all()[1..].to_vec()))), ["i01 Removed"]);
     membership.apply(2 * SECOND, REGISTRY, complete(vec![]));
-    let drain = listing("A", "i05", 5, State::Draining, 99);
+    let drain = listing("A", "i05", 5, EntryState::Draining, 99);
     assert_eq!(summary(&membership.apply(3 * SECOND, REGISTRY, patch(vec![drain]))), ["i05 Draining"]);
     let removal = SourceUpdate::Patch {
         listings: vec![],
-        removed: vec![(Key { group: "A".into(), id: "i06".into() }, 99)],
+        removed: vec![(EntryKey { group: "A".into(), id: "i06".into() }, 99)],
     };
     assert_eq!(summary(&membership.apply(3 * SECOND, REGISTRY, removal)), ["i06 Removed"]);
 }
@@ -145,12 +145,12 @@
 fn an_older_update_changes_nothing() {
     let mut membership = pushed_and_registry();
     membership.apply(0, REGISTRY, patch(vec![up("i", 1, 5), up("j", 2, 6)]));
-    membership.apply(1, REGISTRY, patch(vec![listing("A", "i", 1, State::Draining, 7)]));
+    membership.apply(1, REGISTRY, patch(vec![listing("A", "i", 1, EntryState::Draining, 7)]));
     assert!(membership.apply(2, REGISTRY, patch(vec![up("i", 1, 5)])).is_empty());
     assert!(membership.apply(3, REGISTRY, complete(vec![up("i", 1, 5), up("j", 2, 6)])).is_empty());
     assert_eq!((listed_ids(&membership), membership.stats(REGISTRY).stale_entries), (vec!["j".into()], 2));
     // A removed entry is not added again by an older update.
-    let key = Key { group: "A".into(), id: "j".into() };
+    let key = EntryKey { group: "A".into(), id: "j".into() };
     membership.apply(4, REGISTRY, SourceUpdate::Patch { listings: vec![], removed: vec![(key, 8)] });
     assert!(membership.apply(5, REGISTRY, patch(vec![up("j", 2, 6)])).is_empty());
     // A replica that lags lacks new entries: an update with lower stamps that lacks an entry is doubted.
@@ -179,12 +179,16 @@
 fn a_state_other_than_up_drains_or_changes_nothing_and_adds_nothing() {
     let mut membership = pushed_and_registry();
     assert!(
-        membership.apply(0, REGISTRY, patch(vec![listing("A", "i", 1, State::Draining, 1)])).is_empty(),
+        membership.apply(0, REGISTRY, patch(vec![listing("A", "i", 1, EntryState::Draining, 1)])).is_empty(),
         "never in service"
     );
-    assert!(membership.apply(1, REGISTRY, patch(vec![listing("A", "j", 2, State::Unknown, 1)])).is_empty());
+    assert!(membership
+        .apply(1, REGISTRY, patch(vec![listing("A", "j", 2, EntryState::Unknown, 1)]))
+        .is_empty());
     assert_eq!(summary(&membership.apply(2, REGISTRY, patch(vec![up("i", 1, 2)]))), ["i Listed"]);
-    assert!(membership.apply(3, REGISTRY, patch(vec![listing("A", "i", 1, State::Unknown, 3)])).is_empty());
+    assert!(membership
+        .apply(3, REGISTRY, patch(vec![listing("A", "i", 1, EntryState::Unknown, 3)]))
+        .is_empty());
     assert_eq!(listed_ids(&membership), ["i"]);
 }
 
@@ -206,11 +210,11 @@
     membership.apply(
         0,
         REGISTRY,
-        patch(vec![listing("A", "i", 1, State::Up, 1), listing("B", "i", 1, State::Up, 2)]),
+        patch(vec![listing("A", "i", 1, EntryState::Up, 1), listing("B", "i", 1, EntryState::Up, 2)]),
     );
     assert_eq!(membership.endpoints().count(), 1);
     assert_eq!(
-        summary(&membership.apply(1, REGISTRY, patch(vec![listing("A", "i", 1, State::Draining, 3)]))),
+        summary(&membership.apply(1, REGISTRY, patch(vec![listing("A", "i", 1, EntryState::Draining, 3)]))),
         ["i Draining"]
     );
 }
@@ -221,13 +225,13 @@
     let pushed = |id: &str, port, state| listing("", id, port, state, 0);
     let apply_pushed =
         |membership: &mut Membership, now, listings| summary(&membership.apply(now, PUSHED, patch(listings)));
-    assert_eq!(apply_pushed(&mut membership, 0, vec![pushed("e", 1, State::Draining)]), ["e Draining"]);
+    assert_eq!(apply_pushed(&mut membership, 0, vec![pushed("e", 1, EntryState::Draining)]), ["e Draining"]);
     assert_eq!(
-        apply_pushed(&mut membership, 1, vec![pushed("e", 1, State::Draining)]),
+        apply_pushed(&mut membership, 1, vec![pushed("e", 1, EntryState::Draining)]),
         ["e Draining"],
         "an entry that is sent again is passed on"
     );
-    let moved = membership.apply(2, PUSHED, patch(vec![pushed("e", 5, State::Up)]));
+    let moved = membership.apply(2, PUSHED, patch(vec![pushed("e", 5, EntryState::Up)]));
     assert_eq!(
         (summary(&moved), moved[0].endpoint),
         (vec!["e Listed".into()], EndpointId(1)),
@@ -235,10 +239,13 @@
     );
     assert!(membership.apply(3, REGISTRY, patch(vec![up("r", 5, 1)])).is_empty(), "the pushed list wins");
     assert_eq!(
-        apply_pushed(&mut membership, 4, vec![pushed("e", 5, State::Removed)]),
+        apply_pushed(&mut membership, 4, vec![pushed("e", 5, EntryState::Removed)]),
         ["e Removed", "r Listed"]
     );
-    assert_eq!(apply_pushed(&mut membership, 5, vec![pushed("f", 5, State::Up)]), ["f Listed", "r Removed"]);
+    assert_eq!(
+        apply_pushed(&mut membership, 5, vec![pushed("f", 5, EntryState::Up)]),
+        ["f Listed", "r Removed"]
+    );
 }
 
 #[test]
@@ -249,7 +256,7 @@
         ["i Listed", "j Listed"]
     );
     assert!(membership.stats(REGISTRY).last_update_at.is_none());
-    let answer = complete(vec![listing("A", "i", 1, State::Draining, 3), up("j", 2, 4)]);
+    let answer = complete(vec![listing("A", "i", 1, EntryState::Draining, 3), up("j", 2, 4)]);
     assert_eq!(summary(&membership.apply(SECOND, REGISTRY, answer)), ["i Draining"]);
 }
 
@@ -336,7 +343,7 @@
         let mut registry: BTreeMap<usize, Listing> = BTreeMap::new();
         let mut history: Vec<BTreeMap<usize, Listing>> = vec![registry.clone()];
         let mut changes: Vec<(usize, Option<Listing>, u64)> = Vec::new();
-        let mut received: BTreeMap<String, (u64, State)> = BTreeMap::new();
+        let mut received: BTreeMap<String, (u64, EntryState)> = BTreeMap::new();
         let (mut now, mut stamp) = (0, 0);
         for (action, instance, lag, lost) in steps {
             now += 400 * MS;
@@ -347,7 +354,7 @@
                 0..=4 => {
                     stamp += 1;
                     let port = instance as u16 + 1 + 100 * u16::from(action == 4);
-                    let state = if action == 1 { State::Draining } else { State::Up };
+                    let state = if action == 1 { EntryState::Draining } else { EntryState::Up };
                     let was_registered = registry.contains_key(&instance);
                     if action == 2 {
                         if was_registered {
@@ -365,7 +372,7 @@
                 5 | 6 => {
                     let replica = history[history.len().saturating_sub(1 + lag)].clone();
                     for listing in replica.values() {
-                        let newest = received.entry(listing.key.id.clone()).or_insert((0, State::Up));
+                        let newest = received.entry(listing.key.id.clone()).or_insert((0, EntryState::Up));
                         if listing.stamp > newest.0 { *newest = (listing.stamp, listing.state); }
                     }
                     membership.apply(now, REGISTRY, complete(replica.into_values().collect()));
@@ -379,11 +386,11 @@
                         match listing {
                             _ if lost && instance % 2 == 0 => {}
                             Some(listing) => {
-                                let newest = received.entry(listing.key.id.clone()).or_insert((0, State::Up));
+                                let newest = received.entry(listing.key.id.clone()).or_insert((0, EntryState::Up));
                                 if listing.stamp > newest.0 { *newest = (listing.stamp, listing.state); }
                                 listings.push(listing.clone());
                             }
-                            None => removed.push((Key { group: "A".into(), id: format!("i{instance}") }, *stamp)),
+                            None => removed.push((EntryKey { group: "A".into(), id: format!("i{instance}") }, *stamp)),
                         }
                     }
                     membership.apply(now, REGISTRY, SourceUpdate::Patch { listings, removed });
@@ -393,7 +400,7 @@
             for change in membership.endpoints().filter(|change| change.lifecycle == Lifecycle::Listed) {
                 let (stamp, state) = received[&change.listing.key.id];
                 prop_assert!(
-                    state == State::Up || stamp < change.listing.stamp,
+                    state == EntryState::Up || stamp < change.listing.stamp,
                     "{} drained and is listed",
                     change.listing.key.id
                 );
@@ -407,7 +414,7 @@
         }
         let mut expected: Vec<String> = registry
             .values()
-            .filter(|listing| listing.state == State::Up)
+            .filter(|listing| listing.state == EntryState::Up)
             .map(|listing| listing.key.id.clone())
             .collect();
         expected.sort();
--- a/tests/registry_snapshot.rs
+++ b/tests/registry_snapshot.rs
@@ -1,6 +1,6 @@
 //! The registry's view as it is persisted: replaced atomically, and rejected if damaged.
 
-use cedarbridge::membership::{Key, Listing, State};
+use cedarbridge::membership::{EntryKey, EntryState, Listing};
 use cedarbridge::net::platform::eureka::snapshot::RegistrySnapshot;
 use cedarbridge::{DestinationId, KindId, ZoneId};
 use std::fs;
@@ -13,7 +13,7 @@
     let snapshot = RegistrySnapshot::new(&folder);
     assert!(snapshot.read().expect("nothing yet").is_none());
     let listing = |n: u16, state| Listing {
-        key: Key { group: "APP".into(), id: format!("i{n}") },
+        key: EntryKey { group: "APP".into(), id: format!("i{n}") },
         address: SocketAddr::from(([127, 0, 0, 1], n)),
         destination: DestinationId(u64::from(n)),
         zone: ZoneId(0),
@@ -22,7 +22,7 @@
         state,
         stamp: 0,
     };
-    let all = [listing(1, State::Up), listing(2, State::Draining)];
+    let all = [listing(1, EntryState::Up), listing(2, EntryState::Draining)];
     assert!(snapshot.write(7, all.iter(), 1_000_000).expect("written").is_some());
     let saved = snapshot.read().expect("sound").expect("there");
     assert_eq!((saved.written_at, saved.listings.as_slice()), (7, &all[..]));
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -5,7 +5,7 @@
     AttemptStart, ClockReading, Journal, JournaledMessage, Progress, ReportedEnd, Restored,
     UnreadableSegmentPolicy,
 };
-use cedarbridge::membership::{Key, Listing, MembershipSnapshot, State};
+use cedarbridge::membership::{EntryKey, EntryState, Listing, MembershipSnapshot};
 use cedarbridge::net::handover::frames::{
     HandOverState, PredecessorFrame, SuccessorFrame, ACCEPTED_FRAMES_HEADER, FORMAT, LIST_LINE_FRAME,
 };
@@ -145,7 +145,7 @@
 fn the_stored_view_of_the_registry_is_read() {
     let view = RegistrySnapshot::new(&data("")).read().expect("sound").expect("there");
     let listing = |n: u16, state| Listing {
-        key: Key { group: "PARTNER".into(), id: format!("partner-{n}") },
+        key: EntryKey { group: "PARTNER".into(), id: format!("partner-{n}") },
         address: ([127, 0, 0, 1], n).into(),
         destination: DestinationId(u64::from(n)),
         zone: ZoneId(1),
@@ -155,7 +155,7 @@
         stamp: 0,
     };
     assert_eq!(view.written_at, 1_800_000_000_000_007);
-    assert_eq!(view.listings, [listing(4001, State::Up), listing(4002, State::Draining)]);
+    assert_eq!(view.listings, [listing(4001, EntryState::Up), listing(4002, EntryState::Draining)]);
 }
 
 #[test]
