--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -54,13 +54,13 @@
     let complete = answer(0..APPS * INSTANCES_PER_APP, 1_700_000_000_000, "ADDED");
     println!("the complete list: {} instances, {} bytes", APPS * INSTANCES_PER_APP, complete.len());
     c.bench_function("whole list, 10,000 instances, read", |b| {
-        b.iter(|| json::read(black_box(complete.as_bytes())))
+        b.iter(|| json::decode(black_box(complete.as_bytes())))
     });
     c.bench_function("whole list, 10,000 instances, read and taken in", |b| {
         b.iter_batched(
             fresh,
             |(mut held, mut membership)| {
-                let answer = json::read(complete.as_bytes()).expect("JSON");
+                let answer = json::decode(complete.as_bytes()).expect("JSON");
                 let news = held.apply(answer, true, &metadata_names, &names).update;
                 membership.apply(0, SourceId(0), news).len()
             },
@@ -69,7 +69,7 @@
     });
     let (mut held, mut membership) = fresh();
     let all =
-        held.apply(json::read(complete.as_bytes()).expect("JSON"), true, &metadata_names, &names).update;
+        held.apply(json::decode(complete.as_bytes()).expect("JSON"), true, &metadata_names, &names).update;
     membership.apply(0, SourceId(0), all);
     let mut stamp = 1_700_000_000_000;
     c.bench_function("delta of 10 among 10,000 instances, read and taken in", |b| {
@@ -79,7 +79,7 @@
                 answer((0..10).map(|n| n * 997), stamp, "MODIFIED")
             },
             |delta| {
-                let answer = json::read(delta.as_bytes()).expect("JSON");
+                let answer = json::decode(delta.as_bytes()).expect("JSON");
                 let news = held.apply(answer, false, &metadata_names, &names).update;
                 membership.apply(0, SourceId(0), news).len()
             },
--- a/fuzz/fuzz_targets/json.rs
+++ b/fuzz/fuzz_targets/json.rs
@@ -2,5 +2,5 @@
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| {
-    let _ = cedarbridge::net::platform::eureka::json::read(data);
+    let _ = cedarbridge::net::platform::eureka::json::decode(data);
 });
--- a/fuzz/fuzz_targets/xml.rs
+++ b/fuzz/fuzz_targets/xml.rs
@@ -2,5 +2,5 @@
 #![no_main]
 
 libfuzzer_sys::fuzz_target!(|data: &[u8]| {
-    let _ = cedarbridge::net::platform::eureka::xml::read(data);
+    let _ = cedarbridge::net::platform::eureka::xml::decode(data);
 });
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -137,7 +137,7 @@
         let mut membership = self.membership();
         let mut draws = fastrand::Rng::new();
         loop {
-            let next = registry.poller.next_request();
+            let next = registry.schedule.next_request();
             let wake = membership.next_tick().map_or(next.at, |t| t.min(next.at));
             if end.is_some_and(|e| wake >= e) {
                 return Ok(());
@@ -150,11 +150,11 @@
                         self.print_skipped(&taken);
                         changes.extend(membership.apply(clock.now(), REGISTRY, taken.update));
                         let doubt = membership.needs_complete_poll(REGISTRY);
-                        registry.poller.succeeded(clock.now(), next.kind, taken.hash_matches, doubt);
+                        registry.schedule.succeeded(clock.now(), next.kind, taken.hash_matches, doubt);
                     }
                     Err(e) => {
                         eprintln!("cedarbridge: {}: {e}", registry.address(next.address_index));
-                        registry.poller.failed(clock.now(), draws.f64());
+                        registry.schedule.failed(clock.now(), draws.f64());
                     }
                 }
             }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -25,7 +25,7 @@
 
 pub use listing::{EntryKey, EntryState, Listing, MembershipChange, SourceId, SourceUpdate};
 pub use merged_list::{Membership, MembershipSnapshot};
-pub use poll::{PollKind, PollRequest, Poller};
+pub use poll::{PollKind, PollRequest, PollSchedule};
 pub use settings::{MetadataNames, PollBackoff, PollScope, Registration, RegistryAddress, RegistrySettings};
 pub use source_view::{HoldDown, ShrinkGuard, SourcePolicy, SourceStats};
 pub use watch_backoff::WatchBackoff;
--- a/src/membership/poll.rs
+++ b/src/membership/poll.rs
@@ -27,7 +27,7 @@
 
 /// Schedules polls by the outcomes of the earlier ones.
 #[derive(Clone, Debug)]
-pub struct Poller {
+pub struct PollSchedule {
     addresses: usize,
     poll_interval: Micros,
     backoff: PollBackoff,
@@ -41,10 +41,10 @@
     next_at: Micros,
 }
 
-impl Poller {
+impl PollSchedule {
     /// Creates a schedule whose first poll is due now, at the preferred address, and asks for the complete list.
     pub fn new(settings: &RegistrySettings, now: Micros) -> Self {
-        Poller {
+        PollSchedule {
             addresses: settings.addresses.len(),
             poll_interval: settings.poll_interval,
             backoff: settings.backoff,
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -90,15 +90,15 @@
     }
 
     /// Restores the endpoint list in the configuration, which may be old.
-    pub async fn restore_known(&mut self, known: &Value) {
-        match RawList::from_value(known.clone()).and_then(|list| self.decode(list)) {
+    pub async fn restore_initial_list(&mut self, list: &Value) {
+        match RawList::from_value(list.clone()).and_then(|list| self.decode(list)) {
             Ok(version) => {
                 self.generation = Some(version.generation);
                 let now = self.context.clock.now();
                 let changes = self.membership.restore(now, PUSHED, version.listings);
                 self.publish(UpdateKind::Cached, changes).await;
             }
-            Err(error) => warn!(self.context.log, "known endpoint list malformed"; "error" => %error),
+            Err(error) => warn!(self.context.log, "configured endpoint list malformed"; "error" => %error),
         }
     }
 
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -176,7 +176,7 @@
 /// If the body is not an answer of a registry.
 pub fn decode(body: &[u8]) -> Result<Applications, DecodeError> {
     match body.iter().find(|byte| !byte.is_ascii_whitespace()) {
-        Some(b'<') => xml::read(body),
-        _ => json::read(body),
+        Some(b'<') => xml::decode(body),
+        _ => json::decode(body),
     }
 }
--- a/src/net/platform/eureka/json.rs
+++ b/src/net/platform/eureka/json.rs
@@ -228,7 +228,7 @@
 /// # Errors
 ///
 /// If the body is not valid JSON, has a name or value that is too long, or is not an answer of a registry.
-pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
+pub fn decode(body: &[u8]) -> Result<Applications, DecodeError> {
     let document: Document = serde_json::from_slice(body).map_err(DecodeError::Json)?;
     let raw = match (document.applications, document.application) {
         (Some(applications), _) => applications,
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -10,7 +10,7 @@
 pub mod snapshot;
 pub mod xml;
 
-use crate::membership::{PollKind, PollScope, Poller, RegistryAddress, RegistrySettings};
+use crate::membership::{PollKind, PollSchedule, PollScope, RegistryAddress, RegistrySettings};
 use crate::net::messages::EndpointListMessage;
 use crate::net::Context;
 use crate::settings_json::Names;
@@ -33,7 +33,7 @@
     names: Arc<Names>,
     clients: Vec<RegistryClient>,
     /// Decides which address is polled next, and when.
-    pub poller: Poller,
+    pub schedule: PollSchedule,
     cache: RegistryCache,
 }
 
@@ -41,8 +41,8 @@
     /// Creates the client with an empty cache; its first poll is due at `now`.
     pub fn new(settings: Arc<RegistrySettings>, names: Arc<Names>, now: Micros) -> Self {
         let clients = clients(&settings);
-        let poller = Poller::new(&settings, now);
-        Registry { settings, names, clients, poller, cache: RegistryCache::default() }
+        let schedule = PollSchedule::new(&settings, now);
+        Registry { settings, names, clients, schedule, cache: RegistryCache::default() }
     }
 
     /// Polls the address with the given index and applies the answer to the cache.
@@ -111,20 +111,20 @@
     let mut random = fastrand::Rng::with_seed(context.config().seed);
     let mut registry = Registry::new(settings, names, clock.now());
     loop {
-        let next = registry.poller.next_request();
+        let next = registry.schedule.next_request();
         Timer::at(clock.at(next.at)).await;
         match registry.poll(next.address_index, next.kind).await {
             Ok(answer) => {
                 record_answer(&context, &registry, &answer, next.address_index, next.kind);
                 let hash_matches = answer.hash_matches;
                 let Some(in_doubt) = send_update(&context, &endpoint_list, answer).await else { return };
-                registry.poller.succeeded(clock.now(), next.kind, hash_matches, in_doubt);
+                registry.schedule.succeeded(clock.now(), next.kind, hash_matches, in_doubt);
             }
             Err(error) => {
                 increment(&context.registry.failures);
                 let address = registry.address(next.address_index);
                 warn!(context.log, "registry poll failed"; "address" => address, "error" => %error);
-                registry.poller.failed(clock.now(), random.f64());
+                registry.schedule.failed(clock.now(), random.f64());
             }
         }
     }
--- a/src/net/platform/eureka/xml.rs
+++ b/src/net/platform/eureka/xml.rs
@@ -16,7 +16,7 @@
 ///
 /// If the body is not valid XML, is nested too deeply, has a name or value that is too long, uses entities that are not
 /// predefined, or is not an answer of a registry.
-pub fn read(body: &[u8]) -> Result<Applications, DecodeError> {
+pub fn decode(body: &[u8]) -> Result<Applications, DecodeError> {
     let mut reader = Reader::from_reader(body);
     let mut decoder = Decoder::default();
     loop {
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -222,7 +222,7 @@
         }
         None => {
             if let Some(known) = &config.initial_endpoint_list {
-                endpoint_list.restore_known(known).await;
+                endpoint_list.restore_initial_list(known).await;
             }
             delivery.restore(messages).await;
         }
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn json_and_xml_of_the_same_answer_are_read_alike() {
-    let (a, b) = (json::read(JSON.as_bytes()).expect("JSON"), xml::read(XML.as_bytes()).expect("XML"));
+    let (a, b) = (json::decode(JSON.as_bytes()).expect("JSON"), xml::decode(XML.as_bytes()).expect("XML"));
     assert_eq!(a, b);
     assert_eq!((a.version, a.hash.as_deref()), (Some(3), Some("DOWN_1_UP_1_")));
     let [one, other] = a.instances.as_slice() else { panic!("two") };
@@ -55,7 +55,7 @@
     };
     let names = Names { kinds: vec![text("plain")], zones: vec![text("room")], ..Names::default() };
     let mut cache = RegistryCache::default();
-    let read = |from: &str, to: &str| json::read(JSON.replace(from, to).as_bytes()).expect("JSON");
+    let read = |from: &str, to: &str| json::decode(JSON.replace(from, to).as_bytes()).expect("JSON");
     let applied = cache.apply(read("\"ADDED\"", "\"\""), true, &by, &names);
     let SourceUpdate::Complete { version: Some(3), listings } = applied.update else { panic!("whole") };
     assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, EntryState::Up));
@@ -111,13 +111,13 @@
         "<a/>",
         &deep,
     ] {
-        assert!(json::read(text.as_bytes()).is_err(), "{text}");
-        assert!(xml::read(text.as_bytes()).is_err(), "{text}");
+        assert!(json::decode(text.as_bytes()).is_err(), "{text}");
+        assert!(xml::decode(text.as_bytes()).is_err(), "{text}");
     }
-    assert!(json::read("[".repeat(1_000_000).as_bytes()).is_err());
+    assert!(json::decode("[".repeat(1_000_000).as_bytes()).is_err());
     let bomb = "<!DOCTYPE x [<!ENTITY a \"aaaa\">]><applications><application><name>&a;</name></application></applications>";
-    assert!(xml::read(bomb.as_bytes()).is_err());
-    assert!(xml::read(XML.replace(">a:1<", &format!(">{}<", "x".repeat(5000))).as_bytes()).is_err());
+    assert!(xml::decode(bomb.as_bytes()).is_err());
+    assert!(xml::decode(XML.replace(">a:1<", &format!(">{}<", "x".repeat(5000))).as_bytes()).is_err());
 }
 
 proptest! {
@@ -140,7 +140,7 @@
                 _ => bytes.truncate(at.max(bytes.len() / 2)),
             }
         }
-        let _ = json::read(&bytes);
-        let _ = xml::read(&bytes);
+        let _ = json::decode(&bytes);
+        let _ = xml::decode(&bytes);
     }
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -287,20 +287,20 @@
 
 #[test]
 fn after_a_failure_the_next_registry_is_polled_and_the_preferred_one_retried_later() {
-    let mut poller = Poller::new(&settings(2), 0);
-    let next = |poller: &mut Poller| {
-        let request = poller.next_request();
+    let mut schedule = PollSchedule::new(&settings(2), 0);
+    let next = |schedule: &mut PollSchedule| {
+        let request = schedule.next_request();
         (request.at, request.address_index, request.kind)
     };
-    assert_eq!(next(&mut poller), (0, 0, PollKind::Complete));
-    poller.succeeded(0, PollKind::Complete, true, false);
-    assert_eq!(next(&mut poller), (SECOND, 0, PollKind::Delta));
+    assert_eq!(next(&mut schedule), (0, 0, PollKind::Complete));
+    schedule.succeeded(0, PollKind::Complete, true, false);
+    assert_eq!(next(&mut schedule), (SECOND, 0, PollKind::Delta));
     // After a delta with a hash mismatch, the complete list is polled at once.
-    poller.succeeded(SECOND, PollKind::Delta, false, false);
-    assert_eq!(next(&mut poller), (SECOND, 0, PollKind::Complete));
-    poller.failed(SECOND, 0.0);
+    schedule.succeeded(SECOND, PollKind::Delta, false, false);
+    assert_eq!(next(&mut schedule), (SECOND, 0, PollKind::Complete));
+    schedule.failed(SECOND, 0.0);
     assert_eq!(
-        next(&mut poller),
+        next(&mut schedule),
         (SECOND, 1, PollKind::Complete),
         "the next one at once, for the complete list"
     );
@@ -308,8 +308,8 @@
     let mut pauses = Vec::new();
     let mut now = SECOND;
     for _ in 0..10 {
-        poller.failed(now, 0.0);
-        let at = poller.next_request().at;
+        schedule.failed(now, 0.0);
+        let at = schedule.next_request().at;
         if at > now {
             pauses.push((at - now) / MS);
         }
@@ -317,17 +317,17 @@
     }
     assert_eq!(pauses, [200, 400, 800, 1600, 1600]);
     // The second address answers; the preferred one is polled again 30 s after its failure.
-    let mut poller = Poller::new(&settings(2), 0);
-    poller.failed(0, 0.5);
+    let mut schedule = PollSchedule::new(&settings(2), 0);
+    schedule.failed(0, 0.5);
     for second in 0..29 {
-        assert_eq!(poller.next_request().address_index, 1);
-        poller.succeeded(second * SECOND, PollKind::Complete, true, false);
+        assert_eq!(schedule.next_request().address_index, 1);
+        schedule.succeeded(second * SECOND, PollKind::Complete, true, false);
     }
-    poller.succeeded(29 * SECOND, PollKind::Delta, true, false);
-    assert_eq!(next(&mut poller), (30 * SECOND, 0, PollKind::Complete));
+    schedule.succeeded(29 * SECOND, PollKind::Delta, true, false);
+    assert_eq!(next(&mut schedule), (30 * SECOND, 0, PollKind::Complete));
     // While the view is in doubt, the complete list is polled.
-    poller.succeeded(30 * SECOND, PollKind::Complete, true, true);
-    assert_eq!(poller.next_request().kind, PollKind::Complete);
+    schedule.succeeded(30 * SECOND, PollKind::Complete, true, true);
+    assert_eq!(schedule.next_request().kind, PollKind::Complete);
 }
 
 proptest! {
