--- a/benches/routes.rs
+++ b/benches/routes.rs
@@ -1,7 +1,7 @@
 //! How long a look-up in the plan and the check of a file take. Sizes are in the names.
 #![allow(missing_docs)]
 
-use cedarbridge::routes::Platform;
+use cedarbridge::routes::NamedSettings;
 use cedarbridge::site::Site;
 use cedarbridge::{ClassId, DestinationId, KindId};
 use criterion::{criterion_group, criterion_main, Criterion};
@@ -29,7 +29,7 @@
     let config = include_str!("../examples/config.json");
     let (settings, names) =
         cedarbridge::net::config::read_platform_settings(config).expect("the example's settings");
-    let platform = || Platform { settings: &settings, names: &names };
+    let platform = || NamedSettings { settings: &settings, names: &names };
     let text = file(10_000);
     let plan = Site::read(&text, platform()).expect("accepted").routes;
     let mut next = 0u64;
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -3,7 +3,7 @@
 
 use crate::scenario::FaultKind;
 use crate::span::Span;
-use cedarbridge::routes::{Plan, Platform};
+use cedarbridge::routes::{NamedSettings, RouteTable};
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::Site;
 use cedarbridge::Settings;
@@ -205,11 +205,11 @@
         of: &Variant,
         folder: &Path,
         as_of: &(Settings, Names),
-    ) -> Result<Option<Arc<Plan>>, InputError> {
+    ) -> Result<Option<Arc<RouteTable>>, InputError> {
         let Some(site) = &of.site else { return Ok(None) };
         let path = folder.join(site);
         let text = std::fs::read_to_string(&path).map_err(|e| InputError::Unreadable(path.clone(), e))?;
-        let read = Site::read(&text, Platform { settings: &as_of.0, names: &as_of.1 });
+        let read = Site::read(&text, NamedSettings { settings: &as_of.0, names: &as_of.1 });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
             InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::scenario_day::day;
 use crate::simulation::simulate;
 use crate::world::{ForwarderProfile, PlannedFault, PlannedSize, PlannedStop, World, START};
-use cedarbridge::routes::Plan;
+use cedarbridge::routes::RouteTable;
 use cedarbridge::Micros;
 use plotters::prelude::*;
 use rand::seq::SliceRandom;
@@ -154,7 +154,7 @@
 /// Plays the day of one fleet.
 pub fn simulate_fleet_day(
     scenario: &Scenario,
-    plan: Option<Arc<Plan>>,
+    plan: Option<Arc<RouteTable>>,
     count: usize,
     turns: TurnOrder,
     seed: u64,
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -22,7 +22,7 @@
 use async_io::Timer;
 use async_signal::Signals;
 use cedarbridge::net::http::HttpConnection;
-use cedarbridge::routes::{Plan, Timing};
+use cedarbridge::routes::{RouteTable, Timing};
 use cedarbridge::{ClassId, DestinationId, KindId, Lifecycle, Micros};
 use cedarbridge_endpoint_model::{DestinationModel, Fault};
 pub use daemon::DaemonError;
@@ -152,7 +152,7 @@
 /// The state of a live run, shared by its tasks.
 pub(crate) struct LiveRun {
     world: Rc<World>,
-    plan: Option<Arc<Plan>>,
+    plan: Option<Arc<RouteTable>>,
     options: Options,
     executor: Rc<LocalExecutor<'static>>,
     begun: Cell<Option<Instant>>,
@@ -296,7 +296,7 @@
 /// Plays a day on sockets and returns it with its result. The view receives updates and may send commands.
 pub fn rehearse(
     world: World,
-    plan: Option<Arc<Plan>>,
+    plan: Option<Arc<RouteTable>>,
     seed: u64,
     options: Options,
     view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
@@ -308,7 +308,7 @@
 
 fn play(
     world: Rc<World>,
-    plan: Option<Arc<Plan>>,
+    plan: Option<Arc<RouteTable>>,
     seed: u64,
     options: Options,
     view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
@@ -340,7 +340,7 @@
 impl LiveRun {
     fn new(
         world: Rc<World>,
-        plan: Option<Arc<Plan>>,
+        plan: Option<Arc<RouteTable>>,
         seed: u64,
         options: Options,
         executor: Rc<LocalExecutor<'static>>,
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -4,7 +4,7 @@
 mod load;
 mod rehearsal;
 
-use cedarbridge::routes::Plan;
+use cedarbridge::routes::RouteTable;
 use cedarbridge_rehearsal::capture::CapturedDay;
 use cedarbridge_rehearsal::experiment::{Experiment, InputError, Variant};
 use cedarbridge_rehearsal::report::{page, table, Row};
@@ -166,7 +166,7 @@
 /// An experiment with the plan of each of its variants.
 struct LoadedExperiment {
     experiment: Experiment,
-    plans: Vec<Option<Arc<Plan>>>,
+    plans: Vec<Option<Arc<RouteTable>>>,
 }
 
 impl LoadedExperiment {
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -1,6 +1,6 @@
 //! The commands that play scenarios: reading, the day, the reports.
 
-use cedarbridge::routes::{Plan, Platform};
+use cedarbridge::routes::{NamedSettings, RouteTable};
 use cedarbridge::site::Site;
 use cedarbridge_rehearsal::audit::RuleViolation;
 use cedarbridge_rehearsal::capture::CapturedDay;
@@ -69,10 +69,10 @@
     }
 
     /// Its plan, checked by the forwarder's own check.
-    pub fn plan(&self, world: &World) -> Result<Option<Arc<Plan>>, InputError> {
+    pub fn plan(&self, world: &World) -> Result<Option<Arc<RouteTable>>, InputError> {
         let Some(site) = self.site() else { return Ok(None) };
         let text = std::fs::read_to_string(&site).map_err(|e| InputError::Unreadable(site.clone(), e))?;
-        let read = Site::read(&text, Platform { settings: &world.settings, names: &world.names });
+        let read = Site::read(&text, NamedSettings { settings: &world.settings, names: &world.names });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = site.display().to_string();
             InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
@@ -129,7 +129,7 @@
     /// Its seed.
     pub seed: u64,
     /// The site file's plan, if there is one.
-    pub plan: Option<Arc<Plan>>,
+    pub plan: Option<Arc<RouteTable>>,
 }
 
 /// What a live rehearsal takes beside that.
--- a/crates/rehearsal/src/simulation/mod.rs
+++ b/crates/rehearsal/src/simulation/mod.rs
@@ -13,7 +13,7 @@
 use crate::figures::{Figures, Sample};
 use crate::world::{ListChange, World, START};
 use calls::{Call, EndpointLink};
-use cedarbridge::routes::Plan;
+use cedarbridge::routes::RouteTable;
 use cedarbridge::{BreakerState, ClassId, EndpointEntry, EndpointListUpdate, Event, Lifecycle, Micros};
 use cedarbridge_endpoint_model::DestinationModel;
 use event_queue::{EventQueue, SimulationEvent};
@@ -43,7 +43,7 @@
 /// The state of a simulated day.
 struct Simulation<'a> {
     world: &'a World,
-    plan: Option<Arc<Plan>>,
+    plan: Option<Arc<RouteTable>>,
     settings: cedarbridge::Settings,
     seed: u64,
     destinations: Vec<DestinationModel>,
@@ -71,14 +71,14 @@
 }
 
 /// Simulates a day with a plan, or without one; the seed is that of the network and the policies.
-pub fn simulate(world: &World, plan: Option<Arc<Plan>>, seed: u64) -> (Figures, Vec<RuleViolation>) {
+pub fn simulate(world: &World, plan: Option<Arc<RouteTable>>, seed: u64) -> (Figures, Vec<RuleViolation>) {
     simulate_with_progress(world, plan, seed, &mut |_| {})
 }
 
 /// The same, and reports the virtual time twice a second of it.
 pub fn simulate_with_progress(
     world: &World,
-    plan: Option<Arc<Plan>>,
+    plan: Option<Arc<RouteTable>>,
     seed: u64,
     report_progress: &mut dyn FnMut(Micros),
 ) -> (Figures, Vec<RuleViolation>) {
@@ -92,7 +92,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(world: &'a World, plan: Option<Arc<Plan>>, seed: u64) -> Self {
+    fn new(world: &'a World, plan: Option<Arc<RouteTable>>, seed: u64) -> Self {
         let mut settings = world.settings.clone();
         settings.routes = plan.clone();
         let forwarder_count = world.fleet.len();
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,7 +1,7 @@
 //! The settings that the delivery policy decides by.
 
 use super::ids::{Micros, ZoneId};
-use crate::routes::Plan;
+use crate::routes::RouteTable;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -180,7 +180,7 @@
     pub order_key_pause: Micros,
     /// Timeouts and attempts by route, from the routes file; without one the policy's own apply.
     #[serde(skip)]
-    pub routes: Option<Arc<Plan>>,
+    pub routes: Option<Arc<RouteTable>>,
 }
 
 /// Settings that make no sense.
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -3,7 +3,7 @@
 use super::{print, CommandError, Files, PlatformSettings};
 use crate::durations::format_duration;
 use crate::policy::max_attempt_timeout;
-use crate::routes::{worst_case, Plan, Route, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
+use crate::routes::{worst_case, Route, RouteTable, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::settings_json::index_of;
 use crate::{Class, ClassId, DestinationId, KindId, Micros};
 use clap::Args;
@@ -31,7 +31,7 @@
     kind: KindId,
     class: ClassId,
     of: &'a PlatformSettings,
-    plan: &'a Plan,
+    plan: &'a RouteTable,
 }
 
 /// The kind that the configuration's list gives a destination.
@@ -97,14 +97,14 @@
             return "no entry matches: as without a site file".into();
         };
         let names = &self.of.names;
-        let mut why = format!("matches {}", first.shape.describe(names));
+        let mut why = format!("matches {}", first.criteria.describe(names));
         for r in rest {
             let _ = write!(
                 why,
                 "; more specific than `{}` (line {}: {})",
                 r.name,
                 r.line,
-                r.shape.describe(names)
+                r.criteria.describe(names)
             );
         }
         why
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::config_error::{error_lines, ConfigError};
 use crate::net::config;
-use crate::routes::Platform;
+use crate::routes::NamedSettings;
 use crate::settings_json::Names;
 use crate::site::Site;
 use crate::Settings;
@@ -138,7 +138,7 @@
     }
 
     fn site(&self, of: &PlatformSettings) -> Result<Result<Site, Vec<ConfigError>>, CommandError> {
-        let platform = Platform { settings: &of.settings, names: &of.names };
+        let platform = NamedSettings { settings: &of.settings, names: &of.names };
         Ok(Site::read(&read_text(&self.site)?, platform))
     }
 }
--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -4,7 +4,7 @@
 use crate::net::config::Config;
 use crate::net::runtime::load::LoadError;
 use crate::net::{self, Reading};
-use crate::routes::Platform;
+use crate::routes::NamedSettings;
 use crate::site::Site;
 use crate::Settings;
 use clap::{Args, ValueEnum};
@@ -83,7 +83,7 @@
 /// Puts what the site file says into the settings.
 fn with_site(file: &Path, config: &mut Config, settings: &mut Settings) -> Result<(), LoadError> {
     let text = read_file(file)?;
-    let platform = Platform { settings, names: &config.names };
+    let platform = NamedSettings { settings, names: &config.names };
     let site =
         Site::read(&text, platform).map_err(|errors| LoadError::Site { file: file.to_owned(), errors })?;
     settings.routes = Some(Arc::new(site.routes));
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -1,7 +1,7 @@
 //! Counts of messages by the entry of the site file that applied when they were received. It decides nothing.
 
 use crate::net::message_end::MessageEnd;
-use crate::routes::Plan;
+use crate::routes::RouteTable;
 use crate::{ClassId, DestinationId, KindId, Micros, Outcome};
 use hdrhistogram::Histogram;
 use serde_json::{json, Map, Value};
@@ -88,7 +88,7 @@
 /// The counts of all entries of the plan in force.
 #[derive(Default)]
 pub struct Routes {
-    plan: RefCell<Option<Arc<Plan>>>,
+    plan: RefCell<Option<Arc<RouteTable>>>,
     /// One for each entry of the plan, in its order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
     unmatched: Rc<RouteStats>,
@@ -99,7 +99,7 @@
 impl Routes {
     /// Puts another plan in force. An entry that keeps its name keeps its counts; open messages stay with the entry that applied
     /// when they were received.
-    pub fn apply(&self, plan: Option<Arc<Plan>>) {
+    pub fn apply(&self, plan: Option<Arc<RouteTable>>) {
         let mut before: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
             let entries = self.entries.borrow();
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -2,8 +2,8 @@
 //! and what would be valid.
 
 use super::check_timing::check_timing;
-use super::plan::{MatchShape, Plan, Route};
-use super::{ParsedMatch, ParsedRoute, Pause, Platform, Timing};
+use super::table::{MatchCriteria, Route, RouteTable};
+use super::{NamedSettings, ParsedMatch, ParsedRoute, RetryPause, Timing};
 use crate::config_error::{ConfigError, ErrorCode, Located, Position};
 use crate::durations::format_duration;
 use crate::{ClassId, DestinationId, KindId};
@@ -21,7 +21,11 @@
 
 /// Checks the entries and builds the route table from those whose `match` is valid. The table may be used only if no error
 /// was recorded.
-pub fn check_routes(entries: &[ParsedRoute], platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Plan {
+pub fn check_routes(
+    entries: &[ParsedRoute],
+    platform: NamedSettings<'_>,
+    errors: &mut Vec<ConfigError>,
+) -> RouteTable {
     check_names(entries, errors);
     let mut accepted: Vec<AcceptedRoute> =
         entries.iter().filter_map(|entry| accept(entry, platform, errors)).collect();
@@ -29,24 +33,24 @@
     let routes = accepted.iter().map(|accepted| accepted.route.clone()).collect();
     let destinations: Vec<_> = accepted.iter().map(|accepted| accepted.destinations.clone()).collect();
     let names = platform.names;
-    let plan = Plan::build(routes, &destinations, names.kinds.len(), names.classes.len());
-    check_shadowed(&accepted, &plan, errors);
-    plan
+    let table = RouteTable::build(routes, &destinations, names.kinds.len(), names.classes.len());
+    check_shadowed(&accepted, &table, errors);
+    table
 }
 
 fn accept(
     entry: &ParsedRoute,
-    platform: Platform<'_>,
+    platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
 ) -> Option<AcceptedRoute> {
-    let shape = resolve(&entry.matches, platform, errors)?;
+    let criteria = resolve(&entry.matches, platform, errors)?;
     let timing = timing_of(entry, errors);
     if entry.is_complete {
-        check_timing(entry, shape, &timing, platform, errors);
+        check_timing(entry, criteria, &timing, platform, errors);
     }
     let destinations = entry.matches.destinations.iter().flatten();
     Some(AcceptedRoute {
-        route: Route { name: entry.name.value.clone(), line: entry.at.line, shape, timing },
+        route: Route { name: entry.name.value.clone(), line: entry.at.line, criteria, timing },
         destinations: destinations.map(|destination| destination.value).collect(),
         match_at: entry.matches.at,
         overlaps: false,
@@ -70,14 +74,14 @@
 
 fn resolve(
     matches: &ParsedMatch,
-    platform: Platform<'_>,
+    platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
-) -> Option<MatchShape> {
+) -> Option<MatchCriteria> {
     let names = platform.names;
     let kind = resolve_name(&matches.kind, &names.kinds, "kind", ErrorCode::UnknownKind, errors);
     let class = resolve_name(&matches.class, &names.classes, "class", ErrorCode::UnknownClass, errors);
     let (kind, class) = (kind?.map(KindId), class?.map(ClassId));
-    Some(MatchShape { names_destinations: matches.destinations.is_some(), kind, class })
+    Some(MatchCriteria { names_destinations: matches.destinations.is_some(), kind, class })
 }
 
 /// Looks up an optional name. Returns `Some(None)` if no name is given, and `None` if the name is unknown.
@@ -110,7 +114,7 @@
     Timing {
         timeout: entry.timeout.map(|timeout| timeout.value),
         attempts: entry.attempts.map(|attempts| u32::try_from(attempts.value).unwrap_or(u32::MAX)),
-        pause: entry.pause.map(|pause| Pause { first: pause.first.value, max: pause.max.value }),
+        pause: entry.pause.map(|pause| RetryPause { first: pause.first.value, max: pause.max.value }),
         hedge_after: entry.hedge_after.map(|after| after.value),
         abandon_after: entry.abandon_after.map(|after| after.value),
     }
@@ -129,7 +133,7 @@
 /// Records an error for each pair of routes with the same criteria that match a common message: routes that name
 /// destinations overlap in the destinations that both name, other routes overlap entirely.
 fn check_overlaps(accepted: &mut [AcceptedRoute], errors: &mut Vec<ConfigError>) {
-    let mut first_by_criteria: HashMap<(MatchShape, Option<DestinationId>), usize> = HashMap::new();
+    let mut first_by_criteria: HashMap<(MatchCriteria, Option<DestinationId>), usize> = HashMap::new();
     for index in 0..accepted.len() {
         for overlap in overlaps_of(index, &accepted[index], &mut first_by_criteria) {
             errors.push(overlap_error(&accepted[index], &accepted[overlap.earlier], &overlap));
@@ -142,16 +146,16 @@
 fn overlaps_of(
     index: usize,
     accepted: &AcceptedRoute,
-    first_by_criteria: &mut HashMap<(MatchShape, Option<DestinationId>), usize>,
+    first_by_criteria: &mut HashMap<(MatchCriteria, Option<DestinationId>), usize>,
 ) -> Vec<Overlap> {
-    let shape = accepted.route.shape;
-    let destinations: Vec<Option<DestinationId>> = match shape.names_destinations {
+    let criteria = accepted.route.criteria;
+    let destinations: Vec<Option<DestinationId>> = match criteria.names_destinations {
         true => accepted.destinations.iter().copied().map(Some).collect(),
         false => vec![None],
     };
     let mut overlaps: Vec<Overlap> = Vec::new();
     for destination in destinations {
-        let earlier = *first_by_criteria.entry((shape, destination)).or_insert(index);
+        let earlier = *first_by_criteria.entry((criteria, destination)).or_insert(index);
         if earlier == index {
             continue;
         }
@@ -179,9 +183,9 @@
 
 /// Records an error for each route that can never win. A route that overlaps with another, or has no valid destination, has
 /// an error already.
-fn check_shadowed(accepted: &[AcceptedRoute], plan: &Plan, errors: &mut Vec<ConfigError>) {
-    for (accepted, wins) in accepted.iter().zip(plan.winners()) {
-        let names_none = accepted.route.shape.names_destinations && accepted.destinations.is_empty();
+fn check_shadowed(accepted: &[AcceptedRoute], table: &RouteTable, errors: &mut Vec<ConfigError>) {
+    for (accepted, wins) in accepted.iter().zip(table.winners()) {
+        let names_none = accepted.route.criteria.names_destinations && accepted.destinations.is_empty();
         if wins || accepted.overlaps || names_none {
             continue;
         }
--- a/src/routes/check_timing.rs
+++ b/src/routes/check_timing.rs
@@ -1,7 +1,7 @@
 //! Checks the timing of an entry against itself, the settings and the classes that the entry matches.
 
-use super::plan::MatchShape;
-use super::{worst_case, ParsedRoute, Platform, Timing, MAX_ATTEMPTS_PER_MESSAGE};
+use super::table::MatchCriteria;
+use super::{worst_case, NamedSettings, ParsedRoute, Timing, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::durations::format_duration;
 use crate::policy::max_attempt_timeout;
@@ -11,13 +11,13 @@
 /// reported.
 pub(super) fn check_timing(
     entry: &ParsedRoute,
-    shape: MatchShape,
+    criteria: MatchCriteria,
     timing: &Timing,
-    platform: Platform<'_>,
+    platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
 ) {
     let attempts_are_allowed = check_attempts(entry, platform, errors);
-    let classes = matching_classes(entry, shape, timing, platform);
+    let classes = matching_classes(entry, criteria, timing, platform);
     check_hedge(entry, timing, &classes, platform.settings.may_hedge, errors);
     if let Some(earliest) = classes.iter().min_by_key(|checked| checked.class.deadline) {
         earliest.check_abandon_after(errors);
@@ -36,7 +36,7 @@
 }
 
 /// Checks the number of attempts; returns whether it is allowed or left out.
-fn check_attempts(entry: &ParsedRoute, platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> bool {
+fn check_attempts(entry: &ParsedRoute, platform: NamedSettings<'_>, errors: &mut Vec<ConfigError>) -> bool {
     let allowed = platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE);
     let Some(attempts) = entry.attempts else { return true };
     let problem = match attempts.value {
@@ -56,12 +56,12 @@
 
 fn matching_classes<'a>(
     entry: &'a ParsedRoute,
-    shape: MatchShape,
+    criteria: MatchCriteria,
     timing: &'a Timing,
-    platform: Platform<'a>,
+    platform: NamedSettings<'a>,
 ) -> Vec<ClassCheck<'a>> {
     let classes = platform.settings.classes.iter().zip(&platform.names.classes).enumerate();
-    let matching = classes.filter(|(index, _)| shape.class.is_none_or(|class| class.0 == *index));
+    let matching = classes.filter(|(index, _)| criteria.class.is_none_or(|class| class.0 == *index));
     let min_step_interval = platform.settings.min_step_interval;
     matching.map(|(_, (class, name))| ClassCheck { entry, timing, class, name, min_step_interval }).collect()
 }
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -6,7 +6,7 @@
 
 mod check;
 mod check_timing;
-mod plan;
+mod table;
 mod timeline;
 
 use crate::config_error::{Located, Position};
@@ -14,7 +14,7 @@
 use crate::{DestinationId, Micros, Settings};
 
 pub use check::check_routes;
-pub use plan::{Plan, Route, RouteId};
+pub use table::{Route, RouteId, RouteTable};
 pub use timeline::{worst_case, WorstCaseAttempt};
 
 /// The most attempts that a message may have, whatever the settings allow. It is a rule of the platform.
@@ -65,9 +65,9 @@
     pub is_complete: bool,
 }
 
-/// The platform's settings, against which the entries are checked.
+/// The platform's settings with the names of its classes and kinds; the entries are checked against them.
 #[derive(Clone, Copy)]
-pub struct Platform<'a> {
+pub struct NamedSettings<'a> {
     /// The limits of attempts, and the properties of the classes and kinds.
     pub settings: &'a Settings,
     /// The names of the classes and kinds.
@@ -76,7 +76,7 @@
 
 /// The pauses between attempts; both are 0 by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pause {
+pub struct RetryPause {
     /// The pause before the second attempt, in microseconds; it doubles before each further one.
     pub first: Micros,
     /// The longest pause, in microseconds.
@@ -91,7 +91,7 @@
     /// The most attempts, including the first.
     pub attempts: Option<u32>,
     /// The pauses between attempts.
-    pub pause: Option<Pause>,
+    pub pause: Option<RetryPause>,
     /// Time from the start of an attempt that timed out to the start of the hedged request to another endpoint.
     pub hedge_after: Option<Micros>,
     /// Time from the receipt of a message to its abandonment.
--- a/src/routes/plan.rs
+++ b/src/routes/table.rs
@@ -16,14 +16,14 @@
     /// The line of the file in which the entry starts.
     pub line: u32,
     /// The criteria by which the route matches messages, without the list of destinations.
-    pub shape: MatchShape,
+    pub criteria: MatchCriteria,
     /// The timing that the route sets.
     pub timing: Timing,
 }
 
 /// The resolved criteria of an entry's `match`. The destinations themselves are kept in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct MatchShape {
+pub struct MatchCriteria {
     /// Whether the route is limited to a list of destinations.
     pub names_destinations: bool,
     /// The kind of the destination; `None` for any.
@@ -32,7 +32,7 @@
     pub class: Option<ClassId>,
 }
 
-impl MatchShape {
+impl MatchCriteria {
     /// The rank by which the matching routes are ordered; the highest wins. Destination ranks over kind, and kind over
     /// class. Two criteria rank over either of them alone.
     pub fn specificity(self) -> u8 {
@@ -69,7 +69,7 @@
 /// The accepted routes of a file, with the winner for each combination of destination, kind and class precomputed. If it is
 /// empty, the delivery policy decides all timing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct RouteTable {
     routes: Vec<Route>,
     kinds: usize,
     classes: usize,
@@ -83,18 +83,18 @@
     members: Vec<Vec<u32>>,
 }
 
-impl Plan {
+impl RouteTable {
     /// Builds the table from the accepted routes and the destinations that each of them names.
     pub(super) fn build(
         routes: Vec<Route>,
         destinations: &[Vec<DestinationId>],
         kinds: usize,
         classes: usize,
-    ) -> Plan {
+    ) -> RouteTable {
         let mut by_destination: FxHashMap<u64, Vec<u32>> = FxHashMap::default();
         let mut general = Vec::new();
         for (index, route) in routes.iter().enumerate() {
-            if route.shape.names_destinations {
+            if route.criteria.names_destinations {
                 for destination in &destinations[index] {
                     by_destination.entry(destination.0).or_default().push(index as u32);
                 }
@@ -102,8 +102,8 @@
                 general.push(index as u32);
             }
         }
-        let mut plan = Plan { routes, kinds, classes, ..Plan::default() };
-        plan.add_row(&general, None);
+        let mut table = RouteTable { routes, kinds, classes, ..RouteTable::default() };
+        table.add_row(&general, None);
         // Destinations named by the same routes share a row, so that each further one in a long list costs only a map entry.
         let mut row_of_routes: FxHashMap<Vec<u32>, u32> = FxHashMap::default();
         let mut named: Vec<_> = by_destination.into_iter().collect();
@@ -112,14 +112,14 @@
             let row = match row_of_routes.get(&naming_routes) {
                 Some(row) => *row,
                 None => {
-                    let row = plan.add_row(&naming_routes, Some(0));
+                    let row = table.add_row(&naming_routes, Some(0));
                     row_of_routes.insert(naming_routes, row);
                     row
                 }
             };
-            plan.rows.insert(destination, row);
+            table.rows.insert(destination, row);
         }
-        plan
+        table
     }
 
     /// Adds a row for the given routes and returns its index. A cell for which none of them matches is copied from the base
@@ -135,8 +135,8 @@
             let matching = routes
                 .iter()
                 .copied()
-                .filter(|route| self.routes[*route as usize].shape.matches(kind, class));
-            let best = matching.max_by_key(|route| self.routes[*route as usize].shape.specificity());
+                .filter(|route| self.routes[*route as usize].criteria.matches(kind, class));
+            let best = matching.max_by_key(|route| self.routes[*route as usize].criteria.specificity());
             self.cells.push(best.unwrap_or(inherited));
         }
         row
@@ -172,8 +172,9 @@
             .chain(self.members.first())
             .flatten()
             .map(|index| &self.routes[*index as usize]);
-        let mut matching: Vec<&Route> = candidates.filter(|route| route.shape.matches(kind, class)).collect();
-        matching.sort_by_key(|route| std::cmp::Reverse(route.shape.specificity()));
+        let mut matching: Vec<&Route> =
+            candidates.filter(|route| route.criteria.matches(kind, class)).collect();
+        matching.sort_by_key(|route| std::cmp::Reverse(route.criteria.specificity()));
         matching
     }
 
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::membership::RegistrySettings;
-use crate::routes::{check_routes, Plan, Platform};
+use crate::routes::{check_routes, NamedSettings, RouteTable};
 use fields::{read_whole_number, Fields};
 
 /// The only supported version of the file format.
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     /// The timing of messages by route.
-    pub routes: Plan,
+    pub routes: RouteTable,
     /// The registry that is an additional source of the endpoint list; `None` if there is none.
     pub registry: Option<RegistrySettings>,
 }
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// All errors in the file, in the order of their positions.
-    pub fn read(text: &str, platform: Platform<'_>) -> Result<Site, Vec<ConfigError>> {
+    pub fn read(text: &str, platform: NamedSettings<'_>) -> Result<Site, Vec<ConfigError>> {
         let mut errors = Vec::new();
         let site = read(text, platform, &mut errors);
         errors.sort_by_key(|error| (error.at, error.code));
@@ -45,7 +45,7 @@
     }
 }
 
-fn read(text: &str, platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Option<Site> {
+fn read(text: &str, platform: NamedSettings<'_>, errors: &mut Vec<ConfigError>) -> Option<Site> {
     if text.len() > MAX_FILE_BYTES {
         let reason = format!("the file has {} bytes; {MAX_FILE_BYTES} at most are read", text.len());
         errors.push(ConfigError::new(Position::default(), ErrorCode::Syntax, reason));
--- a/tests/registry_settings.rs
+++ b/tests/registry_settings.rs
@@ -1,7 +1,7 @@
 //! The `registry` section of a site file.
 
 use cedarbridge::net::config;
-use cedarbridge::routes::Platform;
+use cedarbridge::routes::NamedSettings;
 use cedarbridge::site::Site;
 
 #[test]
@@ -9,7 +9,7 @@
     let example = include_str!("../examples/config.json");
     let (settings, names) = config::read_platform_settings(example).expect("the example's settings");
     let read_site = |text: &str| {
-        let platform = Platform { settings: &settings, names: &names };
+        let platform = NamedSettings { settings: &settings, names: &names };
         Site::read(text, platform).map(|site| site.registry.expect("there"))
     };
     let read =
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,7 +1,7 @@
 //! The site file's routes: every error by its code and place, and what the policy makes of an accepted file.
 
 mod common;
-use cedarbridge::routes::{worst_case, Platform};
+use cedarbridge::routes::{worst_case, NamedSettings};
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::Site;
 use cedarbridge::*;
@@ -26,7 +26,7 @@
 
 fn read(text: &str) -> Result<Site, Vec<String>> {
     let (settings, names) = platform();
-    let read = Site::read(text, Platform { settings: &settings, names: &names });
+    let read = Site::read(text, NamedSettings { settings: &settings, names: &names });
     read.map_err(|all| {
         all.iter().map(|b| format!("{}:{} {}", b.at.line, b.at.column, b.code.as_str())).collect()
     })
