--- a/tests/endpoint_list_watch.rs
+++ b/tests/endpoint_list_watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the platform's endpoint list when it falls silent and when a reload moves it. The scenarios are scripts in the
-//! language of `scenario/mod.rs`.
+//! The watch of the platform's endpoint list when it falls silent and when a reload moves it. The scenarios are scripts in
+//! the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -23,8 +23,8 @@
 }
 
 /// Guards against four faults of a reload: the default action of the signal ends the program, an environment variable of the
-/// start overrides the new address, there is a gap between the two watches, or the new platform is asked for the changes since a
-/// version that the old one numbered.
+/// start overrides the new address, there is a gap between the two watches, or the new platform is asked for the changes
+/// since a version that the old one numbered.
 #[test]
 fn a_reload_moves_the_watch_without_a_gap() {
     play(
--- a/tests/eureka.rs
+++ b/tests/eureka.rs
@@ -1,4 +1,4 @@
-//! The decoders of a registry's answers, on what real servers write and on what nobody should.
+//! The decoders of a registry's answers, with answers as real servers write them and with invalid ones.
 
 use cedarbridge::membership::{EntryState, MetadataNames, SourceUpdate};
 use cedarbridge::net::platform::eureka::cache::RegistryCache;
@@ -29,25 +29,26 @@
  </applications>"#;
 
 #[test]
-fn json_and_xml_of_the_same_answer_are_read_alike() {
-    let (a, b) = (json::decode(JSON.as_bytes()).expect("JSON"), xml::decode(XML.as_bytes()).expect("XML"));
-    assert_eq!(a, b);
-    assert_eq!((a.version, a.hash.as_deref()), (Some(3), Some("DOWN_1_UP_1_")));
-    let [one, other] = a.instances.as_slice() else { panic!("two") };
+fn json_and_xml_of_the_same_answer_are_decoded_alike() {
+    let (from_json, from_xml) =
+        (json::decode(JSON.as_bytes()).expect("JSON"), xml::decode(XML.as_bytes()).expect("XML"));
+    assert_eq!(from_json, from_xml);
+    assert_eq!((from_json.version, from_json.hash.as_deref()), (Some(3), Some("DOWN_1_UP_1_")));
+    let [first, second] = from_json.instances.as_slice() else { panic!("two") };
     assert_eq!(
-        (one.id.as_str(), one.port, one.modified_at_ms, one.status),
+        (first.id.as_str(), first.port, first.modified_at_ms, first.status),
         ("a:1", Some(8080), 1500, Status::Up)
     );
-    assert_eq!((other.app.as_str(), other.id.as_str(), other.port), ("OTHER", "b", Some(8443)));
-    assert_eq!((other.status, other.action, other.metadata.len()), (Status::Down, Action::Delete, 0));
-    assert_eq!(one.metadata["weight"], "2.5");
-    assert_eq!(Some(hash_code(a.instances.iter().map(|i| i.status))), a.hash);
+    assert_eq!((second.app.as_str(), second.id.as_str(), second.port), ("OTHER", "b", Some(8443)));
+    assert_eq!((second.status, second.action, second.metadata.len()), (Status::Down, Action::Delete, 0));
+    assert_eq!(first.metadata["weight"], "2.5");
+    assert_eq!(Some(hash_code(from_json.instances.iter().map(|instance| instance.status))), from_json.hash);
 }
 
 #[test]
-fn entries_without_their_figures_are_reported_once_and_never_guessed() {
-    let text = |t: &str| t.to_owned();
-    let by = MetadataNames {
+fn entries_with_invalid_metadata_are_reported_once_and_get_no_defaults() {
+    let text = |text: &str| text.to_owned();
+    let metadata_names = MetadataNames {
         destination: text("partner"),
         kind: text("kind"),
         zone: text("zone"),
@@ -55,13 +56,15 @@
     };
     let names = Names { kinds: vec![text("plain")], zones: vec![text("room")], ..Names::default() };
     let mut cache = RegistryCache::default();
-    let read = |from: &str, to: &str| json::decode(JSON.replace(from, to).as_bytes()).expect("JSON");
-    let applied = cache.apply(read("\"ADDED\"", "\"\""), true, &by, &names);
-    let SourceUpdate::Complete { version: Some(3), listings } = applied.update else { panic!("whole") };
+    let answer = |from: &str, to: &str| json::decode(JSON.replace(from, to).as_bytes()).expect("JSON");
+    let applied = cache.apply(answer("\"ADDED\"", "\"\""), true, &metadata_names, &names);
+    let SourceUpdate::Complete { version: Some(3), listings } = applied.update else {
+        panic!("not a complete update")
+    };
     assert_eq!((listings.len(), listings[0].destination.0, listings[0].state), (1, 7, EntryState::Up));
     assert_eq!((listings[0].weight, listings[0].address.to_string()), (2.5, "10.0.0.1:8080".into()));
     assert!(applied.hash_matches);
-    for (from, to, why) in [
+    for (from, to, expected) in [
         ("\"partner\":\"7\",", "", "its metadata has no `partner`"),
         ("\"partner\":\"7\"", "\"partner\":\"seven\"", "`partner` is no number: `seven`"),
         ("\"plain\"", "\"odd\"", "unknown kind `odd`"),
@@ -74,21 +77,24 @@
         ),
     ] {
         let mut cache = RegistryCache::default();
-        let applied = cache.apply(read(from, to), false, &by, &names);
+        let applied = cache.apply(answer(from, to), false, &metadata_names, &names);
         assert!(
-            applied.unusable_entries.iter().any(|entry| entry.reason.to_string() == why),
-            "{why}: {:?}",
+            applied.unusable_entries.iter().any(|entry| entry.reason.to_string() == expected),
+            "{expected}: {:?}",
             applied.unusable_entries
         );
-        let SourceUpdate::Patch { listings, removed } = applied.update else { panic!("a patch") };
-        assert_eq!((listings.len(), removed.len()), (0, 2), "what was cached under its name is removed");
-        assert!(cache.apply(read(from, to), false, &by, &names).unusable_entries.is_empty(), "reported once");
+        let SourceUpdate::Patch { listings, removed } = applied.update else { panic!("not a patch") };
+        assert_eq!((listings.len(), removed.len()), (0, 2), "an earlier entry with this key is removed");
+        assert!(
+            cache.apply(answer(from, to), false, &metadata_names, &names).unusable_entries.is_empty(),
+            "reported once"
+        );
     }
-    // The hash counts every instance, also those that are no endpoints of ours.
-    assert!(!cache.apply(read("DOWN_1_UP_1_", "UP_9_"), false, &by, &names).hash_matches);
+    // The hash covers every instance, including those that are not endpoints.
+    assert!(!cache.apply(answer("DOWN_1_UP_1_", "UP_9_"), false, &metadata_names, &names).hash_matches);
 }
 
-/// Guards against a name that ends the request's first line, or leads to another path.
+/// Guards against a name that ends the request line early, or that leads to another path.
 #[test]
 fn a_name_in_a_path_is_encoded_so_that_it_stays_one_segment() {
     assert_eq!(percent_encode("host-1.example:app:8080"), "host-1.example:app:8080");
@@ -96,7 +102,7 @@
 }
 
 #[test]
-fn what_is_no_answer_is_rejected() {
+fn a_body_that_is_not_an_answer_is_rejected() {
     let deep = format!("{}{}", "<applications>".repeat(100), "</applications>".repeat(100));
     for text in [
         "",
@@ -123,21 +129,21 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 3000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
-    /// The bounded run of what `fuzz/` does without end: no bytes make a reader panic.
+    /// A bounded version of the fuzz targets in `fuzz/`: no bytes make a decoder panic.
     #[test]
-    fn any_bytes_are_read_or_rejected(
+    fn any_bytes_are_decoded_or_rejected(
         changes in proptest::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0u8..4), 0..12),
-        xml_too in any::<bool>(),
+        starts_as_xml in any::<bool>(),
     ) {
-        let mut bytes = if xml_too { XML } else { JSON }.as_bytes().to_vec();
-        for (place, byte, how) in changes {
-            let at = place.index(bytes.len().max(1)).min(bytes.len().saturating_sub(1));
-            match how {
+        let mut bytes = if starts_as_xml { XML } else { JSON }.as_bytes().to_vec();
+        for (position, byte, change) in changes {
+            let index = position.index(bytes.len().max(1)).min(bytes.len().saturating_sub(1));
+            match change {
                 _ if bytes.is_empty() => {}
-                0 => bytes[at] = byte,
-                1 => bytes.insert(at, byte),
-                2 => drop(bytes.remove(at)),
-                _ => bytes.truncate(at.max(bytes.len() / 2)),
+                0 => bytes[index] = byte,
+                1 => bytes.insert(index, byte),
+                2 => drop(bytes.remove(index)),
+                _ => bytes.truncate(index.max(bytes.len() / 2)),
             }
         }
         let _ = json::decode(&bytes);
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -1,5 +1,5 @@
-//! The registry as a source of the endpoint list, in the running program. Scenarios over sockets, in the language of
-//! `scenario/mod.rs`.
+//! The registry as a source of the endpoint list, tested with the running program. The scenarios are scripts in the language
+//! of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -14,13 +14,13 @@
     back-off: {first: 50ms, longest: 200ms}}}";
 
 /// Plays a scenario with a registry and [`SITE`].
-fn with(setting: &str, script: &str) {
-    play(&format!("{setting}\nstart-registry\n{SITE}\n{script}"));
+fn play_with_registry(endpoints: &str, script: &str) {
+    play(&format!("{endpoints}\nstart-registry\n{SITE}\n{script}"));
 }
 
 #[test]
 fn registry_entries_are_added_drained_and_removed() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden e2=1:one:hidden",
         "registry put e1
          start
@@ -51,10 +51,11 @@
     );
 }
 
-/// Guards against a new call that is sent late because it waited for a connection when the drain was announced.
+/// Guards against a call to a draining endpoint that is sent because it was waiting for its connection when the drain was
+/// received.
 #[test]
 fn a_drain_applies_to_a_call_that_waits_for_its_connection() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden:stalled grace=60",
         "registry put e1
          start
@@ -74,7 +75,7 @@
 
 #[test]
 fn a_silent_registry_leaves_its_last_view_in_use_and_loses_no_message() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -102,7 +103,7 @@
 
 #[test]
 fn a_start_with_a_silent_registry_uses_the_persisted_view() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -113,7 +114,7 @@
          kill
          registry silent
          start
-         log its last view is served
+         log using the persisted view
          wait registry/serves_kept_view=true registry/entries=1
          u1 send m1
          u1 expect 202
@@ -127,18 +128,18 @@
          damage-view
          start
 
-         log its last view is damaged",
+         log the persisted view is damaged",
     );
 }
 
 #[test]
 fn a_start_with_a_silent_registry_and_no_view_uses_the_pushed_endpoint_list() {
-    with(
+    play_with_registry(
         "with e1=1 e2=2:one:hidden",
         "registry silent
          start
 
-         log no view of it was kept
+         log there is no persisted view
          u1 send m1
          u1 expect 202
          e1 expect m1
@@ -150,10 +151,10 @@
     );
 }
 
-/// Guards against losing a call in flight to an endpoint that is removed.
+/// Guards against the loss of a call in flight when its endpoint is replaced by another one at the same address.
 #[test]
 fn an_instance_that_is_replaced_at_its_address_is_another_endpoint() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -177,10 +178,10 @@
     );
 }
 
-/// Guards against a lost delta: the hash of the cached entries shows it.
+/// Guards against changes that stay unknown because a delta was lost: the hash of the cached entries shows the loss.
 #[test]
 fn a_lost_delta_is_detected_by_its_hash() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden e3=3:one:hidden",
         "registry put e1 e2 e3
          start
@@ -198,8 +199,8 @@
 }
 
 #[test]
-fn an_empty_registry_is_not_believed_unless_it_stays_empty() {
-    with(
+fn an_empty_registry_is_not_accepted_unless_it_stays_empty() {
+    play_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry put e1 e2
          start
@@ -244,7 +245,7 @@
 
 #[test]
 fn xml_and_gzip_responses_are_read_and_oversized_ones_rejected() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry xml
          registry put e1
@@ -260,9 +261,9 @@
          registry sends-huge-answers
          log too-large
          registry sends-deep-nesting
-         log not as JSON should be
+         log invalid JSON
          registry sends-a-long-name
-         log a name of 500000 bytes
+         log name or value too long: 500000 bytes
          wait registry/entries=2
          u1 send m1
          u1 expect 202
@@ -275,7 +276,7 @@
 
 #[test]
 fn a_reload_moves_to_another_registry_during_traffic() {
-    with(
+    play_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -325,7 +326,7 @@
 }
 
 /// Runs a command of the program and returns its exit code and standard output.
-fn command(arguments: &[&str]) -> (Option<i32>, String) {
+fn run(arguments: &[&str]) -> (Option<i32>, String) {
     let Output { status, stdout, .. } = program().args(arguments).output().expect("it runs");
     (status.code(), String::from_utf8(stdout).expect("text"))
 }
@@ -358,7 +359,7 @@
     let site = path.to_str().expect("text");
 
     let registry_command = |name: &str, more: &[&str]| {
-        command(&[&["registry", name, "--config", "examples/config.json", site], more].concat())
+        run(&[&["registry", name, "--config", "examples/config.json", site], more].concat())
     };
 
     let (code, list) = registry_command("list", &[]);
@@ -370,15 +371,15 @@
     );
     assert!(list.contains("c  passed over: unknown kind `unheard-of`"), "{list}");
     let (_, json) = registry_command("list", &["--json"]);
-    assert!(json.lines().all(|l| serde_json::from_str::<serde_json::Value>(l).is_ok()), "{json}");
+    assert!(json.lines().all(|line| serde_json::from_str::<serde_json::Value>(line).is_ok()), "{json}");
     let (_, watched) = registry_command("watch", &["--for", "300ms"]);
     assert!(watched.contains("a  127.0.0.1:1001") && !watched.contains("b  127"), "{watched}");
     let (code, diff) = registry_command("diff", &[]);
     assert_eq!((code, diff.lines().count()), (Some(0), 2), "{diff}");
-    assert!(diff.lines().all(|l| l.starts_with("PARTNERS/a  127.0.0.1:")), "{diff}");
-    registry.set(|m| m.half = true);
+    assert!(diff.lines().all(|line| line.starts_with("PARTNERS/a  127.0.0.1:")), "{diff}");
+    registry.set(|mode| mode.half = true);
     assert_eq!(registry_command("diff", &[]).0, Some(1));
-    replica.set(|m| m.half = true);
+    replica.set(|mode| mode.half = true);
     assert_eq!(registry_command("list", &[]).0, Some(1));
     std::fs::remove_dir_all(folder).expect("removed");
 }
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -1,4 +1,5 @@
-//! The site file in the running program, and the commands that read it.
+//! The site file, tested with the running program and with the commands that read it. The scenarios are scripts in the
+//! language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -6,7 +7,7 @@
 use scenario::process::program;
 use std::process::Output;
 
-/// Guards against a slow endpoint and a fast one sharing a timeout, and against a repeat beyond the route's most.
+/// Guards against a timeout that a slow and a fast endpoint share, and against more attempts than the route allows.
 #[test]
 fn attempts_time_out_and_are_counted_by_route() {
     play(
@@ -28,7 +29,8 @@
     );
 }
 
-/// Guards against a call of many that is cut for all because one of them has a short time-out or give-up.
+/// Guards against a call with several messages that ends early for all of them because one message has a short timeout or
+/// `give-up`.
 #[test]
 fn messages_of_different_routes_do_not_time_out_for_each_other() {
     play(
@@ -48,9 +50,10 @@
     );
 }
 
-/// Guards against a file reloaded in mid-traffic that reaches back to what is out, and against a broken one.
+/// Guards against a reload that changes the timeout of attempts in flight, and against a reload that applies an invalid
+/// file.
 #[test]
-fn a_reload_holds_for_the_next_attempt_and_a_broken_file_changes_nothing() {
+fn a_reload_applies_to_the_next_attempt_and_an_invalid_file_changes_nothing() {
     play(
         "with e1=1 e2=2
          site {version: 1, routes: [{name: all, match: {}, timeout: 8s, attempts: 2}]}
@@ -63,7 +66,7 @@
          e2 expect m2
          site {version: 1, routes: [{name: all, match: {}, timeout: 200ms, attempts: 13}, {name: all, match: {kind: odd}}]}
          reload open=8
-         log [attempts] 13 attempts are more than any message may have; 1 to 3 are right; 
+         log [attempts] 13 attempts are more than any message may have; 1 to 3 are allowed; 
          log [unknown-kind] the settings list no kind `odd`
          site {version: 1, routes: [{name: all, match: {}, timeout: 200ms, attempts: 1}]}
          reload open=8
@@ -79,15 +82,15 @@
     );
 }
 
-/// Guards against a clump that is in flight, with another right behind it, being lost or cut by a reload.
+/// Guards against a reload that loses or cuts off a burst of messages in flight, with another burst right after it.
 #[test]
-fn a_reload_between_two_clumps_loses_nothing() {
-    let clump = |from: usize| {
-        let hand_in = |i| format!("u{i} send m{i}\nu{i} expect 202\n");
-        (from..from + 4).map(hand_in).collect::<String>()
+fn a_reload_between_two_bursts_loses_nothing() {
+    let burst = |from: usize| {
+        let send = |number| format!("u{number} send m{number}\nu{number} expect 202\n");
+        (from..from + 4).map(send).collect::<String>()
     };
-    let answer = |from: usize| {
-        let all: String = (from..from + 4).map(|i| format!(" m{i}")).collect();
+    let serve = |from: usize| {
+        let all: String = (from..from + 4).map(|number| format!(" m{number}")).collect();
         format!("e1 serves{all}\n")
     };
     let first = "with e1=1 open=40
@@ -96,21 +99,14 @@
     let reload = "site {version: 1, routes: [{name: other, match: {kind: one}, timeout: 4s, attempts: 3}]}
          reload open=40
          wait reloads=1\n";
-    // The calls of a clump may come in any order; `serves` takes each message once.
-    let script = [
-        first,
-        &clump(1),
-        reload,
-        &answer(1),
-        &clump(5),
-        &answer(5),
-        "wait delivered=8 open=0 timed_out=0\n",
-    ];
+    // The calls of a burst may arrive in any order; `serves` responds to each message once.
+    let script =
+        [first, &burst(1), reload, &serve(1), &burst(5), &serve(5), "wait delivered=8 open=0 timed_out=0\n"];
     play(&script.concat());
 }
 
 #[test]
-fn attempts_used_up_under_another_plan_end_at_once_after_a_restart() {
+fn a_message_that_has_used_up_its_attempts_under_the_new_routes_ends_at_once_after_a_restart() {
     play(
         "with e1=1
          site {version: 1, routes: [{name: all, match: {}, timeout: 9s, attempts: 2}]}
@@ -131,49 +127,50 @@
 
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
     let Output { status, stdout, stderr } = program().args(arguments).output().expect("it runs");
-    let text = |b: Vec<u8>| String::from_utf8(b).expect("text");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (status.code(), text(stdout), text(stderr))
 }
 
 #[test]
-fn the_commands_exit_differently_for_a_rejected_file_and_a_wrong_call() {
+fn the_commands_exit_differently_for_a_rejected_file_and_a_usage_error() {
     let config = "examples/config.json";
-    let (code, out, _) = run(&["check", "--config", config, "deploy/site.yaml"]);
-    assert_eq!((code, out.as_str()), (Some(0), "deploy/site.yaml: 2 routes, nothing against it\n"));
+    let (code, stdout, _) = run(&["check", "--config", config, "deploy/site.yaml"]);
+    assert_eq!((code, stdout.as_str()), (Some(0), "deploy/site.yaml: 2 routes, nothing against it\n"));
     let folder = std::env::temp_dir().join(format!("cedarbridge-site-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("broken.yaml");
     std::fs::write(&path, "version: 1\nroutes:\n- {name: a, match: {}, attempts: 13}\n").expect("written");
-    let broken = path.to_str().expect("text");
-    let line = format!(
-        "{broken}:3:34: [attempts] 13 attempts are more than any message may have; 1 to 12 are right\n"
+    let invalid_file = path.to_str().expect("text");
+    let error = format!(
+        "{invalid_file}:3:34: [attempts] 13 attempts are more than any message may have; 1 to 12 are allowed\n"
     );
-    assert_eq!(run(&["check", "--config", config, broken]).0, Some(1));
-    assert_eq!(run(&["check", "--config", config, broken]).1, line);
-    let (_, json, _) = run(&["check", "--json", "--config", config, broken]);
+    assert_eq!(run(&["check", "--config", config, invalid_file]).0, Some(1));
+    assert_eq!(run(&["check", "--config", config, invalid_file]).1, error);
+    let (_, json, _) = run(&["check", "--json", "--config", config, invalid_file]);
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!((&json["ok"], &json["breaches"][0]["code"]), (&false.into(), &"attempts".into()));
-    // The daemon refuses by the same check, before it takes up anything.
-    let (code, _, told) = run(&["run", config, "--site", broken]);
-    assert_eq!((code, told), (Some(1), format!("cedarbridge: {line}")));
-    for wrong in [&["check", "--config", config][..], &["check", "--config", "none", broken], &["--odd"], &[]]
+    // The forwarder rejects the file with the same check, before it starts anything.
+    let (code, _, stderr) = run(&["run", config, "--site", invalid_file]);
+    assert_eq!((code, stderr), (Some(1), format!("cedarbridge: {error}")));
+    for arguments in
+        [&["check", "--config", config][..], &["check", "--config", "none", invalid_file], &["--odd"], &[]]
     {
-        assert_eq!(run(wrong).0, Some(2), "{wrong:?}");
+        assert_eq!(run(arguments).0, Some(2), "{arguments:?}");
     }
     std::fs::remove_dir_all(folder).expect("removed");
 }
 
 #[test]
 fn explain_names_the_entry_that_wins_and_its_worst_case() {
-    let args =
+    let arguments =
         ["explain", "--config", "examples/config.json", "deploy/site.yaml", "--kind", "cable-operator"];
-    let (code, out, _) = run(&args);
+    let (code, stdout, _) = run(&arguments);
     assert_eq!(code, Some(0));
     for part in ["`cable-operators` (deploy/site.yaml:", "matches kind cable-operator, class notice", "25.4s"]
     {
-        assert!(out.contains(part), "no {part} in {out}");
+        assert!(stdout.contains(part), "no {part} in {stdout}");
     }
-    let (_, json, _) = run(&[&args[..], &["--json"]].concat());
+    let (_, json, _) = run(&[&arguments[..], &["--json"]].concat());
     let json: serde_json::Value = serde_json::from_str(&json).expect("JSON");
     assert_eq!(
         (&json[0]["entry"]["name"], &json[0]["ends_ms"]),
--- a/tests/watch_backoff.rs
+++ b/tests/watch_backoff.rs
@@ -26,9 +26,9 @@
     );
 }
 
-/// Guards against a fleet that overloads the platform with its own requests: 48 forwarders that each sent four requests a second
-/// got no response for as long as they went on. Each forwarder may send one request at once, because the platform's list counts
-/// as received from the start. After its first rejection it must keep to its share of the fleet's request rate.
+/// Guards against a fleet that overloads the platform with its own requests: 48 forwarders that each sent four requests a
+/// second got no response for as long as they went on. Each forwarder may send one request at once, because the platform's
+/// list counts as received from the start. After its first rejection it must keep to its share of the fleet's request rate.
 #[test]
 fn a_fleet_that_lost_its_watches_at_once_requests_no_more_than_its_share() {
     let mut rng = fastrand::Rng::with_seed(7);
