--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -2,7 +2,7 @@
 
 use super::listing::{Listing, MembershipChange, SourceId};
 use super::merged_list::{EndpointIdentity, Membership};
-use super::source_view::{Effective, TouchedEntry};
+use super::source_view::{EffectiveState, TouchedEntry};
 use crate::{EndpointId, Lifecycle, Micros};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 /// An entry that may become the endpoint at its address.
 struct Candidate {
     listing: Listing,
-    effective: Effective,
+    effective: EffectiveState,
     source: SourceId,
 }
 
 impl Candidate {
-    /// Returns the candidate to publish. Of two ids it is the one that changed last. Of one id in two groups it is the newer
-    /// entry, which drains if either of them drains.
-    fn better(self, other: Candidate) -> Candidate {
+    /// Returns the candidate to publish. If the ids differ, it is the one that changed last. If the same id is in two groups,
+    /// it is the newer entry, and it drains if either of them drains.
+    fn choose(self, other: Candidate) -> Candidate {
         let is_newer = other.listing.stamp > self.listing.stamp;
         if self.listing.key.id != other.listing.key.id {
             return if is_newer { other } else { self };
@@ -80,7 +80,7 @@
         let TouchedEntry { key, previous_address } = entry;
         let identity = EndpointIdentity::ByKey(source, key.clone());
         let view = &self.views[source.0];
-        let current = view.get(&key).cloned().zip(view.effective(&key, now));
+        let current = view.get(&key).cloned().zip(view.effective_state(&key, now));
         let current_address = current.as_ref().map(|(listing, _)| listing.address);
         let left_address = previous_address.filter(|previous| Some(*previous) != current_address);
         if let Some(left) = left_address {
@@ -130,10 +130,10 @@
         let entries = self.by_address_entries.get(&address)?.iter();
         let candidates = entries.filter_map(|(source, key)| {
             let view = &self.views[source.0];
-            let (listing, effective) = view.get(key).zip(view.effective(key, now))?;
+            let (listing, effective) = view.get(key).zip(view.effective_state(key, now))?;
             Some(Candidate { listing: listing.clone(), effective, source: *source })
         });
-        candidates.reduce(Candidate::better)
+        candidates.reduce(Candidate::choose)
     }
 
     fn publish(
@@ -144,18 +144,18 @@
     ) {
         let endpoint = self.endpoint_id(&identity);
         let Candidate { listing, effective, source } = candidate;
-        let Effective { lifecycle, observed_at, reason } = effective;
+        let EffectiveState { lifecycle, observed_at, reason } = effective;
         let change = MembershipChange { endpoint, listing, lifecycle, observed_at, source, reason };
         let known = self.published.get(&identity);
-        // Every entry that a source identified by key sends is published; of the other sources only actual changes are.
-        let is_news = matches!(identity, EndpointIdentity::ByKey(..))
+        // A source that identifies by key has every entry published that it sends; the other sources only those that change.
+        let must_publish = matches!(identity, EndpointIdentity::ByKey(..))
             || known.is_none_or(|known| differs(known, &change));
         let known_address = known.map(|known| known.listing.address);
         if let Some(left) = known_address.filter(|known| *known != change.listing.address) {
             remove_at(&mut self.published_at, left, &identity);
         }
         self.published_at.entry(change.listing.address).or_default().insert(identity.clone());
-        if is_news {
+        if must_publish {
             changes.push(self.with_cordon(&change));
             self.published.insert(identity, change);
         }
--- a/src/membership/poll.rs
+++ b/src/membership/poll.rs
@@ -2,7 +2,7 @@
 //! draws are arguments.
 
 use super::settings::{PollBackoff, PollScope, RegistrySettings};
-use super::watch_backoff::up_to_half_shorter;
+use super::watch_backoff::with_jitter;
 use crate::Micros;
 
 /// What a poll asks for.
@@ -99,7 +99,7 @@
             let rounds = failures / self.addresses;
             let factor = 1u64.checked_shl(rounds as u32 - 1).unwrap_or(u64::MAX);
             let pause = self.backoff.first.saturating_mul(factor).min(self.backoff.max);
-            self.next_at = now + up_to_half_shorter(pause, draw);
+            self.next_at = now + with_jitter(pause, draw);
         }
     }
 }
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -55,7 +55,7 @@
 
 /// The lifecycle that results from an entry's state and its hold-down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Effective {
+pub(super) struct EffectiveState {
     /// Listed or draining; a removed entry has no effective lifecycle.
     pub lifecycle: Lifecycle,
     /// When the lifecycle began.
@@ -64,9 +64,9 @@
     pub reason: &'static str,
 }
 
-impl Effective {
+impl EffectiveState {
     /// Returns the draining one of the two if only one drains, otherwise `self`.
-    pub fn most_restrictive(self, other: Effective) -> Effective {
+    pub fn most_restrictive(self, other: EffectiveState) -> EffectiveState {
         match (self.lifecycle, other.lifecycle) {
             (Lifecycle::Listed, Lifecycle::Draining) => other,
             _ => self,
@@ -123,7 +123,7 @@
     version_lower_since: Option<Micros>,
     newest_stamp: u64,
     /// The ends of all hold-downs, earliest first.
-    timers: BTreeSet<(Micros, EntryKey)>,
+    hold_down_ends: BTreeSet<(Micros, EntryKey)>,
 }
 
 impl SourceView {
@@ -144,7 +144,7 @@
     }
 
     /// The lifecycle that an entry has now; `None` if it is not in the view.
-    pub fn effective(&self, key: &EntryKey, now: Micros) -> Option<Effective> {
+    pub fn effective_state(&self, key: &EntryKey, now: Micros) -> Option<EffectiveState> {
         let entry = self.entries.get(key)?;
         let (lifecycle, observed_at, reason) = match (entry.listing.state, entry.held_down_until) {
             (EntryState::Up, Some(until)) if now < until => {
@@ -154,18 +154,18 @@
             (EntryState::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
             _ => (Lifecycle::Draining, entry.observed_at, "not in service"),
         };
-        Some(Effective { lifecycle, observed_at, reason })
+        Some(EffectiveState { lifecycle, observed_at, reason })
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.timers.first().map(|(at, _)| *at)
+        self.hold_down_ends.first().map(|(at, _)| *at)
     }
 
     /// Returns the entries whose hold-down has ended, each only once.
     pub fn take_due(&mut self, now: Micros) -> Vec<TouchedEntry> {
         let mut touched = Vec::new();
         while self.next_due().is_some_and(|at| at <= now) {
-            let Some((_, key)) = self.timers.pop_first() else { break };
+            let Some((_, key)) = self.hold_down_ends.pop_first() else { break };
             let previous_address = self.get(&key).map(|listing| listing.address);
             touched.push(TouchedEntry { key, previous_address });
         }
@@ -301,8 +301,8 @@
     fn is_stale(&self, listing: &Listing) -> bool {
         let is_older = self.get(&listing.key).is_some_and(|known| listing.stamp < known.stamp);
         let tombstone = self.tombstones.get(&listing.key);
-        let is_buried = tombstone.is_some_and(|tombstone| listing.stamp <= tombstone.stamp);
-        listing.stamp > 0 && (is_older || is_buried)
+        let is_removed = tombstone.is_some_and(|tombstone| listing.stamp <= tombstone.stamp);
+        listing.stamp > 0 && (is_older || is_removed)
     }
 
     fn upsert(&mut self, now: Micros, listing: Listing, touched: &mut Vec<TouchedEntry>) {
@@ -351,7 +351,7 @@
         let factor = 1u64.checked_shl(recent - 1).unwrap_or(u64::MAX);
         let until = now + hold_down.first.saturating_mul(factor).min(hold_down.max);
         self.stats.held_down += 1;
-        self.timers.insert((until, key.clone()));
+        self.hold_down_ends.insert((until, key.clone()));
         Some(until)
     }
 
--- a/src/membership/watch_backoff.rs
+++ b/src/membership/watch_backoff.rs
@@ -58,7 +58,7 @@
         }
         let doublings = self.rejections.max(2) - 2;
         let pause = doubled(self.first_rejection_pause, doublings).min(MAX_REJECTION_PAUSE);
-        let pause = up_to_half_shorter(pause, draw);
+        let pause = with_jitter(pause, draw);
         // A random part is added to Retry-After, so that the whole fleet does not come back at the same moment.
         retry_after.map_or(pause, |retry_after| retry_after.saturating_add(pause / 2))
     }
@@ -68,7 +68,7 @@
     pub fn after_failure(&mut self, draw: f64) -> Micros {
         let pause = doubled(FIRST_FAILURE_PAUSE, self.failures).min(MAX_FAILURE_PAUSE);
         self.failures += 1;
-        up_to_half_shorter(pause, draw)
+        with_jitter(pause, draw)
     }
 }
 
@@ -77,6 +77,6 @@
 }
 
 /// Shortens a pause by up to half, by a random draw from 0 to 1.
-pub(super) fn up_to_half_shorter(pause: Micros, draw: f64) -> Micros {
+pub(super) fn with_jitter(pause: Micros, draw: f64) -> Micros {
     (pause as f64 * (1.0 - draw / 2.0)) as Micros
 }
--- a/src/net/platform/endpoint_list/watch.rs
+++ b/src/net/platform/endpoint_list/watch.rs
@@ -19,7 +19,7 @@
 /// A watch is also silent if it has received no list this long after it was opened. Together with the silence of the watch
 /// before it that makes 5 s. With a shorter time a whole fleet would overload a slow platform.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2400);
-/// How long a silent watch is read on, as its response may only be late.
+/// How long a watch without any data is read before it is closed; until then its data may only be late.
 const GIVE_UP_TIMEOUT: Duration = Duration::from_millis(8000);
 /// The longest line that is accepted.
 const MAX_LINE_BYTES: usize = 4 * 1024 * 1024;
@@ -84,7 +84,7 @@
 }
 
 /// The agent's response to the request for a watch.
-enum Opened {
+enum WatchResponse {
     /// The watch is open, and its first chunk has arrived; `None` if the body has ended.
     Watching { connection: HttpConnection, first_chunk: Option<Vec<u8>> },
     /// The agent has rejected the watch.
@@ -103,8 +103,8 @@
     async fn open_and_read(&self, after_generation: Option<u64>) -> Result<WatchEnd, HttpError> {
         let opened = self.report_silence(FIRST_LINE_TIMEOUT, self.open(after_generation)).await?;
         let (mut connection, mut chunk) = match opened {
-            Opened::Watching { connection, first_chunk } => (connection, first_chunk),
-            Opened::Rejected { status, retry_after } => {
+            WatchResponse::Watching { connection, first_chunk } => (connection, first_chunk),
+            WatchResponse::Rejected { status, retry_after } => {
                 return Ok(WatchEnd::Rejected { status, retry_after });
             }
         };
@@ -119,7 +119,7 @@
         }
     }
 
-    async fn open(&self, after_generation: Option<u64>) -> Result<Opened, HttpError> {
+    async fn open(&self, after_generation: Option<u64>) -> Result<WatchResponse, HttpError> {
         let address = self.address;
         let mut connection = HttpConnection::new(connect_within(address, GIVE_UP_TIMEOUT).await?);
         let after = after_generation.map_or(String::new(), |generation| format!("&after={generation}"));
@@ -130,11 +130,11 @@
             let seconds = head.headers.get("Retry-After").and_then(|seconds| seconds.parse::<f64>().ok());
             let seconds = seconds.filter(|seconds| (0.0..=MAX_RETRY_AFTER_S).contains(seconds));
             let retry_after = seconds.map(|seconds| (seconds * 1e6) as Micros);
-            return Ok(Opened::Rejected { status: head.status, retry_after });
+            return Ok(WatchResponse::Rejected { status: head.status, retry_after });
         }
         // The agent sends the first list together with the head of the response.
         let first_chunk = connection.read_chunk(MAX_LINE_BYTES).await?;
-        Ok(Opened::Watching { connection, first_chunk })
+        Ok(WatchResponse::Watching { connection, first_chunk })
     }
 
     /// Sends all complete lines to the actor and leaves an incomplete last line in the buffer.
--- a/src/net/platform/eureka/cache.rs
+++ b/src/net/platform/eureka/cache.rs
@@ -84,9 +84,9 @@
         }
         let (mut listings, mut removed, mut unusable_entries) = (Vec::new(), Vec::new(), Vec::new());
         for instance in &answer.instances {
-            let key = key(instance);
+            let key = entry_key(instance);
             self.set_status(&key, instance, complete);
-            match listing(instance, metadata, names) {
+            match to_listing(instance, metadata, names) {
                 Ok(listing) => listings.push(listing),
                 Err(reason) => {
                     removed.push((key.clone(), instance.modified_at_ms));
@@ -128,11 +128,11 @@
     }
 }
 
-fn key(instance: &Instance) -> EntryKey {
+fn entry_key(instance: &Instance) -> EntryKey {
     EntryKey { group: instance.app.clone(), id: instance.id.clone() }
 }
 
-fn state(instance: &Instance) -> EntryState {
+fn entry_state(instance: &Instance) -> EntryState {
     match (instance.action, instance.status) {
         (Action::Delete, _) => EntryState::Removed,
         (_, Status::Up) => EntryState::Up,
@@ -142,7 +142,11 @@
 }
 
 /// Converts an instance to an entry of the list, by the configured metadata keys. There are no defaults for missing values.
-fn listing(instance: &Instance, metadata: &MetadataNames, names: &Names) -> Result<Listing, UnusableReason> {
+fn to_listing(
+    instance: &Instance,
+    metadata: &MetadataNames,
+    names: &Names,
+) -> Result<Listing, UnusableReason> {
     let value = |name: &str| {
         let value = instance.metadata.get(name).map(|value| value.trim());
         value.ok_or_else(|| UnusableReason::MissingMetadata(name.to_owned()))
@@ -164,13 +168,13 @@
         instance.ip.trim().parse().map_err(|_| UnusableReason::MalformedAddress(instance.ip.clone()))?;
     let port = instance.port.ok_or(UnusableReason::NoPort)?;
     Ok(Listing {
-        key: key(instance),
+        key: entry_key(instance),
         address: SocketAddr::new(ip, port),
         destination: DestinationId(destination),
         zone: ZoneId(zone),
         kind: KindId(kind),
         weight,
-        state: state(instance),
+        state: entry_state(instance),
         stamp: instance.modified_at_ms,
     })
 }
--- a/src/net/platform/eureka/json.rs
+++ b/src/net/platform/eureka/json.rs
@@ -206,7 +206,7 @@
     application: Option<RawApplication>,
 }
 
-fn instance(raw: RawInstance, app: &str) -> Result<Instance, DecodeError> {
+fn to_instance(raw: RawInstance, app: &str) -> Result<Instance, DecodeError> {
     let non_empty_or = |text: String, default: &str| if text.is_empty() { default.to_owned() } else { text };
     let is_deleted = raw.action_type.0 == "DELETED";
     let instance = Instance {
@@ -244,7 +244,7 @@
     };
     for application in raw.application.0 {
         for raw in application.instance.0 {
-            answer.instances.push(instance(raw, &application.name.0)?);
+            answer.instances.push(to_instance(raw, &application.name.0)?);
         }
     }
     Ok(answer)
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -20,7 +20,7 @@
 /// Time limit for the request that cancels the lease at the end of the process.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(150);
 
-struct Entry<'a> {
+struct OwnEntry<'a> {
     registration: &'a Registration,
     /// The name of this forwarder, which is its instance id.
     name: String,
@@ -31,7 +31,7 @@
     address: usize,
 }
 
-impl Entry<'_> {
+impl OwnEntry<'_> {
     fn app_path(&self) -> String {
         format!("/apps/{}", percent_encode(&self.registration.application))
     }
@@ -109,7 +109,7 @@
 pub async fn run(context: Rc<Context>, settings: Arc<RegistrySettings>, end: Receiver<()>, done: Sender<()>) {
     let Some(registration) = &settings.registration else { return };
     let config = context.config();
-    let mut entry = Entry {
+    let mut entry = OwnEntry {
         registration,
         name: config.name.clone(),
         listen: context.listen(),
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -22,7 +22,7 @@
 const FOLDER_DIVISOR: u64 = 16;
 
 #[derive(Serialize, Deserialize)]
-struct Entry {
+struct StoredEntry {
     app: String,
     id: String,
     address: SocketAddr,
@@ -34,12 +34,12 @@
 }
 
 #[derive(Serialize, Deserialize)]
-struct File {
+struct StoredView {
     version: u32,
     /// When the file was written, in microseconds of Unix time.
     #[serde(rename = "at")]
     written_at: Micros,
-    entries: Vec<Entry>,
+    entries: Vec<StoredEntry>,
 }
 
 /// The file in which the view is persisted.
@@ -78,7 +78,7 @@
         }
         let mut plain = Vec::new();
         GzDecoder::new(compressed).take(MAX_PLAIN_BYTES).read_to_end(&mut plain)?;
-        let file: File = serde_json::from_slice(&plain).map_err(InvalidSnapshot::Json)?;
+        let file: StoredView = serde_json::from_slice(&plain).map_err(InvalidSnapshot::Json)?;
         if file.version != VERSION {
             return Err(InvalidSnapshot::Version.into());
         }
@@ -98,10 +98,10 @@
         listings: impl Iterator<Item = &'a Listing>,
         folder_limit: u64,
     ) -> io::Result<Option<u64>> {
-        let mut entries: Vec<Entry> = listings.map(Entry::from).collect();
+        let mut entries: Vec<StoredEntry> = listings.map(StoredEntry::from).collect();
         entries.sort_by(|a, b| (&a.app, &a.id).cmp(&(&b.app, &b.id)));
         let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
-        serde_json::to_writer(&mut encoder, &File { version: VERSION, written_at, entries })?;
+        serde_json::to_writer(&mut encoder, &StoredView { version: VERSION, written_at, entries })?;
         let compressed = encoder.finish()?;
         let size = (compressed.len() + CHECKSUM_BYTES) as u64;
         if size > folder_limit / FOLDER_DIVISOR {
@@ -141,8 +141,8 @@
     }
 }
 
-impl From<Entry> for Listing {
-    fn from(entry: Entry) -> Self {
+impl From<StoredEntry> for Listing {
+    fn from(entry: StoredEntry) -> Self {
         Listing {
             key: EntryKey { group: entry.app, id: entry.id },
             address: entry.address,
@@ -156,9 +156,9 @@
     }
 }
 
-impl From<&Listing> for Entry {
+impl From<&Listing> for StoredEntry {
     fn from(listing: &Listing) -> Self {
-        Entry {
+        StoredEntry {
             app: listing.key.group.clone(),
             id: listing.key.id.clone(),
             address: listing.address,
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -28,7 +28,7 @@
 ) -> RouteTable {
     check_names(entries, errors);
     let mut accepted: Vec<AcceptedRoute> =
-        entries.iter().filter_map(|entry| accept(entry, platform, errors)).collect();
+        entries.iter().filter_map(|entry| accept_entry(entry, platform, errors)).collect();
     check_overlaps(&mut accepted, errors);
     let routes = accepted.iter().map(|accepted| accepted.route.clone()).collect();
     let destinations: Vec<_> = accepted.iter().map(|accepted| accepted.destinations.clone()).collect();
@@ -38,12 +38,12 @@
     table
 }
 
-fn accept(
+fn accept_entry(
     entry: &ParsedRoute,
     platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
 ) -> Option<AcceptedRoute> {
-    let criteria = resolve(&entry.matches, platform, errors)?;
+    let criteria = resolve_match(&entry.matches, platform, errors)?;
     let timing = timing_of(entry, errors);
     if entry.is_complete {
         check_timing(entry, criteria, &timing, platform, errors);
@@ -72,7 +72,7 @@
     }
 }
 
-fn resolve(
+fn resolve_match(
     matches: &ParsedMatch,
     platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
--- a/src/routes/check_timing.rs
+++ b/src/routes/check_timing.rs
@@ -90,11 +90,13 @@
         errors.push(ConfigError::new(after.at, ErrorCode::HedgedRequest, reason));
     }
     let mut classes = classes.iter();
-    if let Some(single) = classes.find(|checked| checked.class.idempotency == Idempotency::NonIdempotent) {
+    if let Some(non_idempotent) =
+        classes.find(|checked| checked.class.idempotency == Idempotency::NonIdempotent)
+    {
         let reason = format!(
             "class `{}` allows only one attempt that may have run, and a second copy would be another; remove \
              `second-copy`, or match other classes only",
-            single.name
+            non_idempotent.name
         );
         errors.push(ConfigError::new(after.at, ErrorCode::NonIdempotent, reason));
     }
--- a/src/routes/table.rs
+++ b/src/routes/table.rs
@@ -80,7 +80,7 @@
     /// unknown kind comes after all others.
     cells: Vec<u32>,
     /// For each row, the routes that name its destinations; for the first row, the routes that name no destinations.
-    members: Vec<Vec<u32>>,
+    row_routes: Vec<Vec<u32>>,
 }
 
 impl RouteTable {
@@ -126,8 +126,8 @@
     /// row.
     fn add_row(&mut self, routes: &[u32], base_row: Option<u32>) -> u32 {
         let width = self.width();
-        let row = self.members.len() as u32;
-        self.members.push(routes.to_vec());
+        let row = self.row_routes.len() as u32;
+        self.row_routes.push(routes.to_vec());
         for column in 0..width {
             let (kind, class) = (column / self.classes, ClassId(column % self.classes));
             let kind = (kind < self.kinds).then_some(KindId(kind));
@@ -166,10 +166,10 @@
 
     /// All routes that match a message, the winner first.
     pub fn matching(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Vec<&Route> {
-        let naming_routes = self.rows.get(&destination.0).map(|row| &self.members[*row as usize]);
+        let naming_routes = self.rows.get(&destination.0).map(|row| &self.row_routes[*row as usize]);
         let candidates = naming_routes
             .into_iter()
-            .chain(self.members.first())
+            .chain(self.row_routes.first())
             .flatten()
             .map(|index| &self.routes[*index as usize]);
         let mut matching: Vec<&Route> =
--- a/src/site/fields.rs
+++ b/src/site/fields.rs
@@ -81,9 +81,9 @@
 }
 
 /// Reads a non-negative integer.
-pub fn read_whole_number(node: &Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<u64> {
+pub fn read_integer(node: &Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<u64> {
     match node.value {
-        NodeValue::Whole(number) => Some(number),
+        NodeValue::Integer(number) => Some(number),
         _ => {
             report_wrong_type(node, subject, "a whole number", errors);
             None
@@ -106,7 +106,7 @@
 pub fn read_duration(node: &Node, subject: &str, errors: &mut Vec<ConfigError>) -> Option<Located<Micros>> {
     let parsed = match &node.value {
         NodeValue::Text(text) => parse_duration(text),
-        NodeValue::Whole(_) | NodeValue::Real(_) => Err(DurationError::NoUnit),
+        NodeValue::Integer(_) | NodeValue::Float(_) => Err(DurationError::NoUnit),
         _ => {
             report_wrong_type(node, subject, "a time such as 200ms, 6s or 2m", errors);
             return None;
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -11,7 +11,7 @@
 use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::membership::RegistrySettings;
 use crate::routes::{check_routes, NamedSettings, RouteTable};
-use fields::{read_whole_number, Fields};
+use fields::{read_integer, Fields};
 
 /// The only supported version of the file format.
 const VERSION: u64 = 1;
@@ -61,7 +61,7 @@
 
 fn check_version(sections: &Fields<'_>, errors: &mut Vec<ConfigError>) {
     let Some(node) = sections.require("version", errors) else { return };
-    let Some(version) = read_whole_number(node, "`version`", errors) else { return };
+    let Some(version) = read_integer(node, "`version`", errors) else { return };
     if version != VERSION {
         let reason = format!("version {version} is not known; this program reads version {VERSION}");
         errors.push(ConfigError::new(node.at, ErrorCode::Version, reason));
--- a/src/site/node.rs
+++ b/src/site/node.rs
@@ -20,11 +20,11 @@
     /// A null or empty value.
     Null,
     /// A boolean.
-    Flag(bool),
+    Bool(bool),
     /// A non-negative integer.
-    Whole(u64),
+    Integer(u64),
     /// Any other number.
-    Real(f64),
+    Float(f64),
     /// A string.
     Text(String),
     /// A sequence.
@@ -38,9 +38,9 @@
     pub fn description(&self) -> String {
         match self {
             NodeValue::Null => "nothing".into(),
-            NodeValue::Flag(flag) => format!("`{flag}`"),
-            NodeValue::Whole(number) => format!("the number {number}"),
-            NodeValue::Real(number) => format!("the number {number}"),
+            NodeValue::Bool(flag) => format!("`{flag}`"),
+            NodeValue::Integer(number) => format!("the number {number}"),
+            NodeValue::Float(number) => format!("the number {number}"),
             NodeValue::Text(text) => format!("the text `{}`", shortened(text)),
             NodeValue::List(_) => "a list".into(),
             NodeValue::Map(_) => "a map".into(),
@@ -62,19 +62,19 @@
     }
 
     fn visit_bool<E>(self, v: bool) -> Result<NodeValue, E> {
-        Ok(NodeValue::Flag(v))
+        Ok(NodeValue::Bool(v))
     }
 
     fn visit_u64<E>(self, v: u64) -> Result<NodeValue, E> {
-        Ok(NodeValue::Whole(v))
+        Ok(NodeValue::Integer(v))
     }
 
     fn visit_i64<E>(self, v: i64) -> Result<NodeValue, E> {
-        Ok(u64::try_from(v).map_or(NodeValue::Real(v as f64), NodeValue::Whole))
+        Ok(u64::try_from(v).map_or(NodeValue::Float(v as f64), NodeValue::Integer))
     }
 
     fn visit_f64<E>(self, v: f64) -> Result<NodeValue, E> {
-        Ok(NodeValue::Real(v))
+        Ok(NodeValue::Float(v))
     }
 
     fn visit_str<E>(self, v: &str) -> Result<NodeValue, E> {
--- a/src/site/registry.rs
+++ b/src/site/registry.rs
@@ -1,6 +1,6 @@
 //! Reads and checks the `registry` section of the site file.
 
-use super::fields::{read_duration, read_list, read_text, read_whole_number, report_wrong_type, Fields};
+use super::fields::{read_duration, read_integer, read_list, read_text, report_wrong_type, Fields};
 use super::node::{Node, NodeValue};
 use crate::config_error::{ConfigError, ErrorCode, Located};
 use crate::durations::format_duration;
@@ -51,32 +51,42 @@
 /// Reads the section. The defaults are those of Eureka's own clients, or put less load on the registry.
 pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Option<RegistrySettings> {
     let section = Fields::open(node, "`registry`", KEYS, errors)?;
-    let poll_interval = poll_interval(node, &section, errors);
-    let max_response_mb = max_response_mb(&section, errors).unwrap_or(DEFAULT_MAX_RESPONSE_MB);
-    let hold_down = hold_down(&section, errors);
+    let poll_interval = read_poll_interval(node, &section, errors);
+    let max_response_mb = read_max_response_mb(&section, errors).unwrap_or(DEFAULT_MAX_RESPONSE_MB);
+    let hold_down = read_hold_down(&section, errors);
     Some(RegistrySettings {
-        addresses: addresses(&section, errors),
-        scope: scope(&section, errors),
+        addresses: read_addresses(&section, errors),
+        scope: read_scope(&section, errors),
         poll_interval,
-        timeout: duration_or(&section, "timeout", DEFAULT_TIMEOUT, errors),
-        backoff: backoff(&section, errors),
-        preferred_retry_after: duration_or(&section, "prefer-after", DEFAULT_PREFERRED_RETRY_AFTER, errors),
+        timeout: read_duration_or(&section, "timeout", DEFAULT_TIMEOUT, errors),
+        backoff: read_backoff(&section, errors),
+        preferred_retry_after: read_duration_or(
+            &section,
+            "prefer-after",
+            DEFAULT_PREFERRED_RETRY_AFTER,
+            errors,
+        ),
         max_response_bytes: (max_response_mb * BYTES_PER_MB) as usize,
-        metadata: metadata_names(&section, errors),
+        metadata: read_metadata_names(&section, errors),
         hold_down,
-        shrink_guard: shrink_guard(&section, errors),
-        use_snapshot_after: duration_or(&section, "snapshot-after", DEFAULT_USE_SNAPSHOT_AFTER, errors),
-        registration: registration(&section, errors),
+        shrink_guard: read_shrink_guard(&section, errors),
+        use_snapshot_after: read_duration_or(&section, "snapshot-after", DEFAULT_USE_SNAPSHOT_AFTER, errors),
+        registration: read_registration(&section, errors),
     })
 }
 
-fn duration_or(fields: &Fields<'_>, key: &str, default: Micros, errors: &mut Vec<ConfigError>) -> Micros {
+fn read_duration_or(
+    fields: &Fields<'_>,
+    key: &str,
+    default: Micros,
+    errors: &mut Vec<ConfigError>,
+) -> Micros {
     let duration = fields.get(key).and_then(|node| read_duration(node, &format!("`{key}`"), errors));
     duration.map_or(default, |duration| duration.value)
 }
 
-fn poll_interval(node: &Node, section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Micros {
-    let interval = duration_or(section, "poll", DEFAULT_POLL_INTERVAL, errors);
+fn read_poll_interval(node: &Node, section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Micros {
+    let interval = read_duration_or(section, "poll", DEFAULT_POLL_INTERVAL, errors);
     if interval < MIN_POLL_INTERVAL {
         let at = section.get("poll").map_or(node.at, |poll| poll.at);
         let (given, min) = (format_duration(interval), format_duration(MIN_POLL_INTERVAL));
@@ -86,9 +96,9 @@
     interval
 }
 
-fn max_response_mb(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Option<u64> {
+fn read_max_response_mb(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Option<u64> {
     let node = section.get("largest-mb")?;
-    let mb = read_whole_number(node, "`largest-mb`", errors)?;
+    let mb = read_integer(node, "`largest-mb`", errors)?;
     if !(1..=1024).contains(&mb) {
         errors.push(ConfigError::new(node.at, ErrorCode::Type, "`largest-mb` must be 1 to 1024"));
     }
@@ -96,7 +106,7 @@
 }
 
 /// Reads a first and a longest pause from a map that may have further keys.
-fn pause_pair(
+fn read_pause_pair(
     section: &Fields<'_>,
     key: &str,
     default: PausePair,
@@ -121,13 +131,14 @@
     pair
 }
 
-fn backoff(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> PollBackoff {
-    let PausePair { first, max } = pause_pair(section, "back-off", DEFAULT_BACKOFF, &[], errors);
+fn read_backoff(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> PollBackoff {
+    let PausePair { first, max } = read_pause_pair(section, "back-off", DEFAULT_BACKOFF, &[], errors);
     PollBackoff { first, max }
 }
 
-fn hold_down(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> HoldDown {
-    let PausePair { first, max } = pause_pair(section, "hold-down", DEFAULT_HOLD_DOWN, &["forget"], errors);
+fn read_hold_down(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> HoldDown {
+    let PausePair { first, max } =
+        read_pause_pair(section, "hold-down", DEFAULT_HOLD_DOWN, &["forget"], errors);
     let forget = section.get("hold-down").and_then(|node| match &node.value {
         NodeValue::Map(fields) => fields.iter().find(|(key, _)| key.value == "forget"),
         _ => None,
@@ -152,7 +163,7 @@
     Some(RegistryAddress { host: host.to_owned(), port: port.parse().ok()?, path_prefix })
 }
 
-fn address(node: &Node, errors: &mut Vec<ConfigError>) -> Option<Located<RegistryAddress>> {
+fn read_address(node: &Node, errors: &mut Vec<ConfigError>) -> Option<Located<RegistryAddress>> {
     let given = read_text(node, "an address", errors)?;
     let address = parse_address(&given.value);
     if address.is_none() {
@@ -166,13 +177,13 @@
     address.map(|value| Located { value, at: given.at })
 }
 
-fn addresses(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Vec<RegistryAddress> {
+fn read_addresses(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Vec<RegistryAddress> {
     let Some(node) = section.require("addresses", errors) else { return Vec::new() };
     let Some(items) = read_list(node, "`addresses`", errors) else { return Vec::new() };
     if items.is_empty() {
         errors.push(ConfigError::new(node.at, ErrorCode::Address, "`addresses` lists no registry"));
     }
-    let addresses: Vec<_> = items.iter().filter_map(|item| address(item, errors)).collect();
+    let addresses: Vec<_> = items.iter().filter_map(|item| read_address(item, errors)).collect();
     for (index, repeated) in addresses.iter().enumerate() {
         if let Some(first) = addresses[..index].iter().find(|earlier| earlier.value == repeated.value) {
             let reason = format!("this address stands in line {} already", first.at.line);
@@ -182,7 +193,7 @@
     addresses.into_iter().map(|address| address.value).collect()
 }
 
-fn scope(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> PollScope {
+fn read_scope(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> PollScope {
     let items = section.get("apps").and_then(|node| read_list(node, "`apps`", errors)).unwrap_or_default();
     let applications: Vec<String> = items
         .iter()
@@ -204,7 +215,7 @@
     }
 }
 
-fn metadata_names(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> MetadataNames {
+fn read_metadata_names(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> MetadataNames {
     let mut names = MetadataNames {
         destination: "partner".into(),
         kind: "kind".into(),
@@ -224,26 +235,26 @@
     names
 }
 
-fn shrink_guard(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> ShrinkGuard {
+fn read_shrink_guard(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> ShrinkGuard {
     let mut guard = DEFAULT_SHRINK_GUARD;
     let Some(node) = section.get("shrink") else { return guard };
     let Some(fields) = Fields::open(node, "`shrink`", &["share", "confirm"], errors) else { return guard };
     if let Some(share) = fields.get("share") {
         match share.value {
-            NodeValue::Real(value) if value > 0.0 && value < 1.0 => guard.max_missing_share = value,
+            NodeValue::Float(value) if value > 0.0 && value < 1.0 => guard.max_missing_share = value,
             _ => report_wrong_type(share, "`share`", "a share between 0 and 1", errors),
         }
     }
-    guard.confirm_after = duration_or(&fields, "confirm", guard.confirm_after, errors);
+    guard.confirm_after = read_duration_or(&fields, "confirm", guard.confirm_after, errors);
     guard
 }
 
-fn registration(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Option<Registration> {
+fn read_registration(section: &Fields<'_>, errors: &mut Vec<ConfigError>) -> Option<Registration> {
     let node = section.get("register")?;
     let fields = Fields::open(node, "`register`", &["app", "renew", "lease", "metadata"], errors)?;
     let application = fields.require("app", errors).and_then(|node| read_text(node, "`app`", errors));
-    let renewal_interval = duration_or(&fields, "renew", DEFAULT_RENEWAL_INTERVAL, errors);
-    let lease_duration = duration_or(&fields, "lease", DEFAULT_LEASE_DURATION, errors);
+    let renewal_interval = read_duration_or(&fields, "renew", DEFAULT_RENEWAL_INTERVAL, errors);
+    let lease_duration = read_duration_or(&fields, "lease", DEFAULT_LEASE_DURATION, errors);
     if lease_duration <= renewal_interval {
         let at = fields.get("lease").or(fields.get("renew")).map_or(node.at, |given| given.at);
         let (lease, renewal) = (format_duration(lease_duration), format_duration(renewal_interval));
@@ -251,11 +262,11 @@
             format!("a lease of {lease} expires before its renewal after {renewal}; it must be longer");
         errors.push(ConfigError::new(at, ErrorCode::Lease, reason));
     }
-    let metadata = published_metadata(&fields, errors);
+    let metadata = read_published_metadata(&fields, errors);
     Some(Registration { application: application?.value, renewal_interval, lease_duration, metadata })
 }
 
-fn published_metadata(fields: &Fields<'_>, errors: &mut Vec<ConfigError>) -> BTreeMap<String, String> {
+fn read_published_metadata(fields: &Fields<'_>, errors: &mut Vec<ConfigError>) -> BTreeMap<String, String> {
     let mut metadata = BTreeMap::new();
     let Some(node) = fields.get("metadata") else { return metadata };
     let NodeValue::Map(entries) = &node.value else {
