--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -15,8 +15,8 @@
 }
 
 impl Candidate {
-    /// Returns the candidate to publish. If the ids differ, it is the one that changed last. If the same id is in two groups,
-    /// it is the newer entry, and it drains if either of them drains.
+    /// Returns the candidate to publish. If the ids differ, it is the one that changed last. If the same id is in two
+    /// groups, it is the newer entry, and it drains if either of them drains.
     fn choose(self, other: Candidate) -> Candidate {
         let is_newer = other.listing.stamp > self.listing.stamp;
         if self.listing.key.id != other.listing.key.id {
--- a/src/net/platform/endpoint_list/drain_log.rs
+++ b/src/net/platform/endpoint_list/drain_log.rs
@@ -47,8 +47,7 @@
         }
     }
 
-    /// Logs the pending endpoints that are changed again, before the endpoint table overwrites what it knows of their
-    /// leaving.
+    /// Logs the pending endpoints that are changed again, before the endpoint table forgets when they left.
     pub fn log_changed_again(&mut self, changes: &[MembershipChange]) {
         if self.pending.is_empty() {
             return;
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -7,7 +7,7 @@
 mod publish;
 mod registry;
 mod watch;
-mod watching;
+mod watches;
 
 use crate::membership::{Membership, MembershipSnapshot, SourceId, SourcePolicy, WatchBackoff};
 use crate::net::messages::{DeliveryMessage, EndpointListMessage, ListLine};
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use watching::Watches;
+use watches::Watches;
 
 /// How long a new process holds its first calls back if it has not received a list. The limit is short because the agent
 /// responds at once unless it is down, and because its list counts as observed from the start of the process. A longer wait
@@ -49,8 +49,8 @@
     own_mailbox: Sender<EndpointListMessage>,
     membership: Membership,
     watches: Watches,
-    /// When the current watch last received something, by which time it had received all that the agent had. The first list
-    /// of the next watch may have been there ever since, so it counts as received at this time.
+    /// When the current watch last received something. By then it had received everything that the agent had. The first list
+    /// of the next watch may have existed ever since, so it counts as received at this time.
     last_line_at: Micros,
     watch_backoff: WatchBackoff,
     /// The generation of the last version of the pushed list; `None` before the first.
@@ -167,7 +167,7 @@
             self.publish(UpdateKind::Patch, changes).await;
         }
         self.drain_log.log_due(now);
-        self.registry_due(now).await;
+        self.handle_registry_due(now).await;
     }
 
     async fn receive(&mut self, message: EndpointListMessage) {
@@ -223,10 +223,10 @@
             EndpointListMessage::Resubscribe => {}
             EndpointListMessage::WatchLine { watch, line } => self.handle_line(watch, &line).await,
             EndpointListMessage::PredecessorLine(line) => self.handle_predecessor_line(line).await,
-            EndpointListMessage::WatchSilent { watch } => self.watch_silent(watch),
-            EndpointListMessage::ReplacedWatchExpired { watch } => self.replaced_watch_expired(watch),
-            EndpointListMessage::WatchEnded { watch, end } => self.watch_ended(watch, end),
-            EndpointListMessage::InitialListTimeout => self.initial_list_timeout(),
+            EndpointListMessage::WatchSilent { watch } => self.handle_watch_silence(watch),
+            EndpointListMessage::ReplacedWatchExpired { watch } => self.close_replaced_watch(watch),
+            EndpointListMessage::WatchEnded { watch, end } => self.handle_watch_end(watch, end),
+            EndpointListMessage::InitialListTimeout => self.handle_initial_list_timeout(),
             EndpointListMessage::HandOver { reply } => {
                 self.handed_over = true;
                 // If the receiver is gone, the hand-over has been aborted.
@@ -250,7 +250,7 @@
         self.reconnect();
     }
 
-    fn initial_list_timeout(&self) {
+    fn handle_initial_list_timeout(&self) {
         if self.context.endpoint_list.is_received() {
             return;
         }
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -21,7 +21,7 @@
     _poller: Task<()>,
     snapshot: RegistrySnapshot,
     view: ServedView,
-    /// When the view is persisted next; `None` if it has not changed since.
+    /// When the view is persisted next; `None` if it has not changed since it was last persisted.
     persist_at: Option<Micros>,
 }
 
@@ -108,8 +108,8 @@
             }
             source.view = ServedView::Live;
         }
-        // An empty registry is a valid list as well, so the first answer is always published; later ones only if they change
-        // it.
+        // An empty registry is a valid list as well: if there is no other list, its answer is published although it changes
+        // nothing.
         if !changes.is_empty() || !self.context.endpoint_list.is_known() {
             self.publish(UpdateKind::Patch, changes).await;
         }
@@ -119,7 +119,7 @@
     }
 
     /// Reads the persisted view, or persists the current one, if that is due.
-    pub(super) async fn registry_due(&mut self, now: Micros) {
+    pub(super) async fn handle_registry_due(&mut self, now: Micros) {
         let Some(source) = &mut self.registry else { return };
         if source.read_snapshot_at().is_some_and(|at| at <= now) {
             return self.use_persisted_view(now).await;
--- a/src/net/platform/endpoint_list/watching.rs
+++ b/src/net/platform/endpoint_list/watches.rs
@@ -105,7 +105,7 @@
     }
 
     /// Handles a silent watch: opens another beside it, unless a newer one is already being opened.
-    pub(super) fn watch_silent(&mut self, number: u64) {
+    pub(super) fn handle_watch_silence(&mut self, number: u64) {
         if self.watches.is_newest(number) {
             info!(self.context.log, "the watch is silent, opening another";
                 "side" => "endpoint-list", "reason" => "silent");
@@ -115,7 +115,7 @@
 
     /// Handles the end of a watch: opens another after the backoff, unless one is open at the configured address or being
     /// opened.
-    pub(super) fn watch_ended(&mut self, number: u64, end: WatchEnd) {
+    pub(super) fn handle_watch_end(&mut self, number: u64, end: WatchEnd) {
         self.watches.remove(number);
         // Calls must not wait any longer for an agent that rejects or breaks watches.
         self.context.endpoint_list.set_received();
@@ -134,7 +134,7 @@
     }
 
     /// Closes a replaced watch whose read time is over.
-    pub(super) fn replaced_watch_expired(&mut self, number: u64) {
+    pub(super) fn close_replaced_watch(&mut self, number: u64) {
         self.watches.replaced.take_if(|watch| watch.number == number);
     }
 
@@ -167,7 +167,7 @@
             Err(error) => {
                 warn!(self.context.log, "endpoint list malformed"; "error" => %error);
                 let error = HttpError::Malformed("the endpoint list is malformed");
-                return self.watch_ended(number, WatchEnd::Failed(error));
+                return self.handle_watch_end(number, WatchEnd::Failed(error));
             }
         };
         if let Some(index) = connecting {
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -35,7 +35,7 @@
 fn messages_of_different_routes_do_not_time_out_for_each_other() {
     play(
         "with e1=1:many tick=60
-         site {version: 1, routes: [{name: hasty, match: {class: free}, timeout: 400ms, attempts: 1}, {name: calm, match: {class: notice}, timeout: 8s, give-up: 9s}]}
+         site {version: 1, routes: [{name: short, match: {class: free}, timeout: 400ms, attempts: 1}, {name: long, match: {class: notice}, timeout: 8s, give-up: 9s}]}
          start
          stop
          u1 send m1 class=notice
@@ -46,7 +46,7 @@
          u2 expect 202
          u3 expect 202
          platform expect m2 returned
-         wait routes/hasty/ends/returned=1 routes/calm/attempts=2 routes/calm/held=2 timed_out=1 calls=2",
+         wait routes/short/ends/returned=1 routes/long/attempts=2 routes/long/held=2 timed_out=1 calls=2",
     );
 }
 
