--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,7 +1,7 @@
 //! The settings of the delivery policy.
 
 use super::ids::{Micros, ZoneId};
-use crate::routes::Plan;
+use crate::routes::RouteTable;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -187,7 +187,7 @@
     /// The timeouts and attempts of each route, from the routes file. `None` leaves them to the policy's own
     /// rules.
     #[serde(skip)]
-    pub routes: Option<Arc<Plan>>,
+    pub routes: Option<Arc<RouteTable>>,
 }
 
 /// A setting that is missing, inconsistent or out of range.
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -4,7 +4,7 @@
 use super::{print, CommandError, Files, PlatformSettings};
 use crate::durations::format_duration;
 use crate::policy::max_attempt_timeout;
-use crate::routes::{worst_case, Plan, Route, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
+use crate::routes::{worst_case, Route, RouteTable, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::settings_json::index_of;
 use crate::{Class, ClassId, DestinationId, KindId, Micros};
 use clap::Args;
@@ -33,7 +33,7 @@
     kind: KindId,
     class: ClassId,
     platform: &'a PlatformSettings,
-    plan: &'a Plan,
+    plan: &'a RouteTable,
 }
 
 /// The kind of a destination by the endpoint list in the configuration; `None` if it does not list the destination.
@@ -110,14 +110,14 @@
             return "no entry matches: as without a site file".into();
         };
         let names = &self.platform.names;
-        let mut reason = format!("matches {}", first.shape.describe(names));
+        let mut reason = format!("matches {}", first.criteria.describe(names));
         for route in rest {
             let _ = write!(
                 reason,
                 "; more specific than `{}` (line {}: {})",
                 route.name,
                 route.line,
-                route.shape.describe(names)
+                route.criteria.describe(names)
             );
         }
         reason
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::config_error::{error_lines, ConfigError};
 use crate::net::config;
-use crate::routes::Platform;
+use crate::routes::NamedSettings;
 use crate::settings_json::Names;
 use crate::site::Site;
 use crate::Settings;
@@ -140,7 +140,7 @@
 
     /// Reads the site file; the inner result holds the errors that the check found in it.
     fn site(&self, platform: &PlatformSettings) -> Result<Result<Site, Vec<ConfigError>>, CommandError> {
-        let platform = Platform { settings: &platform.settings, names: &platform.names };
+        let platform = NamedSettings { settings: &platform.settings, names: &platform.names };
         Ok(Site::read(&read_text(&self.site)?, platform))
     }
 }
--- a/src/cli/registry.rs
+++ b/src/cli/registry.rs
@@ -3,7 +3,7 @@
 use super::{print, CommandError, Files};
 use crate::durations::{format_duration, parse_duration};
 use crate::membership::{
-    Listing, Membership, MembershipChange, PollKind, RegistrySettings, SourceId, SourceUpdate, State,
+    EntryState, Listing, Membership, MembershipChange, PollKind, RegistrySettings, SourceId, SourceUpdate,
 };
 use crate::net::platform::eureka::cache::{AppliedAnswer, UnusableEntry};
 use crate::net::platform::eureka::Registry;
@@ -148,7 +148,7 @@
         let mut membership = self.membership();
         let mut random = fastrand::Rng::new();
         loop {
-            let next_poll = registry.poller.next_request();
+            let next_poll = registry.schedule.next_request();
             let wake_at = membership.next_tick().map_or(next_poll.at, |tick| tick.min(next_poll.at));
             if end.is_some_and(|end| wake_at >= end) {
                 return Ok(());
@@ -161,7 +161,7 @@
                         self.print_unusable(&answer);
                         changes.extend(membership.apply(clock.now(), REGISTRY, answer.update));
                         let needs_complete_poll = membership.needs_complete_poll(REGISTRY);
-                        registry.poller.succeeded(
+                        registry.schedule.succeeded(
                             clock.now(),
                             next_poll.kind,
                             answer.hash_matches,
@@ -170,7 +170,7 @@
                     }
                     Err(error) => {
                         eprintln!("cedarbridge: {}: {error}", registry.address(next_poll.address_index));
-                        registry.poller.failed(clock.now(), random.f64());
+                        registry.schedule.failed(clock.now(), random.f64());
                     }
                 }
             }
@@ -241,7 +241,7 @@
 /// address.
 fn not_added(listing: &Listing) -> MembershipChange {
     let reason = match listing.state {
-        State::Up => "another stands at its address",
+        EntryState::Up => "another stands at its address",
         _ => "not in service, so not added",
     };
     MembershipChange {
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -1,71 +1,72 @@
-//! The view of one source: what it has sent, what of that is believed, and since when. It knows nothing of the other sources.
+//! The view of one source: the entries that it has sent and that were accepted. It is independent of the other sources.
 
-use super::listing::{Key, Listing, SourceUpdate, State};
+use super::listing::{EntryKey, EntryState, Listing, SourceUpdate};
 use crate::{Lifecycle, Micros};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// How far a source is believed.
+/// How updates of a source are checked before they are accepted.
 #[derive(Clone, Debug, Default)]
 pub struct SourcePolicy {
-    /// What comes back into service waits, so that flapping costs neither late drains nor stampedes.
+    /// How long an entry that returns to service is held down; `None` for not at all. An entry that flaps is then not used,
+    /// so that it causes neither late drains nor bursts of calls.
     pub hold_down: Option<HoldDown>,
-    /// A complete update that lacks too much is not believed at once.
+    /// When a complete update is doubted because it lacks entries; `None` for never.
     pub shrink_guard: Option<ShrinkGuard>,
-    /// An entry is identified by its id and its address: an id elsewhere, or another id there, is another endpoint. Without it
-    /// an id is one endpoint wherever it listens.
+    /// Whether an endpoint is identified by its id and its address together. If so, the same id at another address, or
+    /// another id at the same address, is another endpoint. If not, an id is the same endpoint at any address.
     pub by_address: bool,
 }
 
-/// How long what comes back into service waits before it is used again.
+/// How long an entry that returns to service is held down, which means that it is not used although its source lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldDown {
-    /// After the first time that it left service; doubled with each further one ...
+    /// The time after the entry left service once; it doubles with each further time.
     pub first: Micros,
-    /// ... up to this.
+    /// The longest time.
     pub max: Micros,
-    /// One time is forgotten for each such span without another.
+    /// For each period of this length in which the entry does not leave service, one earlier time is forgotten.
     pub forget_after: Micros,
 }
 
-/// What a complete update may lack before it is doubted.
+/// When a complete update is doubted because it lacks entries of the view.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShrinkGuard {
-    /// More than this share of the view's entries.
+    /// The share of the view's entries that an update may lack without being doubted.
     pub max_missing_share: f64,
-    /// What is missing in a doubted update is removed if it is still missing in an update so long after.
+    /// An entry that is missing from a doubted update is removed if an update after this time lacks it as well.
     pub confirm_after: Micros,
 }
 
-/// What was counted of a source's updates.
+/// Counters of a source's updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceStats {
-    /// Entries with a lower stamp than the view's.
+    /// Entries and updates that were ignored because the view had newer ones.
     pub stale_entries: u64,
-    /// Times that an entry left service.
+    /// How often an entry left service.
     pub flaps: u64,
-    /// Times that an entry returned to service and was held down.
+    /// How often an entry returned to service and was held down.
     pub held_down: u64,
-    /// Complete updates whose gaps were not believed at once.
+    /// Complete updates that were doubted.
     pub doubted_updates: u64,
-    /// When the source last sent something, if it ever did.
+    /// When the source last sent an update; `None` if it has not sent any.
     pub last_update_at: Option<Micros>,
 }
 
-/// What holds for an entry now.
+/// The lifecycle that results from an entry's state and its hold-down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Effective {
-    /// Listed or draining; what is removed has none.
+pub(super) struct EffectiveState {
+    /// Listed or draining; a removed entry has no effective lifecycle.
     pub lifecycle: Lifecycle,
-    /// Since when.
+    /// When the lifecycle began.
     pub observed_at: Micros,
-    /// Why it is so.
+    /// Why the entry has this lifecycle.
     pub reason: &'static str,
 }
 
-impl Effective {
-    /// The one of two that allows less; this one if both allow the same.
-    pub fn most_restrictive(self, other: Effective) -> Effective {
+impl EffectiveState {
+    /// Returns the draining one of the two if only one drains, otherwise `self`.
+    pub fn most_restrictive(self, other: EffectiveState) -> EffectiveState {
         match (self.lifecycle, other.lifecycle) {
             (Lifecycle::Listed, Lifecycle::Draining) => other,
             _ => self,
@@ -75,54 +76,54 @@
 
 /// An entry that an update touched.
 pub(super) struct TouchedEntry {
-    pub key: Key,
-    /// Where it was before, if it was known.
+    pub key: EntryKey,
+    /// The address before the update; `None` if the entry was not in the view.
     pub previous_address: Option<SocketAddr>,
 }
 
 struct Entry {
     listing: Listing,
     observed_at: Micros,
-    /// It is up, but not used before this.
+    /// The entry is up, but is not used before this time.
     held_down_until: Option<Micros>,
 }
 
-/// How often an entry left service of late.
+/// How often and when an entry recently left service.
 struct FlapHistory {
     count: u32,
     last_at: Micros,
 }
 
 impl FlapHistory {
-    /// The count without the times that are forgotten.
+    /// The count without the times that are forgotten by now.
     fn recent_count(&self, now: Micros, hold_down: &HoldDown) -> u32 {
         let forgotten = now.saturating_sub(self.last_at) / hold_down.forget_after.max(1);
         self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
     }
 }
 
-/// That an entry was removed: an update that is not newer does not bring it back.
+/// Remembers a removed entry, so that an update with the same or a lower stamp does not add it again.
 struct Tombstone {
     stamp: u64,
     removed_at: Micros,
 }
 
-/// What a source has sent, by key.
+/// The accepted entries of one source, by key.
 #[derive(Default)]
 pub(super) struct SourceView {
     pub policy: SourcePolicy,
     pub stats: SourceStats,
-    entries: HashMap<Key, Entry>,
-    flaps: HashMap<Key, FlapHistory>,
-    tombstones: HashMap<Key, Tombstone>,
-    /// Since when an entry has been missing in updates that are in doubt.
-    missing_since: HashMap<Key, Micros>,
+    entries: HashMap<EntryKey, Entry>,
+    flaps: HashMap<EntryKey, FlapHistory>,
+    tombstones: HashMap<EntryKey, Tombstone>,
+    /// When each entry was first missing from a doubted update.
+    missing_since: HashMap<EntryKey, Micros>,
     version: Option<u64>,
-    /// Since when the versions of updates have been lower than the view's.
+    /// When the versions of updates first became lower than the view's version.
     version_lower_since: Option<Micros>,
     newest_stamp: u64,
-    /// When hold-downs end.
-    timers: BTreeSet<(Micros, Key)>,
+    /// The ends of all hold-downs, earliest first.
+    hold_down_ends: BTreeSet<(Micros, EntryKey)>,
 }
 
 impl SourceView {
@@ -130,7 +131,7 @@
         SourceView { policy, ..SourceView::default() }
     }
 
-    pub fn get(&self, key: &Key) -> Option<&Listing> {
+    pub fn get(&self, key: &EntryKey) -> Option<&Listing> {
         self.entries.get(key).map(|entry| &entry.listing)
     }
 
@@ -142,34 +143,36 @@
         !self.missing_since.is_empty() || self.version_lower_since.is_some()
     }
 
-    /// What holds for an entry, if it is there.
-    pub fn effective(&self, key: &Key, now: Micros) -> Option<Effective> {
+    /// The lifecycle that an entry has now; `None` if it is not in the view.
+    pub fn effective_state(&self, key: &EntryKey, now: Micros) -> Option<EffectiveState> {
         let entry = self.entries.get(key)?;
         let (lifecycle, observed_at, reason) = match (entry.listing.state, entry.held_down_until) {
-            (State::Up, Some(until)) if now < until => (Lifecycle::Draining, entry.observed_at, "held down"),
-            (State::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
-            (State::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
+            (EntryState::Up, Some(until)) if now < until => {
+                (Lifecycle::Draining, entry.observed_at, "held down")
+            }
+            (EntryState::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
+            (EntryState::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
             _ => (Lifecycle::Draining, entry.observed_at, "not in service"),
         };
-        Some(Effective { lifecycle, observed_at, reason })
+        Some(EffectiveState { lifecycle, observed_at, reason })
     }
 
     pub fn next_due(&self) -> Option<Micros> {
-        self.timers.first().map(|(at, _)| *at)
+        self.hold_down_ends.first().map(|(at, _)| *at)
     }
 
-    /// Entries whose hold-down has ended; each is returned once.
+    /// Returns the entries whose hold-down has ended, each only once.
     pub fn take_due(&mut self, now: Micros) -> Vec<TouchedEntry> {
         let mut touched = Vec::new();
         while self.next_due().is_some_and(|at| at <= now) {
-            let Some((_, key)) = self.timers.pop_first() else { break };
+            let Some((_, key)) = self.hold_down_ends.pop_first() else { break };
             let previous_address = self.get(&key).map(|listing| listing.address);
             touched.push(TouchedEntry { key, previous_address });
         }
         touched
     }
 
-    /// Takes persisted entries; any update of the source overrides them.
+    /// Adds persisted entries with the stamp 0, so that any update of the source overrides them.
     pub fn restore(&mut self, now: Micros, listings: Vec<Listing>) -> Vec<TouchedEntry> {
         let mut touched = Vec::new();
         for listing in listings {
@@ -204,7 +207,7 @@
         self.policy.shrink_guard.map_or(0, |guard| guard.confirm_after)
     }
 
-    /// Forgets tombstones and flaps that no longer bind.
+    /// Forgets tombstones and flap histories that have no effect any more.
     fn forget_expired(&mut self, now: Micros) {
         let tombstone_lifetime = self.confirm_after();
         self.tombstones.retain(|_, tombstone| now < tombstone.removed_at + tombstone_lifetime);
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Whether a complete update of a version is believed. A lower version than before comes from a replica that lags; if
-    /// versions stay lower, the registry has started anew.
+    /// Whether a complete update of this version is accepted. A lower version than before comes from a replica that lags. If
+    /// versions stay lower for the confirmation time, the registry has restarted and its versions are accepted.
     fn accept_version(&mut self, now: Micros, version: Option<u64>) -> bool {
         let is_lower = version.zip(self.version).is_some_and(|(version, known)| version < known);
         if is_lower {
@@ -233,8 +236,8 @@
 
     fn apply_complete(&mut self, now: Micros, listings: Vec<Listing>, touched: &mut Vec<TouchedEntry>) {
         let newest_stamp = listings.iter().map(|listing| listing.stamp).max().unwrap_or(0);
-        let listed: HashSet<Key> = listings.iter().map(|listing| listing.key.clone()).collect();
-        let mut missing: Vec<Key> =
+        let listed: HashSet<EntryKey> = listings.iter().map(|listing| listing.key.clone()).collect();
+        let mut missing: Vec<EntryKey> =
             self.entries.keys().filter(|key| !listed.contains(*key)).cloned().collect();
         missing.sort();
         let is_doubted = self.doubts(missing.len(), newest_stamp);
@@ -254,14 +257,15 @@
         }
     }
 
-    /// A complete update is doubted if it lacks many entries, or any while its stamps are lower than the view's.
+    /// Whether a complete update is doubted: it lacks too many entries, or it lacks any entry and all its stamps are lower
+    /// than the view's newest.
     fn doubts(&self, missing: usize, newest_stamp: u64) -> bool {
         let Some(guard) = self.policy.shrink_guard else { return false };
         let max_missing = guard.max_missing_share * self.entries.len() as f64;
         missing > 0 && (missing as f64 > max_missing || newest_stamp < self.newest_stamp)
     }
 
-    fn apply_removal(&mut self, now: Micros, key: &Key, stamp: u64, touched: &mut Vec<TouchedEntry>) {
+    fn apply_removal(&mut self, now: Micros, key: &EntryKey, stamp: u64, touched: &mut Vec<TouchedEntry>) {
         let is_stale = self.get(key).is_some_and(|known| stamp > 0 && stamp < known.stamp);
         if is_stale {
             self.stats.stale_entries += 1;
@@ -271,14 +275,14 @@
     }
 
     fn apply_listing(&mut self, now: Micros, listing: Listing, touched: &mut Vec<TouchedEntry>) {
-        if listing.state == State::Unknown {
+        if listing.state == EntryState::Unknown {
             return;
         }
         let known = self.get(&listing.key);
-        if known.is_none() && listing.state == State::Removed {
+        if known.is_none() && listing.state == EntryState::Removed {
             return;
         }
-        // A delta repeats a change for minutes. What is identified by key is passed on each time it is sent.
+        // A registry repeats a change in its deltas for minutes. Entries that are identified by key are published each time.
         if self.policy.by_address && known == Some(&listing) {
             self.missing_since.remove(&listing.key);
             return;
@@ -287,18 +291,18 @@
             self.stats.stale_entries += 1;
             return;
         }
-        if listing.state == State::Removed {
+        if listing.state == EntryState::Removed {
             return self.remove(now, &listing.key, Some(listing.stamp), touched);
         }
         self.upsert(now, listing, touched);
     }
 
-    /// The view has something newer. A stamp of 0 says nothing; what was removed comes back only with a newer one.
+    /// Whether the view has a newer entry, or a tombstone that is not older. An entry with the stamp 0 is never stale.
     fn is_stale(&self, listing: &Listing) -> bool {
         let is_older = self.get(&listing.key).is_some_and(|known| listing.stamp < known.stamp);
         let tombstone = self.tombstones.get(&listing.key);
-        let is_buried = tombstone.is_some_and(|tombstone| listing.stamp <= tombstone.stamp);
-        listing.stamp > 0 && (is_older || is_buried)
+        let is_removed = tombstone.is_some_and(|tombstone| listing.stamp <= tombstone.stamp);
+        listing.stamp > 0 && (is_older || is_removed)
     }
 
     fn upsert(&mut self, now: Micros, listing: Listing, touched: &mut Vec<TouchedEntry>) {
@@ -310,10 +314,12 @@
         let previous_state = previous.as_ref().map(|entry| entry.listing.state);
         let has_moved = previous_address.is_some_and(|address| address != listing.address);
         let held_down_until = match (previous_state, listing.state) {
-            (Some(State::Up), State::Up) if !has_moved => previous.as_ref().and_then(|e| e.held_down_until),
-            // At another address it is another process: it has a past only under its key.
-            (_, State::Up) => self.hold_down(now, &key),
-            (Some(State::Up), _) => {
+            (Some(EntryState::Up), EntryState::Up) if !has_moved => {
+                previous.as_ref().and_then(|e| e.held_down_until)
+            }
+            // An entry that has moved to another address is a new process: it is held down only by the flaps of its key.
+            (_, EntryState::Up) => self.hold_down(now, &key),
+            (Some(EntryState::Up), _) => {
                 self.count_flap(now, &key);
                 None
             }
@@ -326,16 +332,17 @@
         touched.push(TouchedEntry { key, previous_address });
     }
 
-    /// An entry left service.
-    fn count_flap(&mut self, now: Micros, key: &Key) {
+    /// Counts that an entry left service.
+    fn count_flap(&mut self, now: Micros, key: &EntryKey) {
         let Some(hold_down) = self.policy.hold_down else { return };
         self.stats.flaps += 1;
         let recent = self.flaps.get(key).map_or(0, |flaps| flaps.recent_count(now, &hold_down));
         self.flaps.insert(key.clone(), FlapHistory { count: recent + 1, last_at: now });
     }
 
-    /// Up to when an entry that entered service is not used, if it left service lately.
-    fn hold_down(&mut self, now: Micros, key: &Key) -> Option<Micros> {
+    /// Starts the hold-down of an entry that entered service; returns its end, or `None` if the entry did not leave service
+    /// recently.
+    fn hold_down(&mut self, now: Micros, key: &EntryKey) -> Option<Micros> {
         let hold_down = self.policy.hold_down?;
         let recent = self.flaps.get(key)?.recent_count(now, &hold_down);
         if recent == 0 {
@@ -344,17 +351,17 @@
         let factor = 1u64.checked_shl(recent - 1).unwrap_or(u64::MAX);
         let until = now + hold_down.first.saturating_mul(factor).min(hold_down.max);
         self.stats.held_down += 1;
-        self.timers.insert((until, key.clone()));
+        self.hold_down_ends.insert((until, key.clone()));
         Some(until)
     }
 
-    fn remove(&mut self, now: Micros, key: &Key, stamp: Option<u64>, touched: &mut Vec<TouchedEntry>) {
+    fn remove(&mut self, now: Micros, key: &EntryKey, stamp: Option<u64>, touched: &mut Vec<TouchedEntry>) {
         let Some(entry) = self.entries.remove(key) else { return };
         self.missing_since.remove(key);
-        if entry.listing.state == State::Up {
+        if entry.listing.state == EntryState::Up {
             self.count_flap(now, key);
         }
-        // One that an update lacked may be there in the next: only an explicit removal leaves a tombstone.
+        // Only an explicit removal leaves a tombstone: an entry that one complete update lacks may be in the next.
         if let Some(stamp) = stamp.filter(|_| self.policy.shrink_guard.is_some()) {
             let stamp = stamp.max(entry.listing.stamp);
             self.tombstones.insert(key.clone(), Tombstone { stamp, removed_at: now });
--- a/src/net/platform/eureka/cache.rs
+++ b/src/net/platform/eureka/cache.rs
@@ -1,77 +1,77 @@
-//! The registry as its answers have it: every instance, also those that are no endpoints of ours, so that the hash of a
-//! delta can be checked; and what of an answer is an update of the endpoint list. It does no I/O.
+//! Caches the status of every instance in the registry and converts answers to updates of the endpoint list. The cache
+//! includes instances that are not endpoints, because the hash of a delta covers them as well. This module does no I/O.
 
 use super::model::{hash_code, Action, Applications, Instance, Status};
-use crate::membership::{Key, Listing, MetadataNames, SourceUpdate, State};
+use crate::membership::{EntryKey, EntryState, Listing, MetadataNames, SourceUpdate};
 use crate::settings_json::{index_of, Names, UnknownName};
 use crate::{DestinationId, KindId, ZoneId};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
 
-/// At most so many unusable entries are remembered, so that each is reported once.
+/// How many keys of unusable entries are remembered, so that each is reported only once. The set is cleared when it is full.
 const MAX_REPORTED: usize = 10_000;
 
-/// Everything that the registry has sent.
+/// The status of each instance in the registry, and the unusable entries that have been reported.
 #[derive(Default)]
 pub struct RegistryCache {
-    statuses: HashMap<Key, Status>,
-    reported_unusable: HashSet<Key>,
+    statuses: HashMap<EntryKey, Status>,
+    reported_unusable: HashSet<EntryKey>,
 }
 
-/// What an answer has changed.
+/// The result of applying an answer to the cache.
 pub struct AppliedAnswer {
-    /// The update of the endpoint list.
+    /// The update for the endpoint list.
     pub update: SourceUpdate,
-    /// Entries that cannot be used; each is reported once.
+    /// The entries that cannot be used and were not reported before.
     pub unusable_entries: Vec<UnusableEntry>,
-    /// The cached registry hashes to what the answer says.
+    /// Whether the hash of the cached instances equals the hash in the answer; `true` if the answer has none.
     pub hash_matches: bool,
 }
 
-/// An entry that cannot be used.
+/// An entry that cannot be used as an endpoint.
 #[derive(Debug)]
 pub struct UnusableEntry {
-    /// Which.
-    pub key: Key,
-    /// Why.
+    /// The application and id of the entry.
+    pub key: EntryKey,
+    /// Why the entry cannot be used.
     pub reason: UnusableReason,
 }
 
-/// Why an entry cannot be used.
+/// Why an entry cannot be used as an endpoint. The commands print these texts.
 #[derive(Debug, thiserror::Error)]
 pub enum UnusableReason {
-    /// Its metadata lacks a name.
+    /// A required key is missing from its metadata.
     #[error("its metadata has no `{0}`")]
     MissingMetadata(String),
-    /// Its destination is no number.
+    /// The destination in its metadata is not a number.
     #[error("`{name}` is no number: `{value}`")]
     MalformedDestination {
-        /// The name in the metadata.
+        /// The key in the metadata.
         name: String,
-        /// Its value.
+        /// The value in the metadata.
         value: String,
     },
     /// Its kind or zone is not configured.
     #[error(transparent)]
     UnknownName(#[from] UnknownName),
-    /// Its weight is no rate above 0.
+    /// The weight in its metadata is not a finite number above 0.
     #[error("`{name}` is no rate: `{value}`")]
     MalformedWeight {
-        /// The name in the metadata.
+        /// The key in the metadata.
         name: String,
-        /// Its value.
+        /// The value in the metadata.
         value: String,
     },
-    /// Its IP address cannot be read.
+    /// Its IP address cannot be parsed.
     #[error("`{0}` is no address")]
     MalformedAddress(String),
-    /// It has no port, or none that is enabled.
+    /// It has no enabled port.
     #[error("it has no port that is enabled")]
     NoPort,
 }
 
 impl RegistryCache {
-    /// Applies an answer, which is the complete registry or a delta.
+    /// Applies an answer, which is either the complete registry or a delta.
     pub fn apply(
         &mut self,
         answer: Applications,
@@ -84,13 +84,13 @@
         }
         let (mut listings, mut removed, mut unusable_entries) = (Vec::new(), Vec::new(), Vec::new());
         for instance in &answer.instances {
-            let key = key(instance);
+            let key = entry_key(instance);
             self.set_status(&key, instance, complete);
-            match listing(instance, metadata, names) {
+            match to_listing(instance, metadata, names) {
                 Ok(listing) => listings.push(listing),
                 Err(reason) => {
                     removed.push((key.clone(), instance.modified_at_ms));
-                    // Of one that is deleted the name is enough, whatever else it lacks.
+                    // A deletion needs nothing but the key, so an otherwise unusable entry is not reported.
                     if instance.action != Action::Delete && self.is_first_report(&key) {
                         unusable_entries.push(UnusableEntry { key, reason });
                     }
@@ -107,12 +107,12 @@
         AppliedAnswer { update, unusable_entries, hash_matches }
     }
 
-    /// How many unusable entries are remembered.
+    /// How many unusable entries have been reported since the set was last cleared.
     pub fn unusable_entry_count(&self) -> usize {
         self.reported_unusable.len()
     }
 
-    fn set_status(&mut self, key: &Key, instance: &Instance, complete: bool) {
+    fn set_status(&mut self, key: &EntryKey, instance: &Instance, complete: bool) {
         if instance.action == Action::Delete && !complete {
             self.statuses.remove(key);
         } else {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn is_first_report(&mut self, key: &Key) -> bool {
+    fn is_first_report(&mut self, key: &EntryKey) -> bool {
         if self.reported_unusable.len() >= MAX_REPORTED {
             self.reported_unusable.clear();
         }
@@ -128,21 +128,25 @@
     }
 }
 
-fn key(instance: &Instance) -> Key {
-    Key { group: instance.app.clone(), id: instance.id.clone() }
+fn entry_key(instance: &Instance) -> EntryKey {
+    EntryKey { group: instance.app.clone(), id: instance.id.clone() }
 }
 
-fn state(instance: &Instance) -> State {
+fn entry_state(instance: &Instance) -> EntryState {
     match (instance.action, instance.status) {
-        (Action::Delete, _) => State::Removed,
-        (_, Status::Up) => State::Up,
-        (_, Status::Down | Status::Starting | Status::OutOfService) => State::Draining,
-        (_, Status::Unknown) => State::Unknown,
+        (Action::Delete, _) => EntryState::Removed,
+        (_, Status::Up) => EntryState::Up,
+        (_, Status::Down | Status::Starting | Status::OutOfService) => EntryState::Draining,
+        (_, Status::Unknown) => EntryState::Unknown,
     }
 }
 
-/// Reads an endpoint, by the names under which its figures stand in the metadata; nothing is guessed.
-fn listing(instance: &Instance, metadata: &MetadataNames, names: &Names) -> Result<Listing, UnusableReason> {
+/// Converts an instance to an entry of the list, by the configured metadata keys. There are no defaults for missing values.
+fn to_listing(
+    instance: &Instance,
+    metadata: &MetadataNames,
+    names: &Names,
+) -> Result<Listing, UnusableReason> {
     let value = |name: &str| {
         let value = instance.metadata.get(name).map(|value| value.trim());
         value.ok_or_else(|| UnusableReason::MissingMetadata(name.to_owned()))
@@ -164,13 +168,13 @@
         instance.ip.trim().parse().map_err(|_| UnusableReason::MalformedAddress(instance.ip.clone()))?;
     let port = instance.port.ok_or(UnusableReason::NoPort)?;
     Ok(Listing {
-        key: key(instance),
+        key: entry_key(instance),
         address: SocketAddr::new(ip, port),
         destination: DestinationId(destination),
         zone: ZoneId(zone),
         kind: KindId(kind),
         weight,
-        state: state(instance),
+        state: entry_state(instance),
         stamp: instance.modified_at_ms,
     })
 }
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -2,7 +2,7 @@
 //! decision.
 
 use crate::net::message_end::MessageEnd;
-use crate::routes::Plan;
+use crate::routes::RouteTable;
 use crate::{ClassId, DestinationId, KindId, Micros, Outcome};
 use hdrhistogram::Histogram;
 use serde_json::{json, Map, Value};
@@ -97,7 +97,7 @@
 /// The statistics of all routes of the current plan.
 #[derive(Default)]
 pub struct RouteStatsTable {
-    plan: RefCell<Option<Arc<Plan>>>,
+    plan: RefCell<Option<Arc<RouteTable>>>,
     /// The statistics of the plan's routes, in their order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
     /// The statistics of messages that no route matches.
@@ -111,7 +111,7 @@
 impl RouteStatsTable {
     /// Replaces the plan. A route that keeps its name keeps its statistics; open messages stay with the route that
     /// applied when they were received.
-    pub fn set_plan(&self, plan: Option<Arc<Plan>>) {
+    pub fn set_plan(&self, plan: Option<Arc<RouteTable>>) {
         let mut previous_stats: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
         if let Some(old) = self.plan.borrow().as_ref() {
             let entries = self.entries.borrow();
--- a/src/site/mod.rs
+++ b/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! The site file: read completely and strictly, with the position of each value kept. What a section means is checked by the
-//! subsystem that it is for.
+//! Reads the site file. It rejects unknown keys and reports all errors at once, each with its position in the file. The
+//! contents of a section are checked by the subsystem that uses it.
 //!
-//! A later subsystem adds a key to `SECTIONS`, a field to [`Site`] and a reader of its own.
+//! To add a section, add its key to `SECTIONS`, a field to [`Site`] and a module that reads it.
 
 mod fields;
 mod node;
@@ -10,31 +10,31 @@
 
 use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::membership::RegistrySettings;
-use crate::routes::{check_routes, Plan, Platform};
-use fields::{read_whole_number, Fields};
+use crate::routes::{check_routes, NamedSettings, RouteTable};
+use fields::{read_integer, Fields};
 
-/// The one version of the file that is known.
+/// The only supported version of the file format.
 const VERSION: u64 = 1;
-/// No settings file is larger, in bytes; 10,000 entries come to about 2 MB.
+/// The largest file that is read, in bytes; 10,000 routes take about 2 MB.
 const MAX_FILE_BYTES: usize = 16 * 1024 * 1024;
 const SECTIONS: &[&str] = &["version", "routes", "registry"];
 
-/// A site file, checked: what each subsystem goes by.
+/// The checked contents of a site file.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
-    /// Timeouts, attempts, pauses and ends by route.
-    pub routes: Plan,
-    /// A registry from which the endpoint list also comes.
+    /// The timing of messages by route.
+    pub routes: RouteTable,
+    /// The registry that is an additional source of the endpoint list; `None` if there is none.
     pub registry: Option<RegistrySettings>,
 }
 
 impl Site {
-    /// Reads and checks the text of a file against the platform's settings.
+    /// Parses the text of a site file and checks it against the platform's settings.
     ///
     /// # Errors
     ///
-    /// All errors at once, in the order of the file.
-    pub fn read(text: &str, platform: Platform<'_>) -> Result<Site, Vec<ConfigError>> {
+    /// All errors in the file, in the order of their positions.
+    pub fn read(text: &str, platform: NamedSettings<'_>) -> Result<Site, Vec<ConfigError>> {
         let mut errors = Vec::new();
         let site = read(text, platform, &mut errors);
         errors.sort_by_key(|error| (error.at, error.code));
@@ -45,7 +45,7 @@
     }
 }
 
-fn read(text: &str, platform: Platform<'_>, errors: &mut Vec<ConfigError>) -> Option<Site> {
+fn read(text: &str, platform: NamedSettings<'_>, errors: &mut Vec<ConfigError>) -> Option<Site> {
     if text.len() > MAX_FILE_BYTES {
         let reason = format!("the file has {} bytes; {MAX_FILE_BYTES} at most are read", text.len());
         errors.push(ConfigError::new(Position::default(), ErrorCode::Syntax, reason));
@@ -61,7 +61,7 @@
 
 fn check_version(sections: &Fields<'_>, errors: &mut Vec<ConfigError>) {
     let Some(node) = sections.require("version", errors) else { return };
-    let Some(version) = read_whole_number(node, "`version`", errors) else { return };
+    let Some(version) = read_integer(node, "`version`", errors) else { return };
     if version != VERSION {
         let reason = format!("version {version} is not known; this program reads version {VERSION}");
         errors.push(ConfigError::new(node.at, ErrorCode::Version, reason));
