--- a/crates/endpoint-model/src/fault.rs
+++ b/crates/endpoint-model/src/fault.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InFlightEffect {
     /// Its connection is reset at once.
-    Broken,
+    Reset,
     /// Its answer never comes.
     Silent,
 }
@@ -60,7 +60,7 @@
     /// What becomes of calls in flight as the fault begins; `None` if they go on.
     pub fn effect_on_calls_in_flight(self) -> Option<InFlightEffect> {
         match self {
-            Fault::RefuseConnections => Some(InFlightEffect::Broken),
+            Fault::RefuseConnections => Some(InFlightEffect::Reset),
             Fault::Hang | Fault::Silent | Fault::HalfOpenConnections => Some(InFlightEffect::Silent),
             Fault::Slow(_)
             | Fault::FailCalls(_)
--- a/crates/endpoint-model/src/lib.rs
+++ b/crates/endpoint-model/src/lib.rs
@@ -9,7 +9,7 @@
 mod profile;
 
 pub use fault::{Fault, InFlightEffect};
-pub use model::{Answer, CallFate, DestinationModel, LimitReport, TimedAnswer};
+pub use model::{Answer, CallResult, DestinationModel, LimitReport, TimedAnswer};
 pub use profile::DestinationProfile;
 
 /// A point in time or a span, in microseconds.
--- a/crates/endpoint-model/src/model.rs
+++ b/crates/endpoint-model/src/model.rs
@@ -27,7 +27,7 @@
     /// No connection.
     ConnectionRefused,
     /// The connection breaks after the work was done.
-    ConnectionBroken,
+    ConnectionReset,
 }
 
 /// An answer, and when it is written.
@@ -50,7 +50,7 @@
 
 /// What becomes of a call; settled when it arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallFate {
+pub struct CallResult {
     /// The answer; `None` for silence.
     pub answer: Option<TimedAnswer>,
     /// What the answer reports of the limit.
@@ -59,13 +59,13 @@
     pub unconnected: bool,
 }
 
-impl CallFate {
+impl CallResult {
     fn answered(at: Micros, answer: Answer) -> Self {
-        CallFate { answer: Some(TimedAnswer { at, answer }), report: None, unconnected: false }
+        CallResult { answer: Some(TimedAnswer { at, answer }), report: None, unconnected: false }
     }
 
     fn silent(unconnected: bool) -> Self {
-        CallFate { answer: None, report: None, unconnected }
+        CallResult { answer: None, report: None, unconnected }
     }
 }
 
@@ -233,30 +233,30 @@
         self.tokens = (self.tokens + refill).min(burst);
         self.refilled_at = now;
         let fits = self.tokens >= 1.0;
-        if fits || self.profile.rejections_count {
+        if fits || self.profile.rejections_use_limit {
             self.tokens = (self.tokens - 1.0).max(-burst);
         }
         fits
     }
 
     /// The fate of a call that a fault settles before it is looked at.
-    fn faulty_fate(&mut self, now: Micros, fault: Option<Fault>) -> Option<CallFate> {
+    fn faulty_fate(&mut self, now: Micros, fault: Option<Fault>) -> Option<CallResult> {
         match fault? {
             Fault::RefuseConnections => {
-                Some(CallFate { unconnected: true, ..CallFate::answered(now, Answer::ConnectionRefused) })
+                Some(CallResult { unconnected: true, ..CallResult::answered(now, Answer::ConnectionRefused) })
             }
-            Fault::Silent => Some(CallFate::silent(true)),
-            Fault::Hang => Some(CallFate::silent(false)),
-            Fault::RejectAll => Some(CallFate::answered(now, Answer::Rejected(None))),
+            Fault::Silent => Some(CallResult::silent(true)),
+            Fault::Hang => Some(CallResult::silent(false)),
+            Fault::RejectAll => Some(CallResult::answered(now, Answer::Rejected(None))),
             Fault::FailCalls(share) => {
-                self.rng.random_bool(share).then(|| CallFate::answered(now, Answer::Error))
+                self.rng.random_bool(share).then(|| CallResult::answered(now, Answer::Error))
             }
             _ => None,
         }
     }
 
     /// A call of so many messages arrives at an endpoint. Calls must come in the order of time.
-    pub fn call(&mut self, now: Micros, endpoint: usize, messages: usize) -> CallFate {
+    pub fn call(&mut self, now: Micros, endpoint: usize, messages: usize) -> CallResult {
         self.count_arrival(now, messages);
         let fault = self.visible_fault();
         if let Some(fate) = self.faulty_fate(now, fault) {
@@ -274,9 +274,9 @@
             endpoint.starts.pop_front();
         }
         if !is_within_limit || endpoint.starts.len() >= self.profile.queue_length {
-            return CallFate {
+            return CallResult {
                 report,
-                ..CallFate::answered(now, Answer::Rejected(self.profile.retry_after))
+                ..CallResult::answered(now, Answer::Rejected(self.profile.retry_after))
             };
         }
         let worker = endpoint.workers.iter_mut().min().expect("each endpoint has a worker");
@@ -286,11 +286,11 @@
         }
         *worker = start + (seconds * SECOND as f64) as Micros;
         let answer = match fault {
-            Some(Fault::ResetConnections) => Answer::ConnectionBroken,
+            Some(Fault::ResetConnections) => Answer::ConnectionReset,
             _ if fails => Answer::Error,
             _ => Answer::Ok,
         };
-        let report = report.filter(|_| answer != Answer::ConnectionBroken);
-        CallFate { report, ..CallFate::answered(*worker, answer) }
+        let report = report.filter(|_| answer != Answer::ConnectionReset);
+        CallResult { report, ..CallResult::answered(*worker, answer) }
     }
 }
--- a/crates/endpoint-model/src/profile.rs
+++ b/crates/endpoint-model/src/profile.rs
@@ -16,7 +16,7 @@
     /// Calls a second that it accepts from all senders together; `None` where only its capacity limits it.
     pub limit: Option<f64>,
     /// Rejected calls use up the limit too.
-    pub rejections_count: bool,
+    pub rejections_use_limit: bool,
     /// The `retry_after` of a rejection, if it sends one.
     pub retry_after: Option<Micros>,
     /// Calls that may queue at an endpoint.
--- a/crates/endpoint-model/tests/model.rs
+++ b/crates/endpoint-model/tests/model.rs
@@ -11,7 +11,7 @@
         service_time_variation: 0.5,
         capacity: 20.0,
         limit: Some(10.0),
-        rejections_count: false,
+        rejections_use_limit: false,
         retry_after: Some(300_000),
         queue_length: 4,
         messages_per_call: 10,
@@ -96,7 +96,7 @@
     };
     let usual = answer(vec![]).expect("an answer").at - SECOND;
     let both = answer(vec![Fault::Slow(3.0), Fault::ResetConnections]).expect("a break");
-    assert_eq!(both.answer, Answer::ConnectionBroken);
+    assert_eq!(both.answer, Answer::ConnectionReset);
     assert!((both.at - SECOND).abs_diff(3 * usual) < 100, "slow as well: {both:?}");
     assert_eq!(answer(vec![Fault::Slow(3.0), Fault::Hang]), None);
     let mut destination = DestinationModel::new(roomy.clone(), 1);
--- a/crates/rehearsal/src/experiment_day.rs
+++ b/crates/rehearsal/src/experiment_day.rs
@@ -168,7 +168,7 @@
         service_time_variation: pick(rng, (0.36, 0.8)),
         capacity,
         limit: limited.then_some(limit),
-        rejections_count: kind == 1,
+        rejections_use_limit: kind == 1,
         retry_after: None,
         queue_length: ((capacity * depth / endpoints as f64).ceil() as usize).max(1),
         messages_per_call: if kind == 0 { 10 } else { 1 },
--- a/crates/rehearsal/src/live/call.rs
+++ b/crates/rehearsal/src/live/call.rs
@@ -6,7 +6,7 @@
 use async_io::Async;
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use cedarbridge::{Micros, Outcome};
-use cedarbridge_endpoint_model::{Answer, CallFate, Fault};
+use cedarbridge_endpoint_model::{Answer, CallResult, Fault};
 use futures_lite::future;
 use socket2::SockRef;
 use std::net::TcpStream;
@@ -165,12 +165,12 @@
     }
 
     /// The model's fate of the call, and the count of ended calls at its begin.
-    fn begin(&self) -> (CallFate, u32) {
+    fn begin(&self) -> (CallResult, u32) {
         let mut destinations = self.run.destinations.borrow_mut();
         let p = &mut destinations[self.destination];
         let stranded = p.half_open.is_some_and(|since| self.opened < since);
         let fate = if stranded && p.model.visible_fault() == Some(Fault::HalfOpenConnections) {
-            CallFate { answer: None, report: None, unconnected: false }
+            CallResult { answer: None, report: None, unconnected: false }
         } else {
             p.model.call(self.sent, self.run.world.list[self.endpoint].index, self.carried.len())
         };
@@ -188,7 +188,7 @@
     /// Waits until the answer is due; the forwarder may time out and a fault may end the call before.
     async fn wait_until_due(
         &self,
-        fate: &CallFate,
+        fate: &CallResult,
         calls_ended: u32,
         connection: &mut HttpConnection,
     ) -> Result<(), Outcome> {
@@ -234,7 +234,7 @@
 
 /// The response to a call, and the outcome it stands for; none if the connection breaks in place of it.
 fn response_text(
-    fate: &CallFate,
+    fate: &CallResult,
     answer: Answer,
     carried: &[CarriedMessage],
     batch: bool,
@@ -251,7 +251,7 @@
             format!("X-RateLimit-Wait-Ms: {:.3}\r\n", wait as f64 / 1e3),
             Outcome::Rejected(Some(wait)),
         ),
-        Answer::ConnectionBroken | Answer::ConnectionRefused => return None,
+        Answer::ConnectionReset | Answer::ConnectionRefused => return None,
     };
     let body = match (answer, batch) {
         (Answer::Ok, true) => carried.iter().map(|c| format!("{} delivered\r\n", c.id)).collect(),
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -266,7 +266,7 @@
         p.model.set_faults(now, all);
         if let Some(calls_ended) = begun.and_then(Fault::effect_on_calls_in_flight) {
             p.calls_ended += 1;
-            p.ended_by_reset = calls_ended == cedarbridge_endpoint_model::InFlightEffect::Broken;
+            p.ended_by_reset = calls_ended == cedarbridge_endpoint_model::InFlightEffect::Reset;
         }
         // Closing the channel wakes all that wait for a change.
         let (sender, receiver) = async_channel::bounded(1);
--- a/crates/rehearsal/src/scenario_day.rs
+++ b/crates/rehearsal/src/scenario_day.rs
@@ -223,7 +223,7 @@
         service_time_variation: of.spread,
         capacity,
         limit: limited.then_some(limit),
-        rejections_count: of.refused_count.unwrap_or(small),
+        rejections_use_limit: of.refused_count.unwrap_or(small),
         retry_after: of.retry_after.map(|s| s.0),
         queue_length: of.queue.unwrap_or((capacity * QUEUE / of.endpoints as f64).ceil() as usize).max(1),
         messages_per_call: if small { 1 } else { 10 },
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -171,7 +171,7 @@
         let answer = match response.answer.map(|a| (a.at, a.answer)) {
             Some((_, Answer::ConnectionRefused)) => Some((self.now + back, Outcome::ConnectFailed)),
             Some((at, Answer::Ok)) => Some((at + back, Outcome::Ok)),
-            Some((at, Answer::ConnectionBroken)) => Some((at + back, Outcome::Reset)),
+            Some((at, Answer::ConnectionReset)) => Some((at + back, Outcome::Reset)),
             Some((at, Answer::Error)) => Some((at + back, Outcome::Error)),
             Some((at, Answer::Rejected(wait))) => Some((at + back, Outcome::Rejected(wait))),
             None if response.unconnected => Some((sent + CONNECT_TIMEOUT, Outcome::ConnectFailed)),
@@ -324,7 +324,7 @@
                 continue;
             }
             let answer = match taken {
-                InFlightEffect::Broken => Some((self.now + self.network(), Outcome::Reset)),
+                InFlightEffect::Reset => Some((self.now + self.network(), Outcome::Reset)),
                 InFlightEffect::Silent => None,
             };
             self.schedule_outcome(number, answer, None, false);
