--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -3,7 +3,7 @@
 
 use crate::deployment::{DRAIN_GRACE, MAX_ATTEMPTS};
 use crate::observation::{AttemptOutcome, Idempotency, Report, Violation};
-use crate::slow_start::SlowStart;
+use crate::slow_start::SlowStartMonitor;
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
@@ -14,12 +14,12 @@
 /// Calls within this of a `retry_after` or an end were already in flight.
 const IN_FLIGHT_SLACK: Duration = Duration::from_millis(100);
 /// A forwarder owes nothing until so long after it is ready again.
-const RECOVERY: Duration = Duration::from_millis(1_500);
+const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// A process may be held up for so long between its reading of the clock and its write: windows allow for that.
 const WRITE_DELAY: Duration = Duration::from_millis(150);
 
-struct Call {
-    begun: Instant,
+struct Attempt {
+    started_at: Instant,
     endpoint: usize,
     zone: usize,
     ended: Option<(Instant, AttemptOutcome)>,
@@ -30,13 +30,13 @@
     destination: usize,
     idempotency: Idempotency,
     /// Its time, from its sending.
-    time: Duration,
+    time_limit: Duration,
     deadline: Instant,
-    accepted: Option<Instant>,
+    accepted_at: Option<Instant>,
     /// Its connection was closed with no answer, by a process that was not killed.
     closed_unanswered: bool,
-    calls: Vec<Call>,
-    delivered: Option<Instant>,
+    attempts: Vec<Attempt>,
+    delivered_at: Option<Instant>,
     report: Option<(Instant, Report)>,
 }
 
@@ -49,31 +49,31 @@
 }
 
 /// A pause that an endpoint asked for.
-struct RetryAfter {
+struct RetryAfterPause {
     since: Instant,
     until: Instant,
 }
 
 /// A time in which a forwarder is down or stalled.
 #[derive(Clone)]
-struct Outage {
+struct UnavailablePeriod {
     since: Instant,
-    /// None while it lasts.
+    /// None while it duration.
     until: Option<Instant>,
 }
 
 /// Everything that was observed in a run.
 pub struct InvariantChecker {
-    begun: Instant,
+    started_at: Instant,
     messages: HashMap<String, Message>,
     /// By forwarder and endpoint: when the forwarder was notified of the drain.
     draining_since: HashMap<(usize, usize), Instant>,
     /// By forwarder and destination.
-    retry_after: HashMap<(usize, usize), RetryAfter>,
+    retry_after: HashMap<(usize, usize), RetryAfterPause>,
     /// By forwarder: when it was down or stalled.
-    unavailable: Vec<Vec<Outage>>,
+    unavailable_periods: Vec<Vec<UnavailablePeriod>>,
     /// By destination.
-    slow_starts: Vec<SlowStart>,
+    slow_start_monitors: Vec<SlowStartMonitor>,
     /// The violations so far.
     pub violations: Vec<Violation>,
     /// Counts of what was observed, for the summary.
@@ -83,45 +83,49 @@
 impl InvariantChecker {
     pub fn new(forwarders: usize, destinations: usize) -> Self {
         InvariantChecker {
-            begun: Instant::now(),
+            started_at: Instant::now(),
             messages: HashMap::new(),
             draining_since: HashMap::new(),
             retry_after: HashMap::new(),
-            unavailable: vec![Vec::new(); forwarders],
-            slow_starts: (0..destinations).map(|_| SlowStart::new()).collect(),
+            unavailable_periods: vec![Vec::new(); forwarders],
+            slow_start_monitors: (0..destinations).map(|_| SlowStartMonitor::new()).collect(),
             violations: Vec::new(),
             counts: BTreeMap::new(),
         }
     }
 
-    pub fn violate(&mut self, rule: &'static str, what: impl Into<String>) {
-        self.violations.push(Violation { at: self.begun.elapsed(), rule, what: what.into() });
+    pub fn record_violation(&mut self, rule: &'static str, description: impl Into<String>) {
+        self.violations.push(Violation {
+            at: self.started_at.elapsed(),
+            rule,
+            description: description.into(),
+        });
     }
 
-    pub fn count(&mut self, what: &'static str) {
-        *self.counts.entry(what).or_default() += 1;
+    pub fn count(&mut self, name: &'static str) {
+        *self.counts.entry(name).or_default() += 1;
     }
 
     /// A client is about to send a message.
-    pub fn submitted(
+    pub fn record_submission(
         &mut self,
         id: &str,
         forwarder: usize,
         destination: usize,
         idempotency: Idempotency,
-        time: Duration,
+        time_limit: Duration,
     ) {
-        let deadline = Instant::now() + time;
+        let deadline = Instant::now() + time_limit;
         let message = Message {
             forwarder,
             destination,
             idempotency,
-            time,
+            time_limit,
             deadline,
-            accepted: None,
+            accepted_at: None,
             closed_unanswered: false,
-            calls: Vec::new(),
-            delivered: None,
+            attempts: Vec::new(),
+            delivered_at: None,
             report: None,
         };
         self.messages.insert(id.to_owned(), message);
@@ -129,24 +133,24 @@
     }
 
     /// The client is about to send a message once more, as its kept connection was closed between two requests.
-    pub fn submitted_again(&mut self, id: &str) {
+    pub fn record_resubmission(&mut self, id: &str) {
         self.count("submitted again");
         if let Some(message) = self.messages.get_mut(id) {
-            message.deadline = Instant::now() + message.time;
+            message.deadline = Instant::now() + message.time_limit;
             message.closed_unanswered = false;
         }
     }
 
     /// The client has read that its message is accepted.
-    pub fn accepted(&mut self, id: &str) {
+    pub fn record_acceptance(&mut self, id: &str) {
         self.count("accepted");
         if let Some(message) = self.messages.get_mut(id) {
-            message.accepted = Some(Instant::now());
+            message.accepted_at = Some(Instant::now());
         }
     }
 
     /// A process that was not killed has closed the client's connection with no answer: it may not have read the request.
-    pub fn closed_unanswered(&mut self, id: &str) {
+    pub fn record_unanswered_close(&mut self, id: &str) {
         self.count("connection closed");
         if let Some(message) = self.messages.get_mut(id) {
             message.closed_unanswered = true;
@@ -154,46 +158,50 @@
     }
 
     /// An endpoint has received a complete attempt, whose first byte came at a time; returns the attempt's number.
-    pub fn attempt(&mut self, id: &str, target: CallTarget, first_byte: Instant) -> Option<usize> {
+    pub fn record_attempt(&mut self, id: &str, target: CallTarget, first_byte: Instant) -> Option<usize> {
         let CallTarget { endpoint, destination, zone } = target;
         let now = Instant::now();
-        let mut found: Vec<(&'static str, String)> = Vec::new();
+        let mut violations: Vec<(&'static str, String)> = Vec::new();
         let Some(message) = self.messages.get_mut(id) else {
-            self.violate("strays", format!("`{id}` was submitted by nobody"));
+            self.record_violation("strays", format!("`{id}` was submitted by nobody"));
             return None;
         };
         if message.destination != destination {
-            found.push(("strays", format!("{id} came to another's endpoint")));
+            violations.push(("strays", format!("{id} came to another's endpoint")));
         }
-        if message.calls.len() >= MAX_ATTEMPTS {
-            found.push(("attempts", format!("{id}: attempt {}", message.calls.len() + 1)));
+        if message.attempts.len() >= MAX_ATTEMPTS {
+            violations.push(("attempts", format!("{id}: attempt {}", message.attempts.len() + 1)));
         }
         if let Some((at, report)) = message.report.filter(|r| now > r.0 + IN_FLIGHT_SLACK) {
-            found.push(("after-end", format!("{id}: called {:?} after its report as {report:?}", now - at)));
+            violations
+                .push(("after-end", format!("{id}: called {:?} after its report as {report:?}", now - at)));
         }
-        let may_have_run = |c: &&Call| !matches!(c.ended, Some((_, AttemptOutcome::Rejected)));
-        if let Some(first) = message.calls.iter().find(may_have_run) {
+        let may_have_run = |c: &&Attempt| !matches!(c.ended, Some((_, AttemptOutcome::Rejected)));
+        if let Some(first) = message.attempts.iter().find(may_have_run) {
             match message.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => found.push(("repeats", format!("{id}: must not run twice"))),
+                Idempotency::NonIdempotent => {
+                    violations.push(("repeats", format!("{id}: must not run twice")))
+                }
                 Idempotency::WithKey { window, by_zone } => {
-                    if first_byte > first.begun + window + WRITE_DELAY + SOCKET_SLACK {
-                        let after = first_byte - first.begun;
-                        found.push(("repeats", format!("{id}: again after {after:?}, window {window:?}")));
+                    if first_byte > first.started_at + window + WRITE_DELAY + SOCKET_SLACK {
+                        let after = first_byte - first.started_at;
+                        violations
+                            .push(("repeats", format!("{id}: again after {after:?}, window {window:?}")));
                     }
                     if by_zone && first.zone != zone {
-                        found.push(("repeats", format!("{id}: again in another zone")));
+                        violations.push(("repeats", format!("{id}: again in another zone")));
                     }
                 }
             }
         }
         let forwarder = message.forwarder;
-        message.calls.push(Call { begun: now, endpoint, zone, ended: None });
-        let number = message.calls.len() - 1;
+        message.attempts.push(Attempt { started_at: now, endpoint, zone, ended: None });
+        let number = message.attempts.len() - 1;
         if let Some(since) = self.draining_since.get(&(forwarder, endpoint)) {
             if first_byte > *since + DRAIN_GRACE + SOCKET_SLACK {
                 let after = first_byte - *since;
-                found.push((
+                violations.push((
                     "drains",
                     format!("{id}: to a draining endpoint {after:?} after the notification"),
                 ));
@@ -203,89 +211,91 @@
             if first_byte > pause.since + IN_FLIGHT_SLACK + SOCKET_SLACK
                 && first_byte + Duration::from_millis(1) < pause.until
             {
-                found.push(("retry-after", format!("{id}: {:?} before its end", pause.until - first_byte)));
+                violations
+                    .push(("retry-after", format!("{id}: {:?} before its end", pause.until - first_byte)));
             }
         }
         self.count("calls");
-        found.into_iter().for_each(|(rule, what)| self.violate(rule, what));
+        violations.into_iter().for_each(|(rule, description)| self.record_violation(rule, description));
         Some(number)
     }
 
     /// An attempt has ended: answered, or its connection was closed.
-    pub fn attempt_ended(&mut self, id: &str, number: usize, end: AttemptOutcome) {
+    pub fn record_attempt_end(&mut self, id: &str, number: usize, end: AttemptOutcome) {
         let now = Instant::now();
         let Some(message) = self.messages.get_mut(id) else { return };
         if end == AttemptOutcome::MayHaveRun {
-            self.slow_starts[message.destination].failed(message.forwarder);
+            self.slow_start_monitors[message.destination].record_failure(message.forwarder);
         }
-        message.calls[number].ended.get_or_insert((now, end));
+        message.attempts[number].ended.get_or_insert((now, end));
         if end == AttemptOutcome::Delivered {
-            message.delivered.get_or_insert(now);
+            message.delivered_at.get_or_insert(now);
         }
     }
 
     /// An endpoint has sent a `retry_after` with a rejection.
-    pub fn retry_after_sent(&mut self, id: &str, destination: usize, lasts: Duration) {
+    pub fn record_retry_after(&mut self, id: &str, destination: usize, duration: Duration) {
         let Some(forwarder) = self.messages.get(id).map(|m| m.forwarder) else { return };
         let now = Instant::now();
-        let fresh = RetryAfter { since: now, until: now };
-        let pause = self.retry_after.entry((forwarder, destination)).or_insert(fresh);
-        let until = now + lasts;
+        let new_pause = RetryAfterPause { since: now, until: now };
+        let pause = self.retry_after.entry((forwarder, destination)).or_insert(new_pause);
+        let until = now + duration;
         if until > pause.until {
             let since = if pause.until > now { pause.since } else { now };
-            *pause = RetryAfter { since, until };
+            *pause = RetryAfterPause { since, until };
         }
     }
 
     /// The platform has received a delivery report.
-    pub fn reported(&mut self, id: &str, report: Report) {
+    pub fn record_report(&mut self, id: &str, report: Report) {
         let now = Instant::now();
         self.count("reports");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.violate("strays", format!("a report of `{id}`, which nobody submitted"));
+            return self.record_violation("strays", format!("a report of `{id}`, which nobody submitted"));
         };
         let may_have_run =
-            message.calls.iter().any(|c| !matches!(c.ended, Some((_, AttemptOutcome::Rejected))));
-        let forbidden = match message.idempotency {
+            message.attempts.iter().any(|c| !matches!(c.ended, Some((_, AttemptOutcome::Rejected))));
+        let repeat_forbidden = match message.idempotency {
             Idempotency::Idempotent => false,
             Idempotency::WithKey { by_zone, .. } => by_zone,
             Idempotency::NonIdempotent => true,
         };
-        let before = *message.report.get_or_insert((now, report));
-        if before.1 != report {
-            self.violate("one-end", format!("{id}: {:?}, then {report:?}", before.1));
+        let first_report = *message.report.get_or_insert((now, report));
+        if first_report.1 != report {
+            self.record_violation("one-end", format!("{id}: {:?}, then {report:?}", first_report.1));
         }
-        if report == Report::Returned && may_have_run && forbidden {
-            self.violate("repeats", format!("{id}: returned though it may have run"));
+        if report == Report::Returned && may_have_run && repeat_forbidden {
+            self.record_violation("repeats", format!("{id}: returned though it may have run"));
         }
     }
 
     /// What was observed of the message that a violation names first, and of its forwarder meanwhile.
     pub fn history(&self, violation: &Violation) -> Option<String> {
-        let id = violation.what.split(':').next()?;
+        let id = violation.description.split(':').next()?;
         let message = self.messages.get(id)?;
-        let sent = message.deadline - message.time;
-        let mut events = vec![(sent, format!("sent, {:?}, time {:?}", message.idempotency, message.time))];
-        events.extend(message.accepted.map(|at| (at, "accepted".to_owned())));
-        for call in &message.calls {
-            events.push((call.begun, format!("called at endpoint {}", call.endpoint)));
+        let sent = message.deadline - message.time_limit;
+        let mut events =
+            vec![(sent, format!("sent, {:?}, time {:?}", message.idempotency, message.time_limit))];
+        events.extend(message.accepted_at.map(|at| (at, "accepted".to_owned())));
+        for call in &message.attempts {
+            events.push((call.started_at, format!("called at endpoint {}", call.endpoint)));
             events.extend(call.ended.map(|(at, outcome)| (at, format!("call ended, {outcome:?}"))));
         }
         events.extend(message.report.map(|(at, report)| (at, format!("reported, {report:?}"))));
-        let outages = self.unavailable[message.forwarder].iter();
-        for outage in outages.filter(|outage| outage.until.is_none_or(|until| until > sent)) {
-            events.push((outage.since, format!("forwarder {} is down or stalled", message.forwarder)));
-            events.extend(outage.until.map(|at| (at, "it owes again".to_owned())));
+        let periods = self.unavailable_periods[message.forwarder].iter();
+        for period in periods.filter(|period| period.until.is_none_or(|until| until > sent)) {
+            events.push((period.since, format!("forwarder {} is down or stalled", message.forwarder)));
+            events.extend(period.until.map(|at| (at, "it owes again".to_owned())));
         }
         events.sort();
-        let line = |(at, what): (Instant, String)| {
-            format!("    {:8.3} {what}", at.saturating_duration_since(self.begun).as_secs_f64())
+        let line = |(at, text): (Instant, String)| {
+            format!("    {:8.3} {text}", at.saturating_duration_since(self.started_at).as_secs_f64())
         };
         Some(events.into_iter().map(line).collect::<Vec<_>>().join("\n"))
     }
 
     /// A forwarder was notified of an endpoint's lifecycle.
-    pub fn lifecycle_notified(&mut self, forwarder: usize, endpoint: usize, draining: bool) {
+    pub fn record_lifecycle_notice(&mut self, forwarder: usize, endpoint: usize, draining: bool) {
         if draining {
             self.draining_since.entry((forwarder, endpoint)).or_insert_with(Instant::now);
         } else {
@@ -294,100 +304,108 @@
     }
 
     /// A destination has received a call, of one message or of several.
-    pub fn call_received(&mut self, id: &str, destination: usize) {
+    pub fn record_call(&mut self, id: &str, destination: usize) {
         let Some(forwarder) = self.messages.get(id).map(|m| m.forwarder) else { return };
-        if let Some(what) = self.slow_starts[destination].call(Instant::now(), forwarder) {
-            self.violate("slow-start", format!("destination {destination}: {what}"));
+        if let Some(description) = self.slow_start_monitors[destination].check_call(Instant::now(), forwarder)
+        {
+            self.record_violation("slow-start", format!("destination {destination}: {description}"));
         }
     }
 
     /// All endpoints of a destination go down.
-    pub fn outage_begins(&mut self, destination: usize) {
-        self.slow_starts[destination].outage_begins();
+    pub fn record_outage_start(&mut self, destination: usize) {
+        self.slow_start_monitors[destination].begin_outage();
     }
 
     /// They are back, and cold.
-    pub fn returns(&mut self, destination: usize) {
+    pub fn record_outage_end(&mut self, destination: usize) {
         self.count("returns after an outage");
-        self.slow_starts[destination].returns(Instant::now());
+        self.slow_start_monitors[destination].begin_slow_start(Instant::now());
     }
 
     /// A forwarder is down or stalled from now on.
-    pub fn becomes_unavailable(&mut self, forwarder: usize) {
-        self.unavailable[forwarder].push(Outage { since: Instant::now(), until: None });
+    pub fn mark_unavailable(&mut self, forwarder: usize) {
+        self.unavailable_periods[forwarder].push(UnavailablePeriod { since: Instant::now(), until: None });
     }
 
     /// A forwarder's process has died: a restart ends what it was asked to heed.
-    pub fn died(&mut self, forwarder: usize) {
+    pub fn record_process_exit(&mut self, forwarder: usize) {
         self.retry_after.retain(|key, _| key.0 != forwarder);
         self.draining_since.retain(|key, _| key.0 != forwarder);
-        self.slow_starts.iter_mut().for_each(|destination| destination.died(forwarder));
+        self.slow_start_monitors.iter_mut().for_each(|monitor| monitor.forget_observer(forwarder));
     }
 
     /// A forwarder is ready again.
-    pub fn becomes_available(&mut self, forwarder: usize) {
-        if let Some(outage) = self.unavailable[forwarder].last_mut() {
-            outage.until = Some(Instant::now() + RECOVERY);
+    pub fn mark_available(&mut self, forwarder: usize) {
+        if let Some(period) = self.unavailable_periods[forwarder].last_mut() {
+            period.until = Some(Instant::now() + RECOVERY_TIME);
         }
     }
 
     /// Whether a forwarder was down, stalled or shutting down at some moment since a time.
     pub fn was_unavailable(&self, forwarder: usize, since: Instant) -> bool {
         let now = Instant::now();
-        self.unavailable[forwarder]
+        self.unavailable_periods[forwarder]
             .iter()
-            .any(|outage| outage.since <= now && outage.until.is_none_or(|end| end >= since))
+            .any(|period| period.since <= now && period.until.is_none_or(|end| end >= since))
     }
 
-    fn due(&self, message: &Message) -> Instant {
+    fn end_due_at(&self, message: &Message) -> Instant {
         let due = message.deadline + END_SLACK + SOCKET_SLACK;
-        let outages = self.unavailable[message.forwarder].iter();
+        let periods = self.unavailable_periods[message.forwarder].iter();
         // An outage that reaches beyond the deadline moves the end that is owed.
-        let late = outages.filter(|o| o.since <= due && o.until.is_none_or(|end| end > message.deadline));
-        late.filter_map(|o| o.until).map(|end| end + END_SLACK + SOCKET_SLACK).max().unwrap_or(due).max(due)
+        let delaying_periods =
+            periods.filter(|o| o.since <= due && o.until.is_none_or(|end| end > message.deadline));
+        delaying_periods
+            .filter_map(|o| o.until)
+            .map(|end| end + END_SLACK + SOCKET_SLACK)
+            .max()
+            .unwrap_or(due)
+            .max(due)
     }
 
     /// Accepted messages that have no end yet and may still get one in time.
     pub fn open_messages(&self) -> usize {
-        let open = |m: &&Message| m.accepted.is_some() && m.delivered.is_none() && m.report.is_none();
+        let open = |m: &&Message| m.accepted_at.is_some() && m.delivered_at.is_none() && m.report.is_none();
         let now = Instant::now();
-        self.messages.values().filter(open).filter(|m| self.due(m) > now).count()
+        self.messages.values().filter(open).filter(|m| self.end_due_at(m) > now).count()
     }
 
     /// The run is over: every accepted message must have ended in time, and never with two attempts in flight.
     pub fn finish(&mut self) {
-        let mut found: Vec<(&'static str, String)> = Vec::new();
+        let mut violations: Vec<(&'static str, String)> = Vec::new();
         for (id, message) in &self.messages {
-            for pair in message.calls.windows(2) {
-                let over = pair[0].ended.map(|e| e.0);
-                if over.is_none_or(|at| at > pair[1].begun + SOCKET_SLACK) {
-                    found.push(("one-out", format!("{id}: a second attempt while one was in flight")));
+            for pair in message.attempts.windows(2) {
+                let ended_at = pair[0].ended.map(|e| e.0);
+                if ended_at.is_none_or(|at| at > pair[1].started_at + SOCKET_SLACK) {
+                    violations.push(("one-out", format!("{id}: a second attempt while one was in flight")));
                 }
             }
-            if message.accepted.is_none() {
-                if message.closed_unanswered && !message.calls.is_empty() {
-                    found.push((
+            if message.accepted_at.is_none() {
+                if message.closed_unanswered && !message.attempts.is_empty() {
+                    violations.push((
                         "unanswered",
                         format!("{id}: called, and its connections closed with no answer"),
                     ));
                 }
                 continue;
             }
-            let end = [message.delivered, message.report.map(|r| r.0)].into_iter().flatten().min();
+            let end = [message.delivered_at, message.report.map(|r| r.0)].into_iter().flatten().min();
             match end {
-                None => found.push(("lost", format!("{id}: accepted, and never got an end"))),
-                Some(at) if at > self.due(message) => {
-                    let late = at - self.due(message);
-                    found.push(("in-time", format!("{id}: its end came {late:?} late")));
+                None => violations.push(("lost", format!("{id}: accepted, and never got an end"))),
+                Some(at) if at > self.end_due_at(message) => {
+                    let late = at - self.end_due_at(message);
+                    violations.push(("in-time", format!("{id}: its end came {late:?} late")));
                 }
                 Some(_) => {}
             }
         }
-        let delivered = self.messages.values().filter(|m| m.delivered.is_some()).count() as u64;
+        let delivered = self.messages.values().filter(|m| m.delivered_at.is_some()).count() as u64;
         self.counts.insert("delivered", delivered);
-        let peak = self.slow_starts.iter().map(SlowStart::peak_percent).max().unwrap_or_default();
+        let peak =
+            self.slow_start_monitors.iter().map(SlowStartMonitor::peak_percent).max().unwrap_or_default();
         self.counts.insert("percent of a slow start's calls", peak);
-        found.sort();
-        found.into_iter().for_each(|(rule, what)| self.violate(rule, what));
+        violations.sort();
+        violations.into_iter().for_each(|(rule, description)| self.record_violation(rule, description));
     }
 }
--- a/crates/soak-test/src/deployment.rs
+++ b/crates/soak-test/src/deployment.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 /// Destinations.
-pub const DESTINATIONS: usize = 5;
+pub const DESTINATION_COUNT: usize = 5;
 /// The destination that gets more messages than others, about as many as it takes, and half of the outages.
 pub const BUSY_DESTINATION: usize = 0;
 /// Share of the messages that go to the busy destination, whatever the others get.
-pub const BUSY_SHARE: f64 = 0.15;
+pub const BUSY_MESSAGE_SHARE: f64 = 0.15;
 /// Endpoints of each destination.
-pub const ENDPOINTS: usize = 3;
+pub const ENDPOINTS_PER_DESTINATION: usize = 3;
 /// The zones.
 pub const ZONES: [&str; 2] = ["east", "west"];
 /// Calls a second that a destination takes from all forwarders together, as the list says.
@@ -21,27 +21,27 @@
 /// The time in which calls to a destination in slow start are counted.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(2_000);
 /// How long a destination's slow start takes.
-pub const SLOW_START: Duration = Duration::from_millis(8_000);
+pub const SLOW_START_DURATION: Duration = Duration::from_millis(8_000);
 /// The share of its capacity that a destination has as it returns.
-pub const SLOW_START_FLOOR: f64 = 0.1;
+pub const SLOW_START_INITIAL_SHARE: f64 = 0.1;
 /// Attempts for one message.
 pub const MAX_ATTEMPTS: usize = 12;
 /// Calls may go to an endpoint for so long after its forwarder was notified that it drains.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 /// A kind of endpoints.
-pub struct Kind {
+pub struct EndpointKind {
     pub name: &'static str,
     pub messages_per_call: usize,
 }
 
 /// The kinds of endpoints: each call of the one carries a message, of the other several.
-pub const KINDS: [Kind; 2] =
-    [Kind { name: "one", messages_per_call: 1 }, Kind { name: "many", messages_per_call: 4 }];
+pub const ENDPOINT_KINDS: [EndpointKind; 2] =
+    [EndpointKind { name: "one", messages_per_call: 1 }, EndpointKind { name: "many", messages_per_call: 4 }];
 
 /// The kind of a destination's endpoints.
-pub fn kind(destination: usize) -> &'static Kind {
-    &KINDS[destination % KINDS.len()]
+pub fn endpoint_kind(destination: usize) -> &'static EndpointKind {
+    &ENDPOINT_KINDS[destination % ENDPOINT_KINDS.len()]
 }
 
 /// A class of messages.
@@ -52,19 +52,20 @@
 
 /// The classes: one of each idempotency, one deduplicated by zone, and one with a short deduplication window.
 pub fn classes() -> Vec<Class> {
-    let keyed = |window, by_zone| Idempotency::WithKey { window: Duration::from_millis(window), by_zone };
+    let with_key =
+        |window_ms, by_zone| Idempotency::WithKey { window: Duration::from_millis(window_ms), by_zone };
     vec![
         Class { name: "free", idempotency: Idempotency::Idempotent },
-        Class { name: "notice", idempotency: keyed(30_000, false) },
-        Class { name: "zoned", idempotency: keyed(30_000, true) },
-        Class { name: "brief", idempotency: keyed(1_500, false) },
+        Class { name: "notice", idempotency: with_key(30_000, false) },
+        Class { name: "zoned", idempotency: with_key(30_000, true) },
+        Class { name: "brief", idempotency: with_key(1_500, false) },
         Class { name: "once", idempotency: Idempotency::NonIdempotent },
     ]
 }
 
 /// A class as the settings have it.
-pub fn class(class: &Class) -> Value {
-    let (semantics, span, scope) = match class.idempotency {
+pub fn class_settings(class: &Class) -> Value {
+    let (semantics, window_ms, scope) = match class.idempotency {
         Idempotency::Idempotent => ("pure", 0, "all"),
         Idempotency::NonIdempotent => ("side_effect", 0, "all"),
         Idempotency::WithKey { window, by_zone } => {
@@ -72,5 +73,5 @@
         }
     };
     json!({"name": class.name, "semantics": semantics, "promise": 2000.0, "deadline": 8000.0, "gain": 1.0,
-        "late-worth": 0.3, "memory-span": span, "dedup-scope": scope})
+        "late-worth": 0.3, "memory-span": window_ms, "dedup-scope": scope})
 }
--- a/crates/soak-test/src/endpoint.rs
+++ b/crates/soak-test/src/endpoint.rs
@@ -1,8 +1,8 @@
 //! The destinations' endpoints. Each listens once, for all forwarders; a message's id says whose it is.
 
 use crate::checker::CallTarget;
+use crate::environment::{sleep, Behaviour, Endpoint, Environment};
 use crate::observation::AttemptOutcome;
-use crate::world::{sleep, Behaviour, Endpoint, World};
 use async_io::{Async, Timer};
 use cedarbridge::net::http::{HttpConnection, RequestHead};
 use futures_lite::future;
@@ -12,21 +12,21 @@
 use std::time::{Duration, Instant};
 
 /// The least and the most that a call's work takes, in milliseconds.
-const LEAST_WORK_MS: u64 = 2;
-const MOST_WORK_MS: u64 = 60;
+const MIN_WORK_MS: u64 = 2;
+const MAX_WORK_MS: u64 = 60;
 /// Connections that wait to be accepted; beyond that the system drops a connect, which is tried again a second later.
 pub const BACKLOG: i32 = 16;
 /// How often a connection checks whether its endpoint resets idle connections.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Starts an endpoint of a destination.
 pub fn start(
-    world: &Rc<World>,
+    environment: &Rc<Environment>,
     name: String,
     destination: usize,
     zone: usize,
 ) -> std::io::Result<Rc<Endpoint>> {
-    let listener = listen()?;
+    let listener = bind_listener()?;
     let endpoint = Rc::new(Endpoint {
         name,
         destination,
@@ -37,105 +37,116 @@
         accepts_late: false.into(),
         reset_count: 0.into(),
     });
-    let number = world.endpoints.borrow().len();
-    world.endpoints.borrow_mut().push(endpoint.clone());
-    let (serving, at) = (world.clone(), endpoint.clone());
-    world.spawn(async move {
+    let number = environment.endpoints.borrow().len();
+    environment.endpoints.borrow_mut().push(endpoint.clone());
+    let (task_environment, accepting) = (environment.clone(), endpoint.clone());
+    environment.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            if at.accepts_late.get() {
-                until_accepting(&at).await;
+            if accepting.accepts_late.get() {
+                wait_until_accepting(&accepting).await;
                 // What these have sent would be taken for sent now.
                 while listener.get_ref().accept().is_ok() {}
                 continue;
             }
-            if behaviour(&serving, &at) == Behaviour::ClosesConnections {
+            if current_behaviour(&task_environment, &accepting) == Behaviour::ClosesConnections {
                 continue;
             }
-            serving.spawn(serve(serving.clone(), at.clone(), number, stream));
+            task_environment.spawn(serve_connection(
+                task_environment.clone(),
+                accepting.clone(),
+                number,
+                stream,
+            ));
         }
     });
     Ok(endpoint)
 }
 
-async fn until_accepting(endpoint: &Endpoint) {
+async fn wait_until_accepting(endpoint: &Endpoint) {
     while endpoint.accepts_late.get() {
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-fn listen() -> std::io::Result<Async<TcpListener>> {
+fn bind_listener() -> std::io::Result<Async<TcpListener>> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())?;
     socket.listen(BACKLOG)?;
     Async::new(socket.into())
 }
 
-async fn serve(world: Rc<World>, endpoint: Rc<Endpoint>, number: usize, stream: Async<TcpStream>) {
+async fn serve_connection(
+    environment: Rc<Environment>,
+    endpoint: Rc<Endpoint>,
+    number: usize,
+    stream: Async<TcpStream>,
+) {
     let mut connection = HttpConnection::new(stream);
     let reset_count = endpoint.reset_count.get();
     loop {
-        // Between calls the endpoint may reset the connection.
+        // Between attempts the endpoint may reset the connection.
         let readable = async { Some(connection.fill().await) };
         let reset_requested = async {
             while endpoint.reset_count.get() == reset_count {
-                sleep(POLL).await;
+                sleep(POLL_INTERVAL).await;
             }
             None
         };
         match future::or(readable, reset_requested).await {
             Some(Ok(read)) if read > 0 => {}
             Some(_) => return,
-            None => return reset(&connection),
+            None => return reset_connection(&connection),
         }
         let first_byte = Instant::now();
         let Ok(head) = connection.read_request().await else { return };
         let Ok(body) = connection.request_body(&head, 1 << 20).await else { return };
         let target = CallTarget { endpoint: number, destination: endpoint.destination, zone: endpoint.zone };
-        let mut calls = Vec::new();
-        let ids = ids(&head, &body);
+        let mut attempts = Vec::new();
+        let ids = message_ids(&head, &body);
         if let Some(id) = ids.first() {
-            world.checker.borrow_mut().call_received(id, endpoint.destination);
+            environment.checker.borrow_mut().record_call(id, endpoint.destination);
         }
         for id in ids {
-            let call = world.checker.borrow_mut().attempt(&id, target, first_byte);
-            calls.extend(call.map(|n| (id, n)));
+            let attempt = environment.checker.borrow_mut().record_attempt(&id, target, first_byte);
+            attempts.extend(attempt.map(|number| (id, number)));
         }
         let batch = head.target.ends_with(":batch");
-        let (end, keeps) = answer(&world, &endpoint, &calls, &mut connection, batch).await;
-        let mut checker = world.checker.borrow_mut();
-        calls.iter().for_each(|(id, call)| checker.attempt_ended(id, *call, end));
-        if !keeps {
+        let (outcome, keep_alive) =
+            process_call(&environment, &endpoint, &attempts, &mut connection, batch).await;
+        let mut checker = environment.checker.borrow_mut();
+        attempts.iter().for_each(|(id, attempt)| checker.record_attempt_end(id, *attempt, outcome));
+        if !keep_alive {
             return;
         }
     }
 }
 
 /// How an endpoint behaves at present.
-fn behaviour(world: &World, endpoint: &Endpoint) -> Behaviour {
-    if world.down.borrow()[endpoint.destination] {
+fn current_behaviour(environment: &Environment, endpoint: &Endpoint) -> Behaviour {
+    if environment.destinations_down.borrow()[endpoint.destination] {
         return Behaviour::Resets;
     }
     endpoint.behaviour.get()
 }
 
-fn reset(connection: &HttpConnection) {
+fn reset_connection(connection: &HttpConnection) {
     let _ = SockRef::from(connection.socket()).set_linger(Some(Duration::ZERO));
 }
 
 /// Does a call's work; returns how it ended, and whether the connection is kept alive.
-async fn answer(
-    world: &World,
+async fn process_call(
+    environment: &Environment,
     endpoint: &Endpoint,
-    calls: &[(String, usize)],
+    attempts: &[(String, usize)],
     connection: &mut HttpConnection,
     batch: bool,
 ) -> (AttemptOutcome, bool) {
-    let behaviour = behaviour(world, endpoint);
-    let worked = async {
+    let behaviour = current_behaviour(environment, endpoint);
+    let work_done = async {
         match behaviour {
             Behaviour::Hangs => future::pending().await,
             Behaviour::Rejects(_) => {}
-            _ => drop(Timer::after(world.span(LEAST_WORK_MS, MOST_WORK_MS)).await),
+            _ => drop(Timer::after(environment.random_duration(MIN_WORK_MS, MAX_WORK_MS)).await),
         }
         true
     };
@@ -144,51 +155,52 @@
         let _ = connection.fill().await;
         false
     };
-    if !future::or(worked, abandoned).await {
+    if !future::or(work_done, abandoned).await {
         return (AttemptOutcome::MayHaveRun, false);
     }
-    let (text, end) = match behaviour {
+    let (response, outcome) = match behaviour {
         Behaviour::Resets => {
-            reset(connection);
+            reset_connection(connection);
             return (AttemptOutcome::MayHaveRun, false);
         }
         Behaviour::Fails => {
             ("HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n".to_owned(), AttemptOutcome::MayHaveRun)
         }
         Behaviour::TruncatesAnswers => ("HTTP/1.1 2".to_owned(), AttemptOutcome::MayHaveRun),
-        Behaviour::Rejects(pause) => {
-            let text =
-                format!("HTTP/1.1 429 Wait\r\nX-RateLimit-Wait-Ms: {pause}\r\nContent-Length: 0\r\n\r\n");
-            (text, AttemptOutcome::Rejected)
+        Behaviour::Rejects(retry_after_ms) => {
+            let response = format!(
+                "HTTP/1.1 429 Wait\r\nX-RateLimit-Wait-Ms: {retry_after_ms}\r\nContent-Length: 0\r\n\r\n"
+            );
+            (response, AttemptOutcome::Rejected)
         }
         _ => {
-            let each = |(id, _): &(String, usize)| format!("{id} delivered\r\n");
-            let body: String = if batch { calls.iter().map(each).collect() } else { String::new() };
+            let result_line = |(id, _): &(String, usize)| format!("{id} delivered\r\n");
+            let body: String = if batch { attempts.iter().map(result_line).collect() } else { String::new() };
             (
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
                 AttemptOutcome::Delivered,
             )
         }
     };
-    if connection.write(text.as_bytes()).await.is_err() {
+    if connection.write(response.as_bytes()).await.is_err() {
         return (AttemptOutcome::MayHaveRun, false);
     }
-    if let Behaviour::Rejects(pause) = behaviour {
-        let mut checker = world.checker.borrow_mut();
-        let pause = Duration::from_millis(pause);
-        calls.iter().for_each(|(id, _)| checker.retry_after_sent(id, endpoint.destination, pause));
+    if let Behaviour::Rejects(retry_after_ms) = behaviour {
+        let mut checker = environment.checker.borrow_mut();
+        let retry_after = Duration::from_millis(retry_after_ms);
+        attempts.iter().for_each(|(id, _)| checker.record_retry_after(id, endpoint.destination, retry_after));
     }
     if behaviour == Behaviour::TruncatesAnswers {
-        let left = async {
+        let closed = async {
             let _ = connection.fill().await;
         };
-        future::or(left, sleep(world.span(50, 400))).await;
-        return (end, false);
+        future::or(closed, sleep(environment.random_duration(50, 400))).await;
+        return (outcome, false);
     }
-    (end, true)
+    (outcome, true)
 }
 
-fn ids(head: &RequestHead, mut body: &[u8]) -> Vec<String> {
+fn message_ids(head: &RequestHead, mut body: &[u8]) -> Vec<String> {
     if let Some(id) = head.headers.get("X-Request-Id") {
         return vec![id.to_owned()];
     }
--- a/crates/soak-test/src/world.rs
+++ b/crates/soak-test/src/environment.rs
@@ -1,7 +1,7 @@
 //! What all tasks of a run share: the present state of the forwarders' surroundings.
 
 use crate::checker::InvariantChecker;
-use crate::deployment::{Class, BUSY_DESTINATION, DESTINATIONS};
+use crate::deployment::{Class, BUSY_DESTINATION, DESTINATION_COUNT};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use std::cell::{Cell, RefCell};
@@ -46,11 +46,11 @@
 
 /// How the platform's agents behave at present.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Discovery {
+pub struct DiscoveryState {
     /// They send nothing.
     pub silent: bool,
     /// They answer so late.
-    pub slow: Duration,
+    pub delay: Duration,
 }
 
 /// What a run is like.
@@ -61,69 +61,69 @@
     /// Messages a second for each forwarder.
     pub rate: f64,
     /// A client waits so long for its response.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// Processes are replaced by successors while they serve.
     pub hand_overs: bool,
     /// Idle clients take the forwarders' connections.
-    pub crowds: bool,
+    pub idle_clients: bool,
 }
 
 /// Everything of a run.
-pub struct World {
+pub struct Environment {
     pub executor: Rc<LocalExecutor<'static>>,
     pub options: RunOptions,
     pub seed: u64,
     pub random: RefCell<fastrand::Rng>,
     pub checker: RefCell<InvariantChecker>,
     pub endpoints: RefCell<Vec<Rc<Endpoint>>>,
-    pub generation: Cell<u64>,
-    pub discovery: Cell<Discovery>,
+    pub list_generation: Cell<u64>,
+    pub discovery: Cell<DiscoveryState>,
     pub classes: Vec<Class>,
     /// By destination: all its endpoints reset the connection of each call.
-    pub down: RefCell<Vec<bool>>,
+    pub destinations_down: RefCell<Vec<bool>>,
     /// No further faults are injected.
-    pub faults_over: Cell<bool>,
+    pub faults_ended: Cell<bool>,
     /// Clients send nothing more.
-    pub submissions_over: Cell<bool>,
-    pub begun: Instant,
+    pub submissions_ended: Cell<bool>,
+    pub started_at: Instant,
     /// The faults are noted here, beside the forwarders' logs.
-    pub events: RefCell<File>,
+    pub event_log: RefCell<File>,
 }
 
-impl World {
+impl Environment {
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 
-    pub fn below(&self, most: usize) -> usize {
-        self.random.borrow_mut().usize(0..most.max(1))
+    pub fn random_below(&self, bound: usize) -> usize {
+        self.random.borrow_mut().usize(0..bound.max(1))
     }
 
     /// Draws a destination: the busy one with a probability, or else any.
-    pub fn destination(&self, busy: f64) -> usize {
-        match self.chance(busy) {
+    pub fn random_destination(&self, busy_probability: f64) -> usize {
+        match self.random_bool(busy_probability) {
             true => BUSY_DESTINATION,
-            false => self.below(DESTINATIONS),
+            false => self.random_below(DESTINATION_COUNT),
         }
     }
 
     /// A span between two numbers of milliseconds.
-    pub fn span(&self, from: u64, to: u64) -> Duration {
-        Duration::from_millis(self.random.borrow_mut().u64(from..=to))
+    pub fn random_duration(&self, from_ms: u64, to_ms: u64) -> Duration {
+        Duration::from_millis(self.random.borrow_mut().u64(from_ms..=to_ms))
     }
 
-    pub fn chance(&self, part: f64) -> bool {
-        self.random.borrow_mut().f64() < part
+    pub fn random_bool(&self, probability: f64) -> bool {
+        self.random.borrow_mut().f64() < probability
     }
 
-    pub fn log(&self, what: &str) {
-        let line = format!("{:8.3} {what}", self.begun.elapsed().as_secs_f64());
+    pub fn log(&self, text: &str) {
+        let line = format!("{:8.3} {text}", self.started_at.elapsed().as_secs_f64());
         eprintln!("{line}");
         // The line stands on standard error too.
-        let _ = writeln!(self.events.borrow_mut(), "{line}");
+        let _ = writeln!(self.event_log.borrow_mut(), "{line}");
     }
 }
 
-pub async fn sleep(span: Duration) {
-    Timer::after(span).await;
+pub async fn sleep(duration: Duration) {
+    Timer::after(duration).await;
 }
--- a/crates/soak-test/src/faults.rs
+++ b/crates/soak-test/src/faults.rs
@@ -1,24 +1,24 @@
 //! What goes wrong: at each moment two or three faults overlap, drawn by the seed.
 
 use crate::endpoint;
+use crate::environment::{sleep, Behaviour, DiscoveryState, Endpoint, Environment};
 use crate::forwarder::Forwarder;
-use crate::world::{sleep, Behaviour, Discovery, Endpoint, World};
 use async_io::Async;
 use std::net::TcpStream;
 use std::rc::Rc;
 
 /// Forwarders that share their faults.
-const GROUP: usize = 5;
+const GROUP_SIZE: usize = 5;
 /// Faults that overlap in a group; those of endpoints and discovery come beside these.
-const OVERLAP: usize = 3;
+const CONCURRENT_FAULTS_PER_GROUP: usize = 3;
 /// Idle clients of a crowd at one forwarder; it has room for 128 connections.
-const CROWD: usize = 160;
-/// The most forwarders that a crowd comes to.
-const MOST_CROWDED: usize = 6;
+const IDLE_CLIENTS_PER_FORWARDER: usize = 160;
+/// The max_count forwarders that a crowd comes to.
+const MAX_FORWARDERS_WITH_IDLE_CLIENTS: usize = 6;
 /// Share of the outages that the busy destination has, whatever the others get.
 const BUSY_OUTAGE_SHARE: f64 = 0.4;
 /// Share of the drained endpoints to which connections come up late.
-const LATE_CONNECTIONS_SHARE: f64 = 0.5;
+const LATE_CONNECTION_SHARE: f64 = 0.5;
 /// A write is held up for so many milliseconds: with what else passes since the process has read its clock, that is within the 0.15 s
 /// of the platform's terms.
 const WRITE_STALL_MS: u64 = 140;
@@ -26,166 +26,169 @@
 const HOUR_MICROS: i64 = 3_600_000_000;
 
 /// Injects faults until the run is over.
-pub async fn run(world: Rc<World>, forwarders: Rc<Vec<Rc<Forwarder>>>) {
-    for group in forwarders.chunks(GROUP) {
-        for _ in 0..OVERLAP {
-            let (world, group) = (world.clone(), group.to_vec());
-            world.clone().spawn(async move {
-                while !world.faults_over.get() {
-                    sleep(world.span(0, 150)).await;
-                    fault_of_forwarders(&world, &group).await;
+pub async fn run(environment: Rc<Environment>, forwarders: Rc<Vec<Rc<Forwarder>>>) {
+    for group in forwarders.chunks(GROUP_SIZE) {
+        for _ in 0..CONCURRENT_FAULTS_PER_GROUP {
+            let (environment, group) = (environment.clone(), group.to_vec());
+            environment.clone().spawn(async move {
+                while !environment.faults_ended.get() {
+                    sleep(environment.random_duration(0, 150)).await;
+                    inject_forwarder_fault(&environment, &group).await;
                 }
             });
         }
     }
-    for _ in 0..OVERLAP - 1 {
-        let (world, forwarders) = (world.clone(), forwarders.clone());
-        world.clone().spawn(async move {
-            while !world.faults_over.get() {
-                sleep(world.span(0, 300)).await;
-                fault_of_surroundings(&world, &forwarders).await;
+    for _ in 0..CONCURRENT_FAULTS_PER_GROUP - 1 {
+        let (environment, forwarders) = (environment.clone(), forwarders.clone());
+        environment.clone().spawn(async move {
+            while !environment.faults_ended.get() {
+                sleep(environment.random_duration(0, 300)).await;
+                inject_environment_fault(&environment, &forwarders).await;
             }
         });
     }
-    let outages = world.clone();
-    world.spawn(async move {
-        while !outages.faults_over.get() {
-            sleep(outages.span(500, 2_500)).await;
-            outage(&outages).await;
+    let outage_environment = environment.clone();
+    environment.spawn(async move {
+        while !outage_environment.faults_ended.get() {
+            sleep(outage_environment.random_duration(500, 2_500)).await;
+            take_destination_down(&outage_environment).await;
         }
     });
     // Each forwarder also stalls now and then, before a write.
     for forwarder in forwarders.iter() {
-        forwarder.add_faults(&format!("send stall={WRITE_STALL_MS} chance=0.002"));
+        forwarder.add_fault_rules(&format!("send stall={WRITE_STALL_MS} chance=0.002"));
     }
 }
 
-async fn fault_of_forwarders(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    match world.below(if world.options.hand_overs { 11 } else { 9 }) {
-        0 | 1 => restarts(world, forwarders, false).await,
-        2 | 3 => restarts(world, forwarders, true).await,
+async fn inject_forwarder_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    match environment.random_below(if environment.options.hand_overs { 11 } else { 9 }) {
+        0 | 1 => restart_some(environment, forwarders, false).await,
+        2 | 3 => restart_some(environment, forwarders, true).await,
         4 => {
-            for_some(world, forwarders, 3, |f| async move { f.stall(world, world.span(150, 1_200)).await })
-                .await
+            apply_to_some(environment, forwarders, 3, |f| async move {
+                f.pause(environment, environment.random_duration(150, 1_200)).await
+            })
+            .await
         }
-        5 => configurations(world, forwarders).await,
-        6 => wall_clock_step(world, forwarders).await,
-        7 => storage(world, forwarders).await,
-        8 => system_calls(world, forwarders).await,
-        _ => hand_overs(world, forwarders).await,
+        5 => reload_repeatedly(environment, forwarders).await,
+        6 => step_wall_clock(environment, forwarders).await,
+        7 => inject_storage_fault(environment, forwarders).await,
+        8 => inject_system_call_fault(environment, forwarders).await,
+        _ => hand_over_some(environment, forwarders).await,
     }
 }
 
-async fn fault_of_surroundings(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    match world.below(if world.options.crowds { 6 } else { 5 }) {
-        0 | 1 => endpoint_fault(world).await,
-        2 | 3 => replacement(world).await,
-        4 => discovery(world).await,
-        _ => crowd(world, forwarders).await,
+async fn inject_environment_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    match environment.random_below(if environment.options.idle_clients { 6 } else { 5 }) {
+        0 | 1 => inject_endpoint_fault(environment).await,
+        2 | 3 => replace_endpoint(environment).await,
+        4 => inject_discovery_fault(environment).await,
+        _ => connect_idle_clients(environment, forwarders).await,
     }
 }
 
 /// Does something to some forwarders at once, but for those that something else is being done to.
-async fn for_some<F: std::future::Future<Output = ()>>(
-    world: &Rc<World>,
+async fn apply_to_some<F: std::future::Future<Output = ()>>(
+    environment: &Rc<Environment>,
     forwarders: &[Rc<Forwarder>],
-    most: usize,
-    what: impl Fn(Rc<Forwarder>) -> F,
+    max_count: usize,
+    operation: impl Fn(Rc<Forwarder>) -> F,
 ) {
-    let count = 1 + world.below(most);
-    let mut all = Vec::new();
+    let count = 1 + environment.random_below(max_count);
+    let mut operations = Vec::new();
     for _ in 0..count {
-        let forwarder = forwarders[world.below(forwarders.len())].clone();
-        if forwarder.busy.replace(true) {
+        let forwarder = forwarders[environment.random_below(forwarders.len())].clone();
+        if forwarder.operation_in_progress.replace(true) {
             continue;
         }
-        let done = what(forwarder.clone());
-        all.push(Box::pin(async move {
-            done.await;
-            forwarder.busy.set(false);
+        let operation_done = operation(forwarder.clone());
+        operations.push(Box::pin(async move {
+            operation_done.await;
+            forwarder.operation_in_progress.set(false);
         }));
     }
-    for one in all {
-        one.await;
+    for operation in operations {
+        operation.await;
     }
 }
 
-async fn restarts(world: &Rc<World>, forwarders: &[Rc<Forwarder>], in_order: bool) {
-    world.log(if in_order { "SIGTERM" } else { "SIGKILL" });
-    for_some(world, forwarders, 2, |f| async move {
-        let away = world.span(0, 600);
+async fn restart_some(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>], graceful: bool) {
+    environment.log(if graceful { "SIGTERM" } else { "SIGKILL" });
+    apply_to_some(environment, forwarders, 2, |f| async move {
+        let downtime = environment.random_duration(0, 600);
         // The wall clock may be set while nobody runs.
-        if world.chance(0.3) {
-            let offset = if world.chance(0.5) { HOUR_MICROS } else { -HOUR_MICROS };
-            f.add_faults(&format!("wall {offset}"));
+        if environment.random_bool(0.3) {
+            let offset = if environment.random_bool(0.5) { HOUR_MICROS } else { -HOUR_MICROS };
+            f.add_fault_rules(&format!("wall {offset}"));
         }
-        match in_order {
-            true => f.terminate(world, Some(away)).await,
-            false => f.kill(world, away).await,
+        match graceful {
+            true => f.terminate(environment, Some(downtime)).await,
+            false => f.kill_and_restart(environment, downtime).await,
         }
     })
     .await;
 }
 
-async fn hand_overs(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    world.log("hand-over");
-    for_some(world, forwarders, 2, |f| async move { f.hand_over(world).await }).await;
+async fn hand_over_some(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    environment.log("hand-over");
+    apply_to_some(environment, forwarders, 2, |f| async move { f.hand_over(environment).await }).await;
 }
 
 /// All endpoints of a destination are down for a while, and return cold.
-async fn outage(world: &Rc<World>) {
-    let destination = world.destination(BUSY_OUTAGE_SHARE);
-    world.log(&format!("destination {destination} is down"));
-    world.down.borrow_mut()[destination] = true;
-    world.checker.borrow_mut().outage_begins(destination);
-    sleep(world.span(2_000, 5_000)).await;
-    world.down.borrow_mut()[destination] = false;
-    world.checker.borrow_mut().returns(destination);
+async fn take_destination_down(environment: &Rc<Environment>) {
+    let destination = environment.random_destination(BUSY_OUTAGE_SHARE);
+    environment.log(&format!("destination {destination} is down"));
+    environment.destinations_down.borrow_mut()[destination] = true;
+    environment.checker.borrow_mut().record_outage_start(destination);
+    sleep(environment.random_duration(2_000, 5_000)).await;
+    environment.destinations_down.borrow_mut()[destination] = false;
+    environment.checker.borrow_mut().record_outage_end(destination);
 }
 
 /// Idle clients connect to some forwarders, more than these have room for, and stay.
-async fn crowd(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    world.log("a crowd of idle clients");
-    let mut idle = Vec::new();
-    for _ in 0..1 + world.below(MOST_CROWDED) {
-        let forwarder = &forwarders[world.below(forwarders.len())];
-        for _ in 0..CROWD {
+async fn connect_idle_clients(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    environment.log("a crowd of idle clients");
+    let mut idle_connections = Vec::new();
+    for _ in 0..1 + environment.random_below(MAX_FORWARDERS_WITH_IDLE_CLIENTS) {
+        let forwarder = &forwarders[environment.random_below(forwarders.len())];
+        for _ in 0..IDLE_CLIENTS_PER_FORWARDER {
             // A forwarder that is down accepts nobody.
-            idle.extend(Async::<TcpStream>::connect(forwarder.listen).await);
+            idle_connections.extend(Async::<TcpStream>::connect(forwarder.listen_address).await);
         }
     }
-    sleep(world.span(500, 3_000)).await;
+    sleep(environment.random_duration(500, 3_000)).await;
 }
 
-async fn configurations(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    world.log("new configurations in a row");
-    for_some(world, forwarders, 4, |f| async move {
-        for _ in 0..1 + world.below(4) {
-            f.reload(world);
-            sleep(world.span(0, 120)).await;
+async fn reload_repeatedly(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    environment.log("new configurations in a row");
+    apply_to_some(environment, forwarders, 4, |f| async move {
+        for _ in 0..1 + environment.random_below(4) {
+            f.reload(environment);
+            sleep(environment.random_duration(0, 120)).await;
         }
     })
     .await;
 }
 
-async fn wall_clock_step(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    world.log("the wall clock is set");
-    let forwarder = &forwarders[world.below(forwarders.len())];
-    let offset = (world.below(7_200) as i64 - 3_600) * 1_000_000;
-    let faults = forwarder.add_faults(&format!("wall {offset}"));
-    sleep(world.span(200, 1_500)).await;
-    forwarder.remove_faults(faults);
+async fn step_wall_clock(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    environment.log("the wall clock is set");
+    let forwarder = &forwarders[environment.random_below(forwarders.len())];
+    let offset = (environment.random_below(7_200) as i64 - 3_600) * 1_000_000;
+    let rules_id = forwarder.add_fault_rules(&format!("wall {offset}"));
+    sleep(environment.random_duration(200, 1_500)).await;
+    forwarder.remove_fault_rules(rules_id);
 }
 
-async fn faults_for_a_while(world: &Rc<World>, forwarders: &[Rc<Forwarder>], rules: &str) {
-    let chosen: Vec<_> =
-        (0..1 + world.below(3)).map(|_| forwarders[world.below(forwarders.len())].clone()).collect();
-    let faults: Vec<u64> = chosen.iter().map(|f| f.add_faults(rules)).collect();
-    sleep(world.span(200, 1_500)).await;
-    chosen.iter().zip(faults).for_each(|(f, number)| f.remove_faults(number));
+async fn inject_for_a_while(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>], rules: &str) {
+    let chosen: Vec<_> = (0..1 + environment.random_below(3))
+        .map(|_| forwarders[environment.random_below(forwarders.len())].clone())
+        .collect();
+    let rule_ids: Vec<u64> = chosen.iter().map(|f| f.add_fault_rules(rules)).collect();
+    sleep(environment.random_duration(200, 1_500)).await;
+    chosen.iter().zip(rule_ids).for_each(|(f, id)| f.remove_fault_rules(id));
 }
 
-async fn storage(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
+async fn inject_storage_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     let rules = [
         "write ENOSPC",
         "write EIO chance=0.5",
@@ -194,99 +197,112 @@
         "unlink EIO chance=0.7\nread EIO chance=0.3\nopendir EIO chance=0.3",
         "write short chance=0.5\nread short chance=0.5",
     ];
-    let rules = rules[world.below(rules.len())];
-    world.log(&format!("storage: {}", rules.replace('\n', "; ")));
-    faults_for_a_while(world, forwarders, rules).await;
+    let rules = rules[environment.random_below(rules.len())];
+    environment.log(&format!("storage: {}", rules.replace('\n', "; ")));
+    inject_for_a_while(environment, forwarders, rules).await;
 }
 
-async fn system_calls(world: &Rc<World>, forwarders: &[Rc<Forwarder>]) {
-    let stalls = format!("send stall={WRITE_STALL_MS} chance=0.05");
+async fn inject_system_call_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
+    let write_stalls = format!("send stall={WRITE_STALL_MS} chance=0.05");
     let rules = [
         "accept ECONNABORTED chance=0.5\naccept ENFILE chance=0.3",
         "accept ENOBUFS chance=0.4\naccept EINTR chance=0.5",
         "connect EADDRNOTAVAIL chance=0.4\nsocket ENFILE chance=0.2",
         "connect ENETUNREACH chance=0.3\nconnect EINTR chance=0.1",
         "recv EINTR chance=0.2\nsend EINTR chance=0.2\nrecv short chance=0.3\nsend short chance=0.3",
-        &stalls,
+        &write_stalls,
     ];
-    let rules = rules[world.below(rules.len())];
-    world.log(&format!("system calls: {}", rules.replace('\n', "; ")));
-    faults_for_a_while(world, forwarders, rules).await;
+    let rules = rules[environment.random_below(rules.len())];
+    environment.log(&format!("system calls: {}", rules.replace('\n', "; ")));
+    inject_for_a_while(environment, forwarders, rules).await;
 }
 
-fn listed(world: &World) -> Vec<Rc<Endpoint>> {
-    world.endpoints.borrow().iter().filter(|e| e.lifecycle.get() == "active").cloned().collect()
+fn active_endpoints(environment: &Environment) -> Vec<Rc<Endpoint>> {
+    environment
+        .endpoints
+        .borrow()
+        .iter()
+        .filter(|endpoint| endpoint.lifecycle.get() == "active")
+        .cloned()
+        .collect()
 }
 
-async fn endpoint_fault(world: &Rc<World>) {
-    let all = listed(world);
-    let pause = 300 + world.below(1_200) as u64;
+async fn inject_endpoint_fault(environment: &Rc<Environment>) {
+    let candidates = active_endpoints(environment);
+    let retry_after_ms = 300 + environment.random_below(1_200) as u64;
     let behaviours = [
         Behaviour::Hangs,
-        Behaviour::Rejects(pause),
+        Behaviour::Rejects(retry_after_ms),
         Behaviour::Fails,
         Behaviour::Resets,
         Behaviour::ClosesConnections,
         Behaviour::TruncatesAnswers,
         Behaviour::Normal,
     ];
-    let behaviour = behaviours[world.below(behaviours.len())];
-    let count = 1 + world.below(all.len() / 2);
-    world.log(&format!("{count} endpoints: {behaviour:?}"));
-    let chosen: Vec<_> = (0..count).map(|_| all[world.below(all.len())].clone()).collect();
-    for e in &chosen {
-        e.behaviour.set(behaviour);
+    let behaviour = behaviours[environment.random_below(behaviours.len())];
+    let count = 1 + environment.random_below(candidates.len() / 2);
+    environment.log(&format!("{count} endpoints: {behaviour:?}"));
+    let chosen: Vec<_> =
+        (0..count).map(|_| candidates[environment.random_below(candidates.len())].clone()).collect();
+    for endpoint in &chosen {
+        endpoint.behaviour.set(behaviour);
         // Beside any fault they may reset their idle connections, too.
-        e.reset_count
-            .set(e.reset_count.get() + u32::from(behaviour == Behaviour::Normal || world.chance(0.5)));
+        endpoint.reset_count.set(
+            endpoint.reset_count.get()
+                + u32::from(behaviour == Behaviour::Normal || environment.random_bool(0.5)),
+        );
     }
-    sleep(world.span(300, 2_500)).await;
-    chosen.iter().for_each(|e| e.behaviour.set(Behaviour::Normal));
+    sleep(environment.random_duration(300, 2_500)).await;
+    chosen.iter().for_each(|endpoint| endpoint.behaviour.set(Behaviour::Normal));
 }
 
-async fn replacement(world: &Rc<World>) {
-    let all = listed(world);
-    let old = all[world.below(all.len())].clone();
-    world.log(&format!("{} is drained and replaced", old.name));
-    let turn = |lifecycle| {
-        old.lifecycle.set(lifecycle);
-        world.generation.set(world.generation.get() + 1);
+async fn replace_endpoint(environment: &Rc<Environment>) {
+    let candidates = active_endpoints(environment);
+    let old_endpoint = candidates[environment.random_below(candidates.len())].clone();
+    environment.log(&format!("{} is drained and replaced", old_endpoint.name));
+    let set_lifecycle = |lifecycle| {
+        old_endpoint.lifecycle.set(lifecycle);
+        environment.list_generation.set(environment.list_generation.get() + 1);
     };
-    if world.chance(LATE_CONNECTIONS_SHARE) {
-        drain_with_late_connections(world, &old, || turn("leaving")).await;
+    if environment.random_bool(LATE_CONNECTION_SHARE) {
+        drain_with_late_connections(environment, &old_endpoint, || set_lifecycle("leaving")).await;
     } else {
-        turn("leaving");
+        set_lifecycle("leaving");
     }
-    sleep(world.span(300, 1_500)).await;
-    let name = format!("e{}", world.endpoints.borrow().len());
-    if endpoint::start(world, name, old.destination, old.zone).is_err() {
-        return world.log("no new endpoint could be started");
+    sleep(environment.random_duration(300, 1_500)).await;
+    let name = format!("e{}", environment.endpoints.borrow().len());
+    if endpoint::start(environment, name, old_endpoint.destination, old_endpoint.zone).is_err() {
+        return environment.log("no new endpoint could be started");
     }
-    turn("left");
+    set_lifecycle("left");
 }
 
 /// An endpoint is drained while connections to it are on their way: they come up after its grace.
-async fn drain_with_late_connections(world: &Rc<World>, endpoint: &Endpoint, drain: impl Fn()) {
+async fn drain_with_late_connections(
+    environment: &Rc<Environment>,
+    endpoint: &Endpoint,
+    start_drain: impl Fn(),
+) {
     endpoint.accepts_late.set(true);
     endpoint.reset_count.set(endpoint.reset_count.get() + 1);
     let address = endpoint.address;
-    let mut waiting = Vec::new();
+    let mut pending_connections = Vec::new();
     for _ in 0..endpoint::BACKLOG + 2 {
         // The last ones do not come up while the backlog is full.
-        let connecting = world.executor.spawn(Async::<TcpStream>::connect(address));
-        waiting.push(connecting);
+        let connecting = environment.executor.spawn(Async::<TcpStream>::connect(address));
+        pending_connections.push(connecting);
     }
-    sleep(world.span(200, 500)).await;
-    drain();
-    sleep(world.span(400, 600)).await;
+    sleep(environment.random_duration(200, 500)).await;
+    start_drain();
+    sleep(environment.random_duration(400, 600)).await;
     endpoint.accepts_late.set(false);
-    drop(waiting);
+    drop(pending_connections);
 }
 
-async fn discovery(world: &Rc<World>) {
-    let silent = world.chance(0.5);
-    world.log(if silent { "discovery is silent" } else { "discovery is slow" });
-    world.discovery.set(Discovery { silent, slow: world.span(50, 400) });
-    sleep(world.span(500, 3_000)).await;
-    world.discovery.set(Discovery::default());
+async fn inject_discovery_fault(environment: &Rc<Environment>) {
+    let silent = environment.random_bool(0.5);
+    environment.log(if silent { "discovery is silent" } else { "discovery is slow" });
+    environment.discovery.set(DiscoveryState { silent, delay: environment.random_duration(50, 400) });
+    sleep(environment.random_duration(500, 3_000)).await;
+    environment.discovery.set(DiscoveryState::default());
 }
--- a/crates/soak-test/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -5,17 +5,18 @@
 mod client;
 mod deployment;
 mod endpoint;
+mod environment;
 mod faults;
 mod forwarder;
 mod observation;
 mod platform;
 mod process;
 mod slow_start;
-mod world;
 
 use async_executor::LocalExecutor;
 use checker::InvariantChecker;
 use clap::{Parser, Subcommand};
+use environment::{sleep, Environment, RunOptions};
 use forwarder::Forwarder;
 use rustix::process::{set_parent_process_death_signal, Signal};
 use std::ffi::OsString;
@@ -24,7 +25,6 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
-use world::{sleep, RunOptions, World};
 
 /// Open messages may end for so long after the last submission.
 const DRAIN_TIME: Duration = Duration::from_secs(9);
@@ -84,13 +84,14 @@
             cedarbridge::cli::main(std::iter::once(OsString::from("cedarbridge")).chain(arguments))
         }
         Command::Run { seed, seeds, forwarders, seconds, rate, patience, keep } => {
-            let patience = Duration::from_millis(patience);
+            let client_timeout = Duration::from_millis(patience);
             let fault_duration = Duration::from_secs(seconds);
             let mut violations = 0;
             for seed in seed..seed + seeds {
-                let (hand_overs, crowds) = (seed.is_multiple_of(2), seed.is_multiple_of(3));
-                let options = RunOptions { forwarders, fault_duration, rate, patience, hand_overs, crowds };
-                violations += play(seed, options, keep.as_ref());
+                let (hand_overs, idle_clients) = (seed.is_multiple_of(2), seed.is_multiple_of(3));
+                let options =
+                    RunOptions { forwarders, fault_duration, rate, client_timeout, hand_overs, idle_clients };
+                violations += run_seed(seed, options, keep.as_ref());
             }
             println!("{seeds} seeds, {violations} violations");
             if violations == 0 {
@@ -103,37 +104,38 @@
 }
 
 /// Plays a seed; returns how many violations there were.
-fn play(seed: u64, options: RunOptions, keep: Option<&PathBuf>) -> usize {
-    let own = std::env::temp_dir().join(format!("cedarbridge-soak-test-{}-{seed}", std::process::id()));
-    let folder = keep.map_or(own, |k| k.join(format!("seed-{seed}")));
+fn run_seed(seed: u64, options: RunOptions, keep: Option<&PathBuf>) -> usize {
+    let default_folder =
+        std::env::temp_dir().join(format!("cedarbridge-soak-test-{}-{seed}", std::process::id()));
+    let folder = keep.map_or(default_folder, |folder| folder.join(format!("seed-{seed}")));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     let executor = Rc::new(LocalExecutor::new());
-    let world = Rc::new(World {
+    let environment = Rc::new(Environment {
         executor: executor.clone(),
         options,
         seed,
         random: fastrand::Rng::with_seed(seed).into(),
-        checker: InvariantChecker::new(options.forwarders, deployment::DESTINATIONS).into(),
+        checker: InvariantChecker::new(options.forwarders, deployment::DESTINATION_COUNT).into(),
         endpoints: Vec::new().into(),
-        generation: 1.into(),
+        list_generation: 1.into(),
         discovery: Default::default(),
         classes: deployment::classes(),
-        down: vec![false; deployment::DESTINATIONS].into(),
-        faults_over: false.into(),
-        submissions_over: false.into(),
-        begun: Instant::now(),
-        events: File::create(folder.join("events")).expect("a file").into(),
+        destinations_down: vec![false; deployment::DESTINATION_COUNT].into(),
+        faults_ended: false.into(),
+        submissions_ended: false.into(),
+        started_at: Instant::now(),
+        event_log: File::create(folder.join("events")).expect("a file").into(),
     });
-    async_io::block_on(executor.run(run(&world, &folder)));
-    let checker = world.checker.borrow();
+    async_io::block_on(executor.run(execute_run(&environment, &folder)));
+    let checker = environment.checker.borrow();
     for violation in checker.violations.iter().take(MAX_SHOWN) {
         println!("seed {seed}: {violation}");
         if let Some(history) = checker.history(violation) {
             println!("{history}");
         }
     }
-    let counts: Vec<String> = checker.counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
+    let counts: Vec<String> = checker.counts.iter().map(|(name, count)| format!("{name} {count}")).collect();
     println!("seed {seed}: {} violations; {}", checker.violations.len(), counts.join(", "));
     if checker.violations.is_empty() && keep.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
@@ -143,46 +145,50 @@
     checker.violations.len()
 }
 
-async fn run(world: &Rc<World>, folder: &std::path::Path) {
-    for number in 0..deployment::DESTINATIONS * deployment::ENDPOINTS {
-        let started =
-            endpoint::start(world, format!("e{number}"), number % deployment::DESTINATIONS, number % 2);
-        started.expect("an endpoint");
+async fn execute_run(environment: &Rc<Environment>, folder: &std::path::Path) {
+    for number in 0..deployment::DESTINATION_COUNT * deployment::ENDPOINTS_PER_DESTINATION {
+        let endpoint = endpoint::start(
+            environment,
+            format!("e{number}"),
+            number % deployment::DESTINATION_COUNT,
+            number % 2,
+        );
+        endpoint.expect("an endpoint");
     }
-    let forwarders: Vec<Rc<Forwarder>> = (0..world.options.forwarders)
-        .map(|number| Rc::new(Forwarder::prepare(world, number, folder).expect("a forwarder's files")))
+    let forwarders: Vec<Rc<Forwarder>> = (0..environment.options.forwarders)
+        .map(|number| Rc::new(Forwarder::prepare(environment, number, folder).expect("a forwarder's files")))
         .collect();
     let forwarders = Rc::new(forwarders);
     for forwarder in forwarders.iter() {
-        forwarder.start(world).await;
-        world.spawn(client::run(world.clone(), forwarder.clone()));
+        forwarder.start(environment).await;
+        environment.spawn(client::run(environment.clone(), forwarder.clone()));
     }
     sleep(WARM_UP).await;
-    faults::run(world.clone(), forwarders.clone()).await;
-    sleep(world.options.fault_duration).await;
-    world.faults_over.set(true);
-    while forwarders.iter().any(|f| f.busy.get()) {
+    faults::run(environment.clone(), forwarders.clone()).await;
+    sleep(environment.options.fault_duration).await;
+    environment.faults_ended.set(true);
+    while forwarders.iter().any(|f| f.operation_in_progress.get()) {
         sleep(Duration::from_millis(20)).await;
     }
     // All has recovered: what comes now is served.
     sleep(RECOVERY_TIME).await;
-    world.submissions_over.set(true);
-    let until = Instant::now() + DRAIN_TIME;
-    while world.checker.borrow().open_messages() > 0 && Instant::now() < until {
+    environment.submissions_ended.set(true);
+    let drain_deadline = Instant::now() + DRAIN_TIME;
+    while environment.checker.borrow().open_messages() > 0 && Instant::now() < drain_deadline {
         sleep(Duration::from_millis(20)).await;
     }
     sleep(Duration::from_millis(500)).await;
     for forwarder in forwarders.iter() {
-        forwarder.check_at_end(world).await;
+        forwarder.check_at_end(environment).await;
     }
     for forwarder in forwarders.iter() {
         // All at once.
-        let (world, forwarder) = (world.clone(), forwarder.clone());
-        world.clone().spawn(async move { forwarder.terminate(&world, None).await });
+        let (environment, forwarder) = (environment.clone(), forwarder.clone());
+        environment.clone().spawn(async move { forwarder.terminate(&environment, None).await });
     }
-    while forwarders.iter().any(|f| f.alive()) {
+    while forwarders.iter().any(|f| f.is_alive()) {
         sleep(Duration::from_millis(20)).await;
     }
     sleep(Duration::from_millis(100)).await;
-    world.checker.borrow_mut().finish();
+    environment.checker.borrow_mut().finish();
 }
--- a/crates/soak-test/src/observation.rs
+++ b/crates/soak-test/src/observation.rs
@@ -37,11 +37,11 @@
 pub struct Violation {
     pub at: Duration,
     pub rule: &'static str,
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "[{}] at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.what)
+        write!(f, "[{}] at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.description)
     }
 }
--- a/crates/soak-test/src/process.rs
+++ b/crates/soak-test/src/process.rs
@@ -1,6 +1,6 @@
 //! What it takes to run a forwarder's process: its program, the fault library, signals, addresses and requests.
 
-use crate::world::sleep;
+use crate::environment::sleep;
 use async_io::Async;
 use cedarbridge::net::http::HttpConnection;
 use futures_lite::future;
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 /// The program that is run: this one, by its hidden command, or another.
-pub fn program() -> Command {
-    let own = std::env::current_exe().expect("a path");
+pub fn forwarder_command() -> Command {
+    let own_program = std::env::current_exe().expect("a path");
     match std::env::var_os("CEDARBRIDGE_SOAK_PROGRAM") {
-        Some(other) => Command::new(other),
+        Some(program) => Command::new(program),
         None => {
-            let mut command = Command::new(own);
+            let mut command = Command::new(own_program);
             command.arg("forwarder");
             command
         }
@@ -39,22 +39,22 @@
 }
 
 /// A free address on the same host.
-pub fn free_address(beside: SocketAddr) -> std::io::Result<SocketAddr> {
-    TcpListener::bind((beside.ip(), 0))?.local_addr()
+pub fn free_address(same_host: SocketAddr) -> std::io::Result<SocketAddr> {
+    TcpListener::bind((same_host.ip(), 0))?.local_addr()
 }
 
 /// The body of a 200 response to a GET; `None` if it does not come at once.
-pub async fn get_from(address: SocketAddr, path: &str) -> Option<String> {
-    let asked = async {
+pub async fn http_get(address: SocketAddr, path: &str) -> Option<String> {
+    let response = async {
         let mut connection = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
-        let text = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
-        connection.write(text.as_bytes()).await.ok()?;
+        let request = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
+        connection.write(request.as_bytes()).await.ok()?;
         let head = connection.read_response().await.ok().filter(|h| h.status == 200)?;
         String::from_utf8(connection.response_body(&head, 1 << 20).await.ok()?).ok()
     };
-    let late = async {
+    let timed_out = async {
         sleep(Duration::from_millis(500)).await;
         None
     };
-    future::or(asked, late).await
+    future::or(response, timed_out).await
 }
--- a/crates/soak-test/src/slow_start.rs
+++ b/crates/soak-test/src/slow_start.rs
@@ -1,17 +1,19 @@
 //! The slow start of destinations: how many calls come to one that has just returned from an outage, and from whom.
 
-use crate::deployment::{CAPACITY_PER_S, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, SLOW_START, SLOW_START_FLOOR};
+use crate::deployment::{
+    CAPACITY_PER_S, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_INITIAL_SHARE,
+};
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
 /// The rule is broken if more than this share of the calls came from forwarders that had observed the outage.
-const SHARE_OF_OBSERVERS: f64 = 2.0 / 3.0;
+const MAX_OBSERVER_SHARE: f64 = 2.0 / 3.0;
 /// Below this many allowed calls more is left to chance.
-const FEW_CALLS: f64 = 30.0;
+const SMALL_SAMPLE_CALLS: f64 = 30.0;
 
 /// One call to a destination.
 struct Call {
-    at: Instant,
+    received_at: Instant,
     forwarder: usize,
 }
 
@@ -24,7 +26,7 @@
 }
 
 /// The outages of one destination.
-pub struct SlowStart {
+pub struct SlowStartMonitor {
     phase: Phase,
     /// Forwarders whose calls failed in the outage, but for those that have died since.
     observers: BTreeSet<usize>,
@@ -34,30 +36,35 @@
     peak_share: f64,
 }
 
-impl SlowStart {
+impl SlowStartMonitor {
     pub fn new() -> Self {
-        SlowStart { phase: Phase::Warm, observers: BTreeSet::new(), calls: VecDeque::new(), peak_share: 0.0 }
+        SlowStartMonitor {
+            phase: Phase::Warm,
+            observers: BTreeSet::new(),
+            calls: VecDeque::new(),
+            peak_share: 0.0,
+        }
     }
 
-    pub fn outage_begins(&mut self) {
+    pub fn begin_outage(&mut self) {
         self.phase = Phase::Outage;
         self.observers.clear();
     }
 
-    pub fn returns(&mut self, now: Instant) {
+    pub fn begin_slow_start(&mut self, now: Instant) {
         self.phase = Phase::SlowStart { since: now };
         self.calls.clear();
     }
 
     /// A call of a forwarder has failed there.
-    pub fn failed(&mut self, forwarder: usize) {
+    pub fn record_failure(&mut self, forwarder: usize) {
         if matches!(self.phase, Phase::Outage) {
             self.observers.insert(forwarder);
         }
     }
 
     /// A forwarder's process has died, and forgets what it had observed.
-    pub fn died(&mut self, forwarder: usize) {
+    pub fn forget_observer(&mut self, forwarder: usize) {
         self.observers.remove(&forwarder);
     }
 
@@ -67,33 +74,36 @@
     }
 
     /// A call has come; what is wrong with that, once for each outage.
-    pub fn call(&mut self, now: Instant, forwarder: usize) -> Option<String> {
+    pub fn check_call(&mut self, now: Instant, forwarder: usize) -> Option<String> {
         let Phase::SlowStart { since } = self.phase else { return None };
-        let warm_share = (now - since).as_secs_f64() / SLOW_START.as_secs_f64();
+        let warm_share = (now - since).as_secs_f64() / SLOW_START_DURATION.as_secs_f64();
         if warm_share >= 1.0 {
             self.phase = Phase::Warm;
             return None;
         }
-        self.calls.push_back(Call { at: now, forwarder });
-        while self.calls.front().is_some_and(|call| now - call.at > OVERLOAD_WINDOW) {
+        self.calls.push_back(Call { received_at: now, forwarder });
+        while self.calls.front().is_some_and(|call| now - call.received_at > OVERLOAD_WINDOW) {
             self.calls.pop_front();
         }
-        let capacity = SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * warm_share;
+        let capacity = SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * warm_share;
         let allowed = OVERLOAD_MULTIPLE * capacity * CAPACITY_PER_S * OVERLOAD_WINDOW.as_secs_f64();
-        let most = most_calls(allowed);
-        let observed = self.calls.iter().filter(|call| self.observers.contains(&call.forwarder)).count();
+        let max_calls = max_calls_with_margin(allowed);
+        let observer_calls =
+            self.calls.iter().filter(|call| self.observers.contains(&call.forwarder)).count();
         let calls = self.calls.len();
-        self.peak_share = self.peak_share.max(calls as f64 / most);
-        if calls as f64 <= most || observed as f64 <= SHARE_OF_OBSERVERS * calls as f64 {
+        self.peak_share = self.peak_share.max(calls as f64 / max_calls);
+        if calls as f64 <= max_calls || observer_calls as f64 <= MAX_OBSERVER_SHARE * calls as f64 {
             return None;
         }
         self.phase = Phase::Warm;
-        Some(format!("{calls} calls within {OVERLOAD_WINDOW:?}, {most:.0} allowed; {observed} of observers"))
+        Some(format!(
+            "{calls} calls within {OVERLOAD_WINDOW:?}, {max_calls:.0} allowed; {observer_calls} of observers"
+        ))
     }
 }
 
-/// The most calls in a window in which so many are allowed in the mean.
-fn most_calls(allowed: f64) -> f64 {
-    let margin = if allowed < FEW_CALLS { 3.0 } else { 2.0 };
+/// The max_calls calls in a window in which so many are allowed in the mean.
+fn max_calls_with_margin(allowed: f64) -> f64 {
+    let margin = if allowed < SMALL_SAMPLE_CALLS { 3.0 } else { 2.0 };
     allowed + margin * allowed.sqrt() + margin
 }
