--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -1,5 +1,5 @@
-//! Checks the invariants against what clients, endpoints and the platform observed. It knows nothing of the forwarders' own
-//! records.
+//! Checks the invariants against what clients, endpoints and the platform's agents observed, independently of the
+//! forwarders' own records.
 
 use crate::deployment::{DRAIN_GRACE, MAX_ATTEMPTS};
 use crate::observation::{AttemptOutcome, Idempotency, Report, Violation};
@@ -7,40 +7,43 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Slack for every time limit: what sockets and scheduling take.
+/// Slack on every time limit for delays of sockets and scheduling.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// A message's end may come so long after its deadline.
+/// A message's delivery or report may come this long after its deadline.
 const END_SLACK: Duration = Duration::from_millis(300);
-/// Calls within this of a `retry_after` or an end were already in flight.
+/// Calls that arrive within this time after a `retry_after` or a report were already in flight.
 const IN_FLIGHT_SLACK: Duration = Duration::from_millis(100);
-/// A forwarder owes nothing until so long after it is ready again.
+/// A forwarder need not meet deadlines until this long after it is available again.
 const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// A process may be held up for so long between its reading of the clock and its write: windows allow for that.
+/// The longest allowed delay between a process's reading of the clock and its write, which deduplication windows allow for.
 const WRITE_DELAY: Duration = Duration::from_millis(150);
 
+/// An attempt as its endpoint observed it.
 struct Attempt {
+    /// When the endpoint had received all of it.
     started_at: Instant,
     endpoint: usize,
     zone: usize,
     ended: Option<(Instant, AttemptOutcome)>,
 }
 
+/// A message and all that was observed of it.
 struct Message {
     forwarder: usize,
     destination: usize,
     idempotency: Idempotency,
-    /// Its time, from its sending.
+    /// The time from its submission to its deadline, as the client stated it.
     time_limit: Duration,
     deadline: Instant,
     accepted_at: Option<Instant>,
-    /// Its connection was closed with no answer, by a process that was not killed.
+    /// A process that was not killed has closed the client's connection without a response.
     closed_unanswered: bool,
     attempts: Vec<Attempt>,
     delivered_at: Option<Instant>,
     report: Option<(Instant, Report)>,
 }
 
-/// Where an attempt came.
+/// Where an attempt was received.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTarget {
     pub endpoint: usize,
@@ -48,39 +51,40 @@
     pub zone: usize,
 }
 
-/// A pause that an endpoint asked for.
+/// A pause that an endpoint demanded with a `retry_after`.
 struct RetryAfterPause {
     since: Instant,
     until: Instant,
 }
 
-/// A time in which a forwarder is down or stalled.
+/// A time in which a forwarder is down, stalled or recovering from that.
 #[derive(Clone)]
 struct UnavailablePeriod {
     since: Instant,
-    /// None while it duration.
+    /// The end of the forwarder's recovery time; `None` while it is down or stalled.
     until: Option<Instant>,
 }
 
-/// Everything that was observed in a run.
+/// Collects the observations of a run and the violations that they show.
 pub struct InvariantChecker {
     started_at: Instant,
     messages: HashMap<String, Message>,
-    /// By forwarder and endpoint: when the forwarder was notified of the drain.
+    /// For each forwarder and draining endpoint, when the forwarder was notified of the drain.
     draining_since: HashMap<(usize, usize), Instant>,
-    /// By forwarder and destination.
+    /// For each forwarder and destination, the pause in force.
     retry_after: HashMap<(usize, usize), RetryAfterPause>,
-    /// By forwarder: when it was down or stalled.
+    /// For each forwarder, the times when it was unavailable.
     unavailable_periods: Vec<Vec<UnavailablePeriod>>,
-    /// By destination.
+    /// For each destination, the check of its slow start.
     slow_start_monitors: Vec<SlowStartMonitor>,
-    /// The violations so far.
+    /// The violations found so far.
     pub violations: Vec<Violation>,
     /// Counts of what was observed, for the summary.
     pub counts: BTreeMap<&'static str, u64>,
 }
 
 impl InvariantChecker {
+    /// A checker without observations, for forwarders and destinations that are numbered from 0.
     pub fn new(forwarders: usize, destinations: usize) -> Self {
         InvariantChecker {
             started_at: Instant::now(),
@@ -94,6 +98,7 @@
         }
     }
 
+    /// Adds a violation of the named rule.
     pub fn record_violation(&mut self, rule: &'static str, description: impl Into<String>) {
         self.violations.push(Violation {
             at: self.started_at.elapsed(),
@@ -102,11 +107,12 @@
         });
     }
 
+    /// Adds one to a count of the summary.
     pub fn count(&mut self, name: &'static str) {
         *self.counts.entry(name).or_default() += 1;
     }
 
-    /// A client is about to send a message.
+    /// A client is about to send a message, whose deadline is `time_limit` from now.
     pub fn record_submission(
         &mut self,
         id: &str,
@@ -132,7 +138,7 @@
         self.count("submitted");
     }
 
-    /// The client is about to send a message once more, as its kept connection was closed between two requests.
+    /// The client is about to send a message again, as its kept-alive connection was closed without a response.
     pub fn record_resubmission(&mut self, id: &str) {
         self.count("submitted again");
         if let Some(message) = self.messages.get_mut(id) {
@@ -141,7 +147,7 @@
         }
     }
 
-    /// The client has read that its message is accepted.
+    /// The client has read the response that its message is accepted.
     pub fn record_acceptance(&mut self, id: &str) {
         self.count("accepted");
         if let Some(message) = self.messages.get_mut(id) {
@@ -149,7 +155,8 @@
         }
     }
 
-    /// A process that was not killed has closed the client's connection with no answer: it may not have read the request.
+    /// A process that was not killed has closed the client's connection without a response, so it must not send the message
+    /// to an endpoint.
     pub fn record_unanswered_close(&mut self, id: &str) {
         self.count("connection closed");
         if let Some(message) = self.messages.get_mut(id) {
@@ -157,40 +164,42 @@
         }
     }
 
-    /// An endpoint has received a complete attempt, whose first byte came at a time; returns the attempt's number.
+    /// An endpoint has received a complete attempt, whose first byte came at `first_byte`. Returns the attempt's number, or
+    /// `None` if nobody submitted the message.
     pub fn record_attempt(&mut self, id: &str, target: CallTarget, first_byte: Instant) -> Option<usize> {
         let CallTarget { endpoint, destination, zone } = target;
         let now = Instant::now();
         let mut violations: Vec<(&'static str, String)> = Vec::new();
         let Some(message) = self.messages.get_mut(id) else {
-            self.record_violation("strays", format!("`{id}` was submitted by nobody"));
+            self.record_violation("strays", format!("`{id}` was received but never submitted"));
             return None;
         };
         if message.destination != destination {
-            violations.push(("strays", format!("{id} came to another's endpoint")));
+            violations.push(("strays", format!("{id} was sent to an endpoint of another destination")));
         }
         if message.attempts.len() >= MAX_ATTEMPTS {
-            violations.push(("attempts", format!("{id}: attempt {}", message.attempts.len() + 1)));
+            violations.push(("attempts", format!("{id}: attempt number {}", message.attempts.len() + 1)));
         }
         if let Some((at, report)) = message.report.filter(|r| now > r.0 + IN_FLIGHT_SLACK) {
             violations
                 .push(("after-end", format!("{id}: called {:?} after its report as {report:?}", now - at)));
         }
-        let may_have_run = |c: &&Attempt| !matches!(c.ended, Some((_, AttemptOutcome::Rejected)));
-        if let Some(first) = message.attempts.iter().find(may_have_run) {
+        let may_have_run = |attempt: &&Attempt| !matches!(attempt.ended, Some((_, AttemptOutcome::Rejected)));
+        if let Some(first_attempt) = message.attempts.iter().find(may_have_run) {
             match message.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => {
-                    violations.push(("repeats", format!("{id}: must not run twice")))
-                }
+                Idempotency::NonIdempotent => violations
+                    .push(("repeats", format!("{id}: attempted again though it must not run twice"))),
                 Idempotency::WithKey { window, by_zone } => {
-                    if first_byte > first.started_at + window + WRITE_DELAY + SOCKET_SLACK {
-                        let after = first_byte - first.started_at;
-                        violations
-                            .push(("repeats", format!("{id}: again after {after:?}, window {window:?}")));
+                    if first_byte > first_attempt.started_at + window + WRITE_DELAY + SOCKET_SLACK {
+                        let after = first_byte - first_attempt.started_at;
+                        violations.push((
+                            "repeats",
+                            format!("{id}: attempted again after {after:?}, window {window:?}"),
+                        ));
                     }
-                    if by_zone && first.zone != zone {
-                        violations.push(("repeats", format!("{id}: again in another zone")));
+                    if by_zone && first_attempt.zone != zone {
+                        violations.push(("repeats", format!("{id}: attempted again in another zone")));
                     }
                 }
             }
@@ -203,7 +212,7 @@
                 let after = first_byte - *since;
                 violations.push((
                     "drains",
-                    format!("{id}: to a draining endpoint {after:?} after the notification"),
+                    format!("{id}: sent to a draining endpoint {after:?} after the notification"),
                 ));
             }
         }
@@ -211,8 +220,10 @@
             if first_byte > pause.since + IN_FLIGHT_SLACK + SOCKET_SLACK
                 && first_byte + Duration::from_millis(1) < pause.until
             {
-                violations
-                    .push(("retry-after", format!("{id}: {:?} before its end", pause.until - first_byte)));
+                violations.push((
+                    "retry-after",
+                    format!("{id}: sent {:?} before the end of the pause", pause.until - first_byte),
+                ));
             }
         }
         self.count("calls");
@@ -220,15 +231,15 @@
         Some(number)
     }
 
-    /// An attempt has ended: answered, or its connection was closed.
-    pub fn record_attempt_end(&mut self, id: &str, number: usize, end: AttemptOutcome) {
+    /// An attempt has ended with a response or with the close of its connection.
+    pub fn record_attempt_end(&mut self, id: &str, number: usize, outcome: AttemptOutcome) {
         let now = Instant::now();
         let Some(message) = self.messages.get_mut(id) else { return };
-        if end == AttemptOutcome::MayHaveRun {
+        if outcome == AttemptOutcome::MayHaveRun {
             self.slow_start_monitors[message.destination].record_failure(message.forwarder);
         }
-        message.attempts[number].ended.get_or_insert((now, end));
-        if end == AttemptOutcome::Delivered {
+        message.attempts[number].ended.get_or_insert((now, outcome));
+        if outcome == AttemptOutcome::Delivered {
             message.delivered_at.get_or_insert(now);
         }
     }
@@ -246,15 +257,18 @@
         }
     }
 
-    /// The platform has received a delivery report.
+    /// The platform's agent has received a delivery report.
     pub fn record_report(&mut self, id: &str, report: Report) {
         let now = Instant::now();
         self.count("reports");
         let Some(message) = self.messages.get_mut(id) else {
-            return self.record_violation("strays", format!("a report of `{id}`, which nobody submitted"));
+            return self
+                .record_violation("strays", format!("a report for `{id}`, which was never submitted"));
         };
-        let may_have_run =
-            message.attempts.iter().any(|c| !matches!(c.ended, Some((_, AttemptOutcome::Rejected))));
+        let may_have_run = message
+            .attempts
+            .iter()
+            .any(|attempt| !matches!(attempt.ended, Some((_, AttemptOutcome::Rejected))));
         let repeat_forbidden = match message.idempotency {
             Idempotency::Idempotent => false,
             Idempotency::WithKey { by_zone, .. } => by_zone,
@@ -262,30 +276,36 @@
         };
         let first_report = *message.report.get_or_insert((now, report));
         if first_report.1 != report {
-            self.record_violation("one-end", format!("{id}: {:?}, then {report:?}", first_report.1));
+            self.record_violation(
+                "one-end",
+                format!("{id}: reported as {:?}, then as {report:?}", first_report.1),
+            );
         }
         if report == Report::Returned && may_have_run && repeat_forbidden {
             self.record_violation("repeats", format!("{id}: returned though it may have run"));
         }
     }
 
-    /// What was observed of the message that a violation names first, and of its forwarder meanwhile.
+    /// The observations of the message that a violation names first, and of its forwarder meanwhile, one a line in the
+    /// order of time. `None` if the violation names no message.
     pub fn history(&self, violation: &Violation) -> Option<String> {
         let id = violation.description.split(':').next()?;
         let message = self.messages.get(id)?;
-        let sent = message.deadline - message.time_limit;
-        let mut events =
-            vec![(sent, format!("sent, {:?}, time {:?}", message.idempotency, message.time_limit))];
+        let submitted_at = message.deadline - message.time_limit;
+        let mut events = vec![(
+            submitted_at,
+            format!("sent, {:?}, time limit {:?}", message.idempotency, message.time_limit),
+        )];
         events.extend(message.accepted_at.map(|at| (at, "accepted".to_owned())));
-        for call in &message.attempts {
-            events.push((call.started_at, format!("called at endpoint {}", call.endpoint)));
-            events.extend(call.ended.map(|(at, outcome)| (at, format!("call ended, {outcome:?}"))));
+        for attempt in &message.attempts {
+            events.push((attempt.started_at, format!("called at endpoint {}", attempt.endpoint)));
+            events.extend(attempt.ended.map(|(at, outcome)| (at, format!("call ended, {outcome:?}"))));
         }
         events.extend(message.report.map(|(at, report)| (at, format!("reported, {report:?}"))));
         let periods = self.unavailable_periods[message.forwarder].iter();
-        for period in periods.filter(|period| period.until.is_none_or(|until| until > sent)) {
+        for period in periods.filter(|period| period.until.is_none_or(|until| until > submitted_at)) {
             events.push((period.since, format!("forwarder {} is down or stalled", message.forwarder)));
-            events.extend(period.until.map(|at| (at, "it owes again".to_owned())));
+            events.extend(period.until.map(|at| (at, "its recovery time is over".to_owned())));
         }
         events.sort();
         let line = |(at, text): (Instant, String)| {
@@ -294,7 +314,7 @@
         Some(events.into_iter().map(line).collect::<Vec<_>>().join("\n"))
     }
 
-    /// A forwarder was notified of an endpoint's lifecycle.
+    /// A forwarder was notified of an endpoint's lifecycle: whether it drains or has left, or is active.
     pub fn record_lifecycle_notice(&mut self, forwarder: usize, endpoint: usize, draining: bool) {
         if draining {
             self.draining_since.entry((forwarder, endpoint)).or_insert_with(Instant::now);
@@ -303,7 +323,7 @@
         }
     }
 
-    /// A destination has received a call, of one message or of several.
+    /// A destination has received a call of one or more messages, of which `id` is the first.
     pub fn record_call(&mut self, id: &str, destination: usize) {
         let Some(forwarder) = self.messages.get(id).map(|m| m.forwarder) else { return };
         if let Some(description) = self.slow_start_monitors[destination].check_call(Instant::now(), forwarder)
@@ -317,7 +337,7 @@
         self.slow_start_monitors[destination].begin_outage();
     }
 
-    /// They are back, and cold.
+    /// All endpoints of a destination are up again, and its slow start begins.
     pub fn record_outage_end(&mut self, destination: usize) {
         self.count("returns after an outage");
         self.slow_start_monitors[destination].begin_slow_start(Instant::now());
@@ -328,21 +348,22 @@
         self.unavailable_periods[forwarder].push(UnavailablePeriod { since: Instant::now(), until: None });
     }
 
-    /// A forwarder's process has died: a restart ends what it was asked to heed.
+    /// A forwarder's process has exited. Its successor knows nothing of the pauses, drains and outages that it had
+    /// observed.
     pub fn record_process_exit(&mut self, forwarder: usize) {
         self.retry_after.retain(|key, _| key.0 != forwarder);
         self.draining_since.retain(|key, _| key.0 != forwarder);
         self.slow_start_monitors.iter_mut().for_each(|monitor| monitor.forget_observer(forwarder));
     }
 
-    /// A forwarder is ready again.
+    /// A forwarder is ready again; its recovery time begins.
     pub fn mark_available(&mut self, forwarder: usize) {
         if let Some(period) = self.unavailable_periods[forwarder].last_mut() {
             period.until = Some(Instant::now() + RECOVERY_TIME);
         }
     }
 
-    /// Whether a forwarder was down, stalled or shutting down at some moment since a time.
+    /// Whether a forwarder was down, stalled, shutting down or recovering at any time since `since`.
     pub fn was_unavailable(&self, forwarder: usize, since: Instant) -> bool {
         let now = Instant::now();
         self.unavailable_periods[forwarder]
@@ -350,28 +371,32 @@
             .any(|period| period.since <= now && period.until.is_none_or(|end| end >= since))
     }
 
+    /// The latest time for the delivery or report of a message.
     fn end_due_at(&self, message: &Message) -> Instant {
         let due = message.deadline + END_SLACK + SOCKET_SLACK;
         let periods = self.unavailable_periods[message.forwarder].iter();
-        // An outage that reaches beyond the deadline moves the end that is owed.
-        let delaying_periods =
-            periods.filter(|o| o.since <= due && o.until.is_none_or(|end| end > message.deadline));
+        // A time of unavailability that reaches beyond the deadline extends it.
+        let delaying_periods = periods
+            .filter(|period| period.since <= due && period.until.is_none_or(|end| end > message.deadline));
         delaying_periods
-            .filter_map(|o| o.until)
+            .filter_map(|period| period.until)
             .map(|end| end + END_SLACK + SOCKET_SLACK)
             .max()
             .unwrap_or(due)
             .max(due)
     }
 
-    /// Accepted messages that have no end yet and may still get one in time.
+    /// The number of accepted messages that are neither delivered nor reported, and may still be in time.
     pub fn open_messages(&self) -> usize {
-        let open = |m: &&Message| m.accepted_at.is_some() && m.delivered_at.is_none() && m.report.is_none();
+        let is_open = |message: &&Message| {
+            message.accepted_at.is_some() && message.delivered_at.is_none() && message.report.is_none()
+        };
         let now = Instant::now();
-        self.messages.values().filter(open).filter(|m| self.end_due_at(m) > now).count()
+        self.messages.values().filter(is_open).filter(|message| self.end_due_at(message) > now).count()
     }
 
-    /// The run is over: every accepted message must have ended in time, and never with two attempts in flight.
+    /// Makes the final checks: each accepted message was delivered or reported in time, without overlapping attempts, and
+    /// each message that was sent to an endpoint got a response for its client. Adds the last counts.
     pub fn finish(&mut self) {
         let mut violations: Vec<(&'static str, String)> = Vec::new();
         for (id, message) in &self.messages {
@@ -385,17 +410,19 @@
                 if message.closed_unanswered && !message.attempts.is_empty() {
                     violations.push((
                         "unanswered",
-                        format!("{id}: called, and its connections closed with no answer"),
+                        format!("{id}: sent to an endpoint, but its client's connections were closed without a response"),
                     ));
                 }
                 continue;
             }
             let end = [message.delivered_at, message.report.map(|r| r.0)].into_iter().flatten().min();
             match end {
-                None => violations.push(("lost", format!("{id}: accepted, and never got an end"))),
+                None => {
+                    violations.push(("lost", format!("{id}: accepted, but neither delivered nor reported")))
+                }
                 Some(at) if at > self.end_due_at(message) => {
                     let late = at - self.end_due_at(message);
-                    violations.push(("in-time", format!("{id}: its end came {late:?} late")));
+                    violations.push(("in-time", format!("{id}: delivered or reported {late:?} late")));
                 }
                 Some(_) => {}
             }
--- a/crates/soak-test/src/client.rs
+++ b/crates/soak-test/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each forwarder gets messages at its rate, on new and on kept-alive connections, from good clients and bad ones.
+//! Clients: each forwarder gets messages at the run's rate, on new and on kept-alive connections. A few clients misbehave.
 
 use crate::deployment::BUSY_MESSAGE_SHARE;
 use crate::environment::{sleep, Environment};
@@ -10,15 +10,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Bad clients are owed an error or a close within this.
+/// A misbehaving client must get an error response or a close within this time.
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// New connections come for so long after SIGTERM; kept ones are used for as long as they stay open.
+/// Clients open new connections for this long after SIGTERM. They use kept-alive ones for as long as these stay open.
 const CONNECT_PERIOD_AFTER_SIGTERM: Duration = Duration::from_millis(400);
 /// Share of the clients that keep their connection alive.
 const KEEP_ALIVE_SHARE: f64 = 0.5;
-/// Share of the clients that shut down their side after the request.
+/// Share of the new connections whose client closes its sending side after the request.
 const HALF_CLOSE_SHARE: f64 = 0.02;
-/// Share of the clients that run_bad_client.
+/// Share of the clients that misbehave.
 const BAD_CLIENT_SHARE: f64 = 0.03;
 
 /// Sends messages to a forwarder until submissions are over.
@@ -45,7 +45,7 @@
             let connection = submit(&environment, &forwarder, &id, kept_connection, keep_alive).await;
             let _ = sender.try_send(connection);
         });
-        // Who is done soon leaves its connection for the next client.
+        // A client that gets its response within 20 ms leaves its connection to the next one.
         let timed_out = async {
             Timer::after(Duration::from_millis(20)).await;
             None
@@ -55,32 +55,33 @@
     }
 }
 
-/// How a client's wait ended.
+/// How a client's wait for a response ended.
 enum Response {
     Received { status: u16, keeps_alive: bool },
     Closed,
     TimedOut,
 }
 
-/// How a request was sent.
+/// How a request is sent.
 struct SendOptions {
     is_new_connection: bool,
     half_close: bool,
     keep_alive: bool,
-    /// The process that the connection led to.
+    /// The forwarder's start count when the connection was opened or taken: it tells whether the process has since been
+    /// restarted.
     process_number: u32,
 }
 
-/// How the sending of a request ended.
+/// How a request ended for its client.
 enum SendResult {
-    /// Nothing more is to be done; its connection if that can be used again.
+    /// The request is finished; its connection if that can be used again.
     Finished(Option<HttpConnection>),
-    /// Its kept connection was closed between two requests.
+    /// The kept-alive connection was closed without a response.
     KeptConnectionClosed,
 }
 
-/// Submits a message; returns its connection if that can be used again. A kept connection may be closed as the request
-/// crosses: then it is sent once more, on a new one.
+/// Submits a message; returns its connection if that can be used again. The forwarder may close a kept-alive connection
+/// just as the request is on its way: the request is then sent once more, on a new connection.
 async fn submit(
     environment: &Rc<Environment>,
     forwarder: &Forwarder,
@@ -109,6 +110,7 @@
     finished_connection(send(environment, forwarder, id, &request, connection, options).await)
 }
 
+/// The connection of a finished request, if it can be used again.
 fn finished_connection(result: SendResult) -> Option<HttpConnection> {
     match result {
         SendResult::Finished(connection) => connection,
@@ -116,7 +118,8 @@
     }
 }
 
-/// A new connection, unless the forwarder has been told to end for so long that nobody is sent to it any more.
+/// Opens a new connection. `None` if the forwarder refuses it, or if its SIGTERM is so long ago that clients no longer
+/// connect.
 async fn connect(forwarder: &Forwarder) -> Option<HttpConnection> {
     if forwarder.sigterm_sent_at.get().is_some_and(|at| at.elapsed() > CONNECT_PERIOD_AFTER_SIGTERM) {
         return None;
@@ -124,7 +127,7 @@
     Some(HttpConnection::new(Async::<TcpStream>::connect(forwarder.listen_address).await.ok()?))
 }
 
-/// Sends a request and waits for its response.
+/// Sends a request, waits for its response and tells the checker the result.
 async fn send(
     environment: &Rc<Environment>,
     forwarder: &Forwarder,
@@ -151,7 +154,7 @@
             environment
                 .checker
                 .borrow_mut()
-                .record_violation("answers", format!("{id}: answered with {status}"));
+                .record_violation("answers", format!("{id}: the response has status {status}"));
         }
         Response::TimedOut => environment.checker.borrow_mut().count("client timed out"),
         Response::Closed => {
@@ -166,7 +169,7 @@
                 return SendResult::KeptConnectionClosed;
             }
             if is_written {
-                let description = format!("{id}: its new connection was closed with no answer");
+                let description = format!("{id}: its new connection was closed without a response");
                 environment.checker.borrow_mut().record_violation("unanswered", description);
             }
         }
@@ -174,7 +177,7 @@
     SendResult::Finished(None)
 }
 
-/// Draws a message and tells the checker of it; the text of its request.
+/// Draws a message, tells the checker of its submission and returns its HTTP request.
 fn random_request(environment: &Environment, forwarder: usize, id: &str) -> String {
     let class = &environment.classes[environment.random_below(environment.classes.len())];
     let destination = environment.random_destination(BUSY_MESSAGE_SHARE);
@@ -200,7 +203,7 @@
     )
 }
 
-/// Waits for the response as long as clients do.
+/// Waits for a response until the client's timeout.
 async fn read_response(environment: &Environment, connection: &mut HttpConnection) -> Response {
     let response = async {
         match connection.read_response().await {
@@ -218,7 +221,8 @@
     future::or(response, timed_out).await
 }
 
-/// Bad clients: half a request, silence, noise, two requests at once.
+/// Plays a misbehaving client, which sends an incomplete request, nothing, garbage, or two requests without waiting. The
+/// forwarder must send something or close the connection in time, unless it was restarted or unavailable meanwhile.
 async fn run_bad_client(environment: Rc<Environment>, forwarder: Rc<Forwarder>) {
     let text = match environment.random_below(4) {
         0 => "POST /api HTTP/1.1\r\nX-Request-Id: half\r\n",
@@ -246,8 +250,10 @@
         let excused = forwarder.start_count.get() != process_number
             || checker.was_unavailable(forwarder.number, started_at);
         if !excused {
-            let description =
-                format!("forwarder {}: neither error nor close within 3 s for {text:?}", forwarder.number);
+            let description = format!(
+                "forwarder {}: neither an error response nor a close within 3 s for {text:?}",
+                forwarder.number
+            );
             checker.record_violation("bad-clients", description);
         }
     }
--- a/crates/soak-test/src/deployment.rs
+++ b/crates/soak-test/src/deployment.rs
@@ -1,41 +1,43 @@
-//! The deployment that a run simulates: destinations, classes, capacities and rules, as the forwarders' settings have them.
+//! The deployment that a run simulates: destinations, message classes, capacities and rules, as in the forwarders'
+//! settings.
 
 use crate::observation::Idempotency;
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Destinations.
+/// Number of destinations.
 pub const DESTINATION_COUNT: usize = 5;
-/// The destination that gets more messages than others, about as many as it takes, and half of the outages.
+/// The destination that gets more messages than the others, about as many as its capacity, and half of the outages.
 pub const BUSY_DESTINATION: usize = 0;
-/// Share of the messages that go to the busy destination, whatever the others get.
+/// Share of the messages that go to the busy destination in any case; the rest is spread over all destinations.
 pub const BUSY_MESSAGE_SHARE: f64 = 0.15;
-/// Endpoints of each destination.
+/// Number of endpoints that each destination has.
 pub const ENDPOINTS_PER_DESTINATION: usize = 3;
-/// The zones.
+/// The names of the zones.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// Calls a second that a destination takes from all forwarders together, as the list says.
+/// Calls per second that a destination takes from all forwarders together; the endpoint list states it as the weight.
 pub const CAPACITY_PER_S: f64 = 100.0;
-/// A destination in slow start may get this multiple of its present capacity.
+/// A destination in slow start may get at most this multiple of its present capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// The time in which calls to a destination in slow start are counted.
+/// The window in which calls to a destination in slow start are counted.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(2_000);
-/// How long a destination's slow start takes.
+/// How long a destination's slow start takes after an outage.
 pub const SLOW_START_DURATION: Duration = Duration::from_millis(8_000);
-/// The share of its capacity that a destination has as it returns.
+/// The share of its capacity that a destination has at the start of its slow start.
 pub const SLOW_START_INITIAL_SHARE: f64 = 0.1;
-/// Attempts for one message.
+/// The most attempts for one message.
 pub const MAX_ATTEMPTS: usize = 12;
-/// Calls may go to an endpoint for so long after its forwarder was notified that it drains.
+/// A forwarder may send calls to a draining endpoint for this long after it was notified of the drain.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// A kind of endpoints.
+/// A kind of endpoint; each destination has endpoints of one kind.
 pub struct EndpointKind {
     pub name: &'static str,
+    /// The most messages that one call may carry.
     pub messages_per_call: usize,
 }
 
-/// The kinds of endpoints: each call of the one carries a message, of the other several.
+/// The kinds of endpoints: one takes a single message per call, the other several.
 pub const ENDPOINT_KINDS: [EndpointKind; 2] =
     [EndpointKind { name: "one", messages_per_call: 1 }, EndpointKind { name: "many", messages_per_call: 4 }];
 
@@ -50,7 +52,7 @@
     pub idempotency: Idempotency,
 }
 
-/// The classes: one of each idempotency, one deduplicated by zone, and one with a short deduplication window.
+/// The message classes: one of each idempotency, one deduplicated by zone, and one with a short deduplication window.
 pub fn classes() -> Vec<Class> {
     let with_key =
         |window_ms, by_zone| Idempotency::WithKey { window: Duration::from_millis(window_ms), by_zone };
@@ -63,7 +65,7 @@
     ]
 }
 
-/// A class as the settings have it.
+/// A class in the form of the forwarders' settings.
 pub fn class_settings(class: &Class) -> Value {
     let (semantics, window_ms, scope) = match class.idempotency {
         Idempotency::Idempotent => ("pure", 0, "all"),
--- a/crates/soak-test/src/endpoint.rs
+++ b/crates/soak-test/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The destinations' endpoints. Each listens once, for all forwarders; a message's id says whose it is.
+//! The destinations' endpoints. Each has one listener for all forwarders; a message's id tells which forwarder sent it.
 
 use crate::checker::CallTarget;
 use crate::environment::{sleep, Behaviour, Endpoint, Environment};
@@ -11,15 +11,19 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The least and the most that a call's work takes, in milliseconds.
+/// The shortest and the longest time that an endpoint takes for a call, in milliseconds.
 const MIN_WORK_MS: u64 = 2;
 const MAX_WORK_MS: u64 = 60;
-/// Connections that wait to be accepted; beyond that the system drops a connect, which is tried again a second later.
+/// Length of the queue of connections to be accepted. When it is full, the kernel drops connection attempts, and the
+/// caller's kernel repeats them a second later.
 pub const BACKLOG: i32 = 16;
 /// How often a connection checks whether its endpoint resets idle connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts an endpoint of a destination.
+/// Starts an endpoint of a destination and adds it to the endpoint list.
+///
+/// # Errors
+/// The listener cannot be opened.
 pub fn start(
     environment: &Rc<Environment>,
     name: String,
@@ -44,7 +48,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             if accepting.accepts_late.get() {
                 wait_until_accepting(&accepting).await;
-                // What these have sent would be taken for sent now.
+                // Drops the connections in the queue: requests that were sent on them earlier would count as sent now.
                 while listener.get_ref().accept().is_ok() {}
                 continue;
             }
@@ -75,6 +79,7 @@
     Async::new(socket.into())
 }
 
+/// Reads calls from a connection, reports them to the checker and answers them, until the connection is closed.
 async fn serve_connection(
     environment: Rc<Environment>,
     endpoint: Rc<Endpoint>,
@@ -84,7 +89,7 @@
     let mut connection = HttpConnection::new(stream);
     let reset_count = endpoint.reset_count.get();
     loop {
-        // Between attempts the endpoint may reset the connection.
+        // Between calls, a fault may make the endpoint reset the connection.
         let readable = async { Some(connection.fill().await) };
         let reset_requested = async {
             while endpoint.reset_count.get() == reset_count {
@@ -121,7 +126,7 @@
     }
 }
 
-/// How an endpoint behaves at present.
+/// How an endpoint behaves at present: its own behaviour, or resets while its destination is down.
 fn current_behaviour(environment: &Environment, endpoint: &Endpoint) -> Behaviour {
     if environment.destinations_down.borrow()[endpoint.destination] {
         return Behaviour::Resets;
@@ -129,11 +134,13 @@
     endpoint.behaviour.get()
 }
 
+/// Makes the closing of the connection a reset.
 fn reset_connection(connection: &HttpConnection) {
     let _ = SockRef::from(connection.socket()).set_linger(Some(Duration::ZERO));
 }
 
-/// Does a call's work; returns how it ended, and whether the connection is kept alive.
+/// Processes a call and answers it as the endpoint's behaviour demands. Returns how the attempts ended, and whether the
+/// connection is kept alive.
 async fn process_call(
     environment: &Environment,
     endpoint: &Endpoint,
@@ -150,7 +157,7 @@
         }
         true
     };
-    // A forwarder sends nothing more before the answer: it has abandoned the call.
+    // A forwarder sends nothing more before the response. Data or a close means that it has abandoned the call.
     let abandoned = async {
         let _ = connection.fill().await;
         false
@@ -200,6 +207,7 @@
     (outcome, true)
 }
 
+/// The ids of the messages that a call carries: one from its header, or those of the batch in its body.
 fn message_ids(head: &RequestHead, mut body: &[u8]) -> Vec<String> {
     if let Some(id) = head.headers.get("X-Request-Id") {
         return vec![id.to_owned()];
--- a/crates/soak-test/src/environment.rs
+++ b/crates/soak-test/src/environment.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a run share: the present state of the forwarders' surroundings.
+//! The state that all tasks of a run share: options, endpoints, faults in force, the random generator and the checker.
 
 use crate::checker::InvariantChecker;
 use crate::deployment::{Class, BUSY_DESTINATION, DESTINATION_COUNT};
@@ -12,94 +12,102 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How an endpoint behaves at present.
+/// How an endpoint treats calls and connections at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behaviour {
+    /// It answers each call with 200 after a short random time.
     Normal,
-    /// It accepts calls and answers none.
+    /// It accepts calls and never answers.
     Hangs,
-    /// It rejects calls, with a `retry_after` of so many milliseconds.
+    /// It rejects calls with 429 and this `retry_after`, in milliseconds.
     Rejects(u64),
-    /// It answers 500.
+    /// It answers calls with 500.
     Fails,
-    /// It resets the connection once it has received a call.
+    /// It resets the connection after it has processed a call.
     Resets,
-    /// It closes new connections at once.
+    /// It closes new connections immediately.
     ClosesConnections,
-    /// Its answers stop in the middle.
+    /// It sends only the beginning of a response and then closes the connection.
     TruncatesAnswers,
 }
 
-/// An endpoint, and its entry of the list.
+/// An endpoint and the state of its entry in the endpoint list.
 pub struct Endpoint {
     pub name: String,
     pub destination: usize,
     pub zone: usize,
     pub address: SocketAddr,
     pub behaviour: Cell<Behaviour>,
+    /// The lifecycle as the endpoint list has it: `active`, `leaving` or `left`.
     pub lifecycle: Cell<&'static str>,
-    /// It accepts no connection now: once its backlog is full, connects come up late.
+    /// While set, the endpoint accepts no connection: once its backlog is full, further connections are established late.
     pub accepts_late: Cell<bool>,
-    /// Counts up as it resets its idle connections.
+    /// Incremented to make the endpoint reset its idle connections.
     pub reset_count: Cell<u32>,
 }
 
-/// How the platform's agents behave at present.
+/// How the platform's discovery agents behave at present.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscoveryState {
-    /// They send nothing.
+    /// The agents send nothing.
     pub silent: bool,
-    /// They answer so late.
+    /// Delay of each list and list update.
     pub delay: Duration,
 }
 
-/// What a run is like.
+/// The options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct RunOptions {
+    /// Number of forwarder processes.
     pub forwarders: usize,
+    /// How long faults are injected.
     pub fault_duration: Duration,
-    /// Messages a second for each forwarder.
+    /// Messages per second to each forwarder.
     pub rate: f64,
-    /// A client waits so long for its response.
+    /// How long a client waits for its response.
     pub client_timeout: Duration,
-    /// Processes are replaced by successors while they serve.
+    /// Some processes hand over to a successor while they serve.
     pub hand_overs: bool,
-    /// Idle clients take the forwarders' connections.
+    /// Idle clients sometimes use up all client connections of a forwarder.
     pub idle_clients: bool,
 }
 
-/// Everything of a run.
+/// The shared state of a run.
 pub struct Environment {
     pub executor: Rc<LocalExecutor<'static>>,
     pub options: RunOptions,
     pub seed: u64,
     pub random: RefCell<fastrand::Rng>,
     pub checker: RefCell<InvariantChecker>,
+    /// All endpoints ever started, by number.
     pub endpoints: RefCell<Vec<Rc<Endpoint>>>,
+    /// Incremented with each change of the endpoint list.
     pub list_generation: Cell<u64>,
     pub discovery: Cell<DiscoveryState>,
     pub classes: Vec<Class>,
-    /// By destination: all its endpoints reset the connection of each call.
+    /// For each destination whether it is down: all its endpoints reset the connection of each call.
     pub destinations_down: RefCell<Vec<bool>>,
-    /// No further faults are injected.
+    /// Set when no further faults are injected.
     pub faults_ended: Cell<bool>,
-    /// Clients send nothing more.
+    /// Set when clients submit no further messages.
     pub submissions_ended: Cell<bool>,
     pub started_at: Instant,
-    /// The faults are noted here, beside the forwarders' logs.
+    /// A file of the run's folder that lists the injected faults with their times.
     pub event_log: RefCell<File>,
 }
 
 impl Environment {
+    /// Runs a task in the background until the run ends.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 
+    /// Draws a number below `bound`; 0 if the bound is 0.
     pub fn random_below(&self, bound: usize) -> usize {
         self.random.borrow_mut().usize(0..bound.max(1))
     }
 
-    /// Draws a destination: the busy one with a probability, or else any.
+    /// Draws a destination: the busy one with the given probability, or else any one with equal probability.
     pub fn random_destination(&self, busy_probability: f64) -> usize {
         match self.random_bool(busy_probability) {
             true => BUSY_DESTINATION,
@@ -107,23 +115,26 @@
         }
     }
 
-    /// A span between two numbers of milliseconds.
+    /// Draws a duration of whole milliseconds between two bounds, both included.
     pub fn random_duration(&self, from_ms: u64, to_ms: u64) -> Duration {
         Duration::from_millis(self.random.borrow_mut().u64(from_ms..=to_ms))
     }
 
+    /// Draws true with the given probability.
     pub fn random_bool(&self, probability: f64) -> bool {
         self.random.borrow_mut().f64() < probability
     }
 
+    /// Writes a line with the time since the run's start to standard error and to the event log.
     pub fn log(&self, text: &str) {
         let line = format!("{:8.3} {text}", self.started_at.elapsed().as_secs_f64());
         eprintln!("{line}");
-        // The line stands on standard error too.
+        // An error is ignored, as standard error has the line too.
         let _ = writeln!(self.event_log.borrow_mut(), "{line}");
     }
 }
 
+/// Waits for the given time.
 pub async fn sleep(duration: Duration) {
     Timer::after(duration).await;
 }
--- a/crates/soak-test/src/faults.rs
+++ b/crates/soak-test/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong: at each moment two or three faults overlap, drawn by the seed.
+//! Injects faults, drawn by the seed, so that two or three of them overlap at any time.
 
 use crate::endpoint;
 use crate::environment::{sleep, Behaviour, DiscoveryState, Endpoint, Environment};
@@ -7,25 +7,26 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// Forwarders that share their faults.
+/// Number of forwarders in a group, which share their faults.
 const GROUP_SIZE: usize = 5;
-/// Faults that overlap in a group; those of endpoints and discovery come beside these.
+/// Number of faults at a time in a group of forwarders. Faults of endpoints, discovery and idle clients come in addition,
+/// one fewer at a time for the whole run.
 const CONCURRENT_FAULTS_PER_GROUP: usize = 3;
-/// Idle clients of a crowd at one forwarder; it has room for 128 connections.
+/// Number of idle clients that connect to one forwarder, which has room for 128 connections.
 const IDLE_CLIENTS_PER_FORWARDER: usize = 160;
-/// The max_count forwarders that a crowd comes to.
+/// The most forwarders that idle clients connect to at a time.
 const MAX_FORWARDERS_WITH_IDLE_CLIENTS: usize = 6;
-/// Share of the outages that the busy destination has, whatever the others get.
+/// Share of the outages that hit the busy destination in any case; the rest is spread over all destinations.
 const BUSY_OUTAGE_SHARE: f64 = 0.4;
-/// Share of the drained endpoints to which connections come up late.
+/// Share of the draining endpoints that establish connections late.
 const LATE_CONNECTION_SHARE: f64 = 0.5;
-/// A write is held up for so many milliseconds: with what else passes since the process has read its clock, that is within the 0.15 s
-/// of the platform's terms.
+/// Length of an injected stall before a write, in milliseconds. The platform's terms allow 0.15 s between a process's
+/// reading of its clock and its write; the remaining 10 ms are for everything else in between.
 const WRITE_STALL_MS: u64 = 140;
-/// An hour, in microseconds.
+/// An hour in microseconds.
 const HOUR_MICROS: i64 = 3_600_000_000;
 
-/// Injects faults until the run is over.
+/// Starts the tasks that inject faults until `faults_ended` is set.
 pub async fn run(environment: Rc<Environment>, forwarders: Rc<Vec<Rc<Forwarder>>>) {
     for group in forwarders.chunks(GROUP_SIZE) {
         for _ in 0..CONCURRENT_FAULTS_PER_GROUP {
@@ -54,12 +55,13 @@
             take_destination_down(&outage_environment).await;
         }
     });
-    // Each forwarder also stalls now and then, before a write.
+    // In addition, each forwarder stalls before one in 500 writes.
     for forwarder in forwarders.iter() {
         forwarder.add_fault_rules(&format!("send stall={WRITE_STALL_MS} chance=0.002"));
     }
 }
 
+/// Draws a fault of forwarders and injects it.
 async fn inject_forwarder_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     match environment.random_below(if environment.options.hand_overs { 11 } else { 9 }) {
         0 | 1 => restart_some(environment, forwarders, false).await,
@@ -78,6 +80,7 @@
     }
 }
 
+/// Draws a fault of endpoints, discovery or clients and injects it.
 async fn inject_environment_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     match environment.random_below(if environment.options.idle_clients { 6 } else { 5 }) {
         0 | 1 => inject_endpoint_fault(environment).await,
@@ -87,7 +90,7 @@
     }
 }
 
-/// Does something to some forwarders at once, but for those that something else is being done to.
+/// Applies an operation to at most `max_count` random forwarders at once, except those with another operation in progress.
 async fn apply_to_some<F: std::future::Future<Output = ()>>(
     environment: &Rc<Environment>,
     forwarders: &[Rc<Forwarder>],
@@ -112,11 +115,12 @@
     }
 }
 
+/// Restarts some forwarders with SIGTERM if `graceful`, or else with SIGKILL.
 async fn restart_some(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>], graceful: bool) {
     environment.log(if graceful { "SIGTERM" } else { "SIGKILL" });
     apply_to_some(environment, forwarders, 2, |f| async move {
         let downtime = environment.random_duration(0, 600);
-        // The wall clock may be set while nobody runs.
+        // The wall clock may also be set while the process is down.
         if environment.random_bool(0.3) {
             let offset = if environment.random_bool(0.5) { HOUR_MICROS } else { -HOUR_MICROS };
             f.add_fault_rules(&format!("wall {offset}"));
@@ -129,12 +133,13 @@
     .await;
 }
 
+/// Hands over some forwarders to successors.
 async fn hand_over_some(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     environment.log("hand-over");
     apply_to_some(environment, forwarders, 2, |f| async move { f.hand_over(environment).await }).await;
 }
 
-/// All endpoints of a destination are down for a while, and return cold.
+/// Takes all endpoints of a destination down for a while. Its slow start begins when they are up again.
 async fn take_destination_down(environment: &Rc<Environment>) {
     let destination = environment.random_destination(BUSY_OUTAGE_SHARE);
     environment.log(&format!("destination {destination} is down"));
@@ -145,22 +150,23 @@
     environment.checker.borrow_mut().record_outage_end(destination);
 }
 
-/// Idle clients connect to some forwarders, more than these have room for, and stay.
+/// Connects more idle clients to some forwarders than these have room for, and keeps them connected for a while.
 async fn connect_idle_clients(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
-    environment.log("a crowd of idle clients");
+    environment.log("idle clients connect");
     let mut idle_connections = Vec::new();
     for _ in 0..1 + environment.random_below(MAX_FORWARDERS_WITH_IDLE_CLIENTS) {
         let forwarder = &forwarders[environment.random_below(forwarders.len())];
         for _ in 0..IDLE_CLIENTS_PER_FORWARDER {
-            // A forwarder that is down accepts nobody.
+            // An error is ignored: a forwarder that is down accepts no connection.
             idle_connections.extend(Async::<TcpStream>::connect(forwarder.listen_address).await);
         }
     }
     sleep(environment.random_duration(500, 3_000)).await;
 }
 
+/// Reloads the configuration of some forwarders several times in a row.
 async fn reload_repeatedly(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
-    environment.log("new configurations in a row");
+    environment.log("several reloads in a row");
     apply_to_some(environment, forwarders, 4, |f| async move {
         for _ in 0..1 + environment.random_below(4) {
             f.reload(environment);
@@ -170,6 +176,7 @@
     .await;
 }
 
+/// Sets the wall clock of a forwarder by up to an hour for a while.
 async fn step_wall_clock(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     environment.log("the wall clock is set");
     let forwarder = &forwarders[environment.random_below(forwarders.len())];
@@ -179,6 +186,7 @@
     forwarder.remove_fault_rules(rules_id);
 }
 
+/// Puts fault rules in force at some forwarders for a while.
 async fn inject_for_a_while(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>], rules: &str) {
     let chosen: Vec<_> = (0..1 + environment.random_below(3))
         .map(|_| forwarders[environment.random_below(forwarders.len())].clone())
@@ -188,6 +196,7 @@
     chosen.iter().zip(rule_ids).for_each(|(f, id)| f.remove_fault_rules(id));
 }
 
+/// Makes file operations of some forwarders fail for a while.
 async fn inject_storage_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     let rules = [
         "write ENOSPC",
@@ -202,6 +211,7 @@
     inject_for_a_while(environment, forwarders, rules).await;
 }
 
+/// Makes socket calls of some forwarders fail or stall for a while.
 async fn inject_system_call_fault(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     let write_stalls = format!("send stall={WRITE_STALL_MS} chance=0.05");
     let rules = [
@@ -217,6 +227,7 @@
     inject_for_a_while(environment, forwarders, rules).await;
 }
 
+/// The endpoints that are neither draining nor removed.
 fn active_endpoints(environment: &Environment) -> Vec<Rc<Endpoint>> {
     environment
         .endpoints
@@ -227,6 +238,7 @@
         .collect()
 }
 
+/// Gives some endpoints a faulty behaviour for a while, or only resets their idle connections.
 async fn inject_endpoint_fault(environment: &Rc<Environment>) {
     let candidates = active_endpoints(environment);
     let retry_after_ms = 300 + environment.random_below(1_200) as u64;
@@ -246,7 +258,7 @@
         (0..count).map(|_| candidates[environment.random_below(candidates.len())].clone()).collect();
     for endpoint in &chosen {
         endpoint.behaviour.set(behaviour);
-        // Beside any fault they may reset their idle connections, too.
+        // Besides any fault, they may also reset their idle connections.
         endpoint.reset_count.set(
             endpoint.reset_count.get()
                 + u32::from(behaviour == Behaviour::Normal || environment.random_bool(0.5)),
@@ -256,6 +268,7 @@
     chosen.iter().for_each(|endpoint| endpoint.behaviour.set(Behaviour::Normal));
 }
 
+/// Drains an endpoint, starts a new one for its destination and removes the old one from the list.
 async fn replace_endpoint(environment: &Rc<Environment>) {
     let candidates = active_endpoints(environment);
     let old_endpoint = candidates[environment.random_below(candidates.len())].clone();
@@ -272,12 +285,12 @@
     sleep(environment.random_duration(300, 1_500)).await;
     let name = format!("e{}", environment.endpoints.borrow().len());
     if endpoint::start(environment, name, old_endpoint.destination, old_endpoint.zone).is_err() {
-        return environment.log("no new endpoint could be started");
+        return environment.log("cannot start a new endpoint");
     }
     set_lifecycle("left");
 }
 
-/// An endpoint is drained while connections to it are on their way: they come up after its grace.
+/// Drains an endpoint while connections to it are being established: they are completed only after its drain grace.
 async fn drain_with_late_connections(
     environment: &Rc<Environment>,
     endpoint: &Endpoint,
@@ -288,7 +301,7 @@
     let address = endpoint.address;
     let mut pending_connections = Vec::new();
     for _ in 0..endpoint::BACKLOG + 2 {
-        // The last ones do not come up while the backlog is full.
+        // The last ones are not established while the backlog is full.
         let connecting = environment.executor.spawn(Async::<TcpStream>::connect(address));
         pending_connections.push(connecting);
     }
@@ -299,6 +312,7 @@
     drop(pending_connections);
 }
 
+/// Makes the discovery agents of all forwarders silent or slow for a while.
 async fn inject_discovery_fault(environment: &Rc<Environment>) {
     let silent = environment.random_bool(0.5);
     environment.log(if silent { "discovery is silent" } else { "discovery is slow" });
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -1,4 +1,5 @@
-//! Forwarders as real processes: their files, signals and system-call faults. Each ends with the soak test, however that ends.
+//! Forwarders as real processes: their files, signals, restarts, hand-overs and system-call faults. Each is killed when the
+//! soak test ends in any way.
 
 use crate::environment::{sleep, Environment};
 use crate::process::{fault_library, forwarder_command, free_address, http_get, send_signal};
@@ -13,56 +14,61 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A forwarder must be ready so long after its start.
+/// A forwarder must be ready within this time after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A forwarder must have exited so long after SIGTERM.
+/// A forwarder must exit within this time after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// Time between two looks at a process.
+/// Time between two checks of a process's state.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// A successor takes over within this, unless a fault keeps it from it.
+/// A successor takes over within this time unless a fault prevents it.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Share of the successors that are killed a moment after they took over.
+/// Share of the successors that are killed shortly after they have taken over.
 const KILLED_SUCCESSOR_SHARE: f64 = 0.2;
-/// How the rules begin that hold up writes.
+/// Prefix of the fault rules that stall writes.
 const WRITE_STALL_PREFIX: &str = "send stall";
-/// An injected hold-up of a write is over after this.
+/// Any injected write stall (140 ms) has ended after this time.
 const MAX_WRITE_STALL: Duration = Duration::from_millis(160);
-/// The most signals that follow SIGTERM in a series.
+/// The most signals that follow a SIGTERM.
 const MAX_FOLLOW_UP_SIGNALS: usize = 3;
-/// Resident memory that a forwarder may have at the end, in kB.
+/// Resident memory that a forwarder may use at the end of the run, in kB.
 const MAX_MEMORY_KB: u64 = 64 * 1024;
-/// Descriptors that a forwarder may have open.
+/// The most descriptors that a forwarder may have open.
 const MAX_OPEN_DESCRIPTORS: usize = 256;
 
-/// A forwarder.
+/// A forwarder: its files and its present process.
 pub struct Forwarder {
+    /// Its index among the forwarders, from 0.
     pub number: usize,
     pub listen_address: SocketAddr,
     folder: PathBuf,
     discovery_address: Cell<SocketAddr>,
+    /// The setting `max-open`, which reloads change.
     max_open: Cell<usize>,
-    /// Where operators call and a successor asks, in runs with hand-overs.
+    /// Address of the admin API, which a successor uses for the hand-over; `None` in runs without hand-overs.
     operator_address: Cell<Option<SocketAddr>>,
     process: RefCell<Option<Child>>,
-    /// The process that a successor replaces.
+    /// The process that is being replaced by a successor during a hand-over.
     predecessor: RefCell<Option<Child>>,
-    /// Processes started so far.
+    /// Number of starts so far, including the hand-overs that failed and so became restarts.
     pub start_count: Cell<u32>,
-    /// When the process was sent SIGTERM.
+    /// When the present process was sent SIGTERM.
     pub sigterm_sent_at: Cell<Option<Instant>>,
-    /// The process was killed: what it had read may be lost.
+    /// The present process was sent SIGKILL: requests that it had read may be lost.
     pub killed: Cell<bool>,
-    /// Something is being done to the process that only one may do at a time.
+    /// An operation on the process is in progress, such as a restart; only one may be at a time.
     pub operation_in_progress: Cell<bool>,
-    /// Writes are held up now and then.
+    /// Whether fault rules that stall writes are in force.
     write_stalls_enabled: Cell<bool>,
-    /// Faults in force, by who set them.
+    /// Fault rules in force, each set with the id that removes it.
     fault_rules: RefCell<Vec<(u64, String)>>,
     last_rules_id: Cell<u64>,
 }
 
 impl Forwarder {
-    /// Writes its files; it is not started yet.
+    /// Creates the forwarder's folder and files. The process is not started yet.
+    ///
+    /// # Errors
+    /// A file or folder cannot be written, or no address is free.
     pub fn prepare(
         environment: &Rc<Environment>,
         number: usize,
@@ -70,7 +76,7 @@
     ) -> std::io::Result<Forwarder> {
         let folder = folder.join(format!("forwarder-{number}"));
         fs::create_dir_all(folder.join("state"))?;
-        // An address of its own, so that nobody else takes the port while it is downtime.
+        // Each forwarder has an IP address of its own, so that no other process takes its port while it is down.
         let ip = [127, 77, 1 + (number / 250) as u8, 1 + (number % 250) as u8];
         let listen_address = TcpListener::bind(SocketAddr::from((ip, 0)))?.local_addr()?;
         let discovery_address = platform::start(environment, number)?;
@@ -98,6 +104,7 @@
         Ok(forwarder)
     }
 
+    /// Replaces the configuration file by a rename.
     fn write_configuration(&self, environment: &Environment) -> std::io::Result<()> {
         let kinds: Vec<&str> = deployment::ENDPOINT_KINDS.iter().map(|kind| kind.name).collect();
         let messages_per_call: Vec<usize> =
@@ -130,7 +137,7 @@
         fs::rename(temporary_file, self.folder.join("config.json"))
     }
 
-    /// Starts a process on its files.
+    /// Starts a process with the forwarder's files and the preloaded fault library.
     fn spawn(&self) -> Child {
         let mut command = forwarder_command();
         command.arg("run").arg(self.folder.join("config.json")).env_clear();
@@ -139,11 +146,14 @@
         command.env("FAULTSHIM_PLAN", self.folder.join("faults"));
         command.env("FAULTSHIM_FOLDER", self.folder.join("state"));
         let log_file = fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log"));
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log_file.expect("a log"));
-        command.spawn().expect("it starts")
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log_file.expect("the log file can be opened"));
+        command.spawn().expect("the forwarder's process can be started")
     }
 
-    /// Starts its process and waits until it is ready.
+    /// Starts a process and waits until it is ready.
     pub async fn start(&self, environment: &Environment) {
         self.sigterm_sent_at.set(None);
         self.killed.set(false);
@@ -152,6 +162,7 @@
         self.wait_until_ready(environment).await;
     }
 
+    /// Waits until the process answers health checks; its exit or a timeout is a violation.
     async fn wait_until_ready(&self, environment: &Environment) {
         let deadline = Instant::now() + READY_TIMEOUT;
         while self.get("/_health").await.is_none() {
@@ -159,13 +170,13 @@
                 return environment
                     .checker
                     .borrow_mut()
-                    .record_violation("crash", self.describe(format!("ended at its start: {status}")));
+                    .record_violation("crash", self.describe(format!("exited during startup: {status}")));
             }
             if Instant::now() > deadline {
                 return environment
                     .checker
                     .borrow_mut()
-                    .record_violation("ready", self.describe("was not ready in 10 s"));
+                    .record_violation("ready", self.describe("was not ready within 10 s"));
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -175,13 +186,13 @@
         format!("forwarder {}: {}", self.number, description.into())
     }
 
-    /// The body of a 200 response to a GET; `None` if it does not come at once.
+    /// The body of a 200 response to a GET; `None` for any other response and after half a second without one.
     pub async fn get(&self, path: &str) -> Option<String> {
         http_get(self.listen_address, path).await
     }
 
-    /// Replaces its process by a successor on the same folder, while it serves: the successor takes over, then the
-    /// predecessor is told to end. Where a fault keeps the two from it, this is a restart.
+    /// Replaces the process by a successor with the same folder while it serves: the successor takes over, then the
+    /// predecessor gets SIGTERM. If a fault prevents the hand-over, this amounts to a restart.
     pub async fn hand_over(&self, environment: &Environment) {
         let Ok(operator_address) = free_address(self.listen_address) else { return };
         self.operator_address.set(Some(operator_address));
@@ -216,7 +227,8 @@
         }
     }
 
-    /// Kills the successor a moment after it has taken over. Its predecessor ends by itself, and the forwarder starts again.
+    /// Kills the successor shortly after it has taken over. The predecessor then exits by itself, and the forwarder is
+    /// started again.
     async fn kill_successor(&self, environment: &Environment) {
         sleep(environment.random_duration(0, 300)).await;
         environment.checker.borrow_mut().count("successors lost");
@@ -230,7 +242,7 @@
         self.restart(environment, environment.random_duration(0, 600)).await;
     }
 
-    /// Tells the predecessor to end, and waits for that.
+    /// Sends SIGTERM to the predecessor and waits until it has exited.
     async fn terminate_predecessor(&self, environment: &Environment) {
         if let Some(predecessor) = self.predecessor.borrow().as_ref() {
             send_signal(predecessor, Signal::TERM);
@@ -238,33 +250,37 @@
         self.wait_for_predecessor_exit(environment).await;
     }
 
+    /// Waits until the predecessor has exited. One that takes too long is a violation and is killed.
     async fn wait_for_predecessor_exit(&self, environment: &Environment) {
         let Some(mut predecessor) = self.predecessor.borrow_mut().take() else { return };
         let started_at = Instant::now();
         while let Ok(None) = predecessor.try_wait() {
             if started_at.elapsed() > EXIT_TIMEOUT {
-                let description =
-                    self.describe("was there 3.7 s after its successor took over for good, or was lost");
+                let description = self.describe(
+                    "the predecessor still ran 3.7 s after its successor took over for good or was killed",
+                );
                 environment.checker.borrow_mut().record_violation("leaves", description);
-                // It may just have ended.
+                // An error means that it has just exited.
                 let _ = predecessor.kill();
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// What follows SIGTERM in a series: more of it, and new configurations.
+    /// Sends some further signals after a SIGTERM: SIGTERM again, or SIGHUP for a reload.
     async fn send_follow_up_signals(&self, environment: &Environment) {
         for _ in 0..environment.random_below(MAX_FOLLOW_UP_SIGNALS + 1) {
             sleep(environment.random_duration(0, 300)).await;
             self.signal(if environment.random_bool(0.5) { Signal::HUP } else { Signal::TERM });
         }
     }
-    /// Whether its process runs.
+
+    /// Whether the process runs.
     pub fn is_alive(&self) -> bool {
         self.process.borrow_mut().as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
+    /// The exit status of the process, once; `None` while it runs, after it was returned, or before any start.
     fn exit_status(&self) -> Option<ExitStatus> {
         let mut child = self.process.borrow_mut();
         let status = child.as_mut()?.try_wait().ok()??;
@@ -272,11 +288,12 @@
         Some(status)
     }
 
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         self.process.borrow().iter().for_each(|child| send_signal(child, signal));
     }
 
-    /// Kills it and starts it again a while later.
+    /// Sends SIGKILL, and starts the forwarder again after `downtime`.
     pub async fn kill_and_restart(&self, environment: &Environment, downtime: Duration) {
         environment.checker.borrow_mut().mark_unavailable(self.number);
         self.killed.set(true);
@@ -287,6 +304,7 @@
         self.restart(environment, downtime).await;
     }
 
+    /// Starts the forwarder again `downtime` after the exit of its process.
     async fn restart(&self, environment: &Environment, downtime: Duration) {
         environment.checker.borrow_mut().record_process_exit(self.number);
         sleep(downtime).await;
@@ -294,7 +312,8 @@
         environment.checker.borrow_mut().mark_available(self.number);
     }
 
-    /// Sends SIGTERM, and starts it again once it has exited.
+    /// Sends SIGTERM and further signals, and waits for the exit. Starts the forwarder again after `restart_after`, if
+    /// given.
     pub async fn terminate(&self, environment: &Environment, restart_after: Option<Duration>) {
         environment.checker.borrow_mut().mark_unavailable(self.number);
         let started_at = Instant::now();
@@ -312,7 +331,7 @@
                 environment
                     .checker
                     .borrow_mut()
-                    .record_violation("leaves", self.describe("was there 3.7 s after SIGTERM"));
+                    .record_violation("leaves", self.describe("still ran 3.7 s after SIGTERM"));
                 self.killed.set(true);
                 self.signal(Signal::KILL);
             }
@@ -322,15 +341,15 @@
             environment
                 .checker
                 .borrow_mut()
-                .record_violation("crash", self.describe(format!("ended with {status}")));
+                .record_violation("crash", self.describe(format!("exited with {status}")));
         }
         if let Some(downtime) = restart_after {
             self.restart(environment, downtime).await;
         }
     }
 
-    /// Stops it for a while, but not within an injected hold-up of a write: the two would add up to more than the platform's terms
-    /// let a process be held up between its clock and its write.
+    /// Stops the process for a while with SIGSTOP, but not during an injected write stall: together they would exceed the
+    /// delay between a process's reading of the clock and its write that the platform's terms allow.
     pub async fn pause(&self, environment: &Environment, duration: Duration) {
         self.write_stalls_enabled.set(false);
         self.write_fault_plan();
@@ -340,6 +359,7 @@
         self.write_fault_plan();
     }
 
+    /// Sends SIGSTOP, and SIGCONT after the given time.
     async fn stop_and_continue(&self, environment: &Environment, duration: Duration) {
         environment.checker.borrow_mut().mark_unavailable(self.number);
         self.signal(Signal::STOP);
@@ -348,7 +368,7 @@
         environment.checker.borrow_mut().mark_available(self.number);
     }
 
-    /// Gives it a new configuration; discovery may move with it.
+    /// Writes a new configuration and sends SIGHUP. In half of the cases the discovery agent gets a new address.
     pub fn reload(&self, environment: &Rc<Environment>) {
         self.max_open.set(100 + environment.random_below(100));
         if environment.random_bool(0.5) {
@@ -361,7 +381,7 @@
         }
     }
 
-    /// Puts faults in force; the number removes them again.
+    /// Puts fault rules in force, one a line; the returned id removes them again.
     pub fn add_fault_rules(&self, rules: &str) -> u64 {
         self.last_rules_id.set(self.last_rules_id.get() + 1);
         self.fault_rules.borrow_mut().push((self.last_rules_id.get(), rules.to_owned()));
@@ -369,11 +389,13 @@
         self.last_rules_id.get()
     }
 
+    /// Removes the fault rules that were added under this id.
     pub fn remove_fault_rules(&self, id: u64) {
         self.fault_rules.borrow_mut().retain(|rules| rules.0 != id);
         self.write_fault_plan();
     }
 
+    /// Replaces the plan of the fault library by the rules in force.
     fn write_fault_plan(&self) {
         let fault_rules = self.fault_rules.borrow();
         let is_enabled = |rules: &&(u64, String)| {
@@ -382,29 +404,26 @@
         let rule_lines: String =
             fault_rules.iter().filter(is_enabled).map(|rules| rules.1.clone() + "\n").collect();
         let temporary_file = self.folder.join("faults.new");
-        let plan = format!(
-            "seed {}
-{rule_lines}",
-            self.number * 2 + 1
-        );
+        let plan = format!("seed {}\n{rule_lines}", self.number * 2 + 1);
         fs::write(&temporary_file, plan)
             .and_then(|()| fs::rename(temporary_file, self.folder.join("faults")))
-            .expect("written");
+            .expect("the fault plan can be written");
     }
 
-    /// Checks the process's own counters and what the system reports of it.
+    /// Checks at the end of the run that the process runs, that its own invariant counters are empty, and that its resident
+    /// memory and open descriptors are within the limits.
     pub async fn check_at_end(&self, environment: &Environment) {
         if let Some(status) = self.exit_status() {
-            return environment
-                .checker
-                .borrow_mut()
-                .record_violation("crash", self.describe(format!("has ended with {status}")));
+            return environment.checker.borrow_mut().record_violation(
+                "crash",
+                self.describe(format!("exited before the end of the run: {status}")),
+            );
         }
         let Some(body) = self.get("/_counters").await else {
             return environment
                 .checker
                 .borrow_mut()
-                .record_violation("ready", self.describe("shows no counters at the end"));
+                .record_violation("ready", self.describe("returned no counters at the end of the run"));
         };
         let counters: Value = serde_json::from_str(&body).unwrap_or_default();
         let violations = counters["invariant_violations"].as_object().cloned().unwrap_or_default();
@@ -421,7 +440,7 @@
         let open_descriptors = fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, Iterator::count);
         let mut checker = environment.checker.borrow_mut();
         if resident_kb.is_some_and(|kb: u64| kb > MAX_MEMORY_KB) || open_descriptors > MAX_OPEN_DESCRIPTORS {
-            let description = format!("{resident_kb:?} kB and {open_descriptors} descriptors");
+            let description = format!("{resident_kb:?} kB resident and {open_descriptors} open descriptors");
             checker.record_violation("limits", self.describe(description));
         }
     }
--- a/crates/soak-test/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -1,5 +1,6 @@
-//! The soak test: a few dozen real forwarders on loopback under two or three faults at a time, checked from outside. This program
-//! plays everything around them. See `docs/soak.md`.
+//! The soak test runs a few dozen real forwarders on loopback, injects two or three faults at a time and checks invariants
+//! from outside. This program provides everything around the forwarders: clients, endpoints and the platform's agents. See
+//! `docs/soak.md`.
 
 mod checker;
 mod client;
@@ -26,13 +27,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Open messages may end for so long after the last submission.
+/// How long the run waits for accepted messages to be delivered or reported after the last submission.
 const DRAIN_TIME: Duration = Duration::from_secs(9);
-/// So long after the last fault everything must have recovered.
+/// Clients keep submitting for this long after the last fault; everything must have recovered by its end.
 const RECOVERY_TIME: Duration = Duration::from_millis(3_000);
-/// So many violations of a seed are shown.
+/// The most violations of one seed that are printed.
 const MAX_SHOWN: usize = 40;
-/// Faults begin so long after the start.
+/// Time between the start of the clients and the first fault.
 const WARM_UP: Duration = Duration::from_millis(500);
 
 #[derive(Parser)]
@@ -44,31 +45,31 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a number of seeds: hand-overs in every second one, crowds in every third
+    /// Run a number of seeds, with hand-overs in every second one and idle clients in every third
     Run {
         /// The first seed
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many seeds, one after the other
+        /// Number of consecutive seeds to run, one after the other
         #[arg(long, default_value_t = 1)]
         seeds: u64,
-        /// Forwarders, each a process
+        /// Number of forwarder processes
         #[arg(long, default_value_t = 24)]
         forwarders: usize,
-        /// Seconds of faults
+        /// Seconds during which faults are injected
         #[arg(long, default_value_t = 30)]
         seconds: u64,
-        /// Messages a second for each forwarder
+        /// Messages per second to each forwarder
         #[arg(long, default_value_t = 15.0)]
         rate: f64,
-        /// Milliseconds for which a client waits for its response; the platform's wait 400
+        /// Milliseconds that a client waits for its response; the platform's clients wait 400
         #[arg(long, default_value_t = 400)]
         patience: u64,
-        /// Where to keep files and logs; by default a folder that is removed unless an invariant was violated
+        /// Folder for files and logs; by default a temporary one that is removed unless an invariant was violated
         #[arg(long)]
         keep: Option<PathBuf>,
     },
-    /// The forwarder that the soak test was built with
+    /// Run the forwarder that the soak test was built with
     #[command(hide = true)]
     Forwarder {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -79,7 +80,8 @@
 fn main() -> ExitCode {
     match Arguments::parse().command {
         Command::Forwarder { arguments } => {
-            // It ends with the soak test, however that ends; if the signal cannot be set, it is killed at the end of the run.
+            // The forwarder is killed when the soak test ends in any way. If the signal cannot be set, `Forwarder::drop`
+            // kills it.
             let _ = set_parent_process_death_signal(Some(Signal::KILL));
             cedarbridge::cli::main(std::iter::once(OsString::from("cedarbridge")).chain(arguments))
         }
@@ -103,13 +105,13 @@
     }
 }
 
-/// Plays a seed; returns how many violations there were.
+/// Runs one seed, prints its violations and counts, and returns the number of violations.
 fn run_seed(seed: u64, options: RunOptions, keep: Option<&PathBuf>) -> usize {
     let default_folder =
         std::env::temp_dir().join(format!("cedarbridge-soak-test-{}-{seed}", std::process::id()));
     let folder = keep.map_or(default_folder, |folder| folder.join(format!("seed-{seed}")));
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the run's folder can be created");
     let executor = Rc::new(LocalExecutor::new());
     let environment = Rc::new(Environment {
         executor: executor.clone(),
@@ -125,7 +127,7 @@
         faults_ended: false.into(),
         submissions_ended: false.into(),
         started_at: Instant::now(),
-        event_log: File::create(folder.join("events")).expect("a file").into(),
+        event_log: File::create(folder.join("events")).expect("the event log can be created").into(),
     });
     async_io::block_on(executor.run(execute_run(&environment, &folder)));
     let checker = environment.checker.borrow();
@@ -145,6 +147,7 @@
     checker.violations.len()
 }
 
+/// Starts endpoints, forwarders and clients, injects faults, lets everything recover, and makes the final checks.
 async fn execute_run(environment: &Rc<Environment>, folder: &std::path::Path) {
     for number in 0..deployment::DESTINATION_COUNT * deployment::ENDPOINTS_PER_DESTINATION {
         let endpoint = endpoint::start(
@@ -153,10 +156,14 @@
             number % deployment::DESTINATION_COUNT,
             number % 2,
         );
-        endpoint.expect("an endpoint");
+        endpoint.expect("an endpoint can be started");
     }
     let forwarders: Vec<Rc<Forwarder>> = (0..environment.options.forwarders)
-        .map(|number| Rc::new(Forwarder::prepare(environment, number, folder).expect("a forwarder's files")))
+        .map(|number| {
+            Rc::new(
+                Forwarder::prepare(environment, number, folder).expect("a forwarder's files can be written"),
+            )
+        })
         .collect();
     let forwarders = Rc::new(forwarders);
     for forwarder in forwarders.iter() {
@@ -170,7 +177,7 @@
     while forwarders.iter().any(|f| f.operation_in_progress.get()) {
         sleep(Duration::from_millis(20)).await;
     }
-    // All has recovered: what comes now is served.
+    // Clients keep submitting while everything recovers.
     sleep(RECOVERY_TIME).await;
     environment.submissions_ended.set(true);
     let drain_deadline = Instant::now() + DRAIN_TIME;
@@ -182,7 +189,7 @@
         forwarder.check_at_end(environment).await;
     }
     for forwarder in forwarders.iter() {
-        // All at once.
+        // All forwarders are terminated at the same time.
         let (environment, forwarder) = (environment.clone(), forwarder.clone());
         environment.clone().spawn(async move { forwarder.terminate(&environment, None).await });
     }
--- a/crates/soak-test/src/observation.rs
+++ b/crates/soak-test/src/observation.rs
@@ -1,4 +1,4 @@
-//! What can be observed of messages from outside, and the violation that an observation shows.
+//! What can be observed of messages from outside, and the violations that the checker finds.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,37 +6,43 @@
 /// Whether a message of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// At will.
+    /// Any number of times.
     Idempotent,
-    /// Endpoints deduplicate by key for a while, perhaps only in the zone of the first attempt.
+    /// Within the window after the first attempt, as endpoints deduplicate by key for that long. If `by_zone`, they do so
+    /// only within the zone of the first attempt.
     WithKey { window: Duration, by_zone: bool },
     /// Never.
     NonIdempotent,
 }
 
-/// How an attempt ended, as its endpoint observed it.
+/// How an attempt ended, as the endpoint observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptOutcome {
-    /// Answered with 200.
+    /// The endpoint answered with 200.
     Delivered,
-    /// Rejected: it never ran.
+    /// The endpoint rejected the attempt without running it.
     Rejected,
-    /// It may have run.
+    /// The attempt failed or was cut off, and may have run.
     MayHaveRun,
 }
 
-/// How a message ended by its delivery report.
+/// The state of a message in its delivery report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report {
+    /// The forwarder has given up the message.
     Failed,
+    /// The forwarder gives the message back to its sender.
     Returned,
 }
 
-/// An invariant that does not hold.
+/// An invariant that does not hold, with the evidence.
 #[derive(Clone, Debug)]
 pub struct Violation {
+    /// Time since the start of the run.
     pub at: Duration,
+    /// The name of the invariant.
     pub rule: &'static str,
+    /// What was observed; begins with the id of the message and a colon if it concerns one.
     pub description: String,
 }
 
--- a/crates/soak-test/src/platform.rs
+++ b/crates/soak-test/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's agent beside each forwarder: the pushed endpoint list, and delivery reports.
+//! The platform's agent for each forwarder: it pushes the endpoint list and receives delivery reports.
 
 use crate::deployment::{endpoint_kind, CAPACITY_PER_S, ZONES};
 use crate::environment::{sleep, Environment};
@@ -13,12 +13,16 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often an agent looks for a change of the list.
+/// How often an agent checks whether the list has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often it sends an empty line as a heartbeat.
+/// An agent sends an empty line as a heartbeat after this time without an update.
 const HEARTBEAT: Duration = Duration::from_secs(2);
 
-/// Starts an agent of a forwarder, and returns its address. One forwarder may have several: a reload moves it.
+/// Starts an agent for a forwarder and returns its address. A forwarder may have several, as a reload may change the
+/// address.
+///
+/// # Errors
+/// The listener cannot be opened.
 pub fn start(environment: &Rc<Environment>, forwarder: usize) -> io::Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let address = listener.get_ref().local_addr()?;
@@ -34,6 +38,7 @@
     Ok(address)
 }
 
+/// Serves a connection of a forwarder: delivery reports, or a watch of the endpoint list.
 async fn serve_connection(
     environment: Rc<Environment>,
     forwarder: usize,
@@ -52,16 +57,18 @@
     Ok(())
 }
 
+/// Tells the checker of a delivery report, given as a line of JSON.
 fn record_report(environment: &Environment, line: &str) {
     let report: Value = serde_json::from_str(line).unwrap_or_default();
     let mut checker = environment.checker.borrow_mut();
     match (report["id"].as_str(), report["state"].as_str()) {
         (Some(id), Some("failed")) => checker.record_report(id, Report::Failed),
         (Some(id), Some("returned")) => checker.record_report(id, Report::Returned),
-        _ => checker.record_violation("reports", format!("a report that cannot be read: {line}")),
+        _ => checker.record_violation("reports", format!("malformed delivery report: {line}")),
     }
 }
 
+/// Sends the endpoint list and its later changes, until the forwarder closes the watch.
 async fn serve_watch(
     environment: &Rc<Environment>,
     forwarder: usize,
@@ -83,7 +90,7 @@
         }
         let current_generation = environment.list_generation.get();
         if current_generation != sent_generation {
-            // Slow discovery learns of the change late.
+            // With slow discovery the update comes late.
             sleep(environment.discovery.get().delay).await;
             if is_watch_closed(connection).await {
                 return Ok(());
@@ -101,17 +108,19 @@
     }
 }
 
-/// Whether the forwarder has left a watch, which sends nothing after its request. What would be written on it counts as notified
-/// where the forwarder may still read it.
+/// Whether the forwarder has closed a watch, on which it sends nothing after its request. An update counts as a
+/// notification, so it must not be written once the forwarder no longer reads it.
 async fn is_watch_closed(connection: &mut HttpConnection) -> bool {
     future::poll_once(connection.fill()).await.is_some()
 }
 
+/// A chunk of a chunked HTTP body.
 fn encode_chunk(text: &str) -> Vec<u8> {
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// What has changed, as a watch event; the forwarder counts as notified from here on.
+/// The entries that have changed since those sent before, as a watch event. From here on the forwarder counts as notified
+/// of them.
 fn list_update(
     environment: &Environment,
     forwarder: usize,
--- a/crates/soak-test/src/process.rs
+++ b/crates/soak-test/src/process.rs
@@ -1,4 +1,4 @@
-//! What it takes to run a forwarder's process: its program, the fault library, signals, addresses and requests.
+//! Helpers for running a forwarder's process: its program, the fault library, signals, addresses and HTTP requests.
 
 use crate::environment::sleep;
 use async_io::Async;
@@ -10,9 +10,10 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// The program that is run: this one, by its hidden command, or another.
+/// The command that runs a forwarder: the hidden subcommand of this program, or the program that `CEDARBRIDGE_SOAK_PROGRAM`
+/// names.
 pub fn forwarder_command() -> Command {
-    let own_program = std::env::current_exe().expect("a path");
+    let own_program = std::env::current_exe().expect("the path of this program is known");
     match std::env::var_os("CEDARBRIDGE_SOAK_PROGRAM") {
         Some(program) => Command::new(program),
         None => {
@@ -23,7 +24,8 @@
     }
 }
 
-/// Where Cargo puts the library of `crates/faultshim`: beside the program, or in its `deps`.
+/// The path where Cargo puts the library of `crates/faultshim`, in the program's folder or its `deps`; `None` if it is in
+/// neither.
 pub fn fault_library() -> Option<PathBuf> {
     let folder = std::env::current_exe().ok()?.parent()?.to_owned();
     let name = "libcedarbridge_faultshim.so";
@@ -32,18 +34,21 @@
 
 /// Sends a signal to a process.
 pub fn send_signal(process: &Child, signal: Signal) {
-    // It may just have ended, which is seen elsewhere.
+    // An error means that the process has just exited, which its exit status shows.
     if let Some(pid) = Pid::from_raw(process.id() as i32) {
         let _ = kill_process(pid, signal);
     }
 }
 
-/// A free address on the same host.
+/// An address with a free port on the same IP address.
+///
+/// # Errors
+/// No port can be bound.
 pub fn free_address(same_host: SocketAddr) -> std::io::Result<SocketAddr> {
     TcpListener::bind((same_host.ip(), 0))?.local_addr()
 }
 
-/// The body of a 200 response to a GET; `None` if it does not come at once.
+/// The body of a 200 response to a GET; `None` for any other response and after half a second without one.
 pub async fn http_get(address: SocketAddr, path: &str) -> Option<String> {
     let response = async {
         let mut connection = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
--- a/crates/soak-test/src/slow_start.rs
+++ b/crates/soak-test/src/slow_start.rs
@@ -1,4 +1,5 @@
-//! The slow start of destinations: how many calls come to one that has just returned from an outage, and from whom.
+//! Checks the slow start of destinations: how many calls a destination gets just after an outage, and from which
+//! forwarders.
 
 use crate::deployment::{
     CAPACITY_PER_S, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_INITIAL_SHARE,
@@ -6,9 +7,10 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
 
-/// The rule is broken if more than this share of the calls came from forwarders that had observed the outage.
+/// A window with too many calls violates the rule only if more than this share of them came from forwarders that had
+/// observed the outage.
 const MAX_OBSERVER_SHARE: f64 = 2.0 / 3.0;
-/// Below this many allowed calls more is left to chance.
+/// Below this many allowed calls, the margin for random variation is wider: 3 standard deviations instead of 2.
 const SMALL_SAMPLE_CALLS: f64 = 30.0;
 
 /// One call to a destination.
@@ -17,22 +19,25 @@
     forwarder: usize,
 }
 
-/// Where a destination is between an outage and the end of its slow start.
+/// The state of a destination between an outage and the end of its slow start.
 #[derive(Clone, Copy)]
 enum Phase {
+    /// It has its full capacity, or its slow start has already been found to violate the rule.
     Warm,
+    /// All its endpoints are down.
     Outage,
+    /// It has returned and takes on load gradually.
     SlowStart { since: Instant },
 }
 
-/// The outages of one destination.
+/// Counts the calls to one destination and checks them during its slow start.
 pub struct SlowStartMonitor {
     phase: Phase,
-    /// Forwarders whose calls failed in the outage, but for those that have died since.
+    /// Forwarders whose calls failed during the outage and whose process has not exited since.
     observers: BTreeSet<usize>,
-    /// The calls of the last window.
+    /// The calls within the last window.
     calls: VecDeque<Call>,
-    /// The highest share of what was allowed that calls in a window came to.
+    /// The highest number of calls in a window so far, as a share of the number allowed.
     peak_share: f64,
 }
 
@@ -46,34 +51,37 @@
         }
     }
 
+    /// All endpoints of the destination go down.
     pub fn begin_outage(&mut self) {
         self.phase = Phase::Outage;
         self.observers.clear();
     }
 
+    /// The endpoints are up again.
     pub fn begin_slow_start(&mut self, now: Instant) {
         self.phase = Phase::SlowStart { since: now };
         self.calls.clear();
     }
 
-    /// A call of a forwarder has failed there.
+    /// A call of a forwarder to the destination has failed.
     pub fn record_failure(&mut self, forwarder: usize) {
         if matches!(self.phase, Phase::Outage) {
             self.observers.insert(forwarder);
         }
     }
 
-    /// A forwarder's process has died, and forgets what it had observed.
+    /// A forwarder's process has exited, and with it the knowledge of the outage.
     pub fn forget_observer(&mut self, forwarder: usize) {
         self.observers.remove(&forwarder);
     }
 
-    /// The highest share of what was allowed that calls in a window of a slow start came to, in percent.
+    /// The highest number of calls in a window of a slow start so far, in percent of the number allowed.
     pub fn peak_percent(&self) -> u64 {
         (self.peak_share * 100.0).round() as u64
     }
 
-    /// A call has come; what is wrong with that, once for each outage.
+    /// Counts a call that the destination has received. Returns the description of a violation, at most once for each
+    /// outage.
     pub fn check_call(&mut self, now: Instant, forwarder: usize) -> Option<String> {
         let Phase::SlowStart { since } = self.phase else { return None };
         let warm_share = (now - since).as_secs_f64() / SLOW_START_DURATION.as_secs_f64();
@@ -97,12 +105,12 @@
         }
         self.phase = Phase::Warm;
         Some(format!(
-            "{calls} calls within {OVERLOAD_WINDOW:?}, {max_calls:.0} allowed; {observer_calls} of observers"
+            "{calls} calls within {OVERLOAD_WINDOW:?}, {max_calls:.0} allowed; {observer_calls} from observers of the outage"
         ))
     }
 }
 
-/// The max_calls calls in a window in which so many are allowed in the mean.
+/// The most calls in a window for a mean of `allowed` calls: the mean plus 2 or 3 standard deviations of a Poisson count.
 fn max_calls_with_margin(allowed: f64) -> f64 {
     let margin = if allowed < SMALL_SAMPLE_CALLS { 3.0 } else { 2.0 };
     allowed + margin * allowed.sqrt() + margin
