--- a/crates/soak-test/src/client.rs
+++ b/crates/soak-test/src/client.rs
@@ -21,10 +21,10 @@
 /// Share of the clients that misbehave.
 const BAD_CLIENT_SHARE: f64 = 0.03;
 
-/// Sends messages to a forwarder until submissions are over.
+/// Submits messages to a forwarder at random intervals until `submissions_ended` is set.
 pub async fn run(environment: Rc<Environment>, forwarder: Rc<Forwarder>) {
     let mut kept_connections: Vec<HttpConnection> = Vec::new();
-    let mut number = 0;
+    let mut message_number = 0;
     while !environment.submissions_ended.get() {
         let mean_interval = 1.0 / environment.options.rate;
         let interval = -mean_interval * (1.0 - environment.random.borrow_mut().f64()).ln();
@@ -33,8 +33,8 @@
             environment.spawn(run_bad_client(environment.clone(), forwarder.clone()));
             continue;
         }
-        number += 1;
-        let id = format!("f{}-{number}", forwarder.number);
+        message_number += 1;
+        let id = format!("f{}-{message_number}", forwarder.number);
         let keep_alive =
             environment.random_bool(KEEP_ALIVE_SHARE) || forwarder.sigterm_sent_at.get().is_some();
         let kept_connection = if keep_alive { kept_connections.pop() } else { None };
@@ -45,7 +45,7 @@
             let connection = submit(&environment, &forwarder, &id, kept_connection, keep_alive).await;
             let _ = sender.try_send(connection);
         });
-        // A client that gets its response within 20 ms leaves its connection to the next one.
+        // A client that gets its response within 20 ms leaves its connection to a later one.
         let timed_out = async {
             Timer::after(Duration::from_millis(20)).await;
             None
@@ -221,7 +221,7 @@
     future::or(response, timed_out).await
 }
 
-/// Plays a misbehaving client, which sends an incomplete request, nothing, garbage, or two requests without waiting. The
+/// Acts as a misbehaving client, which sends an incomplete request, nothing, garbage, or two requests without waiting. The
 /// forwarder must send something or close the connection in time, unless it was restarted or unavailable meanwhile.
 async fn run_bad_client(environment: Rc<Environment>, forwarder: Rc<Forwarder>) {
     let text = match environment.random_below(4) {
--- a/crates/soak-test/src/endpoint.rs
+++ b/crates/soak-test/src/endpoint.rs
@@ -43,21 +43,21 @@
     });
     let number = environment.endpoints.borrow().len();
     environment.endpoints.borrow_mut().push(endpoint.clone());
-    let (task_environment, accepting) = (environment.clone(), endpoint.clone());
+    let (task_environment, accepting_endpoint) = (environment.clone(), endpoint.clone());
     environment.spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            if accepting.accepts_late.get() {
-                wait_until_accepting(&accepting).await;
+            if accepting_endpoint.accepts_late.get() {
+                wait_until_accepting(&accepting_endpoint).await;
                 // Drops the connections in the queue: requests that were sent on them earlier would count as sent now.
                 while listener.get_ref().accept().is_ok() {}
                 continue;
             }
-            if current_behaviour(&task_environment, &accepting) == Behaviour::ClosesConnections {
+            if current_behaviour(&task_environment, &accepting_endpoint) == Behaviour::ClosesConnections {
                 continue;
             }
             task_environment.spawn(serve_connection(
                 task_environment.clone(),
-                accepting.clone(),
+                accepting_endpoint.clone(),
                 number,
                 stream,
             ));
@@ -207,7 +207,8 @@
     (outcome, true)
 }
 
-/// The ids of the messages that a call carries: one from its header, or those of the batch in its body.
+/// The ids of the messages that a call carries: one from its header, or those of the batch in its body. Each message of a
+/// batch begins with a line, whose first word is the id and whose third word is the length of the message in bytes.
 fn message_ids(head: &RequestHead, mut body: &[u8]) -> Vec<String> {
     if let Some(id) = head.headers.get("X-Request-Id") {
         return vec![id.to_owned()];
--- a/crates/soak-test/src/faults.rs
+++ b/crates/soak-test/src/faults.rs
@@ -67,8 +67,8 @@
         0 | 1 => restart_some(environment, forwarders, false).await,
         2 | 3 => restart_some(environment, forwarders, true).await,
         4 => {
-            apply_to_some(environment, forwarders, 3, |f| async move {
-                f.pause(environment, environment.random_duration(150, 1_200)).await
+            apply_to_some(environment, forwarders, 3, |forwarder| async move {
+                forwarder.pause(environment, environment.random_duration(150, 1_200)).await
             })
             .await
         }
@@ -118,16 +118,16 @@
 /// Restarts some forwarders with SIGTERM if `graceful`, or else with SIGKILL.
 async fn restart_some(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>], graceful: bool) {
     environment.log(if graceful { "SIGTERM" } else { "SIGKILL" });
-    apply_to_some(environment, forwarders, 2, |f| async move {
+    apply_to_some(environment, forwarders, 2, |forwarder| async move {
         let downtime = environment.random_duration(0, 600);
         // The wall clock may also be set while the process is down.
         if environment.random_bool(0.3) {
             let offset = if environment.random_bool(0.5) { HOUR_MICROS } else { -HOUR_MICROS };
-            f.add_fault_rules(&format!("wall {offset}"));
+            forwarder.add_fault_rules(&format!("wall {offset}"));
         }
         match graceful {
-            true => f.terminate(environment, Some(downtime)).await,
-            false => f.kill_and_restart(environment, downtime).await,
+            true => forwarder.terminate(environment, Some(downtime)).await,
+            false => forwarder.kill_and_restart(environment, downtime).await,
         }
     })
     .await;
@@ -136,7 +136,13 @@
 /// Hands over some forwarders to successors.
 async fn hand_over_some(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     environment.log("hand-over");
-    apply_to_some(environment, forwarders, 2, |f| async move { f.hand_over(environment).await }).await;
+    apply_to_some(
+        environment,
+        forwarders,
+        2,
+        |forwarder| async move { forwarder.hand_over(environment).await },
+    )
+    .await;
 }
 
 /// Takes all endpoints of a destination down for a while. Its slow start begins when they are up again.
@@ -167,9 +173,9 @@
 /// Reloads the configuration of some forwarders several times in a row.
 async fn reload_repeatedly(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     environment.log("several reloads in a row");
-    apply_to_some(environment, forwarders, 4, |f| async move {
+    apply_to_some(environment, forwarders, 4, |forwarder| async move {
         for _ in 0..1 + environment.random_below(4) {
-            f.reload(environment);
+            forwarder.reload(environment);
             sleep(environment.random_duration(0, 120)).await;
         }
     })
@@ -191,9 +197,9 @@
     let chosen: Vec<_> = (0..1 + environment.random_below(3))
         .map(|_| forwarders[environment.random_below(forwarders.len())].clone())
         .collect();
-    let rule_ids: Vec<u64> = chosen.iter().map(|f| f.add_fault_rules(rules)).collect();
+    let rule_ids: Vec<u64> = chosen.iter().map(|forwarder| forwarder.add_fault_rules(rules)).collect();
     sleep(environment.random_duration(200, 1_500)).await;
-    chosen.iter().zip(rule_ids).for_each(|(f, id)| f.remove_fault_rules(id));
+    chosen.iter().zip(rule_ids).for_each(|(forwarder, id)| forwarder.remove_fault_rules(id));
 }
 
 /// Makes file operations of some forwarders fail for a while.
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -182,6 +182,7 @@
         }
     }
 
+    /// The description of a violation, with the forwarder's number before it.
     fn describe(&self, description: impl Into<String>) -> String {
         format!("forwarder {}: {}", self.number, description.into())
     }
@@ -253,9 +254,9 @@
     /// Waits until the predecessor has exited. One that takes too long is a violation and is killed.
     async fn wait_for_predecessor_exit(&self, environment: &Environment) {
         let Some(mut predecessor) = self.predecessor.borrow_mut().take() else { return };
-        let started_at = Instant::now();
+        let waiting_since = Instant::now();
         while let Ok(None) = predecessor.try_wait() {
-            if started_at.elapsed() > EXIT_TIMEOUT {
+            if waiting_since.elapsed() > EXIT_TIMEOUT {
                 let description = self.describe(
                     "the predecessor still ran 3.7 s after its successor took over for good or was killed",
                 );
@@ -277,20 +278,20 @@
 
     /// Whether the process runs.
     pub fn is_alive(&self) -> bool {
-        self.process.borrow_mut().as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
+        self.process.borrow_mut().as_mut().is_some_and(|process| matches!(process.try_wait(), Ok(None)))
     }
 
     /// The exit status of the process, once; `None` while it runs, after it was returned, or before any start.
     fn exit_status(&self) -> Option<ExitStatus> {
-        let mut child = self.process.borrow_mut();
-        let status = child.as_mut()?.try_wait().ok()??;
-        *child = None;
+        let mut process = self.process.borrow_mut();
+        let status = process.as_mut()?.try_wait().ok()??;
+        *process = None;
         Some(status)
     }
 
     /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
-        self.process.borrow().iter().for_each(|child| send_signal(child, signal));
+        self.process.borrow().iter().for_each(|process| send_signal(process, signal));
     }
 
     /// Sends SIGKILL, and starts the forwarder again after `downtime`.
@@ -316,8 +317,8 @@
     /// given.
     pub async fn terminate(&self, environment: &Environment, restart_after: Option<Duration>) {
         environment.checker.borrow_mut().mark_unavailable(self.number);
-        let started_at = Instant::now();
-        self.sigterm_sent_at.set(Some(started_at));
+        let sigterm_sent_at = Instant::now();
+        self.sigterm_sent_at.set(Some(sigterm_sent_at));
         if environment.random_bool(0.3) {
             self.signal(Signal::HUP);
         }
@@ -327,7 +328,7 @@
             if let Some(status) = self.exit_status() {
                 break status;
             }
-            if started_at.elapsed() > EXIT_TIMEOUT {
+            if sigterm_sent_at.elapsed() > EXIT_TIMEOUT {
                 environment
                     .checker
                     .borrow_mut()
@@ -337,7 +338,7 @@
             }
             sleep(POLL_INTERVAL).await;
         };
-        if !status.success() && started_at.elapsed() < EXIT_TIMEOUT {
+        if !status.success() && sigterm_sent_at.elapsed() < EXIT_TIMEOUT {
             environment
                 .checker
                 .borrow_mut()
--- a/crates/soak-test/src/platform.rs
+++ b/crates/soak-test/src/platform.rs
@@ -16,7 +16,7 @@
 /// How often an agent checks whether the list has changed.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// An agent sends an empty line as a heartbeat after this time without an update.
-const HEARTBEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Starts an agent for a forwarder and returns its address. A forwarder may have several, as a reload may change the
 /// address.
@@ -100,7 +100,7 @@
             let line = list_update(environment, forwarder, &mut sent_lifecycles, is_first);
             connection.write(&encode_chunk(&line)).await?;
             last_write = Instant::now();
-        } else if last_write.elapsed() > HEARTBEAT {
+        } else if last_write.elapsed() > HEARTBEAT_INTERVAL {
             connection.write(&encode_chunk("\n")).await?;
             last_write = Instant::now();
         }
