--- a/crates/faultshim/src/lib.rs
+++ b/crates/faultshim/src/lib.rs
@@ -1,13 +1,15 @@
-//! Fault injection for tests. Preloaded (`LD_PRELOAD`) into the forwarder, this library stands between the program and the C
-//! library and makes chosen calls fail as Linux documents them, by a plan that tests may change while the program runs.
+//! Fault injection for tests. Preloaded (`LD_PRELOAD`) into the forwarder, this library wraps functions of the C library
+//! and makes chosen calls fail as Linux documents them. A plan says which calls fail; tests may change it while the program
+//! runs.
 //!
-//! `FAULTSHIM_PLAN` names the plan's file, replaced as a whole by a rename; `FAULTSHIM_FOLDER` the folder whose files `open`,
-//! `read`, `write`, `ftruncate`, `fsync`, `unlink`, `rename` and `opendir` are meant by. `accept`, `socket`, `connect`, `recv`
-//! and `send` strike all sockets, `wall` shifts the wall clock. Each call that is struck adds a line to the plan's file with
-//! `.struck` behind its name.
+//! `FAULTSHIM_PLAN` is the path of the plan's file, which must be replaced as a whole by a rename. `FAULTSHIM_FOLDER` is
+//! the path of a folder: rules for `open`, `read`, `write`, `ftruncate`, `fsync`, `unlink`, `rename` and `opendir` apply to
+//! its files only. Rules for `accept`, `socket`, `connect`, `recv` and `send` apply to all sockets, and `wall` shifts the
+//! wall clock. For each injected fault, a line is appended to the file whose path is that of the plan with the suffix
+//! `.struck`.
 //!
-//! The only crate of the project with `unsafe` code: replacing the C library's functions cannot be written without it. It
-//! is never part of the forwarder.
+//! This is the only crate of the project with `unsafe` code, as replacing the C library's functions requires it. It is
+//! never part of the forwarder.
 
 mod plan;
 
@@ -20,72 +22,78 @@
 use std::sync::atomic::{AtomicPtr, AtomicU8, Ordering};
 use std::sync::Mutex;
 
-/// Descriptors above this are never taken for files of the folder.
-const DESCRIPTORS: usize = 65_536;
-/// The largest plan that is read.
-const LARGEST_PLAN: usize = 16 * 1024;
+/// Number of descriptors whose state is tracked; higher ones never count as files of the folder.
+const MAX_DESCRIPTORS: usize = 65_536;
+/// The largest plan that is read, in bytes; what follows is cut off.
+const MAX_PLAN_BYTES: usize = 16 * 1024;
 
-/// What is known of a descriptor.
-const OTHER: u8 = 0;
-const FOLDER: u8 = 1;
-/// Its next write fails.
+/// State of a descriptor that is not a file of the folder.
+const UNTRACKED: u8 = 0;
+/// State of a descriptor that is a file of the folder.
+const IN_FOLDER: u8 = 1;
+/// State of a file of the folder after a torn write: its next write fails.
 const TORN: u8 = 2;
 
-static KNOWN: [AtomicU8; DESCRIPTORS] = [const { AtomicU8::new(OTHER) }; DESCRIPTORS];
-static CURRENT: Mutex<Option<Current>> = Mutex::new(None);
+static DESCRIPTOR_STATES: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(UNTRACKED) }; MAX_DESCRIPTORS];
+static ACTIVE_PLAN: Mutex<Option<ActivePlan>> = Mutex::new(None);
 
 thread_local! {
-    /// This thread is within the library: what it calls goes straight through.
-    static INSIDE: Cell<bool> = const { Cell::new(false) };
+    /// Whether this thread is inside this library, whose own calls must not be intercepted.
+    static INSIDE_LIBRARY: Cell<bool> = const { Cell::new(false) };
 }
 
-/// The plan in force and the version of the file that it was read from.
-struct Current {
+/// The plan in force, with the version of the file from which it was read.
+struct ActivePlan {
     path: CString,
     folder: Option<String>,
+    /// Seconds and nanoseconds of the file's modification time, and its inode.
     version: (i64, i64, u64),
-    torn_with: c_int,
+    /// The error number for the write that follows a torn one.
+    torn_error: c_int,
     plan: Plan,
 }
 
-/// The next function of a name behind this library, of the given type.
-macro_rules! next {
+/// The function of the C library behind a function of this library: the next one of this name in the order in which
+/// libraries are searched, cast to the given type.
+macro_rules! original_function {
     ($name:literal, $type:ty) => {{
-        static NEXT: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
-        let mut found = NEXT.load(Ordering::Relaxed);
+        static ORIGINAL: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
+        let mut found = ORIGINAL.load(Ordering::Relaxed);
         if found.is_null() {
             // SAFETY: the name is a C string, and RTLD_NEXT is a valid handle in a loaded library.
             found = unsafe { libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast()) };
-            NEXT.store(found, Ordering::Relaxed);
+            ORIGINAL.store(found, Ordering::Relaxed);
         }
         // SAFETY: the C library declares the function of that name with this type.
         unsafe { std::mem::transmute::<*mut c_void, $type>(found) }
     }};
 }
 
-fn environment(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// The whole file by raw calls, which pass this library by.
-fn read_plan(path: &CStr) -> Option<String> {
-    let mut text = vec![0u8; LARGEST_PLAN];
+/// Reads the plan's file by raw system calls, which this library does not intercept. `None` if it cannot be read or is not
+/// UTF-8.
+fn read_plan_file(path: &CStr) -> Option<String> {
+    let mut text = vec![0u8; MAX_PLAN_BYTES];
     // SAFETY: the path is a C string and the buffer has the given length.
-    let got = unsafe {
+    let bytes_read = unsafe {
         let file =
             libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDONLY | libc::O_CLOEXEC);
         if file < 0 {
             return None;
         }
-        let got = libc::syscall(libc::SYS_read, file, text.as_mut_ptr(), text.len());
+        let bytes_read = libc::syscall(libc::SYS_read, file, text.as_mut_ptr(), text.len());
         libc::syscall(libc::SYS_close, file);
-        got
+        bytes_read
     };
-    text.truncate(usize::try_from(got).ok()?);
+    text.truncate(usize::try_from(bytes_read).ok()?);
     String::from_utf8(text).ok()
 }
 
-fn version(path: &CStr) -> Option<(i64, i64, u64)> {
+/// The version of a file: its modification time and inode. `None` if there is no such file.
+fn file_version(path: &CStr) -> Option<(i64, i64, u64)> {
     // SAFETY: an all-zero stat is valid, and both pointers live through the call.
     unsafe {
         let mut found: libc::stat = std::mem::zeroed();
@@ -94,22 +102,27 @@
     }
 }
 
-impl Current {
-    fn new() -> Option<Current> {
-        let path = CString::new(environment("FAULTSHIM_PLAN")?).ok()?;
-        let folder = environment("FAULTSHIM_FOLDER");
-        Some(Current { path, folder, version: (0, 0, 0), torn_with: libc::EIO, plan: Plan::default() })
+impl ActivePlan {
+    /// An empty plan for the paths that the environment names; `None` without `FAULTSHIM_PLAN`.
+    fn new() -> Option<ActivePlan> {
+        let path = CString::new(environment_variable("FAULTSHIM_PLAN")?).ok()?;
+        let folder = environment_variable("FAULTSHIM_FOLDER");
+        Some(ActivePlan { path, folder, version: (0, 0, 0), torn_error: libc::EIO, plan: Plan::default() })
     }
 
+    /// Reads the plan's file again if it has changed.
     fn refresh(&mut self) {
-        let Some(found) = version(&self.path).filter(|v| *v != self.version) else { return };
-        if let Some(text) = read_plan(&self.path) {
-            self.version = found;
-            self.plan = Plan::read(&text);
+        let Some(version) = file_version(&self.path).filter(|version| *version != self.version) else {
+            return;
+        };
+        if let Some(text) = read_plan_file(&self.path) {
+            self.version = version;
+            self.plan = Plan::parse(&text);
         }
     }
 
-    fn tell(&self, call: &str, effect: Effect) {
+    /// Appends a line about an injected fault to the file with the suffix `.struck`.
+    fn log_fault(&self, call: &str, effect: Effect) {
         let mut path = self.path.to_bytes().to_vec();
         path.extend_from_slice(b".struck\0");
         let line = format!("{call} {effect:?}\n");
@@ -125,31 +138,33 @@
     }
 }
 
-/// Runs with the plan in force, unless this thread is within the library already.
-fn with_current<T>(run: impl FnOnce(&mut Current) -> Option<T>) -> Option<T> {
-    if INSIDE.try_with(|inside| inside.replace(true)).unwrap_or(true) {
+/// Calls a function with the plan in force and returns its result. `None` also if this thread is already inside the library
+/// or there is no plan.
+fn with_active_plan<T>(run: impl FnOnce(&mut ActivePlan) -> Option<T>) -> Option<T> {
+    if INSIDE_LIBRARY.try_with(|inside| inside.replace(true)).unwrap_or(true) {
         return None;
     }
     let result = {
-        let mut current = CURRENT.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
-        if current.is_none() {
-            *current = Current::new();
+        let mut active_plan = ACTIVE_PLAN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        if active_plan.is_none() {
+            *active_plan = ActivePlan::new();
         }
-        current.as_mut().and_then(|current| {
-            current.refresh();
-            run(current)
+        active_plan.as_mut().and_then(|active_plan| {
+            active_plan.refresh();
+            run(active_plan)
         })
     };
-    INSIDE.with(|inside| inside.set(false));
+    INSIDE_LIBRARY.with(|inside| inside.set(false));
     result
 }
 
-fn strike(call: &str) -> Option<Effect> {
-    let effect = with_current(|current| {
-        let effect = current.plan.strike(call)?;
-        current.tell(call, effect);
-        if let Effect::Torn(number) = effect {
-            current.torn_with = number;
+/// The fault to inject into a call that is about to be made, if any. A stall is waited for here, and is not returned.
+fn fault_for(call: &str) -> Option<Effect> {
+    let effect = with_active_plan(|active_plan| {
+        let effect = active_plan.plan.next_effect(call)?;
+        active_plan.log_fault(call, effect);
+        if let Effect::Torn(error_number) = effect {
+            active_plan.torn_error = error_number;
         }
         Some(effect)
     })?;
@@ -160,45 +175,52 @@
     Some(effect)
 }
 
-fn fail(number: c_int) -> c_int {
+/// Sets this thread's error number and returns -1, as a failed call of the C library does.
+fn set_error(error_number: c_int) -> c_int {
     // SAFETY: the C library gives the address of this thread's error number.
-    unsafe { *libc::__errno_location() = number };
+    unsafe { *libc::__errno_location() = error_number };
     -1
 }
 
-/// Whether a call fails as a whole.
-fn fails(call: &str) -> Option<c_int> {
-    match strike(call)? {
-        Effect::Fails(number) | Effect::Torn(number) => Some(fail(number)),
+/// The return value of a call that fails, for calls that transfer no data; `None` if the call is to be made.
+fn injected_failure(call: &str) -> Option<c_int> {
+    match fault_for(call)? {
+        Effect::Fails(error_number) | Effect::Torn(error_number) => Some(set_error(error_number)),
         Effect::Short | Effect::Stalls(_) => None,
     }
 }
 
-fn known(descriptor: c_int) -> u8 {
-    let at = usize::try_from(descriptor).ok().and_then(|at| KNOWN.get(at));
-    at.map_or(OTHER, |kind| kind.load(Ordering::Relaxed))
+/// The state of a descriptor.
+fn descriptor_state(descriptor: c_int) -> u8 {
+    let state = usize::try_from(descriptor).ok().and_then(|index| DESCRIPTOR_STATES.get(index));
+    state.map_or(UNTRACKED, |state| state.load(Ordering::Relaxed))
 }
 
-fn mark(descriptor: c_int, kind: u8) {
-    if let Some(at) = usize::try_from(descriptor).ok().and_then(|at| KNOWN.get(at)) {
-        at.store(kind, Ordering::Relaxed);
+/// Sets the state of a descriptor.
+fn set_descriptor_state(descriptor: c_int, state: u8) {
+    if let Some(entry) = usize::try_from(descriptor).ok().and_then(|index| DESCRIPTOR_STATES.get(index)) {
+        entry.store(state, Ordering::Relaxed);
     }
 }
 
-fn in_folder(path: *const c_char) -> bool {
+/// Whether a path is in the folder of `FAULTSHIM_FOLDER`.
+fn is_in_folder(path: *const c_char) -> bool {
     if path.is_null() {
         return false;
     }
     // SAFETY: callers of the C library pass a C string.
     let path = unsafe { CStr::from_ptr(path) };
-    let within = |folder: &String| path.to_bytes().starts_with(folder.as_bytes());
-    with_current(|current| Some(current.folder.as_ref().is_some_and(within))).unwrap_or(false)
+    let is_within = |folder: &String| path.to_bytes().starts_with(folder.as_bytes());
+    with_active_plan(|active_plan| Some(active_plan.folder.as_ref().is_some_and(is_within))).unwrap_or(false)
 }
 
+/// Half of a size, rounded up, so that a short read or write transfers something.
 fn half(size: size_t) -> size_t {
     size.div_ceil(2)
 }
 
+/// Accepts a connection, subject to rules for `accept`.
+///
 /// # Safety
 /// As `accept4(2)`.
 #[no_mangle]
@@ -208,179 +230,215 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    let next = next!("accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int);
-    fails("accept").unwrap_or_else(|| next(socket, address, length, flags))
+    let original = original_function!(
+        "accept4",
+        unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int
+    );
+    injected_failure("accept").unwrap_or_else(|| original(socket, address, length, flags))
 }
 
+/// Opens a socket, subject to rules for `socket`.
+///
 /// # Safety
 /// As `socket(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
-    let next = next!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
-    fails("socket").unwrap_or_else(|| next(domain, kind, protocol))
+    let original = original_function!("socket", unsafe extern "C" fn(c_int, c_int, c_int) -> c_int);
+    injected_failure("socket").unwrap_or_else(|| original(domain, kind, protocol))
 }
 
+/// Connects a socket, subject to rules for `connect`.
+///
 /// # Safety
 /// As `connect(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn connect(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    let next = next!("connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
-    fails("connect").unwrap_or_else(|| next(socket, address, length))
+    let original =
+        original_function!("connect", unsafe extern "C" fn(c_int, *const sockaddr, socklen_t) -> c_int);
+    injected_failure("connect").unwrap_or_else(|| original(socket, address, length))
 }
 
+/// Receives from a socket, subject to rules for `recv`.
+///
 /// # Safety
 /// As `recv(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, size: size_t, flags: c_int) -> ssize_t {
-    let next = next!("recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
-    match strike("recv") {
-        Some(Effect::Fails(number) | Effect::Torn(number)) => fail(number) as ssize_t,
-        Some(Effect::Short) => next(socket, buffer, half(size), flags),
-        _ => next(socket, buffer, size, flags),
+    let original =
+        original_function!("recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t);
+    match fault_for("recv") {
+        Some(Effect::Fails(error_number) | Effect::Torn(error_number)) => set_error(error_number) as ssize_t,
+        Some(Effect::Short) => original(socket, buffer, half(size), flags),
+        _ => original(socket, buffer, size, flags),
     }
 }
 
+/// Sends on a socket, subject to rules for `send`.
+///
 /// # Safety
 /// As `send(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn send(socket: c_int, buffer: *const c_void, size: size_t, flags: c_int) -> ssize_t {
-    let next = next!("send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
-    match strike("send") {
-        Some(Effect::Fails(number) | Effect::Torn(number)) => fail(number) as ssize_t,
-        Some(Effect::Short) => next(socket, buffer, half(size), flags),
-        _ => next(socket, buffer, size, flags),
+    let original =
+        original_function!("send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t);
+    match fault_for("send") {
+        Some(Effect::Fails(error_number) | Effect::Torn(error_number)) => set_error(error_number) as ssize_t,
+        Some(Effect::Short) => original(socket, buffer, half(size), flags),
+        _ => original(socket, buffer, size, flags),
     }
 }
 
+/// Reads from a descriptor; files of the folder are subject to rules for `read`.
+///
 /// # Safety
 /// As `read(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, size: size_t) -> ssize_t {
-    let next = next!("read", unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t);
-    if known(descriptor) == OTHER {
-        return next(descriptor, buffer, size);
+    let original = original_function!("read", unsafe extern "C" fn(c_int, *mut c_void, size_t) -> ssize_t);
+    if descriptor_state(descriptor) == UNTRACKED {
+        return original(descriptor, buffer, size);
     }
-    match strike("read") {
-        Some(Effect::Fails(number) | Effect::Torn(number)) => fail(number) as ssize_t,
-        Some(Effect::Short) => next(descriptor, buffer, half(size)),
-        _ => next(descriptor, buffer, size),
+    match fault_for("read") {
+        Some(Effect::Fails(error_number) | Effect::Torn(error_number)) => set_error(error_number) as ssize_t,
+        Some(Effect::Short) => original(descriptor, buffer, half(size)),
+        _ => original(descriptor, buffer, size),
     }
 }
 
+/// Writes to a descriptor; files of the folder are subject to rules for `write`.
+///
 /// # Safety
 /// As `write(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, size: size_t) -> ssize_t {
-    let next = next!("write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
-    match known(descriptor) {
-        OTHER => return next(descriptor, buffer, size),
+    let original = original_function!("write", unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t);
+    match descriptor_state(descriptor) {
+        UNTRACKED => return original(descriptor, buffer, size),
         TORN => {
-            mark(descriptor, FOLDER);
-            let number = with_current(|current| Some(current.torn_with));
-            return fail(number.unwrap_or(libc::EIO)) as ssize_t;
+            set_descriptor_state(descriptor, IN_FOLDER);
+            let error_number = with_active_plan(|active_plan| Some(active_plan.torn_error));
+            return set_error(error_number.unwrap_or(libc::EIO)) as ssize_t;
         }
         _ => {}
     }
-    match strike("write") {
-        Some(Effect::Fails(number)) => fail(number) as ssize_t,
+    match fault_for("write") {
+        Some(Effect::Fails(error_number)) => set_error(error_number) as ssize_t,
         Some(Effect::Torn(_)) => {
-            mark(descriptor, TORN);
-            next(descriptor, buffer, half(size))
+            set_descriptor_state(descriptor, TORN);
+            original(descriptor, buffer, half(size))
         }
-        Some(Effect::Short) => next(descriptor, buffer, half(size)),
-        _ => next(descriptor, buffer, size),
+        Some(Effect::Short) => original(descriptor, buffer, half(size)),
+        _ => original(descriptor, buffer, size),
     }
 }
 
+/// Opens a file; those of the folder are tracked and subject to rules for `open`.
+///
 /// # Safety
 /// As `open(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
-    let next = next!("open64", unsafe extern "C" fn(*const c_char, c_int, c_uint) -> c_int);
-    if !in_folder(path) {
-        return next(path, flags, mode);
+    let original = original_function!("open64", unsafe extern "C" fn(*const c_char, c_int, c_uint) -> c_int);
+    if !is_in_folder(path) {
+        return original(path, flags, mode);
     }
-    if let Some(failed) = fails("open") {
+    if let Some(failed) = injected_failure("open") {
         return failed;
     }
-    let descriptor = next(path, flags, mode);
-    mark(descriptor, FOLDER);
+    let descriptor = original(path, flags, mode);
+    set_descriptor_state(descriptor, IN_FOLDER);
     descriptor
 }
 
+/// Closes a descriptor, which is no longer tracked.
+///
 /// # Safety
 /// As `close(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    let next = next!("close", unsafe extern "C" fn(c_int) -> c_int);
-    mark(descriptor, OTHER);
-    next(descriptor)
+    let original = original_function!("close", unsafe extern "C" fn(c_int) -> c_int);
+    set_descriptor_state(descriptor, UNTRACKED);
+    original(descriptor)
 }
 
+/// Truncates a file; those of the folder are subject to rules for `ftruncate`.
+///
 /// # Safety
 /// As `ftruncate(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn ftruncate64(descriptor: c_int, length: off64_t) -> c_int {
-    let next = next!("ftruncate64", unsafe extern "C" fn(c_int, off64_t) -> c_int);
-    match known(descriptor) {
-        OTHER => next(descriptor, length),
-        _ => fails("ftruncate").unwrap_or_else(|| next(descriptor, length)),
+    let original = original_function!("ftruncate64", unsafe extern "C" fn(c_int, off64_t) -> c_int);
+    match descriptor_state(descriptor) {
+        UNTRACKED => original(descriptor, length),
+        _ => injected_failure("ftruncate").unwrap_or_else(|| original(descriptor, length)),
     }
 }
 
+/// Flushes a file to storage; those of the folder are subject to rules for `fsync`.
+///
 /// # Safety
 /// As `fsync(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn fsync(descriptor: c_int) -> c_int {
-    let next = next!("fsync", unsafe extern "C" fn(c_int) -> c_int);
-    match known(descriptor) {
-        OTHER => next(descriptor),
-        _ => fails("fsync").unwrap_or_else(|| next(descriptor)),
+    let original = original_function!("fsync", unsafe extern "C" fn(c_int) -> c_int);
+    match descriptor_state(descriptor) {
+        UNTRACKED => original(descriptor),
+        _ => injected_failure("fsync").unwrap_or_else(|| original(descriptor)),
     }
 }
 
+/// Removes a file; those of the folder are subject to rules for `unlink`.
+///
 /// # Safety
 /// As `unlink(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
-    let next = next!("unlink", unsafe extern "C" fn(*const c_char) -> c_int);
-    match in_folder(path) {
-        true => fails("unlink").unwrap_or_else(|| next(path)),
-        false => next(path),
+    let original = original_function!("unlink", unsafe extern "C" fn(*const c_char) -> c_int);
+    match is_in_folder(path) {
+        true => injected_failure("unlink").unwrap_or_else(|| original(path)),
+        false => original(path),
     }
 }
 
+/// Renames a file; targets in the folder are subject to rules for `rename`.
+///
 /// # Safety
 /// As `rename(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
-    let next = next!("rename", unsafe extern "C" fn(*const c_char, *const c_char) -> c_int);
-    match in_folder(to) {
-        true => fails("rename").unwrap_or_else(|| next(from, to)),
-        false => next(from, to),
+    let original = original_function!("rename", unsafe extern "C" fn(*const c_char, *const c_char) -> c_int);
+    match is_in_folder(to) {
+        true => injected_failure("rename").unwrap_or_else(|| original(from, to)),
+        false => original(from, to),
     }
 }
 
+/// Opens a directory; those of the folder are subject to rules for `opendir`.
+///
 /// # Safety
 /// As `opendir(3)`.
 #[no_mangle]
 pub unsafe extern "C" fn opendir(path: *const c_char) -> *mut libc::DIR {
-    let next = next!("opendir", unsafe extern "C" fn(*const c_char) -> *mut libc::DIR);
-    match in_folder(path) && fails("opendir").is_some() {
+    let original = original_function!("opendir", unsafe extern "C" fn(*const c_char) -> *mut libc::DIR);
+    match is_in_folder(path) && injected_failure("opendir").is_some() {
         true => std::ptr::null_mut(),
-        false => next(path),
+        false => original(path),
     }
 }
 
+/// Reads a clock; the wall clock is shifted by the rule `wall`.
+///
 /// # Safety
 /// As `clock_gettime(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let next = next!("clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
-    let result = next(clock, time);
+    let original =
+        original_function!("clock_gettime", unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int);
+    let result = original(clock, time);
     if clock == libc::CLOCK_REALTIME && result == 0 {
-        let offset = with_current(|current| Some(current.plan.wall)).unwrap_or(0);
-        let nanoseconds = (*time).tv_sec * 1_000_000_000 + (*time).tv_nsec + offset * 1_000;
+        let offset_micros =
+            with_active_plan(|active_plan| Some(active_plan.plan.wall_offset_micros)).unwrap_or(0);
+        let nanoseconds = (*time).tv_sec * 1_000_000_000 + (*time).tv_nsec + offset_micros * 1_000;
         (*time).tv_sec = nanoseconds.div_euclid(1_000_000_000);
         (*time).tv_nsec = nanoseconds.rem_euclid(1_000_000_000);
     }
--- a/crates/faultshim/src/plan.rs
+++ b/crates/faultshim/src/plan.rs
@@ -1,55 +1,61 @@
-//! The fault plan: which system calls fail, how, how often. It is text, one rule a line, and makes no system call itself.
+//! The fault plan, which says which system calls fail, how and how often. It is text with one rule a line; this module
+//! makes no system call itself.
 //!
 //! ```text
-//! write torn=EIO                 every write to the folder is cut in half, and what follows it gives EIO
-//! accept ECONNABORTED chance=0.3 three of ten calls fail
-//! unlink EIO nth=2 count=1       the second call fails, once
-//! send stall=150 chance=0.05     held up for 150 ms before it is made
-//! recv short                     half of what was asked for
-//! wall 3600000000                the wall clock is an hour ahead, in microseconds
-//! seed 7
+//! write torn=EIO                 each write to the folder writes half, and the next write on the descriptor fails with EIO
+//! accept ECONNABORTED chance=0.3 each call fails with a probability of 0.3
+//! unlink EIO nth=2 count=1       the second call fails; at most one call fails
+//! send stall=150 chance=0.05     the call is delayed by 150 ms with a probability of 0.05
+//! recv short                     each call transfers at most half of the requested size
+//! wall 3600000000                the wall clock is ahead by so many microseconds, here by an hour
+//! seed 7                         the seed of the probabilities
 //! ```
 
 use std::ffi::c_int;
 
-/// What happens to a call that a rule strikes.
+/// What happens to a call into which a fault is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// It fails with this error number.
+    /// The call fails with this error number.
     Fails(c_int),
-    /// It takes half of what it was given.
+    /// The call transfers at most half of the requested size.
     Short,
-    /// It takes half of what it was given, and the next one on the descriptor fails with this error number.
+    /// The call writes at most half of the requested size, and the next write on the descriptor fails with this error
+    /// number.
     Torn(c_int),
-    /// It is made after so many milliseconds.
+    /// The call is delayed by this many milliseconds.
     Stalls(u64),
 }
 
-/// A line of the plan.
+/// A rule of the plan for the calls of one name, and its counts.
 #[derive(Clone, Debug)]
 pub struct Rule {
-    /// The name of the call.
+    /// The name of the system call.
     pub call: String,
     effect: Effect,
-    /// The first call that it may strike, from 1.
-    nth: u64,
-    /// How many it strikes at most.
-    count: u64,
-    chance: f64,
-    /// Calls of that name so far, and those that were struck.
-    seen: u64,
-    struck: u64,
+    /// The first call that may get a fault, counted from 1.
+    first_call: u64,
+    /// The most calls that get a fault.
+    max_faults: u64,
+    /// The probability that a call gets a fault.
+    probability: f64,
+    /// The number of calls so far.
+    calls_seen: u64,
+    /// The number of calls so far that got a fault.
+    faults_injected: u64,
 }
 
-/// A whole plan.
+/// The rules in force, with the state of the random generator.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     rules: Vec<Rule>,
-    /// Added to the wall clock, in microseconds.
-    pub wall: i64,
-    random: u64,
+    /// The offset that is added to the wall clock, in microseconds.
+    pub wall_offset_micros: i64,
+    /// The state of the random generator, which is never 0 in a parsed plan.
+    random_state: u64,
 }
 
+/// The error number of this name; `None` for names that plans do not support.
 fn error_number(name: &str) -> Option<c_int> {
     Some(match name {
         "EIO" => libc::EIO,
@@ -73,29 +79,30 @@
 }
 
 impl Rule {
-    fn read(words: &[&str]) -> Option<Rule> {
-        let (call, how) = (words.first()?, words.get(1)?);
-        let effect = match how.split_once('=') {
+    /// Parses the words of a line; `None` if they are not a rule.
+    fn parse(words: &[&str]) -> Option<Rule> {
+        let (call, effect_word) = (words.first()?, words.get(1)?);
+        let effect = match effect_word.split_once('=') {
             Some(("torn", name)) => Effect::Torn(error_number(name)?),
             Some(("stall", milliseconds)) => Effect::Stalls(milliseconds.parse().ok()?),
-            None if *how == "short" => Effect::Short,
-            None => Effect::Fails(error_number(how)?),
+            None if *effect_word == "short" => Effect::Short,
+            None => Effect::Fails(error_number(effect_word)?),
             _ => return None,
         };
         let mut rule = Rule {
             call: (*call).to_owned(),
             effect,
-            nth: 1,
-            count: u64::MAX,
-            chance: 1.0,
-            seen: 0,
-            struck: 0,
+            first_call: 1,
+            max_faults: u64::MAX,
+            probability: 1.0,
+            calls_seen: 0,
+            faults_injected: 0,
         };
         for option in &words[2..] {
             match option.split_once('=')? {
-                ("nth", value) => rule.nth = value.parse().ok()?,
-                ("count", value) => rule.count = value.parse().ok()?,
-                ("chance", value) => rule.chance = value.parse().ok()?,
+                ("nth", value) => rule.first_call = value.parse().ok()?,
+                ("count", value) => rule.max_faults = value.parse().ok()?,
+                ("chance", value) => rule.probability = value.parse().ok()?,
                 _ => return None,
             }
         }
@@ -104,39 +111,42 @@
 }
 
 impl Plan {
-    /// Reads a plan; a line that makes no sense is left out.
-    pub fn read(text: &str) -> Plan {
-        let mut plan = Plan { random: 1, ..Plan::default() };
+    /// Parses a plan. A line that is not a rule is ignored.
+    pub fn parse(text: &str) -> Plan {
+        let mut plan = Plan { random_state: 1, ..Plan::default() };
         for line in text.lines() {
             let words: Vec<&str> = line.split_whitespace().collect();
             match words.as_slice() {
-                ["wall", offset] => plan.wall = offset.parse().unwrap_or(0),
-                ["seed", seed] => plan.random = seed.parse().unwrap_or(0) | 1,
-                words => plan.rules.extend(Rule::read(words)),
+                ["wall", offset] => plan.wall_offset_micros = offset.parse().unwrap_or(0),
+                ["seed", seed] => plan.random_state = seed.parse().unwrap_or(0) | 1,
+                words => plan.rules.extend(Rule::parse(words)),
             }
         }
         plan
     }
 
-    /// From 0 to 1, by the generator xorshift64.
-    fn draw(&mut self) -> f64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        (self.random >> 11) as f64 / (1u64 << 53) as f64
+    /// Draws a number from 0 up to but not including 1 with the generator xorshift64.
+    fn next_random(&mut self) -> f64 {
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// What happens to a call of a name that is about to be made.
-    pub fn strike(&mut self, call: &str) -> Option<Effect> {
-        for at in 0..self.rules.len() {
-            if self.rules[at].call != call {
+    /// The fault to inject into a call of this name that is about to be made: that of the first rule that applies.
+    pub fn next_effect(&mut self, call: &str) -> Option<Effect> {
+        for index in 0..self.rules.len() {
+            if self.rules[index].call != call {
                 continue;
             }
-            let drawn = self.draw();
-            let rule = &mut self.rules[at];
-            rule.seen += 1;
-            if rule.seen >= rule.nth && rule.struck < rule.count && drawn < rule.chance {
-                rule.struck += 1;
+            let random_number = self.next_random();
+            let rule = &mut self.rules[index];
+            rule.calls_seen += 1;
+            if rule.calls_seen >= rule.first_call
+                && rule.faults_injected < rule.max_faults
+                && random_number < rule.probability
+            {
+                rule.faults_injected += 1;
                 return Some(rule.effect);
             }
         }
