--- a/crates/endpoint-model/src/fault.rs
+++ b/crates/endpoint-model/src/fault.rs
@@ -1,39 +1,39 @@
-//! What goes wrong at a destination.
+//! Faults of destinations.
 
-/// A fault.
+/// A fault of a destination.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It works so many times slower.
+    /// The work of each call takes this many times as long.
     Slow(f64),
-    /// It accepts calls and answers none.
+    /// The destination accepts calls and never answers.
     Hang,
-    /// It refuses connections.
+    /// It refuses new connections and resets those with calls in flight.
     RefuseConnections,
-    /// This share of its calls fails at once.
+    /// This share of its calls fails immediately.
     FailCalls(f64),
-    /// It rejects all calls.
+    /// It rejects all calls, without a `retry_after`.
     RejectAll,
-    /// Nothing comes back, not even for a connection.
+    /// It answers nothing, not even connection attempts.
     Silent,
-    /// It does the work and then resets the connection in place of an answer.
+    /// It does the work of a call and then resets the connection instead of answering.
     ResetConnections,
-    /// Connections from before the fault lead nowhere; new ones work.
+    /// Calls on connections from before the fault get no answer; new connections work.
     HalfOpenConnections,
-    /// It accepts this share of its limit, and says so where it reports its limit.
+    /// It accepts only this share of its rate limit, and reports the lower limit if it reports one.
     ReducedLimit(f64),
 }
 
-/// How a call ends that was in flight as a fault began.
+/// How a fault ends a call that is in flight when the fault begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InFlightEffect {
-    /// Its connection is reset at once.
+    /// The connection of the call is reset immediately.
     Reset,
-    /// Its answer never comes.
+    /// The call never gets an answer.
     Silent,
 }
 
 impl Fault {
-    /// Whether the destination warms up after it.
+    /// Whether the destination warms up after the fault, so that its capacity rises only gradually.
     pub fn is_outage(self) -> bool {
         !matches!(
             self,
@@ -41,7 +41,7 @@
         )
     }
 
-    /// The share of its limit that the destination accepts, if the fault reduces it.
+    /// The share of its rate limit that the destination accepts; `None` if the fault does not reduce the limit.
     pub fn limit_share(self) -> Option<f64> {
         match self {
             Fault::ReducedLimit(share) => Some(share),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// How many times slower the destination works.
+    /// The factor by which the work of each call takes longer: 1 for all faults but [`Fault::Slow`].
     pub fn slowdown(self) -> f64 {
         match self {
             Fault::Slow(factor) => factor,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// What becomes of calls in flight as the fault begins; `None` if they go on.
+    /// How calls end that are in flight when the fault begins; `None` if they go on.
     pub fn effect_on_calls_in_flight(self) -> Option<InFlightEffect> {
         match self {
             Fault::RefuseConnections => Some(InFlightEffect::Reset),
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Of several faults at once, the one with the highest rank shows; slowness and a reduced limit add to any.
+    /// Precedence among several faults at once: the one with the highest rank decides how calls are answered. Slowness and
+    /// a reduced limit take effect in addition to any other fault.
     pub(crate) fn rank(self) -> u8 {
         match self {
             Fault::Silent => 7,
--- a/crates/endpoint-model/src/lib.rs
+++ b/crates/endpoint-model/src/lib.rs
@@ -1,8 +1,8 @@
-//! Seeded models of destinations: their service time, limit, queue and faults. They do no I/O and take time as an argument, so
-//! that they are the same in virtual and in real time. They know nothing of forwarders.
+//! Seeded models of destinations: their service time, rate limit, queue and faults. They do no I/O and take the time as an
+//! argument, so that they work the same in virtual and in real time. They do not depend on forwarders.
 //!
-//! A call's fate is settled when it arrives: by the fault at that moment, by what the limit and the queue leave, by how long the
-//! work takes. A fault that begins later does not reach back to it.
+//! The result of a call is decided when it arrives, by the faults at that moment, by the rate limit, by the queue, and by
+//! the time that its work takes. A fault that begins later does not change it.
 
 mod fault;
 mod model;
@@ -12,7 +12,7 @@
 pub use model::{Answer, CallResult, DestinationModel, LimitReport, TimedAnswer};
 pub use profile::DestinationProfile;
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
 const SECOND: Micros = 1_000_000;
