--- a/crates/endpoint-model/src/fault.rs
+++ b/crates/endpoint-model/src/fault.rs
@@ -7,19 +7,19 @@
     Slow(f64),
     /// The destination accepts calls and never answers.
     Hang,
-    /// It refuses new connections and resets those with calls in flight.
+    /// The destination refuses new connections and resets those with calls in flight.
     RefuseConnections,
-    /// This share of its calls fails immediately.
+    /// This share of the calls fails immediately.
     FailCalls(f64),
-    /// It rejects all calls, without a `retry_after`.
+    /// The destination rejects all calls, without a `retry_after`.
     RejectAll,
-    /// It answers nothing, not even connection attempts.
+    /// The destination answers nothing, not even connection attempts.
     Silent,
-    /// It does the work of a call and then resets the connection instead of answering.
+    /// The destination does the work of a call and then resets the connection instead of answering.
     ResetConnections,
     /// Calls on connections from before the fault get no answer; new connections work.
     HalfOpenConnections,
-    /// It accepts only this share of its rate limit, and reports the lower limit if it reports one.
+    /// The destination accepts only this share of its rate limit, and reports the reduced limit.
     ReducedLimit(f64),
 }
 
--- a/crates/faultshim/src/lib.rs
+++ b/crates/faultshim/src/lib.rs
@@ -34,7 +34,9 @@
 /// State of a file of the folder after a torn write: its next write fails.
 const TORN: u8 = 2;
 
+/// The state of each descriptor, by its number.
 static DESCRIPTOR_STATES: [AtomicU8; MAX_DESCRIPTORS] = [const { AtomicU8::new(UNTRACKED) }; MAX_DESCRIPTORS];
+/// The plan in force; `None` before the first call that looks for one, and without `FAULTSHIM_PLAN`.
 static ACTIVE_PLAN: Mutex<Option<ActivePlan>> = Mutex::new(None);
 
 thread_local! {
@@ -58,17 +60,18 @@
 macro_rules! original_function {
     ($name:literal, $type:ty) => {{
         static ORIGINAL: AtomicPtr<c_void> = AtomicPtr::new(std::ptr::null_mut());
-        let mut found = ORIGINAL.load(Ordering::Relaxed);
-        if found.is_null() {
+        let mut function = ORIGINAL.load(Ordering::Relaxed);
+        if function.is_null() {
             // SAFETY: the name is a C string, and RTLD_NEXT is a valid handle in a loaded library.
-            found = unsafe { libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast()) };
-            ORIGINAL.store(found, Ordering::Relaxed);
+            function = unsafe { libc::dlsym(libc::RTLD_NEXT, concat!($name, "\0").as_ptr().cast()) };
+            ORIGINAL.store(function, Ordering::Relaxed);
         }
         // SAFETY: the C library declares the function of that name with this type.
-        unsafe { std::mem::transmute::<*mut c_void, $type>(found) }
+        unsafe { std::mem::transmute::<*mut c_void, $type>(function) }
     }};
 }
 
+/// The value of an environment variable; `None` if it is not set or not UTF-8.
 fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
@@ -96,9 +99,9 @@
 fn file_version(path: &CStr) -> Option<(i64, i64, u64)> {
     // SAFETY: an all-zero stat is valid, and both pointers live through the call.
     unsafe {
-        let mut found: libc::stat = std::mem::zeroed();
-        let result = libc::syscall(libc::SYS_newfstatat, libc::AT_FDCWD, path.as_ptr(), &raw mut found, 0);
-        (result == 0).then_some((found.st_mtime, found.st_mtime_nsec, found.st_ino))
+        let mut status: libc::stat = std::mem::zeroed();
+        let result = libc::syscall(libc::SYS_newfstatat, libc::AT_FDCWD, path.as_ptr(), &raw mut status, 0);
+        (result == 0).then_some((status.st_mtime, status.st_mtime_nsec, status.st_ino))
     }
 }
 
@@ -182,7 +185,8 @@
     -1
 }
 
-/// The return value of a call that fails, for calls that transfer no data; `None` if the call is to be made.
+/// The return value of a call into which a failure is injected; `None` if the call is to be made. For calls without a size,
+/// which cannot be cut short.
 fn injected_failure(call: &str) -> Option<c_int> {
     match fault_for(call)? {
         Effect::Fails(error_number) | Effect::Torn(error_number) => Some(set_error(error_number)),
@@ -203,7 +207,7 @@
     }
 }
 
-/// Whether a path is in the folder of `FAULTSHIM_FOLDER`.
+/// Whether a path begins with that of `FAULTSHIM_FOLDER`.
 fn is_in_folder(path: *const c_char) -> bool {
     if path.is_null() {
         return false;
--- a/crates/faultshim/src/plan.rs
+++ b/crates/faultshim/src/plan.rs
@@ -6,7 +6,7 @@
 //! accept ECONNABORTED chance=0.3 each call fails with a probability of 0.3
 //! unlink EIO nth=2 count=1       the second call fails; at most one call fails
 //! send stall=150 chance=0.05     the call is delayed by 150 ms with a probability of 0.05
-//! recv short                     each call transfers at most half of the requested size
+//! recv short                     each call is made with half of the requested size
 //! wall 3600000000                the wall clock is ahead by so many microseconds, here by an hour
 //! seed 7                         the seed of the probabilities
 //! ```
@@ -18,16 +18,16 @@
 pub enum Effect {
     /// The call fails with this error number.
     Fails(c_int),
-    /// The call transfers at most half of the requested size.
+    /// The call is made with half of the requested size, rounded up.
     Short,
-    /// The call writes at most half of the requested size, and the next write on the descriptor fails with this error
-    /// number.
+    /// The call is made with half of the requested size, rounded up, and the next write on the descriptor fails with this
+    /// error number.
     Torn(c_int),
     /// The call is delayed by this many milliseconds.
     Stalls(u64),
 }
 
-/// A rule of the plan for the calls of one name, and its counts.
+/// A rule of the plan for the system calls of one name, and its counts.
 #[derive(Clone, Debug)]
 pub struct Rule {
     /// The name of the system call.
--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -43,7 +43,7 @@
     report: Option<(Instant, Report)>,
 }
 
-/// Where an attempt was received.
+/// Where an attempt was received: the numbers of the endpoint, its destination and its zone.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTarget {
     pub endpoint: usize,
--- a/crates/soak-test/src/deployment.rs
+++ b/crates/soak-test/src/deployment.rs
@@ -7,7 +7,7 @@
 
 /// Number of destinations.
 pub const DESTINATION_COUNT: usize = 5;
-/// The destination that gets more messages than the others, about as many as its capacity, and half of the outages.
+/// The destination that gets more messages than the others, about as many as its capacity, and about half of the outages.
 pub const BUSY_DESTINATION: usize = 0;
 /// Share of the messages that go to the busy destination in any case; the rest is spread over all destinations.
 pub const BUSY_MESSAGE_SHARE: f64 = 0.15;
@@ -32,6 +32,7 @@
 
 /// A kind of endpoint; each destination has endpoints of one kind.
 pub struct EndpointKind {
+    /// Its name in the settings and in the endpoint list.
     pub name: &'static str,
     /// The most messages that one call may carry.
     pub messages_per_call: usize,
@@ -48,6 +49,7 @@
 
 /// A class of messages.
 pub struct Class {
+    /// Its name in the settings and in the header `X-Class`.
     pub name: &'static str,
     pub idempotency: Idempotency,
 }
--- a/crates/soak-test/src/environment.rs
+++ b/crates/soak-test/src/environment.rs
@@ -33,8 +33,11 @@
 
 /// An endpoint and the state of its entry in the endpoint list.
 pub struct Endpoint {
+    /// Its instance id in the endpoint list.
     pub name: String,
+    /// The number of its destination, from 0.
     pub destination: usize,
+    /// The index of its zone in `deployment::ZONES`.
     pub zone: usize,
     pub address: SocketAddr,
     pub behaviour: Cell<Behaviour>,
@@ -77,6 +80,7 @@
     pub executor: Rc<LocalExecutor<'static>>,
     pub options: RunOptions,
     pub seed: u64,
+    /// The random generator that all tasks draw from.
     pub random: RefCell<fastrand::Rng>,
     pub checker: RefCell<InvariantChecker>,
     /// All endpoints ever started, by number.
@@ -91,6 +95,7 @@
     pub faults_ended: Cell<bool>,
     /// Set when clients submit no further messages.
     pub submissions_ended: Cell<bool>,
+    /// The start of the run, from which the event log counts its times.
     pub started_at: Instant,
     /// A file of the run's folder that lists the injected faults with their times.
     pub event_log: RefCell<File>,
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -112,15 +112,17 @@
         let own_limits = [false; deployment::ENDPOINT_KINDS.len()];
         let classes: Vec<Value> = environment.classes.iter().map(deployment::class_settings).collect();
         let settings = json!({
-            "azs": deployment::ZONES, "zone": deployment::ZONES[self.number % 2], "balancers": environment.options.forwarders,
-            "me": self.number, "kinds": kinds, "discovery": "pushed", "categories": classes,
+            "azs": deployment::ZONES, "zone": deployment::ZONES[self.number % 2],
+            "balancers": environment.options.forwarders, "me": self.number, "kinds": kinds, "discovery": "pushed", "categories": classes,
             "realms": [{"name": "acme", "portion": 1.0, "quota-per-s": 10000.0}],
             "granularity": 5.0, "weight-source": "rough", "fees": {}, "callers": {"marks-retry": true},
             "permissions": {"max-open": self.max_open.get(), "max-attempts": deployment::MAX_ATTEMPTS, "cancel": true,
                 "retry-after": true, "max-retry-after": 3000.0, "conn-idle": 3000.0, "dial-timeout": 1500.0},
             "rules": {"fall-multiple": deployment::OVERLOAD_MULTIPLE,
-                "fall": deployment::OVERLOAD_WINDOW.as_millis() as f64, "cold": deployment::SLOW_START_DURATION.as_millis() as f64,
-                "cold-from": deployment::SLOW_START_INITIAL_SHARE, "drain-grace": deployment::DRAIN_GRACE.as_millis() as f64},
+                "fall": deployment::OVERLOAD_WINDOW.as_millis() as f64,
+                "cold": deployment::SLOW_START_DURATION.as_millis() as f64,
+                "cold-from": deployment::SLOW_START_INITIAL_SHARE,
+                "drain-grace": deployment::DRAIN_GRACE.as_millis() as f64},
             "specifics": {"call-slots": 12, "late": "linear", "own-limits": own_limits, "per-call": messages_per_call},
         });
         let mut config = json!({
--- a/crates/soak-test/src/observation.rs
+++ b/crates/soak-test/src/observation.rs
@@ -42,7 +42,7 @@
     pub at: Duration,
     /// The name of the invariant.
     pub rule: &'static str,
-    /// What was observed; begins with the id of the message and a colon if it concerns one.
+    /// What was observed. A description that begins with a message's id and a colon gets the history of that message.
     pub description: String,
 }
 
--- a/crates/soak-test/src/platform.rs
+++ b/crates/soak-test/src/platform.rs
@@ -133,8 +133,9 @@
         if sent_lifecycles.insert(number, lifecycle) == Some(lifecycle) || is_first && lifecycle == "left" {
             continue;
         }
-        entries.push(json!({"instanceId": endpoint.name, "hostPort": endpoint.address.to_string(), "zone": ZONES[endpoint.zone],
-            "machineType": endpoint_kind(endpoint.destination).name, "cell": endpoint.destination, "lifecycle": lifecycle, "weight": CAPACITY_PER_S, "startedAtMs": 0}));
+        entries.push(json!({"instanceId": endpoint.name, "hostPort": endpoint.address.to_string(),
+            "zone": ZONES[endpoint.zone], "machineType": endpoint_kind(endpoint.destination).name,
+            "cell": endpoint.destination, "lifecycle": lifecycle, "weight": CAPACITY_PER_S, "startedAtMs": 0}));
         environment.checker.borrow_mut().record_lifecycle_notice(forwarder, number, lifecycle != "active");
     }
     json!({"generation": environment.list_generation.get(), "reset": is_first, "instances": entries})
--- a/crates/soak-test/src/slow_start.rs
+++ b/crates/soak-test/src/slow_start.rs
@@ -42,6 +42,7 @@
 }
 
 impl SlowStartMonitor {
+    /// A monitor of a destination that has its full capacity.
     pub fn new() -> Self {
         SlowStartMonitor {
             phase: Phase::Warm,
@@ -51,26 +52,26 @@
         }
     }
 
-    /// All endpoints of the destination go down.
+    /// Notes that all endpoints of the destination go down.
     pub fn begin_outage(&mut self) {
         self.phase = Phase::Outage;
         self.observers.clear();
     }
 
-    /// The endpoints are up again.
+    /// Notes that the endpoints are up again, which begins the slow start.
     pub fn begin_slow_start(&mut self, now: Instant) {
         self.phase = Phase::SlowStart { since: now };
         self.calls.clear();
     }
 
-    /// A call of a forwarder to the destination has failed.
+    /// Notes that a call of a forwarder to the destination has failed, by which it observes an outage.
     pub fn record_failure(&mut self, forwarder: usize) {
         if matches!(self.phase, Phase::Outage) {
             self.observers.insert(forwarder);
         }
     }
 
-    /// A forwarder's process has exited, and with it the knowledge of the outage.
+    /// Notes that a forwarder's process has exited: the next one has not observed the outage.
     pub fn forget_observer(&mut self, forwarder: usize) {
         self.observers.remove(&forwarder);
     }
@@ -110,7 +111,8 @@
     }
 }
 
-/// The most calls in a window for a mean of `allowed` calls: the mean plus 2 or 3 standard deviations of a Poisson count.
+/// The most calls in a window for a mean of `allowed` calls: the mean, plus 2 or 3 standard deviations of a Poisson count,
+/// plus as many calls.
 fn max_calls_with_margin(allowed: f64) -> f64 {
     let margin = if allowed < SMALL_SAMPLE_CALLS { 3.0 } else { 2.0 };
     allowed + margin * allowed.sqrt() + margin
