--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -113,7 +113,8 @@
         let classes: Vec<Value> = environment.classes.iter().map(deployment::class_settings).collect();
         let settings = json!({
             "azs": deployment::ZONES, "zone": deployment::ZONES[self.number % 2],
-            "balancers": environment.options.forwarders, "me": self.number, "kinds": kinds, "discovery": "pushed", "categories": classes,
+            "balancers": environment.options.forwarders, "me": self.number,
+            "kinds": kinds, "discovery": "pushed", "categories": classes,
             "realms": [{"name": "acme", "portion": 1.0, "quota-per-s": 10000.0}],
             "granularity": 5.0, "weight-source": "rough", "fees": {}, "callers": {"marks-retry": true},
             "permissions": {"max-open": self.max_open.get(), "max-attempts": deployment::MAX_ATTEMPTS, "cancel": true,
