--- a/crates/soak-test/src/process.rs
+++ b/crates/soak-test/src/process.rs
@@ -1,6 +1,6 @@
-//! What it takes to run a forwarder's process: its program, the fault library, signals, addresses and requests.
+//! Helpers for running a forwarder's process: its program, the fault library, signals, addresses and HTTP requests.
 
-use crate::world::sleep;
+use crate::environment::sleep;
 use async_io::Async;
 use cedarbridge::net::http::HttpConnection;
 use futures_lite::future;
@@ -10,20 +10,22 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// The program that is run: this one, by its hidden command, or another.
-pub fn program() -> Command {
-    let own = std::env::current_exe().expect("a path");
+/// The command that runs a forwarder: the hidden subcommand of this program, or the program that `CEDARBRIDGE_SOAK_PROGRAM`
+/// names.
+pub fn forwarder_command() -> Command {
+    let own_program = std::env::current_exe().expect("the path of this program is known");
     match std::env::var_os("CEDARBRIDGE_SOAK_PROGRAM") {
-        Some(other) => Command::new(other),
+        Some(program) => Command::new(program),
         None => {
-            let mut command = Command::new(own);
+            let mut command = Command::new(own_program);
             command.arg("forwarder");
             command
         }
     }
 }
 
-/// Where Cargo puts the library of `crates/faultshim`: beside the program, or in its `deps`.
+/// The path where Cargo puts the library of `crates/faultshim`, in the program's folder or its `deps`; `None` if it is in
+/// neither.
 pub fn fault_library() -> Option<PathBuf> {
     let folder = std::env::current_exe().ok()?.parent()?.to_owned();
     let name = "libcedarbridge_faultshim.so";
@@ -32,29 +34,32 @@
 
 /// Sends a signal to a process.
 pub fn send_signal(process: &Child, signal: Signal) {
-    // It may just have ended, which is seen elsewhere.
+    // An error means that the process has just exited, which its exit status shows.
     if let Some(pid) = Pid::from_raw(process.id() as i32) {
         let _ = kill_process(pid, signal);
     }
 }
 
-/// A free address on the same host.
-pub fn free_address(beside: SocketAddr) -> std::io::Result<SocketAddr> {
-    TcpListener::bind((beside.ip(), 0))?.local_addr()
+/// An address with a free port on the same IP address.
+///
+/// # Errors
+/// No port can be bound.
+pub fn free_address(same_host: SocketAddr) -> std::io::Result<SocketAddr> {
+    TcpListener::bind((same_host.ip(), 0))?.local_addr()
 }
 
-/// The body of a 200 response to a GET; `None` if it does not come at once.
-pub async fn get_from(address: SocketAddr, path: &str) -> Option<String> {
-    let asked = async {
+/// The body of a 200 response to a GET; `None` for any other response and after half a second without one.
+pub async fn http_get(address: SocketAddr, path: &str) -> Option<String> {
+    let response = async {
         let mut connection = HttpConnection::new(Async::<TcpStream>::connect(address).await.ok()?);
-        let text = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
-        connection.write(text.as_bytes()).await.ok()?;
+        let request = format!("GET {path} HTTP/1.1\r\nHost: soak\r\nConnection: close\r\n\r\n");
+        connection.write(request.as_bytes()).await.ok()?;
         let head = connection.read_response().await.ok().filter(|h| h.status == 200)?;
         String::from_utf8(connection.response_body(&head, 1 << 20).await.ok()?).ok()
     };
-    let late = async {
+    let timed_out = async {
         sleep(Duration::from_millis(500)).await;
         None
     };
-    future::or(asked, late).await
+    future::or(response, timed_out).await
 }
