--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -251,8 +251,8 @@
             self.audit.attempt_ended(self.now, destination, message, sent, outcome);
             self.figures.outcome(outcome);
             self.messages[message].call = None;
-            let ended = outcome == Outcome::Ok;
-            if ended && !self.messages[message].closed {
+            let completes_message = outcome == Outcome::Ok;
+            if completes_message && !self.messages[message].closed {
                 let timing = self.timing(message);
                 self.audit.ended(self.now, message, &timing, MessageEnd::Delivered);
                 self.close_message(message);
@@ -266,7 +266,7 @@
                     endpoint: EndpointId(endpoint as u32 + 1),
                     outcome,
                     elapsed: self.now - sent,
-                    completes_message: ended,
+                    completes_message,
                     report,
                 },
             );
--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -127,13 +127,14 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Whether the message is complete, as it was delivered or has expired.
-    pub ended: bool,
+    #[serde(rename = "ended")]
+    pub completes_message: bool,
 }
 
 impl AttemptResult {
     /// A result that completes the message only if the outcome is a delivery.
     pub fn from_outcome(outcome: Outcome) -> Self {
-        AttemptResult { outcome, ended: outcome == Outcome::Ok }
+        AttemptResult { outcome, completes_message: outcome == Outcome::Ok }
     }
 }
 
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -120,7 +120,7 @@
     fn attempt_completed(&mut self, attempt: CompletedAttempt) {
         let CompletedAttempt { id: attempt_id, endpoint, elapsed, result, report } = attempt;
         let AttemptId { message: id, number } = attempt_id;
-        let AttemptResult { outcome, ended } = result;
+        let AttemptResult { outcome, completes_message } = result;
         self.context.counters.count_attempt(outcome);
         self.predecessor_attempts.remove(&attempt_id);
         self.context.ledger.borrow_mut().attempt_ended(id, number, outcome);
@@ -130,7 +130,7 @@
                 "attempt" => number, "endpoint" => endpoint.0, "outcome" => ?outcome, "ms" => elapsed / 1000);
             message.route_stats.iter().for_each(|stats| stats.attempt_completed(outcome));
         }
-        if ended {
+        if completes_message {
             self.end_by_response(id, outcome, message.as_deref());
         } else if never_ran(outcome) {
             self.context.journal.record_never_ran(id, number);
@@ -142,7 +142,7 @@
             endpoint,
             outcome,
             elapsed,
-            completes_message: ended,
+            completes_message,
             report,
         });
     }
--- a/src/net/endpoint/response.rs
+++ b/src/net/endpoint/response.rs
@@ -102,9 +102,10 @@
     }
 }
 
-/// The result of an attempt that the endpoint did not run. `ended`: the message has expired and must not be sent again.
-fn not_run(ended: bool) -> AttemptResult {
-    AttemptResult { outcome: Outcome::NotSent, ended }
+/// The result of an attempt that the endpoint did not run. `completes_message`: the message has expired and must
+/// not be sent again.
+fn not_run(completes_message: bool) -> AttemptResult {
+    AttemptResult { outcome: Outcome::NotSent, completes_message }
 }
 
 /// Parses a load report (`x0`: the share of the quota that is left, `x1`: the rate limit in calls per second).
