--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -3,7 +3,7 @@
 //! live rehearsals are audited by the same code, with the tolerances of the platform's page.
 
 use crate::world::World;
-use cedarbridge::routes::{Timing, MAX_ATTEMPTS_PER_MESSAGE};
+use cedarbridge::routes::{RouteTiming, MAX_ATTEMPTS_PER_MESSAGE};
 use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
 
@@ -241,7 +241,14 @@
     }
 
     /// An attempt is sent; `first` is when its first byte was observed, the timing is the plan's for its message.
-    pub fn sent(&mut self, now: Micros, first: Micros, to: (usize, usize), message: usize, timing: &Timing) {
+    pub fn sent(
+        &mut self,
+        now: Micros,
+        first: Micros,
+        to: (usize, usize),
+        message: usize,
+        timing: &RouteTiming,
+    ) {
         let (destination, endpoint) = to;
         let m = self.messages[message];
         let forwarder = m.forwarder as usize;
@@ -353,7 +360,7 @@
     }
 
     /// A message has got its final answer.
-    pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
+    pub fn ended(&mut self, now: Micros, message: usize, timing: &RouteTiming, end: MessageEnd) {
         let m = self.messages[message];
         if m.end.is_some_and(|e| e != MessageEnd::Disconnected) {
             // On sockets a destination may observe a delivery after its forwarder's timeout.
@@ -382,7 +389,7 @@
 
     /// A notice reports that a message was rejected or failed. The same notice again after a restart is one whose
     /// acknowledgement was lost; a notice of a delivered message does no harm.
-    pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
+    pub fn notified(&mut self, now: Micros, message: usize, timing: &RouteTiming, end: MessageEnd) {
         let m = self.messages[message];
         let restarted =
             |since: Micros| self.excused[m.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now);
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -22,7 +22,7 @@
 use async_io::Timer;
 use async_signal::Signals;
 use cedarbridge::net::http::HttpConnection;
-use cedarbridge::routes::{RouteTable, Timing};
+use cedarbridge::routes::{RouteTable, RouteTiming};
 use cedarbridge::{ClassId, DestinationId, KindId, Lifecycle, Micros};
 use cedarbridge_endpoint_model::{DestinationModel, Fault};
 pub use daemon::DaemonError;
@@ -202,10 +202,10 @@
         }
     }
 
-    fn timing(&self, first: usize) -> Timing {
+    fn timing(&self, first: usize) -> RouteTiming {
         let destination = self.world.requests[first].destination;
         let (to, kind) = (DestinationId(destination as u64), KindId(self.world.kinds[destination]));
-        self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), ClassId(0)))
+        self.plan.as_ref().map_or(RouteTiming::default(), |p| p.timing(to, Some(kind), ClassId(0)))
     }
 
     /// Counts a request that was refused a connection, disconnected or left unanswered.
--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -3,7 +3,7 @@
 use super::event_queue::SimulationEvent;
 use super::{Simulation, CLASS, CLIENT_PATIENCE, RECONNECT_DELAY};
 use crate::audit::MessageEnd;
-use cedarbridge::routes::Timing;
+use cedarbridge::routes::RouteTiming;
 use cedarbridge::{DestinationId, Event, KindId, MessageId, Micros, NewMessage, TenantId};
 use rand::RngExt;
 
@@ -117,10 +117,10 @@
     }
 
     /// The timing that the plan gives a message.
-    pub(super) fn timing(&self, message: usize) -> Timing {
+    pub(super) fn timing(&self, message: usize) -> RouteTiming {
         let destination = self.world.requests[self.messages[message].first as usize].destination;
         let (to, kind) = (DestinationId(destination as u64), KindId(self.world.kinds[destination]));
-        self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), CLASS))
+        self.plan.as_ref().map_or(RouteTiming::default(), |p| p.timing(to, Some(kind), CLASS))
     }
 
     /// Marks a message as ended.
--- a/crates/rehearsal/tests/audit.rs
+++ b/crates/rehearsal/tests/audit.rs
@@ -1,6 +1,6 @@
 //! The audit of the rules: each violation is found, and what only looks like one is let through.
 
-use cedarbridge::routes::Timing;
+use cedarbridge::routes::RouteTiming;
 use cedarbridge::{Idempotency, Lifecycle, Micros, Outcome};
 use cedarbridge_rehearsal::audit::{Audit, AuditSizes, MessageEnd, Rule, SOCKETS, VIRTUAL};
 use cedarbridge_rehearsal::world::platform;
@@ -16,7 +16,7 @@
 }
 
 fn send(a: &mut Audit, now: Micros) {
-    a.sent(now, now, (0, 0), 0, &Timing { attempts: Some(3), ..Timing::default() });
+    a.sent(now, now, (0, 0), 0, &RouteTiming { attempts: Some(3), ..RouteTiming::default() });
 }
 
 fn back(a: &mut Audit, now: Micros, outcome: Outcome) {
@@ -51,22 +51,22 @@
             send(a, 250_006);
         }),
         ("a second final answer", |a| {
-            (1..3).for_each(|t| a.ended(t, 0, &Timing::default(), MessageEnd::Rejected))
+            (1..3).for_each(|t| a.ended(t, 0, &RouteTiming::default(), MessageEnd::Rejected))
         }),
         ("an attempt after its end", |a| {
-            a.ended(1, 0, &Timing::default(), MessageEnd::Rejected);
+            a.ended(1, 0, &RouteTiming::default(), MessageEnd::Rejected);
             send(a, 2);
         }),
         ("though it may have run", |a| {
             send(a, 1);
             back(a, 10, Outcome::Reset);
-            a.ended(20, 0, &Timing::default(), MessageEnd::Rejected);
+            a.ended(20, 0, &RouteTiming::default(), MessageEnd::Rejected);
         }),
         ("too late", |a| {
             a.ended(
                 9_100_000,
                 0,
-                &Timing { abandon_after: Some(9_000_000), ..Timing::default() },
+                &RouteTiming { abandon_after: Some(9_000_000), ..RouteTiming::default() },
                 MessageEnd::Rejected,
             )
         }),
@@ -86,7 +86,7 @@
     back(&mut a, 10, Outcome::Error);
     send(&mut a, 20);
     assert!(a.violations[0].to_string().contains("may not run twice"));
-    a.ended(30, 0, &Timing::default(), MessageEnd::Failed);
+    a.ended(30, 0, &RouteTiming::default(), MessageEnd::Failed);
     a.close(40, [(0, 35)].into_iter());
     assert!(a.violations[1].to_string().contains("pushed over"));
 }
@@ -98,7 +98,7 @@
     let settings = platform().0;
     let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKETS);
     a.taken(0, 0, 0, 28_000_000);
-    let t = Timing::default();
+    let t = RouteTiming::default();
     a.sent(1, 1, (0, 0), 0, &t);
     a.sent(100, 100, (0, 0), 0, &t);
     a.attempt_ended(200, 0, 0, 1, Outcome::TimedOut);
@@ -119,7 +119,7 @@
 fn a_notice_told_again_after_a_restart_is_the_same_one() {
     let settings = platform().0;
     let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKETS);
-    let t = Timing::default();
+    let t = RouteTiming::default();
     (0..2).for_each(|_| a.taken(0, 0, 0, 28_000_000));
     a.notified(10, 0, &t, MessageEnd::Rejected);
     a.died(20, 0);
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -4,7 +4,7 @@
 use super::{print, CommandError, Files, PlatformSettings};
 use crate::durations::format_duration;
 use crate::policy::max_attempt_timeout;
-use crate::routes::{worst_case, Route, RouteTable, Timing, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
+use crate::routes::{worst_case, Route, RouteTable, RouteTiming, WorstCaseAttempt, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::settings_json::index_of;
 use crate::{Class, ClassId, DestinationId, KindId, Micros};
 use clap::Args;
@@ -33,7 +33,7 @@
     kind: KindId,
     class: ClassId,
     platform: &'a PlatformSettings,
-    plan: &'a RouteTable,
+    route_table: &'a RouteTable,
 }
 
 /// The kind of a destination by the endpoint list in the configuration; `None` if it does not list the destination.
@@ -67,12 +67,12 @@
     fn matching(&self) -> Vec<&Route> {
         // The highest number stands for all destinations that no route names.
         let destination = DestinationId(self.destination.unwrap_or(u64::MAX));
-        self.plan.matching(destination, Some(self.kind), self.class)
+        self.route_table.matching(destination, Some(self.kind), self.class)
     }
 
     /// The timing of the route that applies; the default if no route matches.
-    fn timing(&self) -> Timing {
-        self.matching().first().map_or(Timing::default(), |route| route.timing)
+    fn timing(&self) -> RouteTiming {
+        self.matching().first().map_or(RouteTiming::default(), |route| route.timing)
     }
 
     /// The latest time at which an undelivered message ends, in microseconds since it was received.
@@ -187,7 +187,7 @@
             let listed = self.destination.and_then(|destination| listed_kind(&platform, destination));
             kinds = listed.map_or(kinds, |kind| vec![kind.0]);
         }
-        let plan = &site.routes;
+        let route_table = &site.routes;
         let cases =
             kinds.iter().flat_map(|kind| classes.iter().map(move |class| (KindId(*kind), ClassId(*class))));
         let cases: Vec<MessageCase<'_>> = cases
@@ -196,7 +196,7 @@
                 kind,
                 class,
                 platform: &platform,
-                plan,
+                route_table,
             })
             .collect();
         if self.files.json {
--- a/src/net/route_stats.rs
+++ b/src/net/route_stats.rs
@@ -94,11 +94,11 @@
     }
 }
 
-/// The statistics of all routes of the current plan.
+/// The statistics of all routes of the current route table.
 #[derive(Default)]
 pub struct RouteStatsTable {
-    plan: RefCell<Option<Arc<RouteTable>>>,
-    /// The statistics of the plan's routes, in their order.
+    route_table: RefCell<Option<Arc<RouteTable>>>,
+    /// The statistics of the table's routes, in their order.
     entries: RefCell<Vec<Rc<RouteStats>>>,
     /// The statistics of messages that no route matches.
     unmatched: Rc<RouteStats>,
@@ -109,22 +109,22 @@
 }
 
 impl RouteStatsTable {
-    /// Replaces the plan. A route that keeps its name keeps its statistics; open messages stay with the route that
+    /// Replaces the route table. A route that keeps its name keeps its statistics; open messages stay with the route that
     /// applied when they were received.
-    pub fn set_plan(&self, plan: Option<Arc<RouteTable>>) {
+    pub fn set_route_table(&self, route_table: Option<Arc<RouteTable>>) {
         let mut previous_stats: BTreeMap<String, Rc<RouteStats>> = BTreeMap::new();
-        if let Some(old) = self.plan.borrow().as_ref() {
+        if let Some(old) = self.route_table.borrow().as_ref() {
             let entries = self.entries.borrow();
             let named = old.routes().iter().zip(entries.iter());
             previous_stats.extend(named.map(|(route, stats)| (route.name.clone(), stats.clone())));
         }
-        let routes = plan.as_ref().map_or(&[][..], |plan| plan.routes());
+        let routes = route_table.as_ref().map_or(&[][..], |table| table.routes());
         let entries: Vec<_> =
             routes.iter().map(|route| previous_stats.remove(&route.name).unwrap_or_default()).collect();
         let with_histogram = entries.iter().filter(|stats| stats.delivery_times.borrow().is_some());
         self.own_histograms.set(with_histogram.count());
         *self.entries.borrow_mut() = entries;
-        *self.plan.borrow_mut() = plan;
+        *self.route_table.borrow_mut() = route_table;
     }
 
     /// The statistics of the route that applies to a message; `None` without a site file.
@@ -134,8 +134,8 @@
         kind: Option<KindId>,
         class: ClassId,
     ) -> Option<Rc<RouteStats>> {
-        let plan = self.plan.borrow();
-        let matched = plan.as_ref()?.find(destination, kind, class);
+        let route_table = self.route_table.borrow();
+        let matched = route_table.as_ref()?.find(destination, kind, class);
         Some(match matched {
             Some(route) => self.entries.borrow()[route.0 as usize].clone(),
             None => self.unmatched.clone(),
@@ -163,8 +163,8 @@
 
     /// The JSON report of all routes that were used, by name; `None` without a site file.
     pub fn report(&self) -> Option<Value> {
-        let plan = self.plan.borrow();
-        let routes = plan.as_ref()?.routes();
+        let route_table = self.route_table.borrow();
+        let routes = route_table.as_ref()?.routes();
         let entries = self.entries.borrow();
         let is_used = |stats: &RouteStats| {
             stats.open.get() > 0 || !stats.ends.borrow().is_empty() || stats.attempts.get() > 0
--- a/src/net/runtime/reload.rs
+++ b/src/net/runtime/reload.rs
@@ -70,7 +70,7 @@
     }
     context.journal.set_limit(config.journal_limit_bytes());
     context.endpoint_table.set_drain_grace(config.drain_grace);
-    context.route_stats.set_plan(settings.routes.clone());
+    context.route_stats.set_route_table(settings.routes.clone());
     context.set_config(config);
     warn_without_index(context);
     // A step of the wall clock takes effect only here, so that it moves no time slot between two reloads.
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -189,7 +189,7 @@
     };
     let context = Rc::new(Context::new(parts));
     context.gauges.predecessor_connections.set(state.as_ref().map_or(0, |state| state.client_connections));
-    context.route_stats.set_plan(routes);
+    context.route_stats.set_route_table(routes);
     reload::warn_without_index(&context);
     let reports = start_background(&context);
     let (endpoint_list, endpoint_list_mailbox) = async_channel::bounded(ENDPOINT_LIST_MAILBOX_CAPACITY);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -7,7 +7,7 @@
 use super::records::{get_or_create_destination, KeyQueue, Message, PossibleEffect};
 use super::DeliveryPolicy;
 use crate::api::*;
-use crate::routes::Timing;
+use crate::routes::RouteTiming;
 
 /// How an attempt of one message ended.
 #[derive(Clone, Copy)]
@@ -29,8 +29,8 @@
 
 impl DeliveryPolicy {
     /// The timing that the route of a message sets for its attempts.
-    pub(super) fn timing(&self, message: &Message) -> Timing {
-        let Some(routes) = self.settings.routes.as_ref() else { return Timing::default() };
+    pub(super) fn timing(&self, message: &Message) -> RouteTiming {
+        let Some(routes) = self.settings.routes.as_ref() else { return RouteTiming::default() };
         let kind = self.destinations.get(&message.destination).and_then(|d| d.kind);
         routes.timing(message.destination, kind, message.class)
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -7,7 +7,7 @@
 use super::records::{get_or_create_destination, Endpoint, Message};
 use super::DeliveryPolicy;
 use crate::api::*;
-use crate::routes::Timing;
+use crate::routes::RouteTiming;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
@@ -169,7 +169,7 @@
         id: DestinationId,
         endpoint: EndpointId,
         is_risky: bool,
-        same_timeout_as: Option<Timing>,
+        same_timeout_as: Option<RouteTiming>,
     ) -> Option<MessageId> {
         let destination = &self.destinations[&id];
         let horizon = self.drain_time(now, destination).clamp(MIN_RANKING_HORIZON, MAX_RANKING_HORIZON);
--- a/src/policy/sending.rs
+++ b/src/policy/sending.rs
@@ -6,7 +6,7 @@
 use super::selection::NextCall;
 use super::{max_attempt_timeout, DeliveryPolicy};
 use crate::api::*;
-use crate::routes::Timing;
+use crate::routes::RouteTiming;
 
 impl DeliveryPolicy {
     pub(super) fn send(&mut self, now: Micros, next: NextCall) {
@@ -46,7 +46,7 @@
         id: MessageId,
         endpoint: EndpointId,
         call: u64,
-        timing: Timing,
+        timing: RouteTiming,
         mean_latency_us: f64,
     ) -> CallAttempt {
         let message = &self.messages[&id];
--- a/src/routes/check.rs
+++ b/src/routes/check.rs
@@ -1,9 +1,9 @@
-//! Checks the names, matches and overlaps of the entries in the `routes` section. Each error names the conflicting values
+//! Checks the names, matches and overlaps of the routes in the `routes` section. Each error names the conflicting values
 //! and what would be valid.
 
 use super::check_timing::check_timing;
 use super::table::{MatchCriteria, Route, RouteTable};
-use super::{NamedSettings, ParsedMatch, ParsedRoute, RetryPause, Timing};
+use super::{NamedSettings, ParsedMatch, ParsedRoute, RetryPause, RouteTiming};
 use crate::config_error::{ConfigError, ErrorCode, Located, Position};
 use crate::durations::format_duration;
 use crate::{ClassId, DestinationId, KindId};
@@ -19,16 +19,16 @@
     overlaps: bool,
 }
 
-/// Checks the entries and builds the route table from those whose `match` is valid. The table may be used only if no error
+/// Checks the routes and builds the route table from those whose `match` is valid. The table may be used only if no error
 /// was recorded.
 pub fn check_routes(
-    entries: &[ParsedRoute],
+    parsed_routes: &[ParsedRoute],
     platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
 ) -> RouteTable {
-    check_names(entries, errors);
+    check_names(parsed_routes, errors);
     let mut accepted: Vec<AcceptedRoute> =
-        entries.iter().filter_map(|entry| accept_entry(entry, platform, errors)).collect();
+        parsed_routes.iter().filter_map(|parsed| accept_route(parsed, platform, errors)).collect();
     check_overlaps(&mut accepted, errors);
     let routes = accepted.iter().map(|accepted| accepted.route.clone()).collect();
     let destinations: Vec<_> = accepted.iter().map(|accepted| accepted.destinations.clone()).collect();
@@ -38,28 +38,28 @@
     table
 }
 
-fn accept_entry(
-    entry: &ParsedRoute,
+fn accept_route(
+    parsed: &ParsedRoute,
     platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
 ) -> Option<AcceptedRoute> {
-    let criteria = resolve_match(&entry.matches, platform, errors)?;
-    let timing = timing_of(entry, errors);
-    if entry.is_complete {
-        check_timing(entry, criteria, &timing, platform, errors);
+    let criteria = resolve_match(&parsed.matches, platform, errors)?;
+    let timing = timing_of(parsed, errors);
+    if parsed.is_complete {
+        check_timing(parsed, criteria, &timing, platform, errors);
     }
-    let destinations = entry.matches.destinations.iter().flatten();
+    let destinations = parsed.matches.destinations.iter().flatten();
     Some(AcceptedRoute {
-        route: Route { name: entry.name.value.clone(), line: entry.at.line, criteria, timing },
+        route: Route { name: parsed.name.value.clone(), line: parsed.at.line, criteria, timing },
         destinations: destinations.map(|destination| destination.value).collect(),
-        match_at: entry.matches.at,
+        match_at: parsed.matches.at,
         overlaps: false,
     })
 }
 
-fn check_names(entries: &[ParsedRoute], errors: &mut Vec<ConfigError>) {
+fn check_names(parsed_routes: &[ParsedRoute], errors: &mut Vec<ConfigError>) {
     let mut positions: HashMap<&str, Position> = HashMap::new();
-    for ParsedRoute { name, .. } in entries {
+    for ParsedRoute { name, .. } in parsed_routes {
         match positions.entry(&name.value) {
             Entry::Vacant(vacant) => {
                 vacant.insert(name.at);
@@ -102,21 +102,21 @@
     index.map(Some)
 }
 
-/// Converts the timing of an entry; checks that its longest pause is not shorter than the first.
-fn timing_of(entry: &ParsedRoute, errors: &mut Vec<ConfigError>) -> Timing {
-    if let Some(pause) = entry.pause.filter(|pause| pause.max.value < pause.first.value) {
+/// Converts the timing of a route; checks that its longest pause is not shorter than the first.
+fn timing_of(parsed: &ParsedRoute, errors: &mut Vec<ConfigError>) -> RouteTiming {
+    if let Some(pause) = parsed.pause.filter(|pause| pause.max.value < pause.first.value) {
         let (first, longest) = (format_duration(pause.first.value), format_duration(pause.max.value));
         let reason = format!(
             "the longest pause {longest} is shorter than the first, {first}; it must be {first} or more"
         );
         errors.push(ConfigError::new(pause.max.at, ErrorCode::Pause, reason));
     }
-    Timing {
-        timeout: entry.timeout.map(|timeout| timeout.value),
-        attempts: entry.attempts.map(|attempts| u32::try_from(attempts.value).unwrap_or(u32::MAX)),
-        pause: entry.pause.map(|pause| RetryPause { first: pause.first.value, max: pause.max.value }),
-        hedge_after: entry.hedge_after.map(|after| after.value),
-        abandon_after: entry.abandon_after.map(|after| after.value),
+    RouteTiming {
+        timeout: parsed.timeout.map(|timeout| timeout.value),
+        attempts: parsed.attempts.map(|attempts| u32::try_from(attempts.value).unwrap_or(u32::MAX)),
+        pause: parsed.pause.map(|pause| RetryPause { first: pause.first.value, max: pause.max.value }),
+        hedge_after: parsed.hedge_after.map(|after| after.value),
+        abandon_after: parsed.abandon_after.map(|after| after.value),
     }
 }
 
@@ -174,23 +174,23 @@
         (None, _) => "every message that they match".into(),
     };
     let reason = format!(
-        "`{}` and `{}` (line {}) are equally specific and could both win for {common}; make one of them more \
+        "`{}` and `{}` (line {}) are equally specific and could both apply to {common}; make one of them more \
          specific, or match these messages in only one of them",
         later.route.name, earlier.route.name, earlier.route.line
     );
     ConfigError::new(later.match_at, ErrorCode::Overlap, reason)
 }
 
-/// Records an error for each route that can never win. A route that overlaps with another, or has no valid destination, has
-/// an error already.
+/// Records an error for each route that can never apply. A route that overlaps with another, or has no valid destination,
+/// has an error already.
 fn check_shadowed(accepted: &[AcceptedRoute], table: &RouteTable, errors: &mut Vec<ConfigError>) {
-    for (accepted, wins) in accepted.iter().zip(table.winners()) {
+    for (accepted, applies) in accepted.iter().zip(table.routes_that_apply()) {
         let names_none = accepted.route.criteria.names_destinations && accepted.destinations.is_empty();
-        if wins || accepted.overlaps || names_none {
+        if applies || accepted.overlaps || names_none {
             continue;
         }
         let reason = format!(
-            "`{}` never wins: for every message that it matches, a more specific entry wins; remove it, or the others",
+            "`{}` never applies: for every message that it matches, a more specific route applies; remove it, or the others",
             accepted.route.name
         );
         errors.push(ConfigError::new(accepted.match_at, ErrorCode::Shadowed, reason));
--- a/src/routes/check_timing.rs
+++ b/src/routes/check_timing.rs
@@ -1,24 +1,24 @@
-//! Checks the timing of an entry against itself, the settings and the classes that the entry matches.
+//! Checks the timing of a route against itself, the settings and the classes that the route matches.
 
 use super::table::MatchCriteria;
-use super::{worst_case, NamedSettings, ParsedRoute, Timing, MAX_ATTEMPTS_PER_MESSAGE};
+use super::{worst_case, NamedSettings, ParsedRoute, RouteTiming, MAX_ATTEMPTS_PER_MESSAGE};
 use crate::config_error::{ConfigError, ErrorCode, Position};
 use crate::durations::format_duration;
 use crate::policy::max_attempt_timeout;
 use crate::{Class, Idempotency, Micros};
 
-/// Checks the timing of an entry. If several matching classes have the same error, only the one with the least slack is
+/// Checks the timing of a route. If several matching classes have the same error, only the one with the least slack is
 /// reported.
 pub(super) fn check_timing(
-    entry: &ParsedRoute,
+    route: &ParsedRoute,
     criteria: MatchCriteria,
-    timing: &Timing,
+    timing: &RouteTiming,
     platform: NamedSettings<'_>,
     errors: &mut Vec<ConfigError>,
 ) {
-    let attempts_are_allowed = check_attempts(entry, platform, errors);
-    let classes = matching_classes(entry, criteria, timing, platform);
-    check_hedge(entry, timing, &classes, platform.settings.may_hedge, errors);
+    let attempts_are_allowed = check_attempts(route, platform, errors);
+    let classes = matching_classes(route, criteria, timing, platform);
+    check_hedge(route, timing, &classes, platform.settings.may_hedge, errors);
     if let Some(earliest) = classes.iter().min_by_key(|checked| checked.class.deadline) {
         earliest.check_abandon_after(errors);
     }
@@ -36,9 +36,9 @@
 }
 
 /// Checks the number of attempts; returns whether it is allowed or left out.
-fn check_attempts(entry: &ParsedRoute, platform: NamedSettings<'_>, errors: &mut Vec<ConfigError>) -> bool {
+fn check_attempts(route: &ParsedRoute, platform: NamedSettings<'_>, errors: &mut Vec<ConfigError>) -> bool {
     let allowed = platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE);
-    let Some(attempts) = entry.attempts else { return true };
+    let Some(attempts) = route.attempts else { return true };
     let problem = match attempts.value {
         0 => "0 attempts would send nothing".into(),
         count if count > u64::from(MAX_ATTEMPTS_PER_MESSAGE) => {
@@ -55,25 +55,25 @@
 }
 
 fn matching_classes<'a>(
-    entry: &'a ParsedRoute,
+    route: &'a ParsedRoute,
     criteria: MatchCriteria,
-    timing: &'a Timing,
+    timing: &'a RouteTiming,
     platform: NamedSettings<'a>,
 ) -> Vec<ClassCheck<'a>> {
     let classes = platform.settings.classes.iter().zip(&platform.names.classes).enumerate();
     let matching = classes.filter(|(index, _)| criteria.class.is_none_or(|class| class.0 == *index));
     let min_step_interval = platform.settings.min_step_interval;
-    matching.map(|(_, (class, name))| ClassCheck { entry, timing, class, name, min_step_interval }).collect()
+    matching.map(|(_, (class, name))| ClassCheck { route, timing, class, name, min_step_interval }).collect()
 }
 
 fn check_hedge(
-    entry: &ParsedRoute,
-    timing: &Timing,
+    route: &ParsedRoute,
+    timing: &RouteTiming,
     classes: &[ClassCheck<'_>],
     settings_allow_hedging: bool,
     errors: &mut Vec<ConfigError>,
 ) {
-    let Some(after) = entry.hedge_after else { return };
+    let Some(after) = route.hedge_after else { return };
     let longest_timeout = classes.iter().map(ClassCheck::attempt_timeout).max().unwrap_or(0);
     if after.value < longest_timeout {
         let (delay, timeout) = (format_duration(after.value), format_duration(longest_timeout));
@@ -102,10 +102,10 @@
     }
 }
 
-/// Checks an entry against one class that it matches.
+/// Checks a route against one class that it matches.
 struct ClassCheck<'a> {
-    entry: &'a ParsedRoute,
-    timing: &'a Timing,
+    route: &'a ParsedRoute,
+    timing: &'a RouteTiming,
     class: &'a Class,
     name: &'a str,
     min_step_interval: Micros,
@@ -117,7 +117,7 @@
         self.timing.attempt_timeout(max_attempt_timeout(self.class.idempotency))
     }
 
-    /// The number of attempts that the entry determines. Other attempts are left to the policy, which ends them in time.
+    /// The number of attempts that the route determines. Other attempts are left to the policy, which ends them in time.
     fn attempts(&self) -> u32 {
         let with_hedge = 1 + u32::from(self.timing.hedge_after.is_some());
         let default = if self.timing.timeout.is_some() { with_hedge } else { with_hedge - 1 };
@@ -136,9 +136,9 @@
 
     /// The position at which an error of the worst case is reported.
     fn worst_case_position(&self) -> Position {
-        let attempts = self.entry.attempts.map(|attempts| attempts.at);
-        let timeout = self.entry.timeout.map(|timeout| timeout.at);
-        attempts.or(timeout).unwrap_or(self.entry.at)
+        let attempts = self.route.attempts.map(|attempts| attempts.at);
+        let timeout = self.route.timeout.map(|timeout| timeout.at);
+        attempts.or(timeout).unwrap_or(self.route.at)
     }
 
     /// Describes how long the attempts take in the worst case.
@@ -163,7 +163,7 @@
     }
 
     fn check_abandon_after(&self, errors: &mut Vec<ConfigError>) {
-        let Some(after) = self.entry.abandon_after.filter(|after| after.value > self.class.deadline) else {
+        let Some(after) = self.route.abandon_after.filter(|after| after.value > self.class.deadline) else {
             return;
         };
         let (given, deadline) = (format_duration(after.value), format_duration(self.class.deadline));
@@ -187,7 +187,7 @@
             );
             errors.push(ConfigError::new(self.worst_case_position(), ErrorCode::Deadline, reason));
         }
-        if let Some(after) = self.entry.abandon_after.filter(|after| end > after.value) {
+        if let Some(after) = self.route.abandon_after.filter(|after| end > after.value) {
             let reason = format!(
                 "{}, which is too long for `give-up` after {}; {}",
                 self.describe_worst_case(),
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -20,7 +20,7 @@
 /// The most attempts that a message may have, whatever the settings allow. It is a rule of the platform.
 pub const MAX_ATTEMPTS_PER_MESSAGE: u32 = 12;
 
-/// The pauses between attempts in a parsed entry.
+/// The pauses between attempts of a parsed route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ParsedPause {
     /// The pause before the second attempt; it doubles before each further one.
@@ -29,7 +29,7 @@
     pub max: Located<Micros>,
 }
 
-/// The match of a parsed entry. It matches a message if all given criteria hold.
+/// The match of a parsed route. It matches a message if all given criteria hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedMatch {
     /// The position of the `match` map in the file.
@@ -42,10 +42,10 @@
     pub class: Option<Located<String>>,
 }
 
-/// A parsed entry of the `routes` section, not yet checked. Values that it leaves out are `None`.
+/// A parsed route of the `routes` section, not yet checked. Values that it leaves out are `None`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedRoute {
-    /// The position of the entry in the file.
+    /// The position of the route in the file.
     pub at: Position,
     /// The name of the route, for operators.
     pub name: Located<String>,
@@ -65,7 +65,7 @@
     pub is_complete: bool,
 }
 
-/// The platform's settings with the names of its classes and kinds; the entries are checked against them.
+/// The platform's settings with the names of its classes and kinds; the routes are checked against them.
 #[derive(Clone, Copy)]
 pub struct NamedSettings<'a> {
     /// The limits of attempts, and the properties of the classes and kinds.
@@ -85,7 +85,7 @@
 
 /// The timing that a route sets for a message. The delivery policy decides each value that is `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Timing {
+pub struct RouteTiming {
     /// The longest time that one attempt may be in flight.
     pub timeout: Option<Micros>,
     /// The most attempts, including the first.
@@ -98,7 +98,7 @@
     pub abandon_after: Option<Micros>,
 }
 
-impl Timing {
+impl RouteTiming {
     /// The timeout of an attempt: the route's, or else the policy's adaptive one.
     pub fn attempt_timeout(&self, adaptive: Micros) -> Micros {
         self.timeout.unwrap_or(adaptive)
@@ -123,7 +123,7 @@
 
     /// The earliest time of the next attempt, from the number of attempts so far and from when the last one was sent and
     /// ended. If the last one timed out and the route has a hedged request, that request follows a fixed time after the last
-    /// attempt was sent. It never goes out while that attempt is in flight, because this method is only called after the
+    /// attempt was sent. It is never sent while that attempt is in flight, because this method is only called after the
     /// attempt has ended.
     pub fn next_attempt(&self, attempts: u32, sent_at: Micros, ended_at: Micros, timed_out: bool) -> Micros {
         match self.hedge_after.filter(|_| timed_out) {
--- a/src/routes/table.rs
+++ b/src/routes/table.rs
@@ -1,6 +1,6 @@
 //! The route table, which finds the route of a message in constant time and without allocation.
 
-use super::Timing;
+use super::RouteTiming;
 use crate::{ClassId, DestinationId, KindId};
 use rustc_hash::FxHashMap;
 
@@ -13,15 +13,15 @@
 pub struct Route {
     /// The name of the route, for operators.
     pub name: String,
-    /// The line of the file in which the entry starts.
+    /// The line of the file in which the route starts.
     pub line: u32,
     /// The criteria by which the route matches messages, without the list of destinations.
     pub criteria: MatchCriteria,
     /// The timing that the route sets.
-    pub timing: Timing,
+    pub timing: RouteTiming,
 }
 
-/// The resolved criteria of an entry's `match`. The destinations themselves are kept in the table.
+/// The resolved criteria of a route's `match`. The destinations themselves are kept in the table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct MatchCriteria {
     /// Whether the route is limited to a list of destinations.
@@ -33,8 +33,8 @@
 }
 
 impl MatchCriteria {
-    /// The rank by which the matching routes are ordered; the highest wins. Destination ranks over kind, and kind over
-    /// class. Two criteria rank over either of them alone.
+    /// The rank by which the matching routes are ordered; the route with the highest rank applies. Destination ranks over
+    /// kind, and kind over class. Two criteria rank over either of them alone.
     pub fn specificity(self) -> u8 {
         4 * u8::from(self.names_destinations)
             + 2 * u8::from(self.kind.is_some())
@@ -66,8 +66,8 @@
 /// The value of a cell for which no route matches.
 const NO_ROUTE: u32 = u32::MAX;
 
-/// The accepted routes of a file, with the winner for each combination of destination, kind and class precomputed. If it is
-/// empty, the delivery policy decides all timing.
+/// The accepted routes of a file. The route that applies to each combination of destination, kind and class is
+/// precomputed. If the table is empty, the delivery policy decides all timing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
     routes: Vec<Route>,
@@ -75,9 +75,9 @@
     classes: usize,
     /// The row of each destination that a route names.
     rows: FxHashMap<u64, u32>,
-    /// The winning routes, in rows of equal width. There is one row for each distinct set of routes that name a destination;
-    /// the first row is for destinations that no route names. A row has a cell for each pair of kind and class, and an
-    /// unknown kind comes after all others.
+    /// The routes that apply, in rows of equal width. There is one row for each distinct set of routes that name a
+    /// destination; the first row is for destinations that no route names. A row has a cell for each pair of kind and class,
+    /// and an unknown kind comes after all others.
     cells: Vec<u32>,
     /// For each row, the routes that name its destinations; for the first row, the routes that name no destinations.
     row_routes: Vec<Vec<u32>>,
@@ -147,8 +147,8 @@
         (self.kinds + 1) * self.classes
     }
 
-    /// Finds the route that wins for a message; `None` if no route matches. The kind is `None` as long as no endpoint of the
-    /// destination has been listed.
+    /// Finds the route that applies to a message; `None` if no route matches. The kind is `None` as long as no endpoint of
+    /// the destination has been listed.
     pub fn find(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Option<RouteId> {
         if class.0 >= self.classes {
             return None;
@@ -159,12 +159,13 @@
         (cell != NO_ROUTE).then_some(RouteId(cell))
     }
 
-    /// The timing of the route that wins for a message; empty if no route matches.
-    pub fn timing(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Timing {
-        self.find(destination, kind, class).map_or(Timing::default(), |id| self.routes[id.0 as usize].timing)
+    /// The timing of the route that applies to a message; empty if no route matches.
+    pub fn timing(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> RouteTiming {
+        self.find(destination, kind, class)
+            .map_or(RouteTiming::default(), |id| self.routes[id.0 as usize].timing)
     }
 
-    /// All routes that match a message, the winner first.
+    /// All routes that match a message, the one that applies first.
     pub fn matching(&self, destination: DestinationId, kind: Option<KindId>, class: ClassId) -> Vec<&Route> {
         let naming_routes = self.rows.get(&destination.0).map(|row| &self.row_routes[*row as usize]);
         let candidates = naming_routes
@@ -188,16 +189,16 @@
         self.routes.is_empty()
     }
 
-    /// For each route, whether it wins for any message whose destination has a known kind.
-    pub(super) fn winners(&self) -> Vec<bool> {
-        let mut wins = vec![false; self.routes.len()];
+    /// For each route, whether it applies to any message whose destination has a known kind.
+    pub(super) fn routes_that_apply(&self) -> Vec<bool> {
+        let mut applies = vec![false; self.routes.len()];
         let width = self.width();
         let known_kind_columns = self.kinds * self.classes;
         for (index, cell) in self.cells.iter().enumerate() {
             if *cell != NO_ROUTE && index % width < known_kind_columns {
-                wins[*cell as usize] = true;
+                applies[*cell as usize] = true;
             }
         }
-        wins
+        applies
     }
 }
--- a/src/routes/timeline.rs
+++ b/src/routes/timeline.rs
@@ -1,6 +1,6 @@
 //! The worst case of a route: the times of all attempts if each one times out and nothing else delays them.
 
-use super::Timing;
+use super::RouteTiming;
 use crate::Micros;
 
 /// An attempt of the worst case; times count from the receipt of the message.
@@ -16,7 +16,7 @@
 
 /// Computes the worst case of the given number of attempts with the given timeout. An attempt that times out may be followed
 /// by a hedged request, and one that ends just before its timeout by a pause; the later of the two counts.
-pub fn worst_case(timing: &Timing, timeout: Micros, attempts: u32) -> Vec<WorstCaseAttempt> {
+pub fn worst_case(timing: &RouteTiming, timeout: Micros, attempts: u32) -> Vec<WorstCaseAttempt> {
     let mut start: Micros = 0;
     (1..=attempts)
         .map(|attempt| {
--- a/src/site/routes.rs
+++ b/src/site/routes.rs
@@ -1,4 +1,4 @@
-//! Reads the `routes` section of the site file. [`check_routes`](crate::routes::check_routes) then checks the entries
+//! Reads the `routes` section of the site file. [`check_routes`](crate::routes::check_routes) then checks the routes
 //! against each other and the settings.
 
 use super::fields::{read_duration, read_integer, read_list, read_text, report_wrong_type, Fields};
@@ -10,7 +10,7 @@
 
 const KEYS: &[&str] = &["name", "match", "timeout", "attempts", "pause", "second-copy", "give-up"];
 
-/// Reads the entries. An entry whose timing has an error is kept, with `is_complete` unset, so that the other entries can be
+/// Reads the routes. A route whose timing has an error is kept, with `is_complete` unset, so that the other routes can be
 /// checked against it.
 pub fn read(node: &Node, errors: &mut Vec<ConfigError>) -> Vec<ParsedRoute> {
     let items = read_list(node, "`routes`", errors).unwrap_or_default();
@@ -65,13 +65,13 @@
     let errors_before = errors.len();
     let fields = Fields::open(node, "`match`", &["destination", "kind", "class"], errors)?;
     if errors.len() > errors_before {
-        // With a wrong key it is not known which messages the entry is meant to match.
+        // With a wrong key it is not known which messages the route is meant to match.
         return None;
     }
     let destinations = fields.get("destination").map(|node| read_destinations(node, errors));
     let kind = fields.get("kind").map(|node| read_text(node, "`kind`", errors));
     let class = fields.get("class").map(|node| read_text(node, "`class`", errors));
-    // Without an invalid criterion, the entry would match more messages than it is meant to.
+    // Without an invalid criterion, the route would match more messages than it is meant to.
     let is_invalid = matches!(kind, Some(None)) || matches!(class, Some(None));
     if is_invalid {
         return None;
@@ -96,7 +96,7 @@
     };
     if items.is_empty() {
         let reason =
-            "`destination` is empty, so the entry would match nothing; remove it to match all destinations";
+            "`destination` is empty, so the route would match nothing; remove it to match all destinations";
         errors.push(ConfigError::new(node.at, ErrorCode::NoDestination, reason));
     }
     let mut positions = HashMap::new();
