--- a/src/net/endpoint/actor.rs
+++ b/src/net/endpoint/actor.rs
@@ -20,11 +20,11 @@
 ) {
     let mut pool = Pool::new(context.clone(), endpoint);
     loop {
-        let pool_disturbed = async {
-            pool.until_disturbed().await;
+        let idle_end = async {
+            pool.until_idle_end().await;
             None
         };
-        match future::or(async { Some(mailbox.recv().await) }, pool_disturbed).await {
+        match future::or(async { Some(mailbox.recv().await) }, idle_end).await {
             None => pool.close_unusable(),
             Some(Ok(EndpointMessage::Call(call))) => {
                 let idle = pool.take_most_recent();
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -85,7 +85,7 @@
     }
 
     /// Returns once a connection reaches its idle timeout, or the endpoint closes or writes to it.
-    pub async fn until_disturbed(&mut self) {
+    pub async fn until_idle_end(&mut self) {
         let Some(first_timeout) = self.idle.iter().map(|idle| idle.reusable_until).min() else {
             return future::pending().await;
         };
@@ -94,13 +94,13 @@
             Timer::at(clock.instant_at(first_timeout)).await;
         };
         let idle = &mut self.idle;
-        let disturbed = future::poll_fn(|task| {
+        let idle_end = future::poll_fn(|task| {
             match idle.iter_mut().any(|idle| idle.connection.poll_idle_end(task).is_some()) {
                 true => Poll::Ready(()),
                 false => Poll::Pending,
             }
         });
-        future::or(timed_out, disturbed).await;
+        future::or(timed_out, idle_end).await;
     }
 
     fn remove(&mut self, index: usize) -> HttpConnection {
