--- a/src/cli/run.rs
+++ b/src/cli/run.rs
@@ -97,12 +97,12 @@
         let missing_config = "no configuration: give its file as the argument or in ROUTER_CONFIG";
         let config_file = config_file.ok_or_else(|| CommandError::Usage(missing_config.into()))?;
         let site_file = self.site.or_else(|| environment_variable("CEDARBRIDGE_SITE").map(PathBuf::from));
-        let load = move |reading| {
+        let load = move |occasion| {
             let json = read_file(&config_file)?;
             // ROUTER_DISCOVERY applies only at the start. A reload reads the address from the file.
             let variable = |name: &str| {
                 environment_variable(name)
-                    .filter(|_| reading == LoadOccasion::Start || name != "ROUTER_DISCOVERY")
+                    .filter(|_| occasion == LoadOccasion::Start || name != "ROUTER_DISCOVERY")
             };
             let (mut config, mut settings) = Config::read(&json, variable)
                 .map_err(|error| LoadError::Config { file: config_file.clone(), error })?;
