--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -212,7 +212,7 @@
         let read = Site::read(&text, NamedSettings { settings: &as_of.0, names: &as_of.1 });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
-            InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Rejected(b.iter().map(|b| b.format_line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
--- a/crates/rehearsal/src/rehearsal.rs
+++ b/crates/rehearsal/src/rehearsal.rs
@@ -75,7 +75,7 @@
         let read = Site::read(&text, NamedSettings { settings: &world.settings, names: &world.names });
         let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
             let file = site.display().to_string();
-            InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Rejected(b.iter().map(|b| b.format_line(&file)).collect::<Vec<_>>().join("\n"))
         };
         Ok(Some(Arc::new(read.map_err(lines)?.routes)))
     }
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -105,7 +105,7 @@
     }
 
     /// The error as one line of text, `FILE:LINE:COLUMN: [code] reason`.
-    pub fn line(&self, file: &str) -> String {
+    pub fn format_line(&self, file: &str) -> String {
         format!("{file}:{self}")
     }
 }
@@ -113,7 +113,7 @@
 /// The errors of a file as text, one per line.
 pub fn error_lines(file: &Path, errors: &[ConfigError]) -> String {
     let file = file.display().to_string();
-    errors.iter().map(|error| error.line(&file)).collect::<Vec<_>>().join("\n")
+    errors.iter().map(|error| error.format_line(&file)).collect::<Vec<_>>().join("\n")
 }
 
 /// Shortens a text from a file to 60 characters and replaces control characters by spaces, so that a log entry stays on
