--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -137,8 +137,8 @@
         update: SourceUpdate,
         /// When the answer was received.
         received_at: Micros,
-        /// Receives whether a part of the update is doubted, so that it needs a confirmation.
-        doubted: Sender<bool>,
+        /// Receives whether a part of the view is in doubt, so that it needs a complete poll.
+        in_doubt_reply: Sender<bool>,
     },
 }
 
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -238,8 +238,8 @@
             }
             EndpointListMessage::HandedOver => self.send_lines_to_successor().await,
             EndpointListMessage::Cordon { id, cordoned, reply } => self.cordon(&id, cordoned, &reply).await,
-            EndpointListMessage::RegistryUpdate { update, received_at, doubted } => {
-                self.apply_registry_update(update, received_at, &doubted).await;
+            EndpointListMessage::RegistryUpdate { update, received_at, in_doubt_reply } => {
+                self.apply_registry_update(update, received_at, &in_doubt_reply).await;
             }
         }
     }
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -99,7 +99,7 @@
         &mut self,
         update: SourceUpdate,
         received_at: Micros,
-        in_doubt: &Sender<bool>,
+        in_doubt_reply: &Sender<bool>,
     ) {
         let changes = self.membership.apply(received_at, REGISTRY, update);
         if let Some(source) = &mut self.registry {
@@ -114,7 +114,7 @@
             self.publish(UpdateKind::Patch, changes).await;
         }
         // The receiver is gone if a reload has replaced the poller meanwhile.
-        let _ = in_doubt.try_send(self.membership.needs_complete_poll(REGISTRY));
+        let _ = in_doubt_reply.try_send(self.membership.needs_complete_poll(REGISTRY));
         self.update_registry_status();
     }
 
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -160,11 +160,11 @@
     endpoint_list: &Sender<EndpointListMessage>,
     answer: AppliedAnswer,
 ) -> Option<bool> {
-    let (doubted, in_doubt) = async_channel::bounded(1);
+    let (in_doubt_reply, in_doubt) = async_channel::bounded(1);
     let message = EndpointListMessage::RegistryUpdate {
         update: answer.update,
         received_at: context.clock.now(),
-        doubted,
+        in_doubt_reply,
     };
     endpoint_list.send(message).await.ok()?;
     Some(in_doubt.recv().await.unwrap_or(false))
