--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -30,8 +30,8 @@
     let context = actor.context().clone();
     let started_at = Instant::now();
     let accepts_list_lines = successor.accepts_list_lines;
-    let handing_over = within(OWNERSHIP_TIMEOUT, send_state(actor, &context, successor)).await;
-    let link = match handing_over.unwrap_or(Err(HttpError::TimedOut.into())) {
+    let send_result = within(OWNERSHIP_TIMEOUT, send_state(actor, &context, successor)).await;
+    let link = match send_result.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(link) => link,
         Err(error) => {
             warn!(context.log, "hand-over failed, serving on"; "reason" => error.code(), "error" => %error);
@@ -60,11 +60,11 @@
 /// Has the endpoint list actor send the successor the lines that its watches received during the hand-over. This runs in a
 /// task of its own to avoid a deadlock: that actor may be waiting for the delivery actor, which runs the hand-over.
 fn announce_hand_over(context: &Context, endpoint_list: Sender<EndpointListMessage>) {
-    let announcing = async move {
+    let announce = async move {
         // Sending fails only if the endpoint list actor has ended, and it ends only with the process.
         let _ = endpoint_list.send(EndpointListMessage::HandedOver).await;
     };
-    context.executor.spawn(announcing).detach();
+    context.executor.spawn(announce).detach();
 }
 
 /// Pauses the journal, sends the state, and waits until the successor confirms that it owns the state folder.
@@ -89,11 +89,11 @@
     while let Ok(message) = mailbox.recv().await {
         match message {
             DeliveryMessage::Submit { reply, .. } => {
-                // Sending fails if the client is gone, and then nobody waits for the reply.
+                // Sending fails if the client has disconnected; nobody needs the reply then.
                 let _ = reply.try_send(SubmitReply::Unavailable(DEFAULT_RETRY_AFTER));
             }
             DeliveryMessage::Admin { reply, .. } => {
-                // Sending fails if the operator is gone, and then nobody waits for the reply.
+                // Sending fails if the operator has disconnected; nobody needs the result then.
                 let _ = reply.try_send(Err(AdminError::ShuttingDown));
             }
             _ => {}
--- a/src/net/handover/relay.rs
+++ b/src/net/handover/relay.rs
@@ -122,7 +122,7 @@
             SuccessorFrame::Cancel { id, attempt } => self.actor.cancel(id, attempt),
             SuccessorFrame::AdminDone { number, result } => {
                 if let Some(reply) = self.admin_replies.remove(&number) {
-                    // Sending fails if the operator is gone, and then nobody waits for the reply.
+                    // Sending fails if the operator has disconnected; nobody needs the result then.
                     let _ = reply.try_send(result);
                 }
             }
@@ -131,7 +131,7 @@
         Ok(())
     }
 
-    /// Passes the successor's reply to the client. If the client is gone, an accepted message is withdrawn.
+    /// Passes the successor's reply to the client. If the client has disconnected, an accepted message is withdrawn.
     async fn reply(&mut self, number: u64, reply: SubmitReply) -> Result<(), HandOverError> {
         let Some(client) = self.replies.remove(&number) else { return Ok(()) };
         let replied = client.try_send(reply);
