--- a/src/invariants/ledger.rs
+++ b/src/invariants/ledger.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct TrackedMessage {
     /// The rules for repeating it.
-    pub repeats: RepeatPolicy,
+    pub repeat_policy: RepeatPolicy,
     /// The number of attempts that were made for it.
     pub attempts: u32,
     /// The first attempt that may have run, other than the one in flight; `None` if there is none.
@@ -149,9 +149,9 @@
         }
         let message = &entry.message;
         let may_have_run = message.first_attempt.is_some() || message.in_flight.is_some();
-        let must_not_run_twice = match message.repeats.idempotency {
+        let must_not_run_twice = match message.repeat_policy.idempotency {
             Idempotency::Idempotent => false,
-            Idempotency::WithKey => message.repeats.dedup_scope != DedupScope::All,
+            Idempotency::WithKey => message.repeat_policy.dedup_scope != DedupScope::All,
             Idempotency::NonIdempotent => true,
         };
         let is_violated = returned && may_have_run && must_not_run_twice;
@@ -182,11 +182,11 @@
         if self.message.in_flight.is_some() {
             return Some(Violation::TwoAttemptsInFlight);
         }
-        if self.message.attempts >= self.message.repeats.max_attempts {
+        if self.message.attempts >= self.message.repeat_policy.max_attempts {
             return Some(Violation::TooManyAttempts);
         }
         let first_attempt = self.message.first_attempt?;
-        match self.message.repeats.idempotency {
+        match self.message.repeat_policy.idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => Some(Violation::RepeatForbidden),
             Idempotency::WithKey => self.check_keyed_repeat(&first_attempt, now, zone),
@@ -194,12 +194,12 @@
     }
 
     fn check_keyed_repeat(&self, first: &TrackedAttempt, now: Micros, zone: ZoneId) -> Option<Violation> {
-        let repeats = &self.message.repeats;
-        if now >= first.started_at.saturating_add(repeats.dedup_window) {
+        let repeat_policy = &self.message.repeat_policy;
+        if now >= first.started_at.saturating_add(repeat_policy.dedup_window) {
             return Some(Violation::RepeatAfterWindow);
         }
         let is_another_zone = first.zone.is_some_and(|first_zone| first_zone != zone);
-        if repeats.dedup_scope == DedupScope::Zone && is_another_zone {
+        if repeat_policy.dedup_scope == DedupScope::Zone && is_another_zone {
             return Some(Violation::RepeatInAnotherZone);
         }
         None
--- a/src/invariants/send.rs
+++ b/src/invariants/send.rs
@@ -13,7 +13,7 @@
     /// The time at which this program learned that the endpoint is draining; `None` if it is not.
     pub draining_since: Option<Micros>,
     /// The time before which nothing may be sent there, as a Retry-After asked for; `None` if there is none.
-    pub retry_after: Option<Micros>,
+    pub retry_after_until: Option<Micros>,
 }
 
 /// The facts on which sending a call depends.
@@ -110,7 +110,7 @@
     if endpoint.draining_since.is_some_and(|since| facts.now >= since.saturating_add(grace)) {
         return Err(SendRefusal::Draining);
     }
-    if endpoint.retry_after.is_some_and(|until| facts.now < until) {
+    if endpoint.retry_after_until.is_some_and(|until| facts.now < until) {
         return Err(SendRefusal::RetryAfter);
     }
     Ok(SendPermit(()))
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -103,7 +103,7 @@
         self.context.request_ids.acquire(&message.request.request_id);
         let repeat_policy = self.context.config().repeat_policies[message.request.class.0];
         let tracked = TrackedMessage {
-            repeats: repeat_policy,
+            repeat_policy,
             attempts: message.attempts(),
             first_attempt: message
                 .first_attempt
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -153,7 +153,8 @@
     let facts = table.facts(call.endpoint);
     let draining_since = facts.and_then(|facts| facts.draining_since);
     let sent_to_draining = draining_since.is_some_and(|since| now > since + table.drain_grace());
-    let sent_within_retry_after = facts.and_then(|facts| facts.retry_after).is_some_and(|until| now < until);
+    let sent_within_retry_after =
+        facts.and_then(|facts| facts.retry_after_until).is_some_and(|until| now < until);
     for attempt in &call.attempts {
         let request_id = &attempt.message.request.request_id;
         let message_violation =
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -199,8 +199,8 @@
     pub fn facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
         let draining_since = self.get(endpoint)?.draining_since;
         let scope = self.retry_after_scope(endpoint);
-        let retry_after = scope.and_then(|scope| self.retry_after_until.borrow().get(&scope).copied());
-        Some(EndpointFacts { draining_since, retry_after })
+        let retry_after_until = scope.and_then(|scope| self.retry_after_until.borrow().get(&scope).copied());
+        Some(EndpointFacts { draining_since, retry_after_until })
     }
 
     /// To which endpoints a retry-after from this endpoint applies.
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -26,7 +26,8 @@
 fn a_call_may_be_sent_unless_one_of_eight_reasons_refuses_it() {
     assert!(may_send(&sendable()).is_ok());
     let draining = |since| Some(EndpointFacts { draining_since: Some(since), ..EndpointFacts::default() });
-    let retry_after = |until| Some(EndpointFacts { retry_after: Some(until), ..EndpointFacts::default() });
+    let retry_after_until =
+        |until| Some(EndpointFacts { retry_after_until: Some(until), ..EndpointFacts::default() });
     let cases = [
         (SendFacts { message_complete: true, ..sendable() }, SendRefusal::MessageComplete),
         (SendFacts { handed_over: true, ..sendable() }, SendRefusal::HandedOver),
@@ -35,14 +36,14 @@
         (SendFacts { send_by: 1_000_000, ..sendable() }, SendRefusal::TooLate),
         (SendFacts { endpoint: None, ..sendable() }, SendRefusal::UnknownEndpoint),
         (SendFacts { endpoint: draining(920_000), ..sendable() }, SendRefusal::Draining),
-        (SendFacts { endpoint: retry_after(1_000_001), ..sendable() }, SendRefusal::RetryAfter),
+        (SendFacts { endpoint: retry_after_until(1_000_001), ..sendable() }, SendRefusal::RetryAfter),
     ];
     for (facts, refusal) in cases {
         assert_eq!(may_send(&facts).err(), Some(refusal));
     }
     assert!(may_send(&SendFacts { endpoint: draining(920_001), ..sendable() }).is_ok(), "within the grace");
     assert!(
-        may_send(&SendFacts { endpoint: retry_after(1_000_000), ..sendable() }).is_ok(),
+        may_send(&SendFacts { endpoint: retry_after_until(1_000_000), ..sendable() }).is_ok(),
         "the time of the Retry-After has passed"
     );
     for grace in [0, 100_000, 250_000, 2_000_000] {
@@ -92,10 +93,10 @@
 }
 
 fn ledger(idempotency: Idempotency) -> Ledger {
-    let repeats =
+    let repeat_policy =
         RepeatPolicy { idempotency, dedup_scope: DedupScope::Zone, dedup_window: 1_000, max_attempts: 3 };
     let mut ledger = Ledger::default();
-    ledger.track(ID, TrackedMessage { repeats, attempts: 0, first_attempt: None, in_flight: None });
+    ledger.track(ID, TrackedMessage { repeat_policy, attempts: 0, first_attempt: None, in_flight: None });
     ledger
 }
 
