--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -113,7 +113,7 @@
         calls: usize,
     },
     /// The timeout for connecting to endpoints is zero.
-    #[error("setting `dial-timeout`: 0 is out of range, must be greater than 0")]
+    #[error("setting `dial-timeout`: 0 is out of range, it must be above 0")]
     NoDialTimeout,
 }
 
