--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -114,7 +114,7 @@
         abandon_at: call.first_timeout(&vec![true; call.attempts.len()]),
         send_by: call.send_by(),
         drain_grace: context.endpoint_table.drain_grace(),
-        endpoint: context.endpoint_table.facts(call.endpoint),
+        endpoint: context.endpoint_table.endpoint_facts(call.endpoint),
     };
     may_send(&facts).map_err(|refusal| not_sent(context, call, progress, refusal))
 }
@@ -150,7 +150,7 @@
 fn record_first_byte(context: &Context, call: &Call, zone: ZoneId) {
     let now = context.clock.now();
     let table = &context.endpoint_table;
-    let facts = table.facts(call.endpoint);
+    let facts = table.endpoint_facts(call.endpoint);
     let draining_since = facts.and_then(|facts| facts.draining_since);
     let sent_to_draining = draining_since.is_some_and(|since| now > since + table.drain_grace());
     let sent_within_retry_after =
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -196,7 +196,7 @@
     /// What decides now whether a call may be sent to an endpoint; `None` if the table does not have it. To be read
     /// just before the first byte: a drain or retry-after may have been received since the policy's step, above all
     /// while a connection was opened.
-    pub fn facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
+    pub fn endpoint_facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
         let draining_since = self.get(endpoint)?.draining_since;
         let scope = self.retry_after_scope(endpoint);
         let retry_after_until = scope.and_then(|scope| self.retry_after_until.borrow().get(&scope).copied());
--- a/tests/endpoint_table.rs
+++ b/tests/endpoint_table.rs
@@ -40,7 +40,7 @@
             abandon_at: u64::MAX,
             send_by: u64::MAX,
             drain_grace: table.drain_grace(),
-            endpoint: table.facts(endpoint),
+            endpoint: table.endpoint_facts(endpoint),
         };
         may_send(&facts).err()
     };
