--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes over the list of the predecessor with the same endpoint ids.
-    pub async fn inherit(&mut self, inherited: MembershipSnapshot) {
+    pub async fn restore_inherited_list(&mut self, inherited: MembershipSnapshot) {
         self.membership.adopt_ids(&inherited);
         self.context.endpoint_list.set_received();
         let now = self.context.clock.now();
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -237,7 +237,7 @@
     match inherited {
         Some((state, predecessor)) => {
             let list = delivery.resume_from(*state, messages, &predecessor, settings).await;
-            endpoint_list.inherit(list).await;
+            endpoint_list.restore_inherited_list(list).await;
         }
         None => {
             if let Some(known) = &config.initial_endpoint_list {
