--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -252,15 +252,15 @@
         let target = request.head.target.as_str();
         let path = target.split('?').next().unwrap_or_default();
         match (request.head.method.as_str(), path) {
-            ("GET", "/_health") if self.context.accepts_clients() => Ok(Response::plain(200, "ready\n")),
-            ("GET", "/_health") => Ok(Response::plain(503, "not ready\n")),
+            ("GET", "/_health") if self.context.accepts_clients() => Ok(Response::text(200, "ready\n")),
+            ("GET", "/_health") => Ok(Response::text(503, "not ready\n")),
             ("GET", "/_counters") if target.ends_with("?by=partner") => {
-                Ok(Response::plain(200, format!("{}\n", self.report_by_destination().await)))
+                Ok(Response::text(200, format!("{}\n", self.report_by_destination().await)))
             }
-            ("GET", "/_counters") => Ok(Response::plain(200, format!("{}\n", self.context.report()))),
+            ("GET", "/_counters") => Ok(Response::text(200, format!("{}\n", self.context.report()))),
             ("POST", "/api") => self.answer_message(request).await,
-            (_, "/api" | "/_health" | "/_counters") => Ok(Response::plain(405, "not with this method\n")),
-            _ => Ok(Response::plain(404, "nothing here\n")),
+            (_, "/api" | "/_health" | "/_counters") => Ok(Response::text(405, "not with this method\n")),
+            _ => Ok(Response::text(404, "nothing here\n")),
         }
     }
 
@@ -287,7 +287,7 @@
             Err(error) => {
                 self.context.counters.bad_requests.increment();
                 info!(self.context.log, "bad request"; "reason" => %error);
-                return Ok(Response::plain(400, format!("{error}\n")));
+                return Ok(Response::text(400, format!("{error}\n")));
             }
         };
         self.log_age(&request, sent_at);
@@ -343,7 +343,7 @@
     /// Counts a bad request and ends the connection with an error response.
     async fn reject(&mut self, status: u16, explanation: &str, reason: CloseReason) -> ConnectionEnd {
         self.context.counters.bad_requests.increment();
-        self.close_with(&Response::plain(status, format!("{explanation}\n")), reason).await
+        self.close_with(&Response::text(status, format!("{explanation}\n")), reason).await
     }
 
     /// Writes a last response and ends the connection.
--- a/src/net/client/response.rs
+++ b/src/net/client/response.rs
@@ -13,20 +13,20 @@
 }
 
 impl Response {
-    /// A response with a status and a text as its body.
-    pub fn plain(status: u16, body: impl Into<String>) -> Self {
+    /// A response with a status code and a plain text as its body.
+    pub fn text(status: u16, body: impl Into<String>) -> Self {
         Response { status, headers: String::new(), body: body.into(), accepted: None }
     }
 
     /// A 503 response whose `Retry-After` says when the message may be sent again, in microseconds.
     pub(super) fn service_unavailable(retry_after: Micros) -> Self {
         let headers = format!("Retry-After: {:.3}\r\n", retry_after as f64 / 1e6);
-        Response { headers, ..Response::plain(503, "") }
+        Response { headers, ..Response::text(503, "") }
     }
 
     /// A 202 response for an accepted message.
     pub(super) fn accepted(message: MessageId) -> Self {
-        Response { accepted: Some(message), ..Response::plain(202, "") }
+        Response { accepted: Some(message), ..Response::text(202, "") }
     }
 
     /// The response as it is written. It has a `Connection: close` header unless the connection is kept alive.
--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -92,10 +92,10 @@
         match reply {
             Some(SubmitReply::Accepted(id)) => Response::accepted(id),
             Some(SubmitReply::Unavailable(retry_after)) => Response::service_unavailable(retry_after),
-            Some(SubmitReply::Failed) => Response::plain(500, "failed\n"),
+            Some(SubmitReply::Failed) => Response::text(500, "failed\n"),
             Some(SubmitReply::DuplicateId) => {
                 self.context.counters.bad_requests.increment();
-                Response::plain(409, "a message of that id is not over yet\n")
+                Response::text(409, "a message of that id is not over yet\n")
             }
             None => Response::service_unavailable(DEFAULT_RETRY_AFTER),
         }
--- a/src/net/operator/admin_request.rs
+++ b/src/net/operator/admin_request.rs
@@ -68,18 +68,18 @@
                 let request = format!("{} {}", head.method, head.target);
                 let time_left = COMMAND_TIMEOUT.saturating_sub(accepted_at.elapsed());
                 let response = within(time_left, self.answer(&head, &body)).await;
-                let too_late = || Response::plain(503, "it took too long and may yet happen\n");
+                let too_late = || Response::text(503, "it took too long and may yet happen\n");
                 (response.unwrap_or_else(too_late), RequestSummary { request, reason: "answered" })
             }
             Some(Err(HttpError::TooLarge)) => {
-                (Response::plain(413, "too long\n"), RequestSummary::unreadable("too-large"))
+                (Response::text(413, "too long\n"), RequestSummary::unreadable("too-large"))
             }
             Some(Err(HttpError::Closed)) => return RequestSummary::unreadable("operator-closed"),
             Some(Err(error)) => {
-                (Response::plain(400, format!("{error}\n")), RequestSummary::unreadable(error.code()))
+                (Response::text(400, format!("{error}\n")), RequestSummary::unreadable(error.code()))
             }
             None => {
-                (Response::plain(408, "the call took too long\n"), RequestSummary::unreadable("slow-request"))
+                (Response::text(408, "the call took too long\n"), RequestSummary::unreadable("slow-request"))
             }
         };
         self.finish(&response, summary).await
@@ -120,14 +120,14 @@
     /// Returns the response to a request other than one for the hand-over.
     async fn answer(&self, head: &RequestHead, body: &[u8]) -> Response {
         let path = head.target.split('?').next().unwrap_or_default();
-        let Some(name) = path.strip_prefix(API_ROOT) else { return Response::plain(404, "no such call\n") };
+        let Some(name) = path.strip_prefix(API_ROOT) else { return Response::text(404, "no such call\n") };
         let method = match name {
             "health" => "GET",
             "cordon" | "uncordon" | "quiesce" | "resume" => "POST",
-            _ => return Response::plain(404, "no such call\n"),
+            _ => return Response::text(404, "no such call\n"),
         };
         if head.method != method {
-            return Response::plain(405, format!("only with {method}\n"));
+            return Response::text(405, format!("only with {method}\n"));
         }
         match name {
             "health" => self.health(),
@@ -142,22 +142,22 @@
     /// Answers whether this process accepts clients.
     fn health(&self) -> Response {
         if self.context.lifecycle.is_handed_over() {
-            return Response::plain(503, "another process has taken over\n");
+            return Response::text(503, "another process has taken over\n");
         }
         if self.context.accepts_clients() {
-            return Response::plain(200, "takes user agents\n");
+            return Response::text(200, "takes user agents\n");
         }
         if self.context.lifecycle.is_quiesced() {
-            return Response::plain(503, "sends user agents away\n");
+            return Response::text(503, "sends user agents away\n");
         }
-        Response::plain(503, "not ready\n")
+        Response::text(503, "not ready\n")
     }
 
     /// Cordons or uncordons the endpoint whose id is the body.
     async fn cordon(&self, cordoned: bool, body: &[u8]) -> Response {
         let id = std::str::from_utf8(body).map(str::trim).unwrap_or_default();
         if id.is_empty() || !id.bytes().all(|byte| byte.is_ascii_graphic()) {
-            return Response::plain(400, "the body must be the id of an endpoint\n");
+            return Response::text(400, "the body must be the id of an endpoint\n");
         }
         let success_body = format!("{id} {}\n", if cordoned { "is left out" } else { "may serve" });
         self.execute(AdminCommand::Cordon { id: id.to_owned(), cordoned }, success_body).await
@@ -174,10 +174,12 @@
             perform_command(&self.context, &self.endpoint_list, command).await
         };
         match result {
-            Ok(()) => Response::plain(200, success_body),
-            Err(AdminError::UnknownEndpoint) => Response::plain(404, "the list knows no such endpoint\n"),
-            Err(AdminError::NotPersisted(why)) => Response::plain(507, format!("it cannot be kept: {why}\n")),
-            Err(AdminError::ShuttingDown) => Response::plain(503, "the program is ending\n"),
+            Ok(()) => Response::text(200, success_body),
+            Err(AdminError::UnknownEndpoint) => Response::text(404, "the list knows no such endpoint\n"),
+            Err(AdminError::NotPersisted(reason)) => {
+                Response::text(507, format!("it cannot be kept: {reason}\n"))
+            }
+            Err(AdminError::ShuttingDown) => Response::text(503, "the program is ending\n"),
         }
     }
 }
--- a/src/net/operator/handover.rs
+++ b/src/net/operator/handover.rs
@@ -34,14 +34,14 @@
     async fn begin_hand_over(&self, head: &RequestHead) -> Result<MembershipSnapshot, Response> {
         let header = |name: &str| head.headers.get(name).unwrap_or_default();
         if head.method != "POST" || !self.context.folder_ownership.is_token(header("X-Token")) {
-            return Err(Response::plain(404, "no such call\n"));
+            return Err(Response::text(404, "no such call\n"));
         }
         if header("X-Format") != FORMAT_VERSION.to_string() {
-            return Err(Response::plain(415, format!("this process speaks form {FORMAT_VERSION}\n")));
+            return Err(Response::text(415, format!("this process speaks form {FORMAT_VERSION}\n")));
         }
         let lifecycle = &self.context.lifecycle;
         if lifecycle.is_handing_over() || lifecycle.is_closing() || !self.context.endpoint_list.is_known() {
-            return Err(Response::plain(409, "not now\n"));
+            return Err(Response::text(409, "not now\n"));
         }
         lifecycle.enter_hand_over(HandOverPhase::HandingOver);
         match within(ADMIN_REQUEST_TIMEOUT, self.request_list()).await.flatten() {
@@ -50,7 +50,7 @@
                 lifecycle.enter_hand_over(HandOverPhase::Owner);
                 // Sending fails if the mailbox is full, and then the request for the list has not been received either.
                 let _ = self.endpoint_list.try_send(EndpointListMessage::HandOverAborted);
-                Err(Response::plain(503, "not now\n"))
+                Err(Response::text(503, "not now\n"))
             }
         }
     }
