--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -23,8 +23,8 @@
 /// The longest pause after attempts without a response. The pause doubles up to this limit, and starts again at
 /// [`RETRY_PAUSE`] when there is a report that has not been sent yet.
 const MAX_SILENT_PAUSE: Duration = Duration::from_secs(1);
-/// Interval at which held reports are checked for whether they may be sent.
-const HELD_POLL: Duration = Duration::from_millis(10);
+/// The interval at which withheld reports are checked for whether they may be sent.
+const WITHHELD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The most reports in one request.
 const MAX_BATCH: usize = 100;
 
@@ -60,7 +60,7 @@
     context: Rc<Context>,
     mailbox: Receiver<DeliveryReport>,
     /// Reports that may not be sent yet, because a restarted process could still send their messages to an endpoint.
-    held: Vec<DeliveryReport>,
+    withheld: Vec<DeliveryReport>,
     /// Reports that are to be sent, or have been sent without a confirmation.
     pending: VecDeque<DeliveryReport>,
     connection: Option<PlatformConnection>,
@@ -82,7 +82,7 @@
         Reporter {
             context,
             mailbox,
-            held: Vec::new(),
+            withheld: Vec::new(),
             pending: VecDeque::new(),
             connection: None,
             batch_limit: MAX_BATCH,
@@ -114,30 +114,30 @@
     async fn until_pending(&mut self) -> Result<(), RecvError> {
         loop {
             while let Ok(report) = self.mailbox.try_recv() {
-                self.held.push(report);
+                self.withheld.push(report);
             }
-            self.release_held();
+            self.release_withheld();
             if !self.pending.is_empty() {
                 return Ok(());
             }
-            let recheck_at = (!self.held.is_empty()).then(|| Instant::now() + HELD_POLL);
+            let recheck_at = (!self.withheld.is_empty()).then(|| Instant::now() + WITHHELD_POLL_INTERVAL);
             match self.next_input(recheck_at).await? {
-                Input::Report(report) => self.held.push(report),
+                Input::Report(report) => self.withheld.push(report),
                 Input::Late(late) => self.handle_late(late),
                 Input::TimerExpired => {}
             }
         }
     }
 
-    /// Moves held reports to the pending ones once a restarted process cannot send their messages any more: the end of the
-    /// message is on disk, or its deadline is over.
-    fn release_held(&mut self) {
+    /// Moves withheld reports to the pending ones once a restarted process cannot send their messages any more: the end of
+    /// the message is on disk, or its deadline is over.
+    fn release_withheld(&mut self) {
         let now = self.context.clock.now();
         let journal = &self.context.journal;
         let is_safe =
             |report: &mut DeliveryReport| now >= report.deadline || !journal.has_unwritten_end(report.id);
         let pending_before = self.pending.len();
-        self.pending.extend(self.held.extract_if(.., is_safe));
+        self.pending.extend(self.withheld.extract_if(.., is_safe));
         if self.pending.len() > pending_before {
             self.silent_pause = RETRY_PAUSE;
         }
@@ -150,7 +150,7 @@
         while !self.pending.is_empty() {
             match self.next_input(Some(until)).await {
                 Ok(Input::Report(report)) => {
-                    self.held.push(report);
+                    self.withheld.push(report);
                     until = until.min(started + RETRY_PAUSE);
                 }
                 Ok(Input::Late(late)) => self.handle_late(late),
