--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -17,7 +17,7 @@
 impl Candidate {
     /// Returns the candidate to publish. If the ids differ, it is the one that changed last. If the same id is in two
     /// groups, it is the newer entry, and it drains if either of them drains.
-    fn choose(self, other: Candidate) -> Candidate {
+    fn choose_to_publish(self, other: Candidate) -> Candidate {
         let is_newer = other.listing.stamp > self.listing.stamp;
         if self.listing.key.id != other.listing.key.id {
             return if is_newer { other } else { self };
@@ -133,7 +133,7 @@
             let (listing, effective) = view.get(key).zip(view.effective_state(key, now))?;
             Some(Candidate { listing: listing.clone(), effective, source: *source })
         });
-        candidates.reduce(Candidate::choose)
+        candidates.reduce(Candidate::choose_to_publish)
     }
 
     fn publish(
@@ -149,7 +149,7 @@
         let known = self.published.get(&identity);
         // A source that identifies by key has every entry published that it sends; the other sources only those that change.
         let must_publish = matches!(identity, EndpointIdentity::ByKey(..))
-            || known.is_none_or(|known| differs(known, &change));
+            || known.is_none_or(|known| is_changed(known, &change));
         let known_address = known.map(|known| known.listing.address);
         if let Some(left) = known_address.filter(|known| *known != change.listing.address) {
             remove_at(&mut self.published_at, left, &identity);
@@ -187,7 +187,7 @@
 }
 
 /// Whether a change alters anything about the endpoint compared with its last published change.
-fn differs(known: &MembershipChange, change: &MembershipChange) -> bool {
+fn is_changed(known: &MembershipChange, change: &MembershipChange) -> bool {
     let (old, new) = (&known.listing, &change.listing);
     known.lifecycle != change.lifecycle
         || old.destination != new.destination
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -240,7 +240,7 @@
         let mut missing: Vec<EntryKey> =
             self.entries.keys().filter(|key| !listed.contains(*key)).cloned().collect();
         missing.sort();
-        let is_doubted = self.doubts(missing.len(), newest_stamp);
+        let is_doubted = self.is_doubtful(missing.len(), newest_stamp);
         self.stats.doubted_updates += u64::from(is_doubted);
         for listing in listings {
             self.apply_listing(now, listing, touched);
@@ -259,7 +259,7 @@
 
     /// Whether a complete update is doubted: it lacks too many entries, or it lacks any entry and all its stamps are lower
     /// than the view's newest.
-    fn doubts(&self, missing: usize, newest_stamp: u64) -> bool {
+    fn is_doubtful(&self, missing: usize, newest_stamp: u64) -> bool {
         let Some(guard) = self.policy.shrink_guard else { return false };
         let max_missing = guard.max_missing_share * self.entries.len() as f64;
         missing > 0 && (missing as f64 > max_missing || newest_stamp < self.newest_stamp)
--- a/src/membership/watch_backoff.rs
+++ b/src/membership/watch_backoff.rs
@@ -57,7 +57,7 @@
             return (self.first_rejection_pause as f64 * FIRST_REJECTION_SPREAD * draw) as Micros;
         }
         let doublings = self.rejections.max(2) - 2;
-        let pause = doubled(self.first_rejection_pause, doublings).min(MAX_REJECTION_PAUSE);
+        let pause = doubled_pause(self.first_rejection_pause, doublings).min(MAX_REJECTION_PAUSE);
         let pause = with_jitter(pause, draw);
         // A random part is added to Retry-After, so that the whole fleet does not come back at the same moment.
         retry_after.map_or(pause, |retry_after| retry_after.saturating_add(pause / 2))
@@ -66,13 +66,13 @@
     /// Records that a watch broke or could not be opened. Returns the delay before the next one in microseconds, from a
     /// random draw from 0 to 1.
     pub fn after_failure(&mut self, draw: f64) -> Micros {
-        let pause = doubled(FIRST_FAILURE_PAUSE, self.failures).min(MAX_FAILURE_PAUSE);
+        let pause = doubled_pause(FIRST_FAILURE_PAUSE, self.failures).min(MAX_FAILURE_PAUSE);
         self.failures += 1;
         with_jitter(pause, draw)
     }
 }
 
-fn doubled(first: Micros, doublings: u32) -> Micros {
+fn doubled_pause(first: Micros, doublings: u32) -> Micros {
     first.saturating_mul(1 << doublings.min(MAX_DOUBLINGS))
 }
 
--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -42,7 +42,7 @@
 }
 
 impl<'a> Sections<'a> {
-    fn of(root: &'a Value) -> Result<Self, DecodeError> {
+    fn read(root: &'a Value) -> Result<Self, DecodeError> {
         Ok(Sections {
             root,
             specifics: required_field(root, "specifics")?,
@@ -59,7 +59,7 @@
 ///
 /// Returns the error of the first setting that is missing or cannot be decoded.
 pub fn decode_settings(json: &Value) -> Result<(Settings, Names), DecodeError> {
-    let sections = Sections::of(json)?;
+    let sections = Sections::read(json)?;
     let zones = required_list(json, "azs", string)?;
     let kinds = required_list(json, "kinds", string)?;
     let categories = required_items(json, "categories")?;
