--- a/src/net/runtime/lifecycle.rs
+++ b/src/net/runtime/lifecycle.rs
@@ -54,14 +54,14 @@
 
     /// Returns once the shutdown has begun.
     pub async fn until_closing(&self) {
-        self.shutdown.until(ShutdownPhase::Closing).await;
+        self.shutdown.until_entered(ShutdownPhase::Closing).await;
     }
 
     /// Returns once the listener is to be closed: late in the shutdown, or when a successor has taken over and listens
     /// itself.
     pub async fn until_listener_closes(&self) {
-        let handed_over = self.hand_over.until(HandOverPhase::HandedOver);
-        future::or(handed_over, self.shutdown.until(ShutdownPhase::ListenerClosing)).await;
+        let handed_over = self.hand_over.until_entered(HandOverPhase::HandedOver);
+        future::or(handed_over, self.shutdown.until_entered(ShutdownPhase::ListenerClosing)).await;
     }
 
     /// Whether the shutdown has come so far that no more decisions are made.
@@ -71,7 +71,7 @@
 
     /// Returns once the shutdown has come so far that no more decisions are made.
     pub async fn until_stopped(&self) {
-        self.shutdown.until(ShutdownPhase::DecisionsStopped).await;
+        self.shutdown.until_entered(ShutdownPhase::DecisionsStopped).await;
     }
 
     /// Enters a phase of the hand-over and wakes the tasks that wait for it.
@@ -91,7 +91,7 @@
 
     /// Returns once a successor has taken over.
     pub async fn until_handed_over(&self) {
-        self.hand_over.until(HandOverPhase::HandedOver).await;
+        self.hand_over.until_entered(HandOverPhase::HandedOver).await;
     }
 
     /// Whether a successor had taken over and its connection has ended since.
@@ -101,7 +101,7 @@
 
     /// Returns once a successor had taken over and its connection has ended.
     pub async fn until_successor_lost(&self) {
-        self.hand_over.until(HandOverPhase::SuccessorLost).await;
+        self.hand_over.until_entered(HandOverPhase::SuccessorLost).await;
     }
 
     /// Quiesces the process, which then disconnects its clients, or resumes serving them.
--- a/src/net/runtime/phase.rs
+++ b/src/net/runtime/phase.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns once the phase, or a later one, was entered.
-    pub async fn until(&self, phase: P) {
+    pub async fn until_entered(&self, phase: P) {
         while self.current.get() < phase {
             let changed = self.changed.borrow().1.clone();
             // Nothing is ever sent: receiving ends with an error when the channel is closed at the next change.
