--- a/src/bin/cedarbridge-simhost/wire/mod.rs
+++ b/src/bin/cedarbridge-simhost/wire/mod.rs
@@ -59,9 +59,9 @@
     /// Parses the events for the policy of an instance. Events that create or stop instances or store endpoint lists
     /// take effect at once.
     fn parse_events(&mut self, id: u64, part: &Value) -> Result<Vec<Event>, BatchError> {
-        let news = part.get("news").and_then(Value::as_array).ok_or(BatchError::NoEvents)?;
+        let event_values = part.get("news").and_then(Value::as_array).ok_or(BatchError::NoEvents)?;
         let mut events = Vec::new();
-        for event in news {
+        for event in event_values {
             let name = event.get(0).and_then(Value::as_str).ok_or(BatchError::NoEventName)?;
             self.parse_event(id, name, Fields(event), &mut events)
                 .map_err(|error| BatchError::Event { name: name.to_owned(), error })?;
--- a/src/net/platform/eureka/client.rs
+++ b/src/net/platform/eureka/client.rs
@@ -127,13 +127,13 @@
 
     /// Decompresses a body. Stops at the size limit, as a small body may decompress to a huge one.
     fn decompress(&self, body: &[u8]) -> Result<Vec<u8>, RegistryError> {
-        let mut plain = Vec::new();
+        let mut decompressed = Vec::new();
         let mut reader = flate2::read::GzDecoder::new(body).take(self.max_body_bytes as u64 + 1);
-        reader.read_to_end(&mut plain).map_err(RegistryError::Decompression)?;
-        if plain.len() > self.max_body_bytes {
+        reader.read_to_end(&mut decompressed).map_err(RegistryError::Decompression)?;
+        if decompressed.len() > self.max_body_bytes {
             return Err(RegistryError::TooLarge(self.max_body_bytes));
         }
-        Ok(plain)
+        Ok(decompressed)
     }
 
     /// Requests applications and decodes them.
--- a/src/net/platform/eureka/json.rs
+++ b/src/net/platform/eureka/json.rs
@@ -155,13 +155,13 @@
 impl<'de> Deserialize<'de> for Metadata {
     fn deserialize<D: Deserializer<'de>>(d: D) -> Result<Self, D::Error> {
         let all: Option<BTreeMap<String, serde_json::Value>> = Deserialize::deserialize(d)?;
-        let plain = |(name, value): (String, serde_json::Value)| match value {
+        let as_text = |(name, value): (String, serde_json::Value)| match value {
             serde_json::Value::String(text) if !name.starts_with('@') => Some((name, text)),
             serde_json::Value::Number(number) => Some((name, number.to_string())),
             serde_json::Value::Bool(flag) => Some((name, flag.to_string())),
             _ => None,
         };
-        Ok(Metadata(all.unwrap_or_default().into_iter().filter_map(plain).collect()))
+        Ok(Metadata(all.unwrap_or_default().into_iter().filter_map(as_text).collect()))
     }
 }
 
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -17,7 +17,7 @@
 /// The length of the checksum before the compressed view.
 const CHECKSUM_BYTES: usize = 4;
 /// The most bytes that are decompressed.
-const MAX_PLAIN_BYTES: u64 = 64 * 1024 * 1024;
+const MAX_DECOMPRESSED_BYTES: u64 = 64 * 1024 * 1024;
 /// The view and its replacement may each use the state folder's limit divided by this.
 const FOLDER_DIVISOR: u64 = 16;
 
@@ -76,9 +76,9 @@
         if checksum != crc32fast::hash(compressed).to_le_bytes() {
             return Err(InvalidSnapshot::Checksum.into());
         }
-        let mut plain = Vec::new();
-        GzDecoder::new(compressed).take(MAX_PLAIN_BYTES).read_to_end(&mut plain)?;
-        let file: StoredView = serde_json::from_slice(&plain).map_err(InvalidSnapshot::Json)?;
+        let mut decompressed = Vec::new();
+        GzDecoder::new(compressed).take(MAX_DECOMPRESSED_BYTES).read_to_end(&mut decompressed)?;
+        let file: StoredView = serde_json::from_slice(&decompressed).map_err(InvalidSnapshot::Json)?;
         if file.version != VERSION {
             return Err(InvalidSnapshot::Version.into());
         }
