--- a/src/net/platform/endpoint_list/watches.rs
+++ b/src/net/platform/endpoint_list/watches.rs
@@ -187,7 +187,7 @@
             "entries" => listings.len());
         self.context.counters.list_versions_received.increment();
         self.apply_version(received_at, complete, listings).await;
-        // Calls may go out only now that the list is in the endpoint table.
+        // Calls may be sent only now that the list is in the endpoint table.
         self.context.endpoint_list.set_received();
     }
 
--- a/src/net/platform/list_status.rs
+++ b/src/net/platform/list_status.rs
@@ -24,12 +24,12 @@
         self.known.set(true);
     }
 
-    /// Whether calls may go out: this process has received a list from the platform, or has waited long enough for one.
+    /// Whether calls may be sent: this process has received a list from the platform, or has waited long enough for one.
     pub fn is_received(&self) -> bool {
         self.received.is_set()
     }
 
-    /// Lets calls go out.
+    /// Allows calls to be sent.
     pub fn set_received(&self) {
         self.received.set();
     }
--- a/src/net/runtime/stall_detector.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -1,6 +1,6 @@
 //! Detects that this process recently did not run: it was stopped by a signal, starved of processor time, or the machine was
-//! suspended. Data that arrived meanwhile waits unread in the socket buffers, and a drain or a `retry_after` in it is
-//! binding from its arrival, not from when it is read. The detector reads no clock itself: its callers pass the time.
+//! suspended. Data that arrived meanwhile waits unread in the socket buffers, and a drain or a `retry_after` in it
+//! applies from its arrival, not from when it is read. The detector reads no clock itself: its callers pass the time.
 
 use super::clock::Clock;
 use crate::Micros;
