--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -34,7 +34,7 @@
     let link = match send_result.unwrap_or(Err(HttpError::TimedOut.into())) {
         Ok(link) => link,
         Err(error) => {
-            warn!(context.log, "hand-over failed, serving on"; "reason" => error.code(), "error" => %error);
+            warn!(context.log, "hand-over failed, continuing to serve"; "reason" => error.code(), "error" => %error);
             context.journal.resume();
             context.lifecycle.enter_hand_over(HandOverPhase::Owner);
             // Sending fails only if the endpoint list actor has ended, and it ends only with the process.
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -170,7 +170,7 @@
          successor asks 415 format=1
          successor asks 200
          successor disconnects
-         log hand-over failed, serving on
+         log hand-over failed, continuing to serve
          u1 send m2
          u1 expect 202
          e1 expect m2
@@ -178,7 +178,7 @@
          successor reads-state
          e1 send m2 200
          admin cordon e1 503
-         log hand-over failed, serving on
+         log hand-over failed, continuing to serve
          successor disconnects
          u1 send m3
          u1 expect 202
@@ -505,7 +505,7 @@
          platform send e1=leaving
          sleep 100
          successor disconnects
-         log hand-over failed, serving on
+         log hand-over failed, continuing to serve
          sleep 300
          u1 send m1
          u1 expect 202
