--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -325,10 +325,10 @@
     );
 }
 
-/// Guards against a drain that lies unread on a watch as that is replaced by one whose list is older: after a stall it went
-/// with the watch, and calls went to the endpoint.
+/// Guards against the loss of a drain that is still unread on a watch when a watch with an older list replaces it.
+/// After a stall, the drain was dropped with the watch, and calls were sent to the endpoint.
 #[test]
-fn a_drain_that_lies_unread_on_a_replaced_watch_binds_calls() {
+fn a_drain_that_is_unread_on_a_replaced_watch_still_stops_calls() {
     // Which of the two watches is read first is chance.
     for _ in 0..3 {
         play(
--- a/tests/scenario/endpoint.rs
+++ b/tests/scenario/endpoint.rs
@@ -1,8 +1,8 @@
 //! An endpoint: it accepts calls and responds as the script says.
 
-use super::notes::note;
-use super::script::{numbered, text_behind, unescape};
-use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
+use super::notes::print_note;
+use super::script::{expand_ids, text_behind, unescape};
+use super::sockets::{accept, bound_socket, listening, local_address, read_message, write, PATIENCE};
 use socket2::Socket;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufReader, Write};
@@ -52,7 +52,7 @@
 
 impl Endpoint {
     pub fn new(destination: u64, kind: &str, zone: &str, state: &str) -> Self {
-        let socket = bound();
+        let socket = bound_socket();
         let address = local_address(&socket);
         let (sender, calls) = channel();
         let (kind, zone, expected) = (kind.to_owned(), zone.to_owned(), BTreeMap::new());
@@ -81,7 +81,7 @@
 
     /// From now on it listens at another address; open connections to the old one stay.
     pub fn move_away(&mut self) {
-        let socket = bound();
+        let socket = bound_socket();
         self.address = local_address(&socket);
         self.serve(listening(socket, BACKLOG));
     }
@@ -96,7 +96,7 @@
                     Some(id) => vec![id.split("\r\n").next().expect("a line").to_owned()],
                     None => batch_ids(&request.body),
                 };
-                note(format_args!("call at {address} with {ids:?}"));
+                print_note(format_args!("call at {address} with {ids:?}"));
                 let mut stream = stream.try_clone().expect("a handle");
                 if answers_all.enabled.load(Ordering::SeqCst) {
                     answers_all.ids.lock().expect("unpoisoned").extend(ids);
@@ -129,7 +129,7 @@
                 );
                 self.expected.insert(ids[0].to_owned(), call.stream);
             }
-            ["serves", ids @ ..] => self.deliver_all(numbered(ids)),
+            ["serves", ids @ ..] => self.deliver_all(expand_ids(ids)),
             ["send", id, status, more @ ..] => self.answer(id, status, more),
             ["send-raw", id, ..] => {
                 let text = unescape(text_behind(rest, id));
--- a/tests/scenario/handover.rs
+++ b/tests/scenario/handover.rs
@@ -1,7 +1,7 @@
 //! The other side of a hand-over, played by the script: a successor that asks, or a predecessor that owns the folder.
 
 use super::script::unescape;
-use super::sockets::{bound, connect, listening, read_message};
+use super::sockets::{bound_socket, connect, listening, read_message};
 use cedarbridge::net::handover::frames::FORMAT_VERSION;
 use serde_json::{json, Value};
 use std::fs;
@@ -96,7 +96,7 @@
             ["owns"] => {
                 let mut file = fs::File::create(owner).expect("a file");
                 file.lock().expect("locked");
-                let listener = listening(bound(), 8);
+                let listener = listening(bound_socket(), 8);
                 let operator = listener.local_addr().expect("bound");
                 let owner = json!({"operator": operator, "token": "t"}).to_string();
                 file.write_all(owner.as_bytes()).expect("written");
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -69,7 +69,7 @@
 pub fn play(script: &str) {
     let mut world = World::new();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
-        notes::note(format_args!("> {line}"));
+        notes::print_note(format_args!("> {line}"));
         world.step(line);
     }
 }
--- a/tests/scenario/platform.rs
+++ b/tests/scenario/platform.rs
@@ -1,8 +1,8 @@
 //! The platform: it sends the endpoint list on watches and accepts delivery reports.
 
-use super::notes::note;
-use super::script::numbered;
-use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
+use super::notes::print_note;
+use super::script::expand_ids;
+use super::sockets::{accept, bound_socket, listening, local_address, read_message, write, PATIENCE};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufReader, Write};
@@ -120,7 +120,7 @@
                 let report = self.reports.try_recv();
                 assert!(report.is_err(), "{report:?}");
             }
-            ["expect-all", ids, state] => self.expect_reports(numbered(&[ids]), state),
+            ["expect-all", ids, state] => self.expect_reports(expand_ids(&[ids]), state),
             ["expect-watch", after] => {
                 assert_eq!(self.watched.recv_timeout(PATIENCE).expect("a watch"), *after);
             }
@@ -165,7 +165,7 @@
     /// Listens at a further address.
     fn listen(self: &Arc<Self>, observer: &Observer) -> SocketAddr {
         let number = self.address_number.fetch_add(1, Ordering::SeqCst) + 1;
-        let socket = bound();
+        let socket = bound_socket();
         let address = local_address(&socket);
         let (shared, observer) = (self.clone(), Mutex::new(observer.clone()));
         accept(listening(socket, 64), move |stream| {
@@ -238,7 +238,7 @@
         let lines: Vec<&str> = std::str::from_utf8(body).expect("text").lines().collect();
         for line in &lines {
             let mut report: Value = serde_json::from_str(line).expect("a report");
-            note(format_args!("report {line}"));
+            print_note(format_args!("report {line}"));
             report["alone"] = (lines.len() == 1).into();
             // The scenario may have ended.
             let _ = observer.reports.send(report);
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -69,14 +69,14 @@
         child.kill().and_then(|()| child.wait()).expect("it ends");
     }
 
-    /// Waits for its end, which must be a success.
-    pub fn exit(&mut self) {
-        let status = self.ended();
+    /// Waits for the end of the process, and fails the test unless it exits with success.
+    pub fn wait_for_success(&mut self) {
+        let status = self.wait_for_end();
         assert!(status.success(), "{status}");
     }
 
-    /// Waits for its end.
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits for the end of the process.
+    pub fn wait_for_end(&mut self) -> ExitStatus {
         // Kept until it has ended: a process that hangs is killed with the world.
         let child = self.child();
         let status = soon("the end of the program", || child.try_wait().expect("a child"));
@@ -85,7 +85,7 @@
     }
 
     /// Waits for a line of the log that contains a text.
-    pub fn logged(&self, text: &str) {
+    pub fn wait_for_log_line(&self, text: &str) {
         let there = || self.log.lock().expect("unpoisoned").iter().any(|l| l.contains(text)).then_some(());
         soon(&format!("log line `{text}`"), there);
     }
--- a/tests/scenario/script.rs
+++ b/tests/scenario/script.rs
@@ -6,7 +6,7 @@
 }
 
 /// `m*3` stands for m1, m2 and m3.
-pub fn numbered(ids: &[&str]) -> Vec<String> {
+pub fn expand_ids(ids: &[&str]) -> Vec<String> {
     let each = |id: &&str| match id.split_once('*') {
         Some((name, count)) => {
             let count: usize = count.parse().expect("a number");
--- a/tests/scenario/sockets.rs
+++ b/tests/scenario/sockets.rs
@@ -33,7 +33,7 @@
 }
 
 /// A socket with a port of its own that does not listen yet.
-pub fn bound() -> Socket {
+pub fn bound_socket() -> Socket {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
     socket
@@ -68,7 +68,7 @@
 }
 
 thread_local! {
-    /// Whether what is written goes out byte by byte, each in a packet of its own; one scenario plays in a thread.
+    /// Whether data is sent byte by byte, each byte in a packet of its own. Each scenario runs in one thread.
     static BYTE_BY_BYTE: Cell<bool> = const { Cell::new(false) };
 }
 
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -7,7 +7,7 @@
 use super::platform::Platform;
 use super::process::{fault_library, program, Process};
 use super::registry::Registry;
-use super::script::{numbered, text_behind, unescape};
+use super::script::{expand_ids, text_behind, unescape};
 use super::settings::{Options, Place};
 use super::sockets::{soon, write_byte_by_byte};
 use serde_json::{json, Value};
@@ -159,11 +159,11 @@
             "continue" => self.process.signal("CONT"),
             "term" => self.process.signal("TERM"),
             "kill" => self.process.kill(),
-            "exit" => self.process.exit(),
-            "exit-with-failure" => assert!(!self.process.ended().success()),
+            "exit" => self.process.wait_for_success(),
+            "exit-with-failure" => assert!(!self.process.wait_for_end().success()),
             "exit-within" => {
                 let begun = Instant::now();
-                self.process.exit();
+                self.process.wait_for_success();
                 assert!(begun.elapsed() < milliseconds(words[0]), "it took {:?}", begun.elapsed());
             }
             // A stopped process shows nothing else that could be waited for.
@@ -204,7 +204,7 @@
     fn observation_step(&mut self, name: &str, words: &[&str], rest: &str) -> bool {
         match name {
             "wait" => words.iter().for_each(|w| self.wait(w)),
-            "log" => self.process.logged(rest),
+            "log" => self.process.wait_for_log_line(rest),
             "health" => {
                 let wanted = format!("HTTP/1.1 {} ", words[0]);
                 soon(rest, || self.get("/_health").starts_with(&wanted).then_some(()));
@@ -293,8 +293,8 @@
             "continue" => self.old.signal("CONT"),
             "term" => self.old.signal("TERM"),
             "kill" => self.old.kill(),
-            "exit" => self.old.exit(),
-            "log" => self.old.logged(rest.trim_start_matches("log ")),
+            "exit" => self.old.wait_for_success(),
+            "log" => self.old.wait_for_log_line(rest.trim_start_matches("log ")),
             "admin" => admin_step(&self.old, &mut self.idle_connections, &words[1..], rest),
             _ => panic!("no such step of an old process"),
         }
@@ -306,7 +306,7 @@
         }
         let listen = self.listen.expect("started");
         if let ["submits", count, name, more @ ..] = words {
-            let ids = numbered(&[&format!("{name}*{count}")]);
+            let ids = expand_ids(&[&format!("{name}*{count}")]);
             return self.accepted.extend(ids.iter().map(|id| submit(listen, id, more)));
         }
         let client = self.clients.entry(name.to_owned()).or_insert_with(|| Client::connect(listen));
