--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -66,12 +66,12 @@
     /// Checks the circuit breaker and the pacer. The first trial call after an outage is not paced.
     pub(super) fn check(&mut self, now: Micros, settings: &Settings) -> Admission {
         let admission = self.check_circuit(now);
-        let paced = match admission {
+        let is_paced = match admission {
             Admission::Admitted => true,
             Admission::Trial => !self.circuit.in_outage,
             Admission::NotBefore(_) => false,
         };
-        if !paced {
+        if !is_paced {
             return admission;
         }
         match self.check_pace(now, settings) {
@@ -124,14 +124,14 @@
 
     fn record_failure(&mut self, now: Micros, call: &FinishedCall, settings: &Settings, slot: SlotSchedule) {
         let failing_since = self.circuit.count_failure(now);
-        let closed = self.circuit.state == BreakerState::Closed;
-        let trips = closed && self.circuit.has_reached_threshold(call.outcome == Outcome::Reset);
+        let is_closed = self.circuit.state == BreakerState::Closed;
+        let trips = is_closed && self.circuit.has_reached_threshold(call.outcome == Outcome::Reset);
         // In a large fleet there are as many second calls as first ones, and a recovering destination would
         // get them all at once. A forwarder that seldom calls therefore waits for its time slot before the
         // second call. This also helps against short congestion; the price is that such a forwarder waits
         // after a single lost call.
         let calls_seldom = || self.own_rate(now, settings) * (OPEN_TIMEOUT as f64) < SECOND as f64;
-        if closed && !trips && calls_seldom() {
+        if is_closed && !trips && calls_seldom() {
             let period = self.update_recovery_interval(now, OPEN_TIMEOUT, settings);
             let wait = slot.delay_to_slot_after(period, 0);
             self.pacer.paused_until = self.pacer.paused_until.max(now + wait);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -31,8 +31,8 @@
             let delivered_at = now + expected_waits[&message.destination];
             (self.value_at(message, delivered_at) * VALUE_SCALE) as i64
         };
-        let least = sheddable().map(|(id, m)| (expected_value(m), Reverse(*id))).min();
-        least.map(|(_, Reverse(id))| id)
+        let least_valuable = sheddable().map(|(id, m)| (expected_value(m), Reverse(*id))).min();
+        least_valuable.map(|(_, Reverse(id))| id)
     }
 
     /// The time before which a destination gets no call because of a pause or an open circuit breaker. It may
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -142,8 +142,8 @@
     ) -> DestinationStatus {
         let per_endpoint = destination.endpoints.iter().filter(|_| destination.per_endpoint_breaker);
         let endpoints = per_endpoint.filter_map(|e| self.endpoints.get(e));
-        let all = endpoints.map(|e| &e.admission).chain([&destination.admission]);
-        let worst = all.max_by_key(|a| a.circuit.state).unwrap_or(&destination.admission);
+        let admissions = endpoints.map(|e| &e.admission).chain([&destination.admission]);
+        let worst = admissions.max_by_key(|a| a.circuit.state).unwrap_or(&destination.admission);
         DestinationStatus {
             destination: id,
             breaker: worst.circuit.state,
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -18,8 +18,8 @@
     let endpoint = endpoints.get_mut(&id);
     let destination_id = endpoint.as_ref().map(|e| e.entry.destination);
     let destination = destination_id.and_then(|d| destinations.get_mut(&d));
-    let shared = destination.filter(|d| !d.per_endpoint_breaker);
-    endpoint.map(|e| &mut e.admission).into_iter().chain(shared.map(|d| &mut d.admission))
+    let with_shared_breaker = destination.filter(|d| !d.per_endpoint_breaker);
+    endpoint.map(|e| &mut e.admission).into_iter().chain(with_shared_breaker.map(|d| &mut d.admission))
 }
 
 impl DeliveryPolicy {
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -83,8 +83,8 @@
 
     /// Lowers the rate after a rejection. `rejection_weight` is the number of rejections for which it counts.
     pub(super) fn cut_rate(&mut self, rejection_weight: f64) {
-        let cut = self.rate_factor * RATE_FACTOR_CUT.powf(rejection_weight);
-        self.rate_factor = cut.max(RATE_FACTOR_MIN.powf(rejection_weight));
+        let reduced_factor = self.rate_factor * RATE_FACTOR_CUT.powf(rejection_weight);
+        self.rate_factor = reduced_factor.max(RATE_FACTOR_MIN.powf(rejection_weight));
     }
 
     /// The calls per second that all forwarders together may send; `None` if that is unknown.
--- a/src/policy/stuck_calls.rs
+++ b/src/policy/stuck_calls.rs
@@ -89,8 +89,8 @@
     /// calls.
     pub(super) fn latency_of(&self, endpoint: &Endpoint) -> f64 {
         let destination = self.destinations.get(&endpoint.entry.destination);
-        let shared = destination.and_then(|d| d.admission.mean_latency_us);
-        endpoint.admission.mean_latency_us.or(shared).unwrap_or(self.mean_latency_us)
+        let destination_latency_us = destination.and_then(|d| d.admission.mean_latency_us);
+        endpoint.admission.mean_latency_us.or(destination_latency_us).unwrap_or(self.mean_latency_us)
     }
 
     /// The time in flight, in microseconds, after which a call to an endpoint counts as stuck.
