--- a/src/net/client/request.rs
+++ b/src/net/client/request.rs
@@ -58,20 +58,21 @@
     if let Some(name) = MESSAGE_HEADERS.iter().find(|name| headers.count(name) > 1) {
         return Err(BadRequest::RepeatedHeader(name));
     }
-    let request_id = required(headers, "X-Request-Id")?;
-    let key = present(headers, "Idempotency-Key");
+    let request_id = required_header(headers, "X-Request-Id")?;
+    let key = optional_header(headers, "Idempotency-Key");
     if !is_id(request_id) || key.is_some_and(|key| !is_id(key)) {
         return Err(BadRequest::MalformedId);
     }
-    let class = index_of(&names.classes, required(headers, "X-Class")?, "class");
+    let class = index_of(&names.classes, required_header(headers, "X-Class")?, "class");
     let class = ClassId(class?);
     let tenant = read_tenant(headers, names)?;
     if key.is_none() && config.requires_key[class.0] {
         return Err(BadRequest::MissingKey);
     }
-    let destination = read_destination(required(headers, "X-Addressing")?)?;
-    let time_left = read_time(required(headers, "X-Deadline")?).ok_or(BadRequest::MalformedDeadline)?;
-    let retry = present(headers, "X-Retry");
+    let destination = read_destination(required_header(headers, "X-Addressing")?)?;
+    let time_left =
+        read_time(required_header(headers, "X-Deadline")?).ok_or(BadRequest::MalformedDeadline)?;
+    let retry = optional_header(headers, "X-Retry");
     Ok(Request {
         request_id: request_id.to_owned(),
         key: key.map(str::to_owned),
@@ -86,12 +87,12 @@
 }
 
 /// The value of a header; `None` if it is missing or empty.
-fn present<'a>(headers: &'a Headers, name: &'static str) -> Option<&'a str> {
+fn optional_header<'a>(headers: &'a Headers, name: &'static str) -> Option<&'a str> {
     headers.get(name).filter(|value| !value.is_empty())
 }
 
-fn required<'a>(headers: &'a Headers, name: &'static str) -> Result<&'a str, BadRequest> {
-    present(headers, name).ok_or(BadRequest::MissingHeader(name))
+fn required_header<'a>(headers: &'a Headers, name: &'static str) -> Result<&'a str, BadRequest> {
+    optional_header(headers, name).ok_or(BadRequest::MissingHeader(name))
 }
 
 fn is_id(text: &str) -> bool {
@@ -99,7 +100,7 @@
 }
 
 fn read_tenant(headers: &Headers, names: &Names) -> Result<Option<TenantId>, BadRequest> {
-    match present(headers, "X-Tenant") {
+    match optional_header(headers, "X-Tenant") {
         Some(name) => {
             let tenant = index_of(&names.tenants, name, "tenant")?;
             Ok(Some(TenantId(tenant)))
--- a/src/net/delivery/endpoints.rs
+++ b/src/net/delivery/endpoints.rs
@@ -41,9 +41,9 @@
     }
 
     fn retain_listed(&mut self, entries: &[EndpointEntry]) {
-        let kept: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.endpoint).collect();
         let removed: Vec<EndpointId> =
-            self.listed.keys().copied().filter(|endpoint| !kept.contains(endpoint)).collect();
+            self.listed.keys().copied().filter(|endpoint| !listed.contains(endpoint)).collect();
         removed.into_iter().for_each(|endpoint| self.remove(endpoint));
     }
 
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -90,7 +90,7 @@
                 Ok(())
             }
             PredecessorFrame::Admin { number, command } => {
-                self.perform(number, command);
+                self.spawn_command(number, command);
                 Ok(())
             }
             PredecessorFrame::State(_) | PredecessorFrame::Granted => Ok(()),
@@ -111,14 +111,14 @@
     }
 
     /// Starts a task that performs an operator's command and sends the result back.
-    fn perform(&self, number: u64, command: AdminCommand) {
+    fn spawn_command(&self, number: u64, command: AdminCommand) {
         let (context, endpoint_list) = (self.context.clone(), self.endpoint_list.clone());
         let frames = self.link.frames.clone();
-        let performing = async move {
+        let perform = async move {
             let result = operator::perform_command(&context, &endpoint_list, command).await;
             // Sending fails if the predecessor is gone, and then its operator has lost its connection as well.
             let _ = frames.send(&SuccessorFrame::AdminDone { number, result }).await;
         };
-        self.context.executor.spawn(performing).detach();
+        self.context.executor.spawn(perform).detach();
     }
 }
--- a/src/net/platform/endpoint_list/decode.rs
+++ b/src/net/platform/endpoint_list/decode.rs
@@ -86,7 +86,7 @@
 }
 
 impl<T> Field<T> {
-    fn typed(self) -> Option<T> {
+    fn into_value(self) -> Option<T> {
         match self {
             Field::Typed(value) => Some(value),
             Field::Other(_) => None,
@@ -198,7 +198,7 @@
             destination: DestinationId(required_integer(self.cell, "cell")?),
             zone: ZoneId(zone),
             kind: KindId(kind),
-            weight: self.weight.and_then(Field::typed).unwrap_or(1.0),
+            weight: self.weight.and_then(Field::into_value).unwrap_or(1.0),
             state,
             stamp: 0,
         })
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -87,8 +87,8 @@
 
     async fn remove_registry(&mut self) {
         self.membership.set_policy(REGISTRY, identified_by_address());
-        let empty = SourceUpdate::Complete { version: None, listings: Vec::new() };
-        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, empty);
+        let empty_list = SourceUpdate::Complete { version: None, listings: Vec::new() };
+        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, empty_list);
         self.publish(UpdateKind::Patch, changes).await;
         self.registry = None;
         self.context.endpoint_list.set_registry_view(None);
--- a/src/net/platform/endpoint_list/watches.rs
+++ b/src/net/platform/endpoint_list/watches.rs
@@ -57,8 +57,8 @@
 
     /// The address of a watch's agent; `None` if the watch is closed.
     pub fn address_of(&self, number: u64) -> Option<SocketAddr> {
-        let all = self.current.iter().chain(&self.replaced).chain(&self.connecting);
-        all.into_iter().find(|watch| watch.number == number).map(|watch| watch.address)
+        let watches = self.current.iter().chain(&self.replaced).chain(&self.connecting);
+        watches.into_iter().find(|watch| watch.number == number).map(|watch| watch.address)
     }
 
     fn has_current_at(&self, address: SocketAddr) -> bool {
--- a/src/net/platform/eureka/counts.rs
+++ b/src/net/platform/eureka/counts.rs
@@ -31,10 +31,10 @@
             "hash_mismatches": self.mismatches.get(), "failures": self.failures.get(),
             "passed_over": self.unusable_entries.get(), "address": self.address.get(),
         });
-        let all = report.as_object_mut().expect("the report above is an object");
-        all.extend(view.as_object().into_iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
-        let received_at = all.remove("heard").and_then(|at| at.as_u64());
-        all.insert("age_ms".into(), received_at.map(|at| now.saturating_sub(at) / 1000).into());
+        let fields = report.as_object_mut().expect("the report above is an object");
+        fields.extend(view.as_object().into_iter().flatten().map(|(k, v)| (k.clone(), v.clone())));
+        let received_at = fields.remove("heard").and_then(|at| at.as_u64());
+        fields.insert("age_ms".into(), received_at.map(|at| now.saturating_sub(at) / 1000).into());
         report
     }
 }
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -68,16 +68,16 @@
             }
             PollScope::Applications(apps) => apps,
         };
-        let mut all = Applications::default();
+        let mut applications = Applications::default();
         for app in apps {
             match client.applications(&format!("/apps/{}", percent_encode(app))).await {
-                Ok(one) => all.instances.extend(one.instances),
+                Ok(polled) => applications.instances.extend(polled.instances),
                 // The registry answers with 404 for an application without instances.
                 Err(RegistryError::Status(404)) => {}
                 Err(error) => return Err(error),
             }
         }
-        Ok(all)
+        Ok(applications)
     }
 
     /// How many entries have been reported as unusable.
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -40,7 +40,7 @@
         format!("{}/{}", self.app_path(), percent_encode(&self.name))
     }
 
-    fn document(&self, status: &str) -> String {
+    fn registration_document(&self, status: &str) -> String {
         let registration = self.registration;
         let ip = self.listen.ip().to_string();
         json!({"instance": {
@@ -68,7 +68,7 @@
 
     /// Registers the entry; returns whether the registry has granted the lease.
     async fn register(&mut self, context: &Context) -> bool {
-        let document = self.document("UP");
+        let document = self.registration_document("UP");
         let error = match self.send("POST", &self.app_path(), Some(&document)).await {
             Ok(200..=299) => return true,
             Ok(status) => format!("status {status}"),
--- a/src/net/runtime/signals.rs
+++ b/src/net/runtime/signals.rs
@@ -56,14 +56,14 @@
             if self.reload.swap(false, Ordering::AcqRel) {
                 return Signal::Reload;
             }
-            let woken = async {
+            let wake_up = async {
                 // An error of the pipe only causes an early wake-up, and the flags are checked again.
                 let _ = self.wake_reader.readable().await;
             };
             let polled = async {
                 Timer::after(FLAG_POLL_INTERVAL).await;
             };
-            future::or(woken, polled).await;
+            future::or(wake_up, polled).await;
             // Empties the pipe. The bytes carry no information and the flags are checked next, so an error has no effect.
             let _ = future::poll_once(self.wake_reader.read_with(|mut pipe| pipe.read(&mut [0; 64]))).await;
         }
