--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -329,7 +329,7 @@
 /// After a stall, the drain was dropped with the watch, and calls were sent to the endpoint.
 #[test]
 fn a_drain_that_is_unread_on_a_replaced_watch_still_stops_calls() {
-    // Which of the two watches is read first is chance.
+    // It is random which of the two watches is read first.
     for _ in 0..3 {
         play(
             "with e1=1 e2=1:one:hidden
--- a/tests/each_call.rs
+++ b/tests/each_call.rs
@@ -14,7 +14,8 @@
     std::env::var("EACH_CALL_PLACES").map_or(PLACES, |text| text.parse().expect("a number"))
 }
 
-/// Plays a life of the forwarder with a call that fails once in each of its processes, for each place.
+/// Plays a scenario with two processes of the forwarder, in each of which one occurrence of the system call fails, for each
+/// occurrence up to the limit.
 fn fails_once(call: &str, failures: &[&str]) {
     for failure in failures {
         for place in 1..=places() {
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -373,8 +373,8 @@
     );
 }
 
-/// Guards against a growing pause between the connects of a watch that fail as this machine is short of ports: what the
-/// platform's new agent has counts as told 4 s after the signal.
+/// Guards against a growing pause between the attempts to connect a watch, which fail as this machine is short of ports. 4 s
+/// after the signal, the forwarder counts as informed of everything that the platform's new agent has.
 #[test]
 fn a_moved_watch_is_opened_in_time_although_connect_fails_now_and_then() {
     play(
@@ -417,7 +417,8 @@
     );
 }
 
-/// Guards against an end that is held back until the journal takes it: it is owed when the message's time is over.
+/// Guards against a delivery report that is withheld until the journal can record it. Once the message's deadline is over,
+/// the report must be sent all the same.
 #[test]
 fn an_end_that_the_journal_does_not_take_is_reported_once_the_time_of_its_message_is_over() {
     play(
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -32,8 +32,8 @@
 //! | `e1 send m1 200 Header:value m1=delivered …` | the answer to the call that m1 came in |
 //! | `e1 send-raw m1 TEXT` | whatever else is written to the connection that m1 came on |
 //! | `e1 close m1`, `e1 open` | ends that call's connection; lets a stalled or closed endpoint accept |
-//! | `platform send e1=leaving`, `platform changes-silently e1=leaving` | the list changes; the open watches are not told |
-//! | `platform changes-on-old-watches e1=leaving` | a change that only the watches at an address which it has left are told |
+//! | `platform send e1=leaving`, `platform changes-silently e1=leaving` | the list changes; `changes-silently` does not send it on the open watches |
+//! | `platform changes-on-old-watches e1=leaving` | a change that is sent only on the watches at addresses that the agent has left |
 //! | `platform expect m1 failed [alone]`, `platform expect-all m*20 returned` | the next report, with no other beside it; reports of all of these in any order, which some may be repeats of |
 //! | `platform expect-no-report` | no report has come but those that were expected |
 //! | `platform expect-watch 1` | the next watch asks for what came after that generation |
@@ -46,8 +46,8 @@
 //! | `registry holds n0=UP`, `registry holds n0=`, `registry asked GET /apps` | waits for what it holds of an instance, for a request |
 //! | `reload open=4 …`, `reload TEXT` | writes the configuration anew and sends SIGHUP |
 //! | `wait name=value routes/NAME/held=1 …`, `log TEXT` | waits for counters, for a line in the log |
-//! | `with faults=on`, `faults write EIO; accept ENFILE count=3`, `faults` | system calls of the forwarder fail by this plan from now on, by none (`crates/faultshim`) |
-//! | `fault-injected write` | waits until such a call has failed by the plan in force |
+//! | `with faults=on`, `faults write EIO; accept ENFILE count=3`, `faults` | from now on, system calls of the forwarder fail by this plan, or none fail (`crates/faultshim`) |
+//! | `fault-injected write` | waits until the current plan has made such a call fail |
 //! | `state-under N`, `state-holds FILE`, `state-folder NAME`, `damage cut N`, `damage flip N`, `damage-view` | the state folder |
 
 mod admin;
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -414,7 +414,7 @@
         fs::write(newest, bytes).expect("written");
     }
 
-    /// Puts a plan of faults in force, rules separated by semicolons, and forgets what the one before has injected.
+    /// Replaces the plan of faults by rules separated by semicolons, and forgets which faults the previous plan injected.
     fn plan_faults(&self, rules: &str) {
         let beside = self.folder.join("faults.new");
         fs::write(&beside, rules.replace(';', "\n")).expect("written");
