--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes over the list of the predecessor with the same endpoint ids.
-    pub async fn inherit(&mut self, inherited: MembershipSnapshot) {
+    pub async fn restore_inherited_list(&mut self, inherited: MembershipSnapshot) {
         self.membership.adopt_ids(&inherited);
         self.context.endpoint_list.set_received();
         let now = self.context.clock.now();
@@ -238,8 +238,8 @@
             }
             EndpointListMessage::HandedOver => self.send_lines_to_successor().await,
             EndpointListMessage::Cordon { id, cordoned, reply } => self.cordon(&id, cordoned, &reply).await,
-            EndpointListMessage::RegistryUpdate { update, received_at, doubted } => {
-                self.apply_registry_update(update, received_at, &doubted).await;
+            EndpointListMessage::RegistryUpdate { update, received_at, in_doubt_reply } => {
+                self.apply_registry_update(update, received_at, &in_doubt_reply).await;
             }
         }
     }
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -87,8 +87,8 @@
 
     async fn remove_registry(&mut self) {
         self.membership.set_policy(REGISTRY, identified_by_address());
-        let empty = SourceUpdate::Complete { version: None, listings: Vec::new() };
-        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, empty);
+        let empty_list = SourceUpdate::Complete { version: None, listings: Vec::new() };
+        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, empty_list);
         self.publish(UpdateKind::Patch, changes).await;
         self.registry = None;
         self.context.endpoint_list.set_registry_view(None);
@@ -99,7 +99,7 @@
         &mut self,
         update: SourceUpdate,
         received_at: Micros,
-        in_doubt: &Sender<bool>,
+        in_doubt_reply: &Sender<bool>,
     ) {
         let changes = self.membership.apply(received_at, REGISTRY, update);
         if let Some(source) = &mut self.registry {
@@ -114,7 +114,7 @@
             self.publish(UpdateKind::Patch, changes).await;
         }
         // The receiver is gone if a reload has replaced the poller meanwhile.
-        let _ = in_doubt.try_send(self.membership.needs_complete_poll(REGISTRY));
+        let _ = in_doubt_reply.try_send(self.membership.needs_complete_poll(REGISTRY));
         self.update_registry_status();
     }
 
--- a/src/net/platform/endpoint_list/watches.rs
+++ b/src/net/platform/endpoint_list/watches.rs
@@ -57,8 +57,8 @@
 
     /// The address of a watch's agent; `None` if the watch is closed.
     pub fn address_of(&self, number: u64) -> Option<SocketAddr> {
-        let all = self.current.iter().chain(&self.replaced).chain(&self.connecting);
-        all.into_iter().find(|watch| watch.number == number).map(|watch| watch.address)
+        let watches = self.current.iter().chain(&self.replaced).chain(&self.connecting);
+        watches.into_iter().find(|watch| watch.number == number).map(|watch| watch.address)
     }
 
     fn has_current_at(&self, address: SocketAddr) -> bool {
@@ -187,7 +187,7 @@
             "entries" => listings.len());
         self.context.counters.list_versions_received.increment();
         self.apply_version(received_at, complete, listings).await;
-        // Calls may go out only now that the list is in the endpoint table.
+        // Calls may be sent only now that the list is in the endpoint table.
         self.context.endpoint_list.set_received();
     }
 
--- a/src/net/platform/eureka/mod.rs
+++ b/src/net/platform/eureka/mod.rs
@@ -68,16 +68,16 @@
             }
             PollScope::Applications(apps) => apps,
         };
-        let mut all = Applications::default();
+        let mut applications = Applications::default();
         for app in apps {
             match client.applications(&format!("/apps/{}", percent_encode(app))).await {
-                Ok(one) => all.instances.extend(one.instances),
+                Ok(polled) => applications.instances.extend(polled.instances),
                 // The registry answers with 404 for an application without instances.
                 Err(RegistryError::Status(404)) => {}
                 Err(error) => return Err(error),
             }
         }
-        Ok(all)
+        Ok(applications)
     }
 
     /// How many entries have been reported as unusable.
@@ -160,11 +160,11 @@
     endpoint_list: &Sender<EndpointListMessage>,
     answer: AppliedAnswer,
 ) -> Option<bool> {
-    let (doubted, in_doubt) = async_channel::bounded(1);
+    let (in_doubt_reply, in_doubt) = async_channel::bounded(1);
     let message = EndpointListMessage::RegistryUpdate {
         update: answer.update,
         received_at: context.clock.now(),
-        doubted,
+        in_doubt_reply,
     };
     endpoint_list.send(message).await.ok()?;
     Some(in_doubt.recv().await.unwrap_or(false))
--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -189,7 +189,7 @@
     };
     let context = Rc::new(Context::new(parts));
     context.gauges.predecessor_connections.set(state.as_ref().map_or(0, |state| state.client_connections));
-    context.route_stats.set_plan(routes);
+    context.route_stats.set_route_table(routes);
     reload::warn_without_index(&context);
     let reports = start_background(&context);
     let (endpoint_list, endpoint_list_mailbox) = async_channel::bounded(ENDPOINT_LIST_MAILBOX_CAPACITY);
@@ -237,7 +237,7 @@
     match inherited {
         Some((state, predecessor)) => {
             let list = delivery.resume_from(*state, messages, &predecessor, settings).await;
-            endpoint_list.inherit(list).await;
+            endpoint_list.restore_inherited_list(list).await;
         }
         None => {
             if let Some(known) = &config.initial_endpoint_list {
