--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -3,11 +3,11 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn bad_admin_requests_get_an_error_status() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -29,7 +29,7 @@
 
 #[test]
 fn silent_and_incomplete_admin_connections_delay_no_request() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -48,7 +48,7 @@
 /// wait if the last endpoint of their destination is cordoned.
 #[test]
 fn a_cordoned_endpoint_gets_no_new_call_until_it_is_uncordoned_once() {
-    play(
+    run_scenario(
         "with e1=1 e2=1 e3=2 operator=on
          start
 
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_cordon_survives_a_kill_and_applies_to_an_id_that_is_listed_again() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_cordon_that_cannot_be_persisted_is_rejected_and_not_applied() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -136,7 +136,7 @@
 
 #[test]
 fn after_quiesce_clients_are_served_and_disconnected_until_resume() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -176,7 +176,7 @@
 
 #[test]
 fn sigterm_during_quiesce_shuts_down_gracefully() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -3,12 +3,12 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against a call to an endpoint that started draining while the connection to it was being opened.
 #[test]
 fn an_endpoint_that_starts_draining_while_a_connection_is_made_gets_no_call() {
-    play(
+    run_scenario(
         "with e1=1:one:stalled e2=1:one:hidden grace=0
          start
 
@@ -31,7 +31,7 @@
 /// being opened.
 #[test]
 fn a_retry_after_received_while_a_connection_is_made_applies_to_that_call() {
-    play(
+    run_scenario(
         "with e1=1:one:stalled e2=1
          start
 
@@ -53,7 +53,7 @@
 /// has ended, but the next message to the same destination must wait nevertheless.
 #[test]
 fn a_retry_after_received_by_a_call_that_just_timed_out_is_honored() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -77,7 +77,7 @@
 /// Guards against ignoring a retry-after because the body of its response was truncated.
 #[test]
 fn a_retry_after_in_a_truncated_response_is_honored() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -98,7 +98,7 @@
 
 #[test]
 fn each_message_of_a_batch_gets_its_own_result() {
-    play(
+    run_scenario(
         "with b1=2:many:leaving
          start
 
@@ -123,7 +123,7 @@
 /// comes first.
 #[test]
 fn a_message_at_its_deadline_does_not_cancel_its_batch() {
-    play(
+    run_scenario(
         "with b1=2:many:leaving
          start
 
@@ -143,7 +143,7 @@
 /// Guards against ignoring a retry-after because the response rejects no message.
 #[test]
 fn a_retry_after_in_a_response_that_rejects_nothing_is_honored() {
-    play(
+    run_scenario(
         "with b1=2:many:leaving
          start
 
@@ -168,7 +168,7 @@
 
 #[test]
 fn reset_rejected_and_failed_attempts_are_counted_separately() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -195,7 +195,7 @@
 /// Guards against failing a non-idempotent message after a restart although no attempt of it ran at an endpoint.
 #[test]
 fn an_attempt_that_never_ran_does_not_count_as_one_that_may_have_run() {
-    play(
+    run_scenario(
         "with e1=1:one:closed e2=2
          start
 
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -3,11 +3,11 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn messages_beyond_the_capacity_get_503() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving open=2
          start
 
@@ -26,7 +26,7 @@
 /// forwarder.
 #[test]
 fn a_client_that_disconnects_before_its_response_withdraws_its_message() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -51,7 +51,7 @@
 /// As above, but the client disconnects after its message was submitted and before the delivery policy's next step.
 #[test]
 fn a_client_that_disconnects_between_two_decision_steps_withdraws_its_message() {
-    play(
+    run_scenario(
         "with e1=1 tick=1500
          start
 
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_chunked_body_is_forwarded_and_the_connection_closed_on_request() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -89,7 +89,7 @@
 
 #[test]
 fn bad_requests_get_an_error_status_and_affect_nothing_else() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -125,7 +125,7 @@
 /// of a client that sends requests instead of a silent one.
 #[test]
 fn silent_connections_are_evicted_for_clients_that_send_requests() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -148,7 +148,7 @@
 /// Guards against connections that stay open for a minute without a request, and against requests that are never complete.
 #[test]
 fn silent_connections_and_incomplete_requests_time_out() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -167,7 +167,7 @@
 /// Guards against a client that ends, withdraws or duplicates another client's message by using its request id.
 #[test]
 fn a_request_id_in_use_is_rejected_and_its_message_proceeds() {
-    play(
+    run_scenario(
         "with e1=9:one:leaving e2=1:one:leaving
          start
 
@@ -203,7 +203,7 @@
 /// Guards against request smuggling, in which a second request is hidden behind a wrong body length.
 #[test]
 fn bytes_behind_a_request_before_its_response_are_rejected_with_it() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -224,7 +224,7 @@
 /// Guards against a message that is queued until its deadline although its destination has no endpoint.
 #[test]
 fn a_destination_that_was_never_listed_gets_503() {
-    play(
+    run_scenario(
         "with e1=1 e2=2:one:hidden
          start
 
@@ -244,7 +244,7 @@
 /// within 3 s of connecting, also if its connection waited to be accepted.
 #[test]
 fn a_silent_client_whose_connection_was_accepted_late_is_ended_in_time() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -3,11 +3,11 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn messages_are_admitted_and_delivered_over_a_reused_connection() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -28,7 +28,7 @@
 /// Guards against writing a request to a connection that the endpoint has closed: the attempt would end as a reset.
 #[test]
 fn a_stale_idle_connection_is_not_reused() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -51,7 +51,7 @@
 /// Guards against reusing connections to a former address of an endpoint.
 #[test]
 fn an_endpoint_that_moves_is_called_at_its_new_address() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -76,7 +76,7 @@
 /// and against reusing its connection.
 #[test]
 fn a_malformed_response_fails_the_attempt_unless_its_status_line_is_a_success() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -114,7 +114,7 @@
 /// Guards against reading unsolicited bytes on a connection as the response to the next call.
 #[test]
 fn unsolicited_bytes_close_the_connection_and_answer_no_call() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -144,7 +144,7 @@
 /// Guards against code that depends on how many bytes one read returns: the peer may write in pieces of any size.
 #[test]
 fn bytes_received_one_by_one_on_every_side_are_read_as_if_received_at_once() {
-    play(
+    run_scenario(
         "with e1=1 e2=2:many e3=3:one:hidden operator=on
          start
 
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -4,13 +4,13 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against a retry where it is not deduplicated: the class is deduplicated by zone, and the first attempt was
 /// in flight as the process was killed.
 #[test]
 fn after_a_kill_a_message_that_may_have_run_is_retried_in_its_zone_only() {
-    play(
+    run_scenario(
         "with e1=1:one:west e2=1:one:hidden window=2000
          start
 
@@ -36,7 +36,7 @@
 /// attempt that may have run, which was later here.
 #[test]
 fn after_a_kill_the_deduplication_window_counts_from_the_first_attempt() {
-    play(
+    run_scenario(
         "with e1=1 window=2000
          start
 
@@ -56,7 +56,7 @@
 /// A message that is received meanwhile and ends by its own deadline is the cue that the window is over.
 #[test]
 fn a_retry_that_waits_for_its_connection_is_not_sent_after_its_deduplication_window() {
-    play(
+    run_scenario(
         "with e1=1:one:closed e2=1:one:stalled:hidden e3=9:one:leaving window=2000
          start
 
@@ -82,7 +82,7 @@
 /// by then.
 #[test]
 fn a_new_process_makes_no_call_before_it_has_received_the_endpoint_list() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving e2=1:one:hidden
          start
 
@@ -104,7 +104,7 @@
 /// over.
 #[test]
 fn an_endpoint_that_left_before_the_start_gets_no_call_that_waited_for_its_connection() {
-    play(
+    run_scenario(
         "with e1=1:one:stalled e2=1:one:hidden e3=9:one:leaving grace=60000
          caches-list
          platform changes-silently e1=leaving e2=active
@@ -127,7 +127,7 @@
 /// The platform may send nothing: the cached list must do then.
 #[test]
 fn a_new_process_that_receives_no_endpoint_list_uses_the_cached_one() {
-    play(
+    run_scenario(
         "with e1=1
          caches-list
          platform delays-list
@@ -147,7 +147,7 @@
 /// closes.
 #[test]
 fn bytes_behind_the_last_request_are_discarded_without_a_response() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -175,7 +175,7 @@
 /// reset, so that its client may send it once more.
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_admitted() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -199,7 +199,7 @@
 /// Guards against closing a connection that was accepted just before the signal and whose first request is in flight.
 #[test]
 fn a_client_that_connected_just_before_sigterm_still_gets_its_response() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -222,7 +222,7 @@
 /// from the last event received on that watch.
 #[test]
 fn a_drain_delayed_by_a_silent_watch_applies_to_a_call_that_waits_for_its_connection() {
-    play(
+    run_scenario(
         "with e1=1:one:stalled e2=1:one:hidden grace=2500
          start
 
@@ -245,7 +245,7 @@
 /// the response to the next call.
 #[test]
 fn one_byte_on_an_idle_connection_closes_it() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -268,7 +268,7 @@
 /// Guards against a request that gets no response since its client half-closed right behind it, and may yet read.
 #[test]
 fn a_client_that_half_closes_with_its_request_gets_503_and_is_not_admitted() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -288,7 +288,7 @@
 /// another one before the next is due, 400 ms later.
 #[test]
 fn a_delivery_report_on_a_silent_connection_is_sent_on_another_in_time() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
@@ -309,7 +309,7 @@
 /// connections are still accepted.
 #[test]
 fn a_request_that_is_incomplete_as_decisions_end_gets_503_for_a_retry() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
@@ -331,7 +331,7 @@
 fn a_drain_that_lies_unread_on_a_replaced_watch_binds_calls() {
     // Which of the two watches is read first is chance.
     for _ in 0..3 {
-        play(
+        run_scenario(
             "with e1=1 e2=1:one:hidden
              start
              platform expect-watch -
--- a/tests/delivery_reports.rs
+++ b/tests/delivery_reports.rs
@@ -3,12 +3,12 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against sending a message after a restart although its end was already reported to the platform.
 #[test]
 fn an_unconfirmed_delivery_report_is_sent_again_after_a_kill() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
@@ -30,7 +30,7 @@
 /// Guards against delivery reports that are still sent to the platform's former address after a reload.
 #[test]
 fn after_a_reload_pending_delivery_reports_go_to_the_new_address() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
@@ -53,7 +53,7 @@
 /// Guards against reports that are repeated forever because each request is abandoned just before its response arrives.
 #[test]
 fn delivery_reports_are_confirmed_although_the_platform_answers_late() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving open=64
          start
 
--- a/tests/deployment_variants.rs
+++ b/tests/deployment_variants.rs
@@ -4,13 +4,13 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against mistaking an endpoint that has no connection left for one without capacity. Then nobody closes the
 /// idle connections that fill its table, and a large fleet has three calls in five rejected.
 #[test]
 fn an_endpoint_at_its_connection_limit_gets_idle_connections_back() {
-    play(
+    run_scenario(
         "with e1=1 e2=2
          start
 
@@ -41,7 +41,7 @@
 /// for reasons of its own.
 #[test]
 fn an_endpoint_at_capacity_keeps_its_connection() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -62,7 +62,7 @@
 /// An endpoint that sends a retry-after has accepted the connection, whatever it does with it afterwards.
 #[test]
 fn a_rejection_with_a_retry_after_is_honored_although_it_closes_the_connection() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -82,7 +82,7 @@
 /// one is retried.
 #[test]
 fn a_short_deduplication_window_fails_one_class_and_not_the_other() {
-    play(
+    run_scenario(
         "with e1=1 e2=2
          config settings/categories/0/memory-span 400
          config settings/specifics/late \"halving\"
@@ -107,7 +107,7 @@
 /// Batches of five to one endpoint, while the only call slot is taken: each message has a result of its own, and what was rejected or lost is retried.
 #[test]
 fn a_batch_of_five_gives_each_message_its_own_result() {
-    play(
+    run_scenario(
         "with e1=1:many tick=60
          config settings/specifics/per-call [5,5]
          config settings/specifics/call-slots 1
@@ -140,7 +140,7 @@
 /// Cross-zone calls have a cost: the endpoint in the same zone is called first, and the other one when that is busy.
 #[test]
 fn the_endpoint_in_the_same_zone_is_called_first_and_the_other_when_it_is_busy() {
-    play(
+    run_scenario(
         "with e1=1:one:west e2=1
          config settings/fees {\"cross-zone\":0.013,\"handshake\":0.02}
          start
@@ -166,7 +166,7 @@
 /// A call that waits for its connection may begin within the drain grace of an endpoint, and not after it.
 #[test]
 fn the_drain_grace_of_the_settings_applies_to_the_first_byte() {
-    play(
+    run_scenario(
         "with e1=1:one:stalled e2=1:one:hidden
          config settings/rules/drain-grace 500
          start
--- a/tests/each_call.rs
+++ b/tests/each_call.rs
@@ -5,7 +5,7 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Places that are tried for each failure, unless the environment says more.
 const PLACES: u32 = 4;
@@ -18,7 +18,7 @@
 fn fails_once(call: &str, failures: &[&str]) {
     for failure in failures {
         for place in 1..=places() {
-            play(&format!(
+            run_scenario(&format!(
                 "with e1=1 e2=2:one:leaving operator=on open=64 faults=on
                  faults {call} {failure} nth={place} count=1
                  start
@@ -68,7 +68,7 @@
 /// The one file that is replaced by a rename keeps cordons: one that is not kept is refused, and may be asked for again.
 #[test]
 fn rename_may_fail_once_and_the_cordon_is_refused() {
-    play(
+    run_scenario(
         "with e1=1 operator=on faults=on
          start
 
--- a/tests/endpoint_list_watch.rs
+++ b/tests/endpoint_list_watch.rs
@@ -3,11 +3,11 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn a_silent_watch_is_reopened_from_its_last_generation() {
-    play(
+    run_scenario(
         "with e1=1 e2=2:one:hidden
          start
 
@@ -27,7 +27,7 @@
 /// since a version that the old one numbered.
 #[test]
 fn a_reload_moves_the_watch_without_a_gap() {
-    play(
+    run_scenario(
         "with e1=1 e2=2:one:hidden e3=3:one:hidden
          start
 
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -4,12 +4,12 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against records that follow a torn one: recovery stopped there, and what had been admitted since was lost.
 #[test]
 fn messages_admitted_after_a_torn_journal_write_survive_a_kill() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving open=64 faults=on
          start
 
@@ -32,7 +32,7 @@
 /// Guards against deadlines kept by a clock that is set: none of the admitted messages was delivered.
 #[test]
 fn a_wall_clock_set_forward_before_a_restart_does_not_shorten_deadlines() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving open=64 faults=on
          start
 
@@ -50,7 +50,7 @@
 /// Guards against the same the other way: messages stayed without a result for an hour.
 #[test]
 fn a_wall_clock_set_back_before_a_restart_does_not_extend_deadlines() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving open=64 faults=on
          start
 
@@ -67,7 +67,7 @@
 /// returned that had 19 s left and a healthy endpoint.
 #[test]
 fn messages_wait_while_the_journal_cannot_be_written_and_then_proceed() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving open=64 faults=on
          start
 
@@ -89,7 +89,7 @@
 /// twice, was reported as failed.
 #[test]
 fn a_result_that_could_not_be_journaled_is_journaled_later() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -112,7 +112,7 @@
 /// reset.
 #[test]
 fn queued_requests_are_answered_after_sigterm_although_accept_fails_now_and_then() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -135,7 +135,7 @@
 /// Guards against a shutdown that waits for a listener whose accept never succeeds.
 #[test]
 fn a_listener_that_always_fails_does_not_delay_shutdown() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -156,7 +156,7 @@
 /// delivered.
 #[test]
 fn a_start_waits_for_a_state_folder_that_cannot_be_read_yet() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving open=64 faults=on
          start
 
@@ -174,7 +174,7 @@
 /// Guards against connections that are closed as a signal interrupts a read or a write on them.
 #[test]
 fn interrupted_reads_and_writes_are_retried() {
-    play(
+    run_scenario(
         "with e1=1 open=64 faults=on
          start
 
@@ -189,7 +189,7 @@
 /// Short reads and writes are no errors at all.
 #[test]
 fn short_reads_and_writes_lose_nothing() {
-    play(
+    run_scenario(
         "with e1=1 open=64 faults=on
          start
 
@@ -209,7 +209,7 @@
 /// Guards against ending the program as the owner file cannot be written: it serves, and may be replaced once it can.
 #[test]
 fn a_full_state_folder_at_the_start_does_not_end_a_process_with_an_admin_listener() {
-    play(
+    run_scenario(
         "with e1=1 operator=on faults=on
          faults write ENOSPC count=2; read EIO count=1
          start
@@ -232,7 +232,7 @@
 /// decided.
 #[test]
 fn a_client_that_half_closes_while_it_waits_gets_its_response() {
-    play(
+    run_scenario(
         "with e1=1 tick=400
          start
 
@@ -251,7 +251,7 @@
 /// response. The client gets a 503 before the close.
 #[test]
 fn an_unused_connection_gets_503_before_it_is_closed() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -272,7 +272,7 @@
 /// descriptors for a moment.
 #[test]
 fn a_local_resource_shortage_is_no_endpoint_failure() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -288,7 +288,7 @@
 /// A network error of one attempt fails that attempt, and the message is retried.
 #[test]
 fn an_unreachable_network_fails_the_attempt_and_not_the_message() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -315,14 +315,14 @@
          faults\n"
     );
     // Two lost signals cancel each other out: one round alone would prove little.
-    play(&format!("with e1=1 faults=on\n{}", round.repeat(6)));
+    run_scenario(&format!("with e1=1 faults=on\n{}", round.repeat(6)));
 }
 
 /// Guards against a result later than a message's deadline and 0.3 s: a request that lay unread, as its process was
 /// stopped or accept failed, is late when it is read, and its deadline counts from when it was sent.
 #[test]
 fn a_request_that_lay_unread_ends_within_the_deadline_of_its_client() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
@@ -342,7 +342,7 @@
 /// Guards against a pause that grows with each failed accept: a request with little time left waited until that was over.
 #[test]
 fn a_request_with_little_time_left_is_accepted_although_accept_fails_now_and_then() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -359,7 +359,7 @@
 /// Guards against a pause after each connect that fails as this machine is short of ports: the delivery report came late.
 #[test]
 fn a_delivery_report_comes_in_time_although_connect_fails_now_and_then() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving faults=on
          start
 
@@ -377,7 +377,7 @@
 /// platform's new agent has counts as told 4 s after the signal.
 #[test]
 fn a_moved_watch_is_opened_in_time_although_connect_fails_now_and_then() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -394,7 +394,7 @@
 /// Guards against an end that is reported before it is on disk: after a kill the message was called again.
 #[test]
 fn an_end_that_the_journal_does_not_take_is_not_reported_while_a_restart_could_call_for_its_message() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -420,7 +420,7 @@
 /// Guards against an end that is held back until the journal takes it: it is owed when the message's time is over.
 #[test]
 fn an_end_that_the_journal_does_not_take_is_reported_once_the_time_of_its_message_is_over() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
@@ -446,7 +446,7 @@
 /// Guards against a 503 for a message that the journal still has as open: after a kill it was called.
 #[test]
 fn a_message_whose_rejection_the_journal_does_not_take_is_accepted() {
-    play(
+    run_scenario(
         "with e1=1 faults=on
          start
 
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -3,13 +3,13 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Calls in flight complete at the predecessor, queued messages are sent by the successor, and requests to the predecessor
 /// are forwarded. Each message gets exactly one result.
 #[test]
 fn a_successor_takes_over_all_messages_of_its_predecessor() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving operator=on
          start
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn attempts_in_flight_when_the_predecessor_dies_may_have_run_and_are_retried() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_retry_after_and_a_cordon_survive_a_hand_over() {
-    play(
+    run_scenario(
         "with e1=1 e2=2 operator=on
          start
 
@@ -95,7 +95,7 @@
 
 #[test]
 fn a_successor_that_dies_or_cannot_start_leaves_its_predecessor_serving() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -123,7 +123,7 @@
 
 #[test]
 fn two_hand_overs_in_a_row_with_a_pending_delivery_report_lose_nothing() {
-    play(
+    run_scenario(
         "with e1=1 e2=2 operator=on
          start
 
@@ -159,7 +159,7 @@
 /// happened.
 #[test]
 fn a_successor_that_fails_before_it_owns_the_folder_changes_nothing() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -199,7 +199,7 @@
 /// if the successor then dies.
 #[test]
 fn a_successor_that_dies_as_the_owner_ends_its_predecessor_and_leaves_a_complete_journal() {
-    play(
+    run_scenario(
         "with e1=1 e2=2 operator=on
          start
 
@@ -228,7 +228,7 @@
 
 #[test]
 fn a_predecessor_that_cannot_be_understood_is_waited_for_until_it_exits() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          predecessor owns
          begin-upgrade
@@ -245,7 +245,7 @@
 
 #[test]
 fn a_hung_predecessor_is_waited_for_and_its_messages_are_restored_from_the_journal() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -269,7 +269,7 @@
 /// reach the third through both connections.
 #[test]
 fn a_third_process_takes_over_from_a_second_that_has_just_done_so() {
-    play(
+    run_scenario(
         "with e1=1 e2=2 operator=on
          start
 
@@ -301,7 +301,7 @@
 
 #[test]
 fn files_left_by_a_dead_process_are_not_taken_for_an_owner() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -319,7 +319,7 @@
 /// An admin request to the predecessor is performed by the successor, which makes the decisions.
 #[test]
 fn a_quiesce_during_a_hand_over_disconnects_clients_of_the_successor() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -346,7 +346,7 @@
     let opened_connections: String = (1..5)
         .map(|n| format!("u5 send w{n} dest={n}\nu5 expect 202\ne{n} expect w{n}\ne{n} send w{n} 200\n"))
         .collect();
-    play(&format!(
+    run_scenario(&format!(
         "with e1=1 e2=2 e3=3 e4=4 operator=on tick=300
          start
          {opened_connections}
@@ -381,7 +381,7 @@
 /// out of an upgrade.
 #[test]
 fn a_successor_that_waits_for_an_owner_exits_on_sigterm() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          predecessor owns
          begin-upgrade
@@ -414,14 +414,14 @@
              old exit"
         );
     }
-    play(&script);
+    run_scenario(&script);
 }
 
 /// Guards against calls to a draining endpoint by a successor whose own watch is slow, when only the predecessor's watch has
 /// received the drain.
 #[test]
 fn a_drain_observed_by_the_predecessor_after_the_hand_over_binds_the_successor() {
-    play(
+    run_scenario(
         "with e1=1 e2=1:one:hidden operator=on
          start
 
@@ -447,7 +447,7 @@
 /// not be sent to it as a frame before that of the message.
 #[test]
 fn a_client_whose_message_a_lost_successor_may_have_accepted_gets_no_response() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -472,7 +472,7 @@
 /// still reads.
 #[test]
 fn a_client_of_the_predecessor_that_half_closes_gets_the_reply_of_the_successor() {
-    play(
+    run_scenario(
         "with e1=1 operator=on
          start
 
@@ -495,7 +495,7 @@
 /// the line unread, and the next watch was slow.
 #[test]
 fn a_drain_observed_during_a_hand_over_that_fails_binds_calls() {
-    play(
+    run_scenario(
         "with e1=1 e2=1:one:hidden operator=on
          start
 
@@ -524,7 +524,7 @@
 /// on.
 #[test]
 fn a_drain_observed_between_the_list_and_the_hand_over_is_passed_on() {
-    play(
+    run_scenario(
         "with e1=1 operator=on tick=400
          start
 
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -4,8 +4,8 @@
 mod scenario;
 
 use cedarbridge_registry_standin::{Instance, StandIn};
-use scenario::play;
 use scenario::process::program;
+use scenario::run_scenario;
 use std::process::Output;
 
 /// A site file with short intervals that names the registry.
@@ -15,7 +15,7 @@
 
 /// Plays a scenario with a registry and [`SITE`].
 fn play_with_registry(endpoints: &str, script: &str) {
-    play(&format!("{endpoints}\nstart-registry\n{SITE}\n{script}"));
+    run_scenario(&format!("{endpoints}\nstart-registry\n{SITE}\n{script}"));
 }
 
 #[test]
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_stale_replica_changes_nothing() {
-    play(
+    run_scenario(
         "with e1=1:one:hidden e2=2:one:hidden
          start-registry
          registry put e1 e2
@@ -302,7 +302,7 @@
 
 #[test]
 fn the_forwarder_registers_renews_and_cancels() {
-    play(
+    run_scenario(
         "with e1=1
          start-registry
          site {version: 1, registry: {addresses: [\"{registry}\"], poll: 100ms, register: {app: CEDARBRIDGE, renew: 100ms, lease: 1s}}}
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -3,8 +3,8 @@
 
 mod scenario;
 
-use scenario::play;
 use scenario::process::program;
+use scenario::run_scenario;
 
 #[test]
 fn a_bad_configuration_ends_the_program_with_one_line() {
@@ -33,7 +33,7 @@
     let cases =
         [("null", "missing setting"), ("-1", "got -1"), ("0.5", "got 0.5"), ("1", "not under the count")];
     for (index, reason) in cases {
-        play(&format!(
+        run_scenario(&format!(
             "with e1=1 me={index}
              start
              log no index among the forwarders, time slots are drawn at random
@@ -56,7 +56,7 @@
 /// limits that are applied only at a start.
 #[test]
 fn a_reload_applies_the_complete_file_or_nothing_of_it() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving open=1
          start
 
@@ -85,7 +85,7 @@
 /// Guards against a SIGHUP that is lost because it arrives while the process starts.
 #[test]
 fn a_reload_during_the_start_is_made_once_the_process_serves() {
-    play(
+    run_scenario(
         "with e1=1 open=1 faults=on
          faults opendir EIO
          begin-start
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -3,11 +3,11 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn after_a_kill_every_admitted_message_is_restored() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving e3=8:one:leaving
          start
 
@@ -40,7 +40,7 @@
 /// Guards against unlimited attempts of a message if the process is killed again and again.
 #[test]
 fn attempts_made_before_a_kill_count_toward_the_attempt_limit() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_damaged_journal_loses_its_tail_and_nothing_else() {
-    play(
+    run_scenario(
         "with e1=9:one:leaving
          start
 
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_full_journal_gives_503_until_space_is_reclaimed() {
-    play(
+    run_scenario(
         "with b1=9:many:leaving disk=0.05
          start
 
@@ -125,7 +125,7 @@
 /// restored and delivered.
 #[test]
 fn a_message_whose_client_half_closed_and_got_503_is_not_restored_after_a_kill() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving tick=400
          start
 
--- a/tests/scenario/endpoint.rs
+++ b/tests/scenario/endpoint.rs
@@ -1,8 +1,8 @@
 //! An endpoint: it accepts calls and responds as the script says.
 
-use super::notes::note;
 use super::script::{numbered, text_behind, unescape};
 use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
+use super::trace::trace;
 use socket2::Socket;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufReader, Write};
@@ -96,7 +96,7 @@
                     Some(id) => vec![id.split("\r\n").next().expect("a line").to_owned()],
                     None => batch_ids(&request.body),
                 };
-                note(format_args!("call at {address} with {ids:?}"));
+                trace(format_args!("call at {address} with {ids:?}"));
                 let mut stream = stream.try_clone().expect("a handle");
                 if answers_all.enabled.load(Ordering::SeqCst) {
                     answers_all.ids.lock().expect("unpoisoned").extend(ids);
--- a/tests/scenario/world.rs
+++ b/tests/scenario/environment.rs
@@ -23,7 +23,7 @@
 /// The unit in which the platform counts files, in bytes.
 const FILE_UNIT: u64 = 512;
 
-pub struct World {
+pub struct TestEnvironment {
     folder: PathBuf,
     options: Options,
     platform: Platform,
@@ -52,14 +52,14 @@
     Duration::from_millis(text.parse().expect("milliseconds"))
 }
 
-impl World {
+impl TestEnvironment {
     pub fn new() -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let name = format!("cedarbridge-net-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
         let folder = std::env::temp_dir().join(name);
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(folder.join("state")).expect("a folder");
-        World {
+        TestEnvironment {
             folder,
             options: Options::default(),
             platform: Platform::start(),
@@ -443,7 +443,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for TestEnvironment {
     fn drop(&mut self) {
         (self.process, self.old, self.first) = Default::default();
         let _ = fs::remove_dir_all(&self.folder);
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -53,23 +53,23 @@
 mod admin;
 mod client;
 mod endpoint;
+mod environment;
 mod handover;
-mod notes;
 mod platform;
 pub mod process;
 mod registry;
 mod script;
 mod settings;
 mod sockets;
-mod world;
+mod trace;
 
-use world::World;
+use environment::TestEnvironment;
 
 /// Plays a scenario; the first line that does not hold fails the test.
-pub fn play(script: &str) {
-    let mut world = World::new();
+pub fn run_scenario(script: &str) {
+    let mut environment = TestEnvironment::new();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
-        notes::note(format_args!("> {line}"));
-        world.step(line);
+        trace::trace(format_args!("> {line}"));
+        environment.step(line);
     }
 }
--- a/tests/scenario/platform.rs
+++ b/tests/scenario/platform.rs
@@ -1,8 +1,8 @@
 //! The platform: it sends the endpoint list on watches and accepts delivery reports.
 
-use super::notes::note;
 use super::script::numbered;
 use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
+use super::trace::trace;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufReader, Write};
@@ -238,7 +238,7 @@
         let lines: Vec<&str> = std::str::from_utf8(body).expect("text").lines().collect();
         for line in &lines {
             let mut report: Value = serde_json::from_str(line).expect("a report");
-            note(format_args!("report {line}"));
+            trace(format_args!("report {line}"));
             report["alone"] = (lines.len() == 1).into();
             // The scenario may have ended.
             let _ = observer.reports.send(report);
--- a/tests/scenario/notes.rs
+++ b/tests/scenario/trace.rs
@@ -7,7 +7,7 @@
 const SECONDS_OF_A_DAY: u64 = 86_400;
 
 /// Writes a note.
-pub fn note(what: impl Display) {
+pub fn trace(what: impl Display) {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let second = since_epoch.as_secs() % SECONDS_OF_A_DAY;
     let (hour, minute, second) = (second / 3600, second / 60 % 60, second % 60);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,8 +4,8 @@
 mod scenario;
 
 use cedarbridge::net::config::Config;
-use scenario::play;
 use scenario::process::program;
+use scenario::run_scenario;
 use serde_json::{json, Value};
 
 /// A valid configuration that contains every setting, with no value at its limit.
@@ -186,7 +186,7 @@
 /// Guards against a reload that applies part of a file whose other part is invalid, or that ends the program.
 #[test]
 fn a_reload_with_a_wrong_setting_changes_nothing() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving open=2
          start
          u1 send m1 dest=9
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -2,11 +2,11 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn after_sigterm_calls_finish_and_the_rest_stays_in_the_journal() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving
          start
 
@@ -45,7 +45,7 @@
 /// again.
 #[test]
 fn after_sigterm_the_process_exits_although_a_call_is_in_flight_and_a_deadline_passes() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving
          start
 
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -3,14 +3,14 @@
 
 mod scenario;
 
-use scenario::play;
 use scenario::process::program;
+use scenario::run_scenario;
 use std::process::Output;
 
 /// Guards against a timeout that a slow and a fast endpoint share, and against more attempts than the route allows.
 #[test]
 fn attempts_time_out_and_are_counted_by_route() {
-    play(
+    run_scenario(
         "with e1=1 e2=2:many
          site {version: 1, routes: [{name: fast, match: {kind: one}, timeout: 300ms, attempts: 2}, {name: slow, match: {kind: many}, timeout: 9s}]}
          start
@@ -33,7 +33,7 @@
 /// `give-up`.
 #[test]
 fn messages_of_different_routes_do_not_time_out_for_each_other() {
-    play(
+    run_scenario(
         "with e1=1:many tick=60
          site {version: 1, routes: [{name: short, match: {class: free}, timeout: 400ms, attempts: 1}, {name: long, match: {class: notice}, timeout: 8s, give-up: 9s}]}
          start
@@ -54,7 +54,7 @@
 /// file.
 #[test]
 fn a_reload_applies_to_the_next_attempt_and_an_invalid_file_changes_nothing() {
-    play(
+    run_scenario(
         "with e1=1 e2=2
          site {version: 1, routes: [{name: all, match: {}, timeout: 8s, attempts: 2}]}
          start
@@ -102,12 +102,12 @@
     // The calls of a burst may arrive in any order; `serves` responds to each message once.
     let script =
         [first, &burst(1), reload, &serve(1), &burst(5), &serve(5), "wait delivered=8 open=0 timed_out=0\n"];
-    play(&script.concat());
+    run_scenario(&script.concat());
 }
 
 #[test]
 fn a_message_that_has_used_up_its_attempts_under_the_new_routes_ends_at_once_after_a_restart() {
-    play(
+    run_scenario(
         "with e1=1
          site {version: 1, routes: [{name: all, match: {}, timeout: 9s, attempts: 2}]}
          start
--- a/tests/stall.rs
+++ b/tests/stall.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against calls to an endpoint whose drain was announced while the process was stopped (SIGSTOP). The drain was
 /// still unread when the process continued, and messages that had arrived meanwhile went to the endpoint in the outdated
@@ -40,5 +40,5 @@
         script += &format!("\n{active} serves m{round}1 m{round}2 m{round}3 m{round}4");
         script += &format!("\nwait delivered={0} attempts={0}", 5 + 4 * round);
     }
-    play(&(script + "\nlog process was stalled"));
+    run_scenario(&(script + "\nlog process was stalled"));
 }
--- a/tests/unread_requests.rs
+++ b/tests/unread_requests.rs
@@ -3,12 +3,12 @@
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 /// Guards against a call for a message whose deadline had passed before its request was read.
 #[test]
 fn a_request_whose_deadline_passed_before_it_was_read_is_rejected_without_a_call() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -30,7 +30,7 @@
 /// Guards against a message that ends too late, by the time for which its request waited unread, if its endpoint hangs.
 #[test]
 fn a_call_for_a_request_that_waited_unread_ends_by_the_deadline_of_its_client() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -52,7 +52,7 @@
 /// backlog, with its request already sent.
 #[test]
 fn a_request_that_waited_for_its_connection_to_be_accepted_ends_by_the_deadline_of_its_client() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving faults=on
          start
 
@@ -74,7 +74,7 @@
 /// Guards against a deadline that counts anew from the restart: the journal must hold the client's deadline.
 #[test]
 fn a_request_that_waited_unread_ends_by_the_deadline_of_its_client_after_a_restart() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
@@ -98,7 +98,7 @@
 #[test]
 fn a_request_that_waited_unread_at_a_predecessor_ends_by_the_deadline_of_its_client() {
     for (stop, resume) in [("old stop", "old continue"), ("stop", "continue")] {
-        play(&format!(
+        run_scenario(&format!(
             "with e1=1:one:leaving operator=on
              start
 
@@ -124,7 +124,7 @@
 /// The deadline of a client that sends the last bytes of its request late counts from those bytes.
 #[test]
 fn the_deadline_of_a_request_counts_from_its_last_byte() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving
          start
 
