--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -33,11 +33,11 @@
         "with e1=1 operator=on
          start
 
-         admin crowd 20
+         admin connect-idle 20
          admin health 200
-         admin crowd 20 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 2\\r\\n\\r\\ne
+         admin connect-idle 20 POST /admin/cordon HTTP/1.1\\r\\nContent-Length: 2\\r\\n\\r\\ne
          admin cordon e1 200
-         admin crowd 20
+         admin connect-idle 20
          admin uncordon e1 200
 
          wait cordoned=0",
@@ -123,7 +123,7 @@
         "with e1=1 operator=on
          start
 
-         state-folder cordons.new
+         state-create-folder cordons.new
          admin cordon e1 507
          u1 send m1
          u1 expect 202
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -131,7 +131,7 @@
 
          u1 send m1
          u1 expect 202
-         crowd 300
+         connect-idle 300
          log reason: evicted
          u2 send m2
          u2 expect 202
@@ -249,7 +249,7 @@
          start
 
          faults accept ENFILE
-         mark
+         start-timer
          u1 connect
          fault-injected accept
          sleep 1200
--- a/tests/each_call.rs
+++ b/tests/each_call.rs
@@ -25,11 +25,11 @@
 
                  e1 answers-all
                  e2 answers-all
-                 u1 submits 4 a
-                 u2 submits 4 b dest=2 deadline=20000m
+                 u1 sends-until-accepted 4 a
+                 u2 sends-until-accepted 4 b dest=2 deadline=20000m
                  kill
                  start
-                 u3 submits 2 c
+                 u3 sends-until-accepted 2 c
                  platform send e2=active
                  all-delivered
                  wait open=0 notices_owed=0
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -328,7 +328,7 @@
 
          u1 connect
          stop
-         mark
+         start-timer
          u1 send m1 deadline=1000m
          sleep 390
          continue
@@ -363,7 +363,7 @@
         "with e1=1:one:leaving faults=on
          start
 
-         mark
+         start-timer
          u1 send m1 deadline=600m
          u1 expect 202
          faults connect EADDRNOTAVAIL count=12
@@ -384,7 +384,7 @@
          platform expect-watch -
          faults connect EADDRNOTAVAIL count=14
          platform moves
-         mark
+         start-timer
          reload
          platform expect-watch -
          within 4000",
@@ -424,7 +424,7 @@
         "with e1=1 faults=on
          start
 
-         mark
+         start-timer
          u1 send m1 deadline=1200m
          u1 expect 202
          e1 expect m1
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -104,7 +104,7 @@
          e1 expect m1
          begin-upgrade
          kill
-         forget-upgrade
+         undo-upgrade
          u2 send m2
          u2 expect 202
          e1 expect m2
@@ -306,8 +306,8 @@
          start
 
          kill
-         state-holds owner
-         state-holds next
+         state-contains owner
+         state-contains next
          start
          u1 send m1
 
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -87,14 +87,14 @@
          u1 expect 202
          e1 expect m1
          e1 send m1 200
-         registry half
+         registry sends-truncated-answers
          wait registry/failures>=4
          u1 send m2
          u1 expect 202
          e1 expect m2
          e1 send m2 200
          wait delivered=2 registry/entries=1 failed=0 returned=0
-         registry answers
+         registry answers-normally
          registry status e1 DOWN
 
          wait registry/flaps=1",
@@ -110,7 +110,7 @@
 
          wait registry/entries=1
          log endpoint list changed
-         state-holds registry.view
+         state-contains registry.view
          kill
          registry silent
          start
@@ -121,11 +121,11 @@
          e1 expect m1
          e1 send m1 200
          wait delivered=1
-         registry answers
+         registry answers-normally
          wait registry/serves_kept_view=false
          kill
          registry silent
-         damage-view
+         damage-registry-view
          start
 
          log the persisted view is damaged",
@@ -145,7 +145,7 @@
          e1 expect m1
          e1 send m1 200
          registry put e2
-         registry answers
+         registry answers-normally
 
          wait registry/entries=1 delivered=1",
     );
@@ -191,7 +191,7 @@
          wait registry/failures>=1
          registry status e1 DOWN
          registry loses-deltas
-         registry answers
+         registry answers-normally
 
          wait registry/flaps=1
          registry asked GET /apps/delta",
@@ -257,7 +257,7 @@
          wait registry/entries=2
          registry sends-gzip-bombs
          log more than 1000000 bytes
-         registry answers
+         registry answers-normally
          registry sends-huge-answers
          log too-large
          registry sends-deep-nesting
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -105,19 +105,19 @@
          u1 expect 202
          u1 send m4 dest=9 size=10000
          u1 expect 503 Retry-After
-         state-under 50000
+         state-at-most 50000
          platform send b1=active
          b1 expect m1 m2 m3
          b1 send m1 200 m1=delivered m2=failed m3=failed
          wait delivered=1
          u1 send m5 dest=9 size=10000
          u1 expect 202
-         state-under 50000
+         state-at-most 50000
          kill
          start
 
          wait restored=3
-         state-under 50000",
+         state-at-most 50000",
     );
 }
 
--- a/tests/scenario/environment.rs
+++ b/tests/scenario/environment.rs
@@ -42,9 +42,9 @@
     listen: Option<SocketAddr>,
     /// Whether the forwarder runs with the library that makes its system calls fail.
     faults: bool,
-    /// When the scenario last said `mark`.
+    /// When the scenario last ran `start-timer`.
     marked_at: Instant,
-    /// The messages of `submits` that were accepted.
+    /// The accepted messages of `sends-until-accepted`.
     accepted: BTreeSet<String>,
 }
 
@@ -123,7 +123,7 @@
             }
             "write-byte-by-byte" => write_byte_by_byte(),
             "faults" => self.plan_faults(rest),
-            "crowd" => {
+            "connect-idle" => {
                 let count: usize = words[0].parse().expect("a number");
                 let connect = |_| TcpStream::connect(self.listen.expect("started")).expect("it listens");
                 self.idle_connections.extend((0..count).map(connect));
@@ -154,7 +154,7 @@
             "upgraded" => self.until_serving(),
             "keep-first" => self.first = std::mem::take(&mut self.old),
             "first" => self.first.kill(),
-            "forget-upgrade" => self.process = std::mem::take(&mut self.old),
+            "undo-upgrade" => self.process = std::mem::take(&mut self.old),
             "stop" => self.process.signal("STOP"),
             "continue" => self.process.signal("CONT"),
             "term" => self.process.signal("TERM"),
@@ -177,18 +177,18 @@
     fn folder_step(&mut self, name: &str, words: &[&str], rest: &str) -> bool {
         let state = self.folder.join("state");
         match name {
-            "state-under" => {
+            "state-at-most" => {
                 let sizes = fs::read_dir(state).expect("a folder");
                 let sizes = sizes.map(|f| f.expect("a file").metadata().expect("a size").len());
                 let all: u64 = sizes.map(|s| s.div_ceil(FILE_UNIT) * FILE_UNIT).sum();
                 assert!(all <= words[0].parse().expect("a number"), "{all} bytes of state");
             }
-            "state-holds" => {
+            "state-contains" => {
                 let path = state.join(words[0]);
                 soon(rest, || path.exists().then_some(()));
             }
-            "state-folder" => fs::create_dir(state.join(words[0])).expect("made"),
-            "damage-view" => {
+            "state-create-folder" => fs::create_dir(state.join(words[0])).expect("made"),
+            "damage-registry-view" => {
                 let path = state.join("registry.view");
                 let mut bytes = fs::read(&path).expect("kept");
                 bytes[5] ^= 0xff;
@@ -217,7 +217,7 @@
                 let is_delivered = |id: &String| self.endpoints.values().any(|e| e.has_answered(id));
                 soon(rest, || self.accepted.iter().all(is_delivered).then_some(()));
             }
-            "mark" => self.marked_at = Instant::now(),
+            "start-timer" => self.marked_at = Instant::now(),
             "within" => {
                 let (passed, allowed) = (self.marked_at.elapsed(), milliseconds(rest));
                 assert!(passed < allowed, "it took {passed:?}, {allowed:?} were allowed");
@@ -305,7 +305,7 @@
             return drop(self.clients.remove(name).expect("connected"));
         }
         let listen = self.listen.expect("started");
-        if let ["submits", count, name, more @ ..] = words {
+        if let ["sends-until-accepted", count, name, more @ ..] = words {
             let ids = numbered(&[&format!("{name}*{count}")]);
             return self.accepted.extend(ids.iter().map(|id| submit(listen, id, more)));
         }
@@ -427,11 +427,11 @@
     }
 }
 
-/// An admin request to a process; `crowd 20 TEXT` opens so many connections that stay open.
+/// An admin request to a process; `connect-idle 20 TEXT` opens so many connections that stay open.
 fn admin_step(process: &Process, idle_connections: &mut Vec<TcpStream>, words: &[&str], rest: &str) {
     let operator = process.operator.expect("operators may call");
     match words {
-        ["crowd", count, ..] => {
+        ["connect-idle", count, ..] => {
             let text = unescape(text_behind(rest, count));
             idle_connections.extend(admin::open_idle_connections(
                 operator,
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -1,54 +1,137 @@
-//! A small language for scenarios: one line a step, played against the real program over sockets.
+//! A small language for end-to-end tests: a scenario is a script that runs the forwarder and talks to it over sockets.
 //!
-//! | line | what it does |
+//! Each line is one step. Its first word is a command, or the name of the party that acts: an endpoint, a client,
+//! `platform`, `registry`, `admin`, `old`, `successor` or `predecessor`. A step that waits fails the scenario after 15 s.
+//!
+//! # Setup
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `with e1=1` | endpoint `e1` of destination 1, in zone `east`, on the platform's list |
+//! | `with e2=2:many:west` | an endpoint that takes several messages per call, in zone `west` |
+//! | `with e3=3:hidden`, `with e4=4:leaving` | an endpoint that is not listed yet; one that is listed as draining |
+//! | `with e5=5:closed`, `with e6=6:stalled` | an endpoint that refuses connections; one that leaves them unanswered |
+//! | `with open=8 disk=1` | limits: open messages, and megabytes of the state folder; the values here are the defaults |
+//! | `with grace=250 tick=5` | the drain grace and the shortest time between two decision steps, in ms; the defaults |
+//! | `with me=0` | the forwarder's index among all forwarders, as JSON; the default |
+//! | `with window=2000` | adds class `zoned`, deduplicated by zone, and class `brief`, deduplicated for 2000 ms only |
+//! | `with operator=on`, `with faults=on` | starts the forwarder with an admin listener; with fault injection |
+//! | `config settings/rules/drain-grace 500` | sets a configuration value, from the next start or reload on |
+//! | `caches-list` | puts the present endpoint list into the configuration, from the next start on |
+//! | `site YAML` | writes the site file, in one line; the next `start` names it |
+//! | `start-registry` | starts a registry and its replica; a site file names them as `{registry}` and `{replica}` |
+//! | `write-byte-by-byte` | from here on clients, endpoints, admin requests and watches are written byte by byte |
+//!
+//! # Processes
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `start`, `begin-start`, `started` | starts the forwarder and waits until it serves; only starts it; only waits |
+//! | `start-without-list` | starts the forwarder and does not wait for the endpoint list |
+//! | `stop`, `continue`, `term`, `kill` | sends SIGSTOP, SIGCONT, SIGTERM or SIGKILL; `kill` waits for the exit |
+//! | `exit`, `exit-within 3700`, `exit-with-failure` | waits for the exit, successful (in 3700 ms) or with a failure |
+//! | `reload open=4`, `reload` | changes options, writes the configuration and sends SIGHUP |
+//! | `reload TEXT` | writes the text as the configuration and sends SIGHUP |
+//! | `sleep 900` | waits 900 ms |
+//! | `faults write EIO; accept ENFILE count=3` | makes system calls fail (see `crates/faultshim`); `faults` ends it |
+//! | `fault-injected write` | waits until the plan in force has made such a system call fail |
+//!
+//! # Clients
+//!
+//! A name that belongs to no other party is a client, which connects at its first line.
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `u1 send m1 dest=1 class=notice size=3 deadline=9000m` | sends a message; these values are the defaults |
+//! | `u1 sends 20 m class=notice` | sends m1 to m20, and expects a 202 for each |
+//! | `u1 sends-until-accepted 5 m` | sends five messages, each under ids m1-1, m1-2, … to m5-… until it gets a 202 |
+//! | `u1 send-raw TEXT`, `u1 connect` | sends the text as it is; only connects |
+//! | `u1 expect 202 WORD…`, `u1 expect end` | expects a response with these words in its head; the end of the connection |
+//! | `u1 end-sending`, `u1 close` | shuts down the sending side; closes the connection |
+//! | `connect-idle 300` | opens 300 more connections, which send nothing and stay open |
+//!
+//! # Endpoints
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `e1 expect m1 m2`, `e1 expect-unordered m1 m2` | expects that the next call has these messages, in this or any order |
+//! | `e1 serves m1 m2`, `e1 serves m*20` | expects calls with these messages (m1 to m20) in any order, and delivers all |
+//! | `e1 send m1 200 Header:value m1=delivered …` | responds to the call of m1, with headers and results of messages |
+//! | `e1 send-raw m1 TEXT`, `e1 close m1` | writes the text to the connection of that call; closes the connection |
+//! | `e1 open` | lets a closed or stalled endpoint accept connections |
+//! | `e1 answers-all` | from here on the endpoint itself responds to each call with a 200 |
+//! | `all-delivered` | waits until such endpoints have received all messages of `sends-until-accepted` |
+//!
+//! # Platform
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `platform send e1=leaving` | changes entries of the endpoint list, and sends the change on the open watches |
+//! | `platform send e1=moved` | moves an endpoint to a new address; connections to its former one stay open |
+//! | `platform changes-silently e1=leaving` | changes the list without an event on the open watches |
+//! | `platform changes-on-old-watches e1=leaving` | sends the change only on watches at the platform's former addresses |
+//! | `platform expect m1 failed [alone]` | expects the next delivery report (as the only one of its request) |
+//! | `platform expect-all m*20 returned` | expects reports of m1 to m20 in any order, possibly repeated |
+//! | `platform expect-no-report` | expects that no further delivery report has arrived |
+//! | `platform expect-watch 1` | expects that the next watch asks for changes since generation 1; `-`: for all |
+//! | `platform rejects-reports`, `… accepts-reports` | answers delivery reports with a 500; with a 204 again |
+//! | `platform drops-next-report` | leaves the next delivery report unanswered |
+//! | `platform answers-reports-after 200` | answers delivery reports after 200 ms |
+//! | `platform stops-heartbeats` | sends no heartbeats on the watches |
+//! | `platform moves` | listens at a new address only, which the configuration has from the next reload on |
+//! | `platform closes-old-watches` | closes the watches at the former addresses |
+//! | `platform delays-list`, `… releases-list` | holds back the complete list on new watches; sends it |
+//!
+//! # Registry
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `registry put e1 e2`, `… status e1 DOWN`, `… delete e1` | registers, changes or cancels instances |
+//! | `registry replace e1 ID` | cancels e1 and registers instance ID at its address |
+//! | `registry restarts-empty`, `… loses-deltas` | loses all instances; the recent changes |
+//! | `registry silent`, `… sends-truncated-answers` | does not answer; sends half of each answer |
+//! | `registry xml`, `… gzip` | answers in XML; with compression |
+//! | `registry sends-huge-answers`, `… sends-gzip-bombs` | answers 100 MB; 3 MB that compression makes small |
+//! | `registry sends-deep-nesting`, `… sends-a-long-name` | answers a million brackets; an id of 500 000 bytes |
+//! | `registry answers-normally` | ends all of these ways to answer |
+//! | `registry freezes-replica` | from here on the replica answers with its present list |
+//! | `registry holds n0=UP`, `registry holds n0=` | waits until instance n0 has this status; is not registered |
+//! | `registry asked GET /apps` | waits until the registry or the replica has received this request |
+//!
+//! # Admin requests
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `admin health 200`, `admin cordon e1 200`, `admin quiesce 200` | sends a request and expects the status |
+//! | `admin raw 400 TEXT` | sends the text as a request and expects the status |
+//! | `admin connect-idle 20 TEXT` | opens 20 connections, which send only the text and stay open |
+//!
+//! # Hand-over
+//!
+//! | line | effect |
+//! | --- | --- |
+//! | `upgrade`, `begin-upgrade`, `upgraded` | starts a successor and waits until it serves; only starts it; only waits |
+//! | `old term`, `old exit`, `old log TEXT`, `old admin …` | the same for the predecessor; clients stay connected to it |
+//! | `undo-upgrade` | kills the successor if it still runs; further lines are about its predecessor |
+//! | `keep-first`, `first kill` | before a second `upgrade`, keeps the first of then three processes; kills it |
+//! | `successor asks 200 [token=X] [format=9] [accepts=list-line]` | asks for a hand-over, expects the status |
+//! | `successor reads-state`, `… owns` | receives the state; confirms its ownership and expects the grant |
+//! | `successor expects Take`, `… accepts`, `… disconnects` | expects a frame; accepts its message; disconnects |
+//! | `predecessor owns`, `… exits` | owns the state folder, before `begin-upgrade`; releases it |
+//! | `predecessor answers TEXT` | receives a request for a hand-over and sends the text in response |
+//!
+//! # Checks
+//!
+//! | line | effect |
 //! | --- | --- |
-//! | `with e1=1 e2=2:many:hidden e3=3:one:leaving:west … open=8 disk=1 grace=250 tick=5 me=0` | endpoints and limits, before `start` |
-//! | `with window=2000` | adds the classes `zoned`, with repeats dropped by zone, and `brief`, with them dropped for so long |
-//! | `config settings/rules/drain-grace 500` | from the next start or reload on this value stands at that place of the configuration, `null` for none |
-//! | `caches-list`, `start-without-list` | from the next start on the forwarder is given the list as it is now; starts it without waiting for a list |
-//! | `begin-start`, `started` | starts the forwarder without waiting for it; waits until it serves |
-//! | `start`, `stop`, `continue`, `kill`, `term`, `exit` | starts the forwarder, signals it, waits for its end |
-//! | `exit-within 3700`, `exit-with-failure` | waits for its end, which must come within so many milliseconds; or be no success |
-//! | `sleep 900` | so many milliseconds go by while it is stopped |
-//! | `mark`, `within 1300` | so many milliseconds may have gone by since the mark |
-//! | `u1 send m1 dest=1 class=notice size=3 deadline=9000m` | a client sends a message; any name that is no other party's is a client |
-//! | `u1 sends 20 m class=notice` | a client sends m1 to m20, each answered with 202 |
-//! | `u1 submits 5 m`, `e1 answers-all`, `all-delivered` | messages under ids that begin so, each sent until one is accepted; calls are answered with 200 from now on; waits until what was accepted has come to such an endpoint |
-//! | `u1 send-raw TEXT`, `u1 expect 202 WORD…`, `u1 expect end`, `u1 connect`, `u1 end-sending`, `u1 close` | the rest of a client's life |
-//! | `crowd 300` | so many clients connect, send nothing and stay |
-//! | `with operator=on`, `admin health 200`, `admin cordon e1 200`, `admin quiesce 200` | operators may call; a call, and its status |
-//! | `admin raw 400 TEXT`, `admin crowd 20 TEXT` | a call as it is written; so many callers that write no more than that and stay |
-//! | `upgrade`, `begin-upgrade`, `upgraded` | starts a second process on the same folder and waits until it serves; starts it only; waits only |
-//! | `keep-first`, `first kill` | the old process is kept as the first of three |
-//! | `forget-upgrade` | the new process is forgotten, the old one is the one that runs |
-//! | `old term`, `old kill`, `old stop`, `old exit`, `old log TEXT`, `old admin …` | the process that is replaced; clients stay where they connected |
-//! | `successor asks 200 [token=X] [format=9] [accepts=list-line]`, `… reads-state`, `… owns`, `… expects Take`, `… accepts`, `… disconnects` | plays a process that wants to replace the one that runs |
-//! | `predecessor owns`, `… answers TEXT`, `… exits` | plays a process that owns the folder, ahead of `begin-upgrade` |
-//! | `health 503` | waits until the clients' address answers so about its health |
-//! | `write-byte-by-byte` | from here on clients, endpoints, operators and the platform's watch write byte by byte |
-//! | `e1 expect m1 m2` | the next call at an endpoint holds just these messages |
-//! | `e1 expect-unordered m1 m2` | the same, with the messages in any order |
-//! | `e1 serves m1 m2`, `e1 serves m*20` | the next calls at an endpoint hold these messages in any order, all are delivered; m1 to m20 |
-//! | `e1 send m1 200 Header:value m1=delivered …` | the answer to the call that m1 came in |
-//! | `e1 send-raw m1 TEXT` | whatever else is written to the connection that m1 came on |
-//! | `e1 close m1`, `e1 open` | ends that call's connection; lets a stalled or closed endpoint accept |
-//! | `platform send e1=leaving`, `platform changes-silently e1=leaving` | the list changes; the open watches are not told |
-//! | `platform changes-on-old-watches e1=leaving` | a change that only the watches at an address which it has left are told |
-//! | `platform expect m1 failed [alone]`, `platform expect-all m*20 returned` | the next report, with no other beside it; reports of all of these in any order, which some may be repeats of |
-//! | `platform expect-no-report` | no report has come but those that were expected |
-//! | `platform expect-watch 1` | the next watch asks for what came after that generation |
-//! | `platform rejects-reports`, `… accepts-reports`, `… drops-next-report`, `… answers-reports-after 200`, `… stops-heartbeats` | how it answers |
-//! | `platform moves`, `… delays-list`, `… releases-list`, `… closes-old-watches` | it listens elsewhere; holds lists back; closes what leads to the old address |
-//! | `site YAML` | writes the site file, in one line; `start` names it from then on |
-//! | `start-registry` | starts a registry and a replica; a site file may name them as `{registry}` and `{replica}` |
-//! | `registry put e1 e2`, `… status e1 DOWN`, `… delete e1`, `… replace e1 ID`, `… restarts-empty`, `… loses-deltas` | what the registry holds |
-//! | `registry silent`, `… answers`, `… half`, `… xml`, `… gzip`, `… sends-huge-answers`, `… sends-gzip-bombs`, `… sends-deep-nesting`, `… sends-a-long-name`, `… freezes-replica` | how it answers |
-//! | `registry holds n0=UP`, `registry holds n0=`, `registry asked GET /apps` | waits for what it holds of an instance, for a request |
-//! | `reload open=4 …`, `reload TEXT` | writes the configuration anew and sends SIGHUP |
-//! | `wait name=value routes/NAME/held=1 …`, `log TEXT` | waits for counters, for a line in the log |
-//! | `with faults=on`, `faults write EIO; accept ENFILE count=3`, `faults` | system calls of the forwarder fail by this plan from now on, by none (`crates/faultshim`) |
-//! | `fault-injected write` | waits until such a call has failed by the plan in force |
-//! | `state-under N`, `state-holds FILE`, `state-folder NAME`, `damage cut N`, `damage flip N`, `damage-view` | the state folder |
+//! | `wait delivered=2 lists>=1 routes/NAME/held=1` | waits until counters have these values |
+//! | `log TEXT` | waits for a log line that contains the text |
+//! | `health 503` | waits until a health request of a client gets this status |
+//! | `start-timer`, `within 1300` | expects that less than 1300 ms have passed since `start-timer` |
+//! | `state-at-most 50000` | expects that the files of the state folder take at most 50 000 bytes |
+//! | `state-contains FILE`, `state-create-folder NAME` | waits for a file in the state folder; creates a folder in it |
+//! | `damage cut 3`, `damage flip 9` | truncates the newest journal segment by 3 bytes; flips the byte 9 before its end |
+//! | `damage-registry-view` | damages the persisted view of the registry |
 
 mod admin;
 mod client;
--- a/tests/unread_requests.rs
+++ b/tests/unread_requests.rs
@@ -36,7 +36,7 @@
 
          u1 connect
          stop
-         mark
+         start-timer
          u1 send m1 deadline=1000m
          sleep 370
          continue
@@ -57,7 +57,7 @@
          start
 
          faults accept ENFILE
-         mark
+         start-timer
          u1 send m1 deadline=1000m
          u2 send m2 deadline=300m
          fault-injected accept
@@ -80,7 +80,7 @@
 
          u1 connect
          stop
-         mark
+         start-timer
          u1 send m1 deadline=2000m
          sleep 370
          continue
@@ -107,7 +107,7 @@
              wait user_agents=3
              upgrade
              {stop}
-             mark
+             start-timer
              u1 send m1 deadline=1000m
              u2 send m2 deadline=300m
              sleep 370
