--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -4,7 +4,7 @@
 mod scenario;
 
 use cedarbridge_registry_standin::{Instance, StandIn};
-use scenario::process::program;
+use scenario::process::forwarder_command;
 use scenario::run_scenario;
 use std::process::Output;
 
@@ -327,7 +327,7 @@
 
 /// Runs a command of the program and returns its exit code and standard output.
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
-    let Output { status, stdout, .. } = program().args(arguments).output().expect("it runs");
+    let Output { status, stdout, .. } = forwarder_command().args(arguments).output().expect("it runs");
     (status.code(), String::from_utf8(stdout).expect("text"))
 }
 
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 
-use scenario::process::program;
+use scenario::process::forwarder_command;
 use scenario::run_scenario;
 
 #[test]
@@ -15,7 +15,7 @@
         [("{", "not JSON"), ("{}", "missing setting `settings`"), (r#"{"settings":{}}"#, "specifics")]
     {
         std::fs::write(&path, text).expect("written");
-        let output = program().arg(&path).output().expect("it runs");
+        let output = forwarder_command().arg(&path).output().expect("it runs");
         let errors = String::from_utf8_lossy(&output.stderr);
         assert!(
             !output.status.success() && errors.lines().count() == 1 && errors.contains(expected_error),
@@ -23,7 +23,7 @@
         );
     }
     let _ = std::fs::remove_dir_all(&folder);
-    let output = program().output().expect("it runs");
+    let output = forwarder_command().output().expect("it runs");
     assert!(!output.status.success() && String::from_utf8_lossy(&output.stderr).contains("no configuration"));
 }
 
--- a/tests/scenario/client.rs
+++ b/tests/scenario/client.rs
@@ -1,34 +1,36 @@
 //! A client of the forwarder.
 
 use super::script::unescape;
-use super::sockets::{connect, read_message, write, PATIENCE};
+use super::sockets::{connect, read_message, write, STEP_TIMEOUT};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The pause before a message is sent once more.
+/// The pause before a message is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// Sends a message until it is accepted, each time on a new connection and under an id of its own; that id.
-pub fn submit(address: SocketAddr, name: &str, words: &[&str]) -> String {
-    let begun = Instant::now();
+/// Sends a message again and again until it is accepted, each time on a new connection and under a new id. Returns the
+/// accepted id.
+pub fn send_until_accepted(address: SocketAddr, name: &str, words: &[&str]) -> String {
+    let started_at = Instant::now();
     for number in 1.. {
         let id = format!("{name}-{number}");
         let mut client = Client::connect(address);
-        // A connection that has just been reset gives no status either.
+        // A failed write is ignored: a connection that was reset gives no status either, and the message is sent again.
         let _ = client.send(&id, words);
         match client.status() {
             Some(202) => return id,
             None | Some(503) => thread::sleep(RETRY_PAUSE),
             Some(status) => panic!("{id} was answered with {status}"),
         }
-        assert!(begun.elapsed() < PATIENCE, "{id} is not accepted");
+        assert!(started_at.elapsed() < STEP_TIMEOUT, "{id} was not accepted in time");
     }
-    unreachable!("it returns or fails");
+    unreachable!("the loop ends only by a return or a panic");
 }
 
+/// A connected client.
 pub struct Client {
     stream: BufReader<TcpStream>,
 }
@@ -38,9 +40,10 @@
         Client { stream: BufReader::new(connect(address)) }
     }
 
-    /// Plays a line of the script.
+    /// Runs a line of the script.
     pub fn step(&mut self, words: &[&str], rest: &str) {
         match words {
+            // The connection is opened by the first line of a client, whatever it is.
             ["connect"] => {}
             ["send", id, more @ ..] => self.send(id, more).expect("written"),
             ["sends", count, name, more @ ..] => {
@@ -55,21 +58,22 @@
             }
             ["end-sending"] => self.stream.get_ref().shutdown(Shutdown::Write).expect("open"),
             ["expect", "end"] => {
-                let mut left = Vec::new();
-                self.stream.read_to_end(&mut left).expect("an orderly end");
-                assert!(left.is_empty(), "{}", String::from_utf8_lossy(&left));
+                let mut unexpected_bytes = Vec::new();
+                self.stream.read_to_end(&mut unexpected_bytes).expect("an orderly end");
+                assert!(unexpected_bytes.is_empty(), "{}", String::from_utf8_lossy(&unexpected_bytes));
             }
             ["expect", status, more @ ..] => self.expect(status, more),
             _ => panic!("no such step of a client"),
         }
     }
 
-    /// The status of the next response; none if the connection ends without one.
+    /// Reads the status of the next response; `None` if the connection ends without one.
     fn status(&mut self) -> Option<u16> {
         let head = read_message(&mut self.stream)?.head;
         head.split(' ').nth(1)?.parse().ok()
     }
 
+    /// Sends a message, with `name=value` words as its options.
     fn send(&mut self, id: &str, words: &[&str]) -> io::Result<()> {
         let options: BTreeMap<&str, &str> = words.iter().filter_map(|w| w.split_once('=')).collect();
         let option = |name: &str, default: &'static str| options.get(name).copied().unwrap_or(default);
@@ -84,9 +88,10 @@
         write(self.stream.get_mut(), request.as_bytes())
     }
 
-    fn expect(&mut self, status: &str, headers: &[&str]) {
+    /// Expects a response with the given status whose head contains the given texts.
+    fn expect(&mut self, status: &str, texts: &[&str]) {
         let head = read_message(&mut self.stream).expect("a response").head;
         assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
-        headers.iter().for_each(|h| assert!(head.contains(h), "no {h} in {head}"));
+        texts.iter().for_each(|text| assert!(head.contains(text), "no {text} in {head}"));
     }
 }
--- a/tests/scenario/endpoint.rs
+++ b/tests/scenario/endpoint.rs
@@ -1,7 +1,9 @@
-//! An endpoint: it accepts calls and responds as the script says.
+//! An endpoint that accepts calls and responds as the script says.
 
-use super::script::{numbered, text_behind, unescape};
-use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
+use super::script::{expand_ids, text_after, unescape};
+use super::sockets::{
+    bound_socket, listen, local_address, read_message, serve_connections, write, STEP_TIMEOUT,
+};
 use super::trace::trace;
 use socket2::Socket;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,85 +13,92 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 
-/// Connections that wait to be accepted by an endpoint that serves.
+/// The backlog of an endpoint that serves, in connections.
 const BACKLOG: i32 = 64;
 
-/// The response to a call whose message is delivered.
-const DELIVERED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+/// The response to a call whose messages are all delivered.
+const DELIVERED_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// A received call, with the ids of its messages.
+/// A received call.
 struct Call {
+    /// The request ids of its messages.
     ids: Vec<String>,
     stream: TcpStream,
 }
 
+/// An endpoint, whose threads accept calls and pass them to the script.
 pub struct Endpoint {
     pub destination: u64,
     pub kind: String,
     pub zone: String,
+    /// The address at which it listens, or will listen once it opens.
     pub address: SocketAddr,
-    sender: Sender<Call>,
+    call_sender: Sender<Call>,
     calls: Receiver<Call>,
-    /// The connections of calls that were expected, by the message that the script names first.
-    expected: BTreeMap<String, TcpStream>,
-    refusing: Option<Refusing>,
-    answers_all: Arc<AnswersAll>,
+    /// The connections of calls that the script has expected, each by the id that the script names first.
+    call_connections: BTreeMap<String, TcpStream>,
+    /// `None` once the endpoint accepts connections.
+    not_accepting: Option<NotAccepting>,
+    automatic_responses: Arc<AutomaticResponses>,
 }
 
-/// Whether an endpoint answers each call by itself, and the messages that it has answered so.
+/// Whether an endpoint responds to each call with a 200 without a line of the script, and what calls got such a response.
 #[derive(Default)]
-struct AnswersAll {
+struct AutomaticResponses {
     enabled: AtomicBool,
+    /// The request ids of the messages in these calls.
     ids: Mutex<BTreeSet<String>>,
 }
 
-/// An endpoint that accepts no connections yet: its port is bound and refuses, or its queue is full, so that the system leaves
-/// further connections unanswered.
-enum Refusing {
+/// The sockets of an endpoint that accepts no connections yet.
+enum NotAccepting {
+    /// The port is bound and nothing listens, so the system refuses connections.
     Closed(Socket),
+    /// The backlog has room for one connection only, which fills it, so the system leaves further ones unanswered.
     Stalled(TcpListener, #[allow(dead_code)] TcpStream),
 }
 
 impl Endpoint {
+    /// Creates an endpoint in a state: `closed`, `stalled` or `open`.
     pub fn new(destination: u64, kind: &str, zone: &str, state: &str) -> Self {
-        let socket = bound();
+        let socket = bound_socket();
         let address = local_address(&socket);
-        let (sender, calls) = channel();
-        let (kind, zone, expected) = (kind.to_owned(), zone.to_owned(), BTreeMap::new());
+        let (call_sender, calls) = channel();
+        let (kind, zone, call_connections) = (kind.to_owned(), zone.to_owned(), BTreeMap::new());
         let mut endpoint = Endpoint {
             destination,
             kind,
             zone,
             address,
-            sender,
+            call_sender,
             calls,
-            expected,
-            refusing: None,
-            answers_all: Arc::default(),
+            call_connections,
+            not_accepting: None,
+            automatic_responses: Arc::default(),
         };
         match state {
-            "closed" => endpoint.refusing = Some(Refusing::Closed(socket)),
+            "closed" => endpoint.not_accepting = Some(NotAccepting::Closed(socket)),
             "stalled" => {
-                let listener = listening(socket, 0);
-                let filler = TcpStream::connect(address).expect("the first fits the queue");
-                endpoint.refusing = Some(Refusing::Stalled(listener, filler));
+                let listener = listen(socket, 0);
+                let filler = TcpStream::connect(address).expect("the first connection fits the backlog");
+                endpoint.not_accepting = Some(NotAccepting::Stalled(listener, filler));
             }
-            _ => endpoint.serve(listening(socket, BACKLOG)),
+            _ => endpoint.serve(listen(socket, BACKLOG)),
         }
         endpoint
     }
 
-    /// From now on it listens at another address; open connections to the old one stay.
-    pub fn move_away(&mut self) {
-        let socket = bound();
+    /// Makes the endpoint listen at a new address; open connections to the old one stay open.
+    pub fn move_to_new_address(&mut self) {
+        let socket = bound_socket();
         self.address = local_address(&socket);
-        self.serve(listening(socket, BACKLOG));
+        self.serve(listen(socket, BACKLOG));
     }
 
     fn serve(&self, listener: TcpListener) {
-        let (sender, address) = (Mutex::new(self.sender.clone()), self.address);
-        let answers_all = self.answers_all.clone();
-        accept(listener, move |stream| {
+        let (call_sender, address) = (Mutex::new(self.call_sender.clone()), self.address);
+        let automatic_responses = self.automatic_responses.clone();
+        serve_connections(listener, move |stream| {
             let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
             while let Some(request) = read_message(&mut reader) {
                 let ids = match request.head.split("X-Request-Id: ").nth(1) {
@@ -98,94 +107,99 @@
                 };
                 trace(format_args!("call at {address} with {ids:?}"));
                 let mut stream = stream.try_clone().expect("a handle");
-                if answers_all.enabled.load(Ordering::SeqCst) {
-                    answers_all.ids.lock().expect("unpoisoned").extend(ids);
-                    // The forwarder may have left: then the call is repeated.
-                    let _ = write(&mut stream, DELIVERED);
+                if automatic_responses.enabled.load(Ordering::SeqCst) {
+                    automatic_responses.ids.lock().expect("unpoisoned").extend(ids);
+                    // The write fails if the forwarder has closed the connection; it then retries the call.
+                    let _ = write(&mut stream, DELIVERED_RESPONSE);
                     continue;
                 }
-                // The scenario may have ended.
-                let _ = sender.lock().expect("unpoisoned").send(Call { ids, stream });
+                // Sending fails if the scenario has ended.
+                let _ = call_sender.lock().expect("unpoisoned").send(Call { ids, stream });
             }
         });
     }
 
-    /// Plays a line of the script.
+    /// Runs a line of the script.
     pub fn step(&mut self, words: &[&str], rest: &str) {
         match words {
             ["expect", ids @ ..] => {
                 let call = self.next_call();
                 assert_eq!(call.ids, ids, "the messages of the call");
-                self.expected.insert(call.ids[0].clone(), call.stream);
+                self.call_connections.insert(call.ids[0].clone(), call.stream);
             }
             ["expect-unordered", ids @ ..] => {
                 let call = self.next_call();
-                let (found, wanted) = (call.ids.iter().map(String::as_str), ids.iter().copied());
+                let (received, expected) = (call.ids.iter().map(String::as_str), ids.iter().copied());
                 assert_eq!(call.ids.len(), ids.len(), "{:?}", call.ids);
                 assert_eq!(
-                    BTreeSet::from_iter(found),
-                    BTreeSet::from_iter(wanted),
+                    BTreeSet::from_iter(received),
+                    BTreeSet::from_iter(expected),
                     "the messages of the call"
                 );
-                self.expected.insert(ids[0].to_owned(), call.stream);
+                self.call_connections.insert(ids[0].to_owned(), call.stream);
             }
-            ["serves", ids @ ..] => self.deliver_all(numbered(ids)),
-            ["send", id, status, more @ ..] => self.answer(id, status, more),
+            ["serves", ids @ ..] => self.serve_calls(expand_ids(ids)),
+            ["send", id, status, more @ ..] => self.respond(id, status, more),
             ["send-raw", id, ..] => {
-                let text = unescape(text_behind(rest, id));
-                self.connection_of(id).write_all(text.as_bytes()).expect("written");
+                let text = unescape(text_after(rest, id));
+                self.call_connection(id).write_all(text.as_bytes()).expect("written");
             }
-            ["answers-all"] => self.answers_all.enabled.store(true, Ordering::SeqCst),
+            ["answers-all"] => self.automatic_responses.enabled.store(true, Ordering::SeqCst),
             ["close", id] => {
-                let stream = self.expected.remove(*id).expect("expected before");
+                let stream = self.call_connections.remove(*id).expect("the call was expected before");
                 stream.shutdown(Shutdown::Both).expect("open");
             }
-            ["open"] => match self.refusing.take().expect("refusing") {
-                Refusing::Closed(socket) => self.serve(listening(socket, BACKLOG)),
-                Refusing::Stalled(listener, _) => self.serve(listener),
+            ["open"] => match self.not_accepting.take().expect("it accepts no connections") {
+                NotAccepting::Closed(socket) => self.serve(listen(socket, BACKLOG)),
+                NotAccepting::Stalled(listener, _) => self.serve(listener),
             },
             _ => panic!("no such step of an endpoint"),
         }
     }
 
-    /// Whether it has answered the call of a message by itself.
-    pub fn has_answered(&self, id: &str) -> bool {
-        self.answers_all.ids.lock().expect("unpoisoned").contains(id)
+    /// Whether the endpoint has responded to a call of this message automatically.
+    pub fn has_responded_automatically(&self, id: &str) -> bool {
+        self.automatic_responses.ids.lock().expect("unpoisoned").contains(id)
     }
 
     fn next_call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("a call")
+        self.calls.recv_timeout(STEP_TIMEOUT).expect("a call arrives in time")
     }
 
-    fn connection_of(&mut self, id: &str) -> &mut TcpStream {
-        self.expected.get_mut(id).expect("expected before")
+    fn call_connection(&mut self, id: &str) -> &mut TcpStream {
+        self.call_connections.get_mut(id).expect("the call was expected before")
     }
 
-    /// Delivers the next calls, which must hold just these messages in any order.
-    fn deliver_all(&self, mut ids: Vec<String>) {
-        let all = ids.clone();
-        while !ids.is_empty() {
+    /// Receives the next calls, which must contain exactly these messages in any order, and responds to each as delivered.
+    fn serve_calls(&self, mut remaining: Vec<String>) {
+        let expected = remaining.clone();
+        while !remaining.is_empty() {
             let mut call = self.next_call();
-            let before = ids.len();
-            ids.retain(|id| !call.ids.contains(id));
-            assert_eq!(ids.len() + call.ids.len(), before, "{:?} is among {all:?}", call.ids);
-            write(&mut call.stream, DELIVERED).expect("written");
+            let before = remaining.len();
+            remaining.retain(|id| !call.ids.contains(id));
+            assert_eq!(
+                remaining.len() + call.ids.len(),
+                before,
+                "{:?} are not all among {expected:?}",
+                call.ids
+            );
+            write(&mut call.stream, DELIVERED_RESPONSE).expect("written");
         }
     }
 
-    /// Answers the call of a message: `Header:value` words become headers, `id=result` words lines of the body.
-    fn answer(&mut self, id: &str, status: &str, words: &[&str]) {
+    /// Responds to the call of a message: `Header:value` words become headers, `id=result` words lines of the body.
+    fn respond(&mut self, id: &str, status: &str, words: &[&str]) {
         let headers = words.iter().filter_map(|w| w.split_once(':'));
         let headers: String = headers.map(|(name, value)| format!("{name}: {value}\r\n")).collect();
         let results = words.iter().filter_map(|w| w.split_once('='));
         let body: String = results.map(|(id, result)| format!("{id} {result}\r\n")).collect();
         let length = body.len();
-        let answer = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
-        write(self.connection_of(id), answer.as_bytes()).expect("written");
+        let response = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {length}\r\n\r\n{body}");
+        write(self.call_connection(id), response.as_bytes()).expect("written");
     }
 }
 
-/// The ids of a call that holds several messages.
+/// Returns the request ids in the body of a call with several messages.
 fn batch_ids(mut body: &[u8]) -> Vec<String> {
     let mut ids = Vec::new();
     while !body.is_empty() {
--- a/tests/scenario/environment.rs
+++ b/tests/scenario/environment.rs
@@ -1,15 +1,16 @@
-//! All parties of a scenario, and what the lines that concern none of them alone do.
+//! The environment that a scenario runs in: the forwarder's processes and all parties. It passes each line to its party, and
+//! runs the lines that belong to no single party.
 
 use super::admin;
-use super::client::{submit, Client};
+use super::client::{send_until_accepted, Client};
 use super::endpoint::Endpoint;
 use super::handover::{Predecessor, Successor};
 use super::platform::Platform;
-use super::process::{fault_library, program, Process};
+use super::process::{fault_library_path, forwarder_command, Process};
 use super::registry::Registry;
-use super::script::{numbered, text_behind, unescape};
-use super::settings::{Options, Place};
-use super::sockets::{soon, write_byte_by_byte};
+use super::script::{expand_ids, text_after, unescape};
+use super::settings::{Locations, Options};
+use super::sockets::{poll_until, write_byte_by_byte};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -20,45 +21,51 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The unit in which the platform counts files, in bytes.
-const FILE_UNIT: u64 = 512;
+/// The unit in which the platform counts the size of a file, in bytes.
+const DISK_BLOCK_BYTES: u64 = 512;
 
+/// The processes and parties of a scenario. Dropping it kills the processes and removes the folder.
 pub struct TestEnvironment {
+    /// Contains the state folder, the configuration, the site file and the fault plan.
     folder: PathBuf,
     options: Options,
     platform: Platform,
     registry: Option<Registry>,
     endpoints: BTreeMap<String, Endpoint>,
     clients: BTreeMap<String, Client>,
-    /// Connections of clients and operators that send nothing more and stay open.
+    /// Connections to the forwarder that send nothing more and stay open.
     idle_connections: Vec<TcpStream>,
+    /// The process that was started last.
     process: Process,
-    /// The predecessor of the process that runs.
+    /// The predecessor of `process`.
     old: Process,
-    /// The predecessor of that one.
+    /// The predecessor of `old`.
     first: Process,
     successor: Successor,
     predecessor: Predecessor,
+    /// The address at which `process` listens for clients; `None` before the first start.
     listen: Option<SocketAddr>,
-    /// Whether the forwarder runs with the library that makes its system calls fail.
-    faults: bool,
+    /// Whether the forwarder is started with the fault injection library.
+    injects_faults: bool,
     /// When the scenario last ran `start-timer`.
-    marked_at: Instant,
-    /// The accepted messages of `sends-until-accepted`.
+    timer_started_at: Instant,
+    /// The ids of the accepted messages of `sends-until-accepted`.
     accepted: BTreeSet<String>,
 }
 
-fn milliseconds(text: &str) -> Duration {
-    Duration::from_millis(text.parse().expect("milliseconds"))
+fn parse_milliseconds(text: &str) -> Duration {
+    Duration::from_millis(text.parse().expect("a number of milliseconds"))
 }
 
 impl TestEnvironment {
+    /// Starts the platform, with an empty list, and creates a folder of its own.
     pub fn new() -> Self {
-        static NEXT: AtomicU32 = AtomicU32::new(0);
-        let name = format!("cedarbridge-net-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let name =
+            format!("cedarbridge-net-{}-{}", std::process::id(), NEXT_NUMBER.fetch_add(1, Ordering::SeqCst));
         let folder = std::env::temp_dir().join(name);
         let _ = fs::remove_dir_all(&folder);
-        fs::create_dir_all(folder.join("state")).expect("a folder");
+        fs::create_dir_all(folder.join("state")).expect("the folder is created");
         TestEnvironment {
             folder,
             options: Options::default(),
@@ -73,13 +80,13 @@
             successor: Successor::default(),
             predecessor: Predecessor::default(),
             listen: None,
-            faults: false,
-            marked_at: Instant::now(),
+            injects_faults: false,
+            timer_started_at: Instant::now(),
             accepted: BTreeSet::new(),
         }
     }
 
-    /// Plays a line of the script.
+    /// Runs a line of the script.
     pub fn step(&mut self, line: &str) {
         let words: Vec<&str> = line.split_whitespace().collect();
         let rest = line.split_once(' ').map_or("", |r| r.1);
@@ -87,7 +94,7 @@
         match name {
             "platform" => self.platform_step(more),
             "registry" => {
-                let registry = self.registry.as_ref().expect("started");
+                let registry = self.registry.as_ref().expect("the registry is started");
                 registry.step(more, rest.trim_start_matches("asked "), &self.endpoints);
             }
             "admin" => admin_step(&self.process, &mut self.idle_connections, more, rest),
@@ -95,7 +102,7 @@
             "predecessor" => self.predecessor.step(more, rest, &self.folder.join("state/owner")),
             "old" => self.old_step(more, rest),
             _ if self.endpoints.contains_key(name) => {
-                self.endpoints.get_mut(name).expect("just seen").step(more, rest);
+                self.endpoints.get_mut(name).expect("checked by the guard").step(more, rest);
             }
             _ if self.setup_step(name, more, rest)
                 || self.process_step(name, more, rest)
@@ -105,27 +112,30 @@
         }
     }
 
-    /// Lines that set something up; false if this is none of them.
+    /// Runs a line that sets something up. Returns false if the line is no such line.
     fn setup_step(&mut self, name: &str, words: &[&str], rest: &str) -> bool {
         match name {
-            "with" => words.iter().for_each(|w| self.set(w)),
-            "caches-list" => self.options.known = serde_json::from_str(&self.platform.complete_list()).ok(),
+            "with" => words.iter().for_each(|w| self.set_option(w)),
+            "caches-list" => {
+                self.options.cached_list = serde_json::from_str(&self.platform.complete_list()).ok()
+            }
             "site" => {
-                let text = self.registry.as_ref().map_or(rest.to_owned(), |r| r.fill_in(rest));
-                fs::write(self.folder.join("site.yaml"), text).expect("written");
+                let text = self.registry.as_ref().map_or(rest.to_owned(), |r| r.insert_urls(rest));
+                fs::write(self.folder.join("site.yaml"), text).expect("the site file is written");
             }
             "start-registry" => self.registry = Some(Registry::start()),
             "reload" => self.reload(words, rest),
             "config" => {
-                let (path, value) = rest.split_once(' ').expect("a place and a value");
+                let (path, value) = rest.split_once(' ').expect("a path and a value");
                 let value = serde_json::from_str(value).expect("JSON");
-                self.options.values.push((path.to_owned(), value));
+                self.options.overrides.push((path.to_owned(), value));
             }
             "write-byte-by-byte" => write_byte_by_byte(),
-            "faults" => self.plan_faults(rest),
+            "faults" => self.write_fault_plan(rest),
             "connect-idle" => {
                 let count: usize = words[0].parse().expect("a number");
-                let connect = |_| TcpStream::connect(self.listen.expect("started")).expect("it listens");
+                let connect =
+                    |_| TcpStream::connect(self.listen.expect("started")).expect("the forwarder listens");
                 self.idle_connections.extend((0..count).map(connect));
             }
             _ => return false,
@@ -133,25 +143,25 @@
         true
     }
 
-    /// Lines on the forwarder's processes; false if this is none of them.
+    /// Runs a line about the forwarder's processes. Returns false if the line is no such line.
     fn process_step(&mut self, name: &str, words: &[&str], rest: &str) -> bool {
         match name {
             "start" => self.start(),
             "begin-start" => self.spawn(),
-            "started" => self.until_serving(),
+            "started" => self.wait_until_serving(),
             "start-without-list" => {
                 self.spawn();
-                self.until_healthy();
+                self.wait_until_healthy();
             }
             "upgrade" => {
-                self.replace();
+                self.make_process_old();
                 self.start();
             }
             "begin-upgrade" => {
-                self.replace();
+                self.make_process_old();
                 self.spawn();
             }
-            "upgraded" => self.until_serving(),
+            "upgraded" => self.wait_until_serving(),
             "keep-first" => self.first = std::mem::take(&mut self.old),
             "first" => self.first.kill(),
             "undo-upgrade" => self.process = std::mem::take(&mut self.old),
@@ -159,40 +169,44 @@
             "continue" => self.process.signal("CONT"),
             "term" => self.process.signal("TERM"),
             "kill" => self.process.kill(),
-            "exit" => self.process.exit(),
-            "exit-with-failure" => assert!(!self.process.ended().success()),
+            "exit" => self.process.wait_for_success(),
+            "exit-with-failure" => assert!(!self.process.wait_for_exit().success()),
             "exit-within" => {
-                let begun = Instant::now();
-                self.process.exit();
-                assert!(begun.elapsed() < milliseconds(words[0]), "it took {:?}", begun.elapsed());
+                let started_at = Instant::now();
+                self.process.wait_for_success();
+                assert!(
+                    started_at.elapsed() < parse_milliseconds(words[0]),
+                    "it took {:?}",
+                    started_at.elapsed()
+                );
             }
-            // A stopped process shows nothing else that could be waited for.
-            "sleep" => thread::sleep(milliseconds(rest)),
+            // A stopped process offers no event that a line could wait for instead.
+            "sleep" => thread::sleep(parse_milliseconds(rest)),
             _ => return false,
         }
         true
     }
 
-    /// Lines on the state folder; false if this is none of them.
+    /// Runs a line about the state folder. Returns false if the line is no such line.
     fn folder_step(&mut self, name: &str, words: &[&str], rest: &str) -> bool {
         let state = self.folder.join("state");
         match name {
             "state-at-most" => {
-                let sizes = fs::read_dir(state).expect("a folder");
-                let sizes = sizes.map(|f| f.expect("a file").metadata().expect("a size").len());
-                let all: u64 = sizes.map(|s| s.div_ceil(FILE_UNIT) * FILE_UNIT).sum();
-                assert!(all <= words[0].parse().expect("a number"), "{all} bytes of state");
+                let files = fs::read_dir(state).expect("the state folder");
+                let sizes = files.map(|f| f.expect("a file").metadata().expect("a size").len());
+                let total: u64 = sizes.map(|s| s.div_ceil(DISK_BLOCK_BYTES) * DISK_BLOCK_BYTES).sum();
+                assert!(total <= words[0].parse().expect("a number"), "{total} bytes of state");
             }
             "state-contains" => {
                 let path = state.join(words[0]);
-                soon(rest, || path.exists().then_some(()));
+                poll_until(rest, || path.exists().then_some(()));
             }
-            "state-create-folder" => fs::create_dir(state.join(words[0])).expect("made"),
+            "state-create-folder" => fs::create_dir(state.join(words[0])).expect("the folder is created"),
             "damage-registry-view" => {
                 let path = state.join("registry.view");
-                let mut bytes = fs::read(&path).expect("kept");
+                let mut bytes = fs::read(&path).expect("a persisted view");
                 bytes[5] ^= 0xff;
-                fs::write(path, bytes).expect("written");
+                fs::write(path, bytes).expect("the view is written");
             }
             "damage" => self.damage_journal(words[0], words[1].parse().expect("a number")),
             _ => return false,
@@ -200,37 +214,41 @@
         true
     }
 
-    /// Lines that wait for something or check it; false if this is none of them.
+    /// Runs a line that waits for something or checks it. Returns false if the line is no such line.
     fn observation_step(&mut self, name: &str, words: &[&str], rest: &str) -> bool {
         match name {
-            "wait" => words.iter().for_each(|w| self.wait(w)),
-            "log" => self.process.logged(rest),
+            "wait" => words.iter().for_each(|w| self.wait_for_counter(w)),
+            "log" => self.process.wait_for_log(rest),
             "health" => {
-                let wanted = format!("HTTP/1.1 {} ", words[0]);
-                soon(rest, || self.get("/_health").starts_with(&wanted).then_some(()));
+                let status_line = format!("HTTP/1.1 {} ", words[0]);
+                poll_until(rest, || self.get("/_health").starts_with(&status_line).then_some(()));
             }
             "fault-injected" => {
-                let line = format!("{} ", words[0]);
-                soon(rest, || self.injected_faults().lines().any(|l| l.starts_with(&line)).then_some(()));
+                let system_call = format!("{} ", words[0]);
+                poll_until(rest, || {
+                    self.injected_faults().lines().any(|l| l.starts_with(&system_call)).then_some(())
+                });
             }
             "all-delivered" => {
-                let is_delivered = |id: &String| self.endpoints.values().any(|e| e.has_answered(id));
-                soon(rest, || self.accepted.iter().all(is_delivered).then_some(()));
+                let is_delivered =
+                    |id: &String| self.endpoints.values().any(|e| e.has_responded_automatically(id));
+                poll_until(rest, || self.accepted.iter().all(is_delivered).then_some(()));
             }
-            "start-timer" => self.marked_at = Instant::now(),
+            "start-timer" => self.timer_started_at = Instant::now(),
             "within" => {
-                let (passed, allowed) = (self.marked_at.elapsed(), milliseconds(rest));
-                assert!(passed < allowed, "it took {passed:?}, {allowed:?} were allowed");
+                let (elapsed, limit) = (self.timer_started_at.elapsed(), parse_milliseconds(rest));
+                assert!(elapsed < limit, "it took {elapsed:?}, {limit:?} were allowed");
             }
             _ => return false,
         }
         true
     }
 
-    fn set(&mut self, word: &str) {
+    /// Sets an option or adds an endpoint, as a word `name=value` of a `with` line says.
+    fn set_option(&mut self, word: &str) {
         let (name, value) = word.split_once('=').expect("name=value");
         if name == "faults" {
-            self.faults = value == "on";
+            self.injects_faults = value == "on";
         } else if !self.options.set(name, value) {
             self.add_endpoint(name, value);
         }
@@ -247,98 +265,106 @@
         self.endpoints.insert(name.to_owned(), Endpoint::new(destination, kind, zone, state));
         if !has("hidden") {
             let lifecycle = if has("leaving") { "leaving" } else { "active" };
-            self.list(name, lifecycle);
+            self.set_list_entry(name, lifecycle);
         }
     }
 
-    /// Puts an endpoint on the platform's list, in the state of a word `name=lifecycle`.
-    fn list(&self, name: &str, lifecycle: &str) -> Value {
-        let e = &self.endpoints[name];
+    /// Sets an endpoint's entry in the platform's list and returns it. The lifecycle `moved` stands for `active`.
+    fn set_list_entry(&self, name: &str, lifecycle: &str) -> Value {
+        let endpoint = &self.endpoints[name];
         let lifecycle = if lifecycle == "moved" { "active" } else { lifecycle };
         let entry = json!({
-            "instanceId": name, "hostPort": e.address.to_string(), "zone": e.zone, "machineType": e.kind,
-            "cell": e.destination, "lifecycle": lifecycle, "weight": 50.0, "startedAtMs": 0,
+            "instanceId": name, "hostPort": endpoint.address.to_string(), "zone": endpoint.zone,
+            "machineType": endpoint.kind, "cell": endpoint.destination, "lifecycle": lifecycle, "weight": 50.0, "startedAtMs": 0,
         });
         self.platform.set_entry(name, entry.clone());
         entry
     }
 
-    fn list_all(&self, changes: &[&str]) -> Vec<Value> {
-        let change = |c: &&str| c.split_once('=').map(|(name, state)| self.list(name, state));
-        changes.iter().map(|c| change(c).expect("name=lifecycle")).collect()
+    /// Sets the entries of words `name=lifecycle` and returns them.
+    fn set_list_entries(&self, changes: &[&str]) -> Vec<Value> {
+        let apply =
+            |c: &&str| c.split_once('=').map(|(name, lifecycle)| self.set_list_entry(name, lifecycle));
+        changes.iter().map(|c| apply(c).expect("name=lifecycle")).collect()
     }
 
     fn platform_step(&mut self, words: &[&str]) {
         match words {
             ["send", changes @ ..] => {
                 for name in changes.iter().filter_map(|c| c.strip_suffix("=moved")) {
-                    self.endpoints.get_mut(name).expect("known").move_away();
+                    self.endpoints.get_mut(name).expect("an endpoint of that name").move_to_new_address();
                 }
-                self.platform.send_changes(self.list_all(changes));
+                self.platform.send_changes(self.set_list_entries(changes));
             }
             ["changes-on-old-watches", changes @ ..] => {
-                self.platform.send_changes_on_old_watches(self.list_all(changes));
+                self.platform.send_changes_on_old_watches(self.set_list_entries(changes));
             }
             ["changes-silently", changes @ ..] => {
-                self.list_all(changes);
-                self.platform.next_generation();
+                self.set_list_entries(changes);
+                self.platform.increment_generation();
             }
             _ => self.platform.step(words),
         }
     }
 
+    /// Runs a line about the predecessor.
     fn old_step(&mut self, words: &[&str], rest: &str) {
         match words[0] {
             "stop" => self.old.signal("STOP"),
             "continue" => self.old.signal("CONT"),
             "term" => self.old.signal("TERM"),
             "kill" => self.old.kill(),
-            "exit" => self.old.exit(),
-            "log" => self.old.logged(rest.trim_start_matches("log ")),
+            "exit" => self.old.wait_for_success(),
+            "log" => self.old.wait_for_log(rest.trim_start_matches("log ")),
             "admin" => admin_step(&self.old, &mut self.idle_connections, &words[1..], rest),
             _ => panic!("no such step of an old process"),
         }
     }
 
+    /// Runs a line of a client, which connects first if it has not yet.
     fn client_step(&mut self, name: &str, words: &[&str], rest: &str) {
         if words[0] == "close" {
             return drop(self.clients.remove(name).expect("connected"));
         }
         let listen = self.listen.expect("started");
         if let ["sends-until-accepted", count, name, more @ ..] = words {
-            let ids = numbered(&[&format!("{name}*{count}")]);
-            return self.accepted.extend(ids.iter().map(|id| submit(listen, id, more)));
+            let ids = expand_ids(&[&format!("{name}*{count}")]);
+            return self.accepted.extend(ids.iter().map(|id| send_until_accepted(listen, id, more)));
         }
         let client = self.clients.entry(name.to_owned()).or_insert_with(|| Client::connect(listen));
         client.step(words, rest);
     }
 
-    fn configure(&self) {
-        let listen = self.listen.filter(|_| self.old.is_started());
-        let place = Place { folder: &self.folder, discovery: self.platform.address, listen };
-        fs::write(self.folder.join("config.json"), self.options.configuration(&place)).expect("written");
+    /// Writes the configuration file.
+    fn write_configuration(&self) {
+        let predecessor_listen = self.listen.filter(|_| self.old.is_started());
+        let locations =
+            Locations { folder: &self.folder, platform: self.platform.address, predecessor_listen };
+        fs::write(self.folder.join("config.json"), self.options.configuration(&locations))
+            .expect("the configuration is written");
     }
 
-    /// Writes the configuration anew, with options or as a text, and sends SIGHUP.
+    /// Writes the configuration, with changed options or as the given text, and sends SIGHUP.
     fn reload(&mut self, words: &[&str], text: &str) {
         if words.iter().all(|w| w.contains('=')) {
-            words.iter().for_each(|w| self.set(w));
-            self.configure();
+            words.iter().for_each(|w| self.set_option(w));
+            self.write_configuration();
         } else {
-            fs::write(self.folder.join("config.json"), text).expect("written");
+            fs::write(self.folder.join("config.json"), text).expect("the configuration is written");
         }
         self.process.signal("HUP");
     }
 
+    /// Starts the forwarder without waiting for it.
     fn spawn(&mut self) {
-        self.configure();
-        let mut command = program();
-        if self.faults {
-            command.env("LD_PRELOAD", fault_library());
+        self.write_configuration();
+        let mut command = forwarder_command();
+        if self.injects_faults {
+            command.env("LD_PRELOAD", fault_library_path());
             command.env("FAULTSHIM_PLAN", self.folder.join("faults"));
             command.env("FAULTSHIM_FOLDER", self.folder.join("state"));
         }
-        // The platform starts it so; the variable stays as it is while the program runs.
+        // The platform starts the forwarder with this variable. It keeps its value until the process ends, also after `moves`.
         command.arg(self.folder.join("config.json"));
         command.env("ROUTER_DISCOVERY", self.platform.address.to_string());
         let site = self.folder.join("site.yaml");
@@ -348,32 +374,37 @@
         self.process = Process::spawn(command);
     }
 
+    /// Starts the forwarder and waits until it serves.
     fn start(&mut self) {
         self.spawn();
-        self.until_serving();
+        self.wait_until_serving();
     }
 
-    /// From here on the next process replaces the one that runs.
-    fn replace(&mut self) {
+    /// Makes the running process the predecessor of the one that is started next.
+    fn make_process_old(&mut self) {
         self.old = std::mem::take(&mut self.process);
     }
 
-    fn until_serving(&mut self) {
-        if self.options.operator {
-            self.process.operator = Some(self.process.logged_address("operators may call", "operator: "));
+    /// Waits until the forwarder is healthy and has received the endpoint list.
+    fn wait_until_serving(&mut self) {
+        if self.options.has_admin_listener {
+            self.process.admin_address =
+                Some(self.process.wait_for_logged_address("operators may call", "operator: "));
         }
-        self.until_healthy();
-        // Until it has the list from the watch, not only a cached one: what is sent from here on is a change.
-        self.wait("lists>=1");
+        self.wait_until_healthy();
+        // `lists` counts what the watch has sent, not the cached list. What the platform sends after this is a change.
+        self.wait_for_counter("lists>=1");
     }
 
-    fn until_healthy(&mut self) {
-        self.listen = Some(self.process.logged_address("serving", "listen: "));
-        soon("its health", || self.get("/_health").starts_with("HTTP/1.1 200").then_some(()));
+    /// Waits until the forwarder listens for clients and answers a health request with a 200.
+    fn wait_until_healthy(&mut self) {
+        self.listen = Some(self.process.wait_for_logged_address("serving", "listen: "));
+        poll_until("a healthy forwarder", || self.get("/_health").starts_with("HTTP/1.1 200").then_some(()));
     }
 
+    /// Sends a GET request to the forwarder and returns its response. It is empty if the request fails, as it may while system
+    /// calls of the forwarder fail; callers poll.
     fn get(&self, path: &str) -> String {
-        // Without an answer, as where a system call of the forwarder fails, whoever waits asks again.
         self.try_get(path).unwrap_or_default()
     }
 
@@ -381,65 +412,68 @@
         let mut stream = TcpStream::connect(self.listen.expect("started"))?;
         let request = format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes())?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer)?;
-        Ok(answer)
+        let mut response = String::new();
+        stream.read_to_string(&mut response)?;
+        Ok(response)
     }
 
-    /// Waits until a counter has a value (`name=value`), or more than that (`name>=value`).
-    fn wait(&self, condition: &str) {
-        let (name, wanted) = condition.split_once('=').expect("name=value");
-        let wanted = wanted.parse::<u64>().unwrap_or_else(|_| u64::from(wanted == "true"));
-        let look = || {
-            let answer = self.get("/_counters");
-            let counters: Value = serde_json::from_str(answer.split("\r\n\r\n").nth(1)?).expect("JSON");
-            // A route is not in the counters before it is used.
+    /// Waits until a counter has a value (`name=value`) or at least that (`name>=value`). A name may be a path, such as
+    /// `registry/entries`; values are unsigned integers, `true` and `false`.
+    fn wait_for_counter(&self, condition: &str) {
+        let (name, expected) = condition.split_once('=').expect("name=value");
+        let expected = expected.parse::<u64>().unwrap_or_else(|_| u64::from(expected == "true"));
+        let check = || {
+            let response = self.get("/_counters");
+            let counters: Value = serde_json::from_str(response.split("\r\n\r\n").nth(1)?).expect("JSON");
+            // A counter that is missing counts as 0: a route has no counters before it is used.
             let value = name.trim_end_matches('>').split('/').fold(&counters, |v, key| &v[key]);
             let value = value.as_u64().unwrap_or(u64::from(value == &Value::Bool(true)));
-            (value == wanted || name.ends_with('>') && value > wanted).then_some(())
+            (value == expected || name.ends_with('>') && value > expected).then_some(())
         };
-        soon(condition, look);
+        poll_until(condition, check);
     }
 
-    /// Truncates the newest segment by so many bytes, or flips the byte at that distance from its end.
-    fn damage_journal(&self, how: &str, from_end: usize) {
-        let files = fs::read_dir(self.folder.join("state")).expect("a folder");
+    /// Truncates the newest journal segment by a number of bytes (`cut`), or inverts the byte at that distance from its end.
+    fn damage_journal(&self, damage: &str, distance_from_end: usize) {
+        let files = fs::read_dir(self.folder.join("state")).expect("the state folder");
         let newest = files.map(|f| f.expect("a file").path()).max().expect("a segment");
-        let mut bytes = fs::read(&newest).expect("read");
-        let at = bytes.len() - from_end;
-        match how {
-            "cut" => bytes.truncate(at),
-            _ => bytes[at] ^= 0xff,
+        let mut bytes = fs::read(&newest).expect("the segment is read");
+        let position = bytes.len() - distance_from_end;
+        match damage {
+            "cut" => bytes.truncate(position),
+            _ => bytes[position] ^= 0xff,
         }
-        fs::write(newest, bytes).expect("written");
+        fs::write(newest, bytes).expect("the segment is written");
     }
 
-    /// Puts a plan of faults in force, rules separated by semicolons, and forgets what the one before has injected.
-    fn plan_faults(&self, rules: &str) {
-        let beside = self.folder.join("faults.new");
-        fs::write(&beside, rules.replace(';', "\n")).expect("written");
+    /// Writes a fault plan, whose rules are separated by semicolons, and clears the record of the faults that the previous one
+    /// injected. The plan is replaced by a rename, so that the forwarder never reads a part of it.
+    fn write_fault_plan(&self, rules: &str) {
+        let new_plan = self.folder.join("faults.new");
+        fs::write(&new_plan, rules.replace(';', "\n")).expect("the plan is written");
         let _ = fs::remove_file(self.folder.join("faults.struck"));
-        fs::rename(beside, self.folder.join("faults")).expect("replaced");
+        fs::rename(new_plan, self.folder.join("faults")).expect("the plan is replaced");
     }
 
+    /// Returns the record of the faults that the present plan has injected, one line each; empty if there are none.
     fn injected_faults(&self) -> String {
         fs::read_to_string(self.folder.join("faults.struck")).unwrap_or_default()
     }
 }
 
-/// An admin request to a process; `connect-idle 20 TEXT` opens so many connections that stay open.
+/// Runs an `admin` line at a process.
 fn admin_step(process: &Process, idle_connections: &mut Vec<TcpStream>, words: &[&str], rest: &str) {
-    let operator = process.operator.expect("operators may call");
+    let admin_address = process.admin_address.expect("an admin listener");
     match words {
         ["connect-idle", count, ..] => {
-            let text = unescape(text_behind(rest, count));
+            let text = unescape(text_after(rest, count));
             idle_connections.extend(admin::open_idle_connections(
-                operator,
+                admin_address,
                 count.parse().expect("a number"),
                 &text,
             ));
         }
-        _ => admin::call(operator, words, rest),
+        _ => admin::send_request(admin_address, words, rest),
     }
 }
 
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -148,7 +148,7 @@
 
 use environment::TestEnvironment;
 
-/// Plays a scenario; the first line that does not hold fails the test.
+/// Runs a scenario. The first line that fails panics, and with that fails the test.
 pub fn run_scenario(script: &str) {
     let mut environment = TestEnvironment::new();
     for line in script.lines().map(str::trim).filter(|l| !l.is_empty()) {
--- a/tests/scenario/platform.rs
+++ b/tests/scenario/platform.rs
@@ -1,7 +1,9 @@
-//! The platform: it sends the endpoint list on watches and accepts delivery reports.
+//! The platform, which sends the endpoint list on watches and receives delivery reports.
 
-use super::script::numbered;
-use super::sockets::{accept, bound, listening, local_address, read_message, write, PATIENCE};
+use super::script::expand_ids;
+use super::sockets::{
+    bound_socket, listen, local_address, read_message, serve_connections, write, STEP_TIMEOUT,
+};
 use super::trace::trace;
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,106 +15,115 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Without a report for so long, none is sent again.
-const SETTLED_AFTER: Duration = Duration::from_millis(500);
-/// Time between two heartbeats on the watches.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+/// After this time without a delivery report, the forwarder is taken not to repeat any.
+const REPORTS_SETTLE_TIME: Duration = Duration::from_millis(500);
+/// The time between two heartbeats on the watches.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the platform's threads share with the script.
+/// The state that the platform's threads share with the script.
 #[derive(Default)]
-struct Shared {
-    /// Counts its addresses; only at the last one does it answer.
+struct SharedState {
+    /// The number of addresses so far, which numbers the present one; requests at former addresses are not answered.
     address_number: AtomicU32,
+    /// Whether the complete list is held back on new watches.
     delays_list: AtomicBool,
+    /// The entries of the endpoint list by endpoint name.
     list: Mutex<BTreeMap<String, Value>>,
+    /// The version of the list, which each change increments.
     generation: AtomicU32,
     /// The open watches, each with the number of the address at which it was opened.
     watches: Mutex<Vec<(u32, TcpStream)>>,
+    /// Whether delivery reports are answered with a 500.
     rejects_reports: AtomicBool,
-    /// Reports are answered after so many milliseconds.
-    answers_reports_after: AtomicU32,
-    /// The next connection that brings a report gets no answer.
+    /// The delay of answers to delivery reports, in milliseconds.
+    report_answer_delay_ms: AtomicU32,
+    /// Whether the next delivery report gets no answer.
     drops_next_report: AtomicBool,
+    /// The connections of delivery reports that get no answer; they stay open.
     unanswered: Mutex<Vec<TcpStream>>,
     sends_no_heartbeats: AtomicBool,
 }
 
+/// The platform of a scenario.
 pub struct Platform {
-    shared: Arc<Shared>,
-    /// Where it listens now.
+    shared: Arc<SharedState>,
+    /// Its present address.
     pub address: SocketAddr,
+    /// The received delivery reports that the script has not expected yet.
     reports: Receiver<Value>,
-    watched: Receiver<String>,
-    observer: Observer,
+    /// The generation that each watch request names, or `-`.
+    watch_requests: Receiver<String>,
+    request_sender: RequestSender,
 }
 
-/// Where the platform's threads put the reports and watches that they receive.
+/// Passes the delivery reports and watch requests that the platform's threads receive to the script.
 #[derive(Clone)]
-struct Observer {
+struct RequestSender {
     reports: Sender<Value>,
-    watched: Sender<String>,
+    watch_requests: Sender<String>,
 }
 
 impl Platform {
+    /// Starts the platform with an empty list of generation 1.
     pub fn start() -> Self {
-        let shared = Arc::new(Shared::default());
+        let shared = Arc::new(SharedState::default());
         shared.generation.store(1, Ordering::SeqCst);
         let (report_sender, reports) = channel();
-        let (watch_sender, watched) = channel();
-        let observer = Observer { reports: report_sender, watched: watch_sender };
-        let address = shared.listen(&observer);
-        let beating = Arc::downgrade(&shared);
+        let (watch_sender, watch_requests) = channel();
+        let request_sender = RequestSender { reports: report_sender, watch_requests: watch_sender };
+        let address = shared.listen(&request_sender);
+        let weak_shared = Arc::downgrade(&shared);
         thread::spawn(move || {
-            while let Some(shared) = beating.upgrade() {
+            while let Some(shared) = weak_shared.upgrade() {
                 if !shared.sends_no_heartbeats.load(Ordering::SeqCst) {
                     shared.send_on_watches("\n");
                 }
                 drop(shared);
-                thread::sleep(HEARTBEAT);
+                thread::sleep(HEARTBEAT_INTERVAL);
             }
         });
-        Platform { shared, address, reports, watched, observer }
+        Platform { shared, address, reports, watch_requests, request_sender }
     }
 
-    /// The complete list as one event.
+    /// Returns the event that contains the complete list.
     pub fn complete_list(&self) -> String {
         self.shared.complete_list()
     }
 
-    /// Puts an entry on the list, without sending it on the watches yet.
+    /// Sets an entry of the list without sending it on the watches.
     pub fn set_entry(&self, name: &str, entry: Value) {
         self.shared.list.lock().expect("unpoisoned").insert(name.to_owned(), entry);
     }
 
     /// Sends changed entries on all watches.
     pub fn send_changes(&self, entries: Vec<Value>) {
-        self.next_generation();
+        self.increment_generation();
         self.shared.send_on_watches(&self.shared.event(false, entries));
     }
 
-    /// Sends changed entries on the watches at the addresses that it has left, and on no other.
+    /// Sends changed entries only on the watches at former addresses.
     pub fn send_changes_on_old_watches(&self, entries: Vec<Value>) {
-        self.next_generation();
+        self.increment_generation();
         let line = self.shared.event(false, entries);
-        let present = self.shared.address_number.load(Ordering::SeqCst);
+        let present_number = self.shared.address_number.load(Ordering::SeqCst);
         for (number, stream) in self.shared.watches.lock().expect("unpoisoned").iter_mut() {
-            if *number != present {
-                write(stream, chunk(&line).as_bytes()).expect("written");
+            if *number != present_number {
+                write(stream, http_chunk(&line).as_bytes()).expect("written");
             }
         }
     }
 
-    /// Counts a change that is not sent on the watches.
-    pub fn next_generation(&self) {
+    /// Increments the generation of the list.
+    pub fn increment_generation(&self) {
         self.shared.generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Plays a line of the script that changes no entry.
+    /// Runs a line of the script that changes no entry of the list.
     pub fn step(&mut self, words: &[&str]) {
         let set = |flag: &AtomicBool, value| flag.store(value, Ordering::SeqCst);
         match words {
             ["expect", id, state, more @ ..] => {
-                let report = self.reports.recv_timeout(PATIENCE).expect("a report");
+                let report = self.reports.recv_timeout(STEP_TIMEOUT).expect("a report arrives in time");
                 assert!(more.iter().all(|m| report[*m] == true), "{more:?} of {report}");
                 assert_eq!((report["id"].as_str(), report["state"].as_str()), (Some(*id), Some(*state)));
             }
@@ -120,18 +131,18 @@
                 let report = self.reports.try_recv();
                 assert!(report.is_err(), "{report:?}");
             }
-            ["expect-all", ids, state] => self.expect_reports(numbered(&[ids]), state),
+            ["expect-all", ids, state] => self.expect_reports(expand_ids(&[ids]), state),
             ["expect-watch", after] => {
-                assert_eq!(self.watched.recv_timeout(PATIENCE).expect("a watch"), *after);
+                assert_eq!(self.watch_requests.recv_timeout(STEP_TIMEOUT).expect("a watch request"), *after);
             }
             ["rejects-reports"] => set(&self.shared.rejects_reports, true),
             ["accepts-reports"] => set(&self.shared.rejects_reports, false),
             ["answers-reports-after", delay] => {
                 let delay = delay.parse().expect("a number");
-                self.shared.answers_reports_after.store(delay, Ordering::SeqCst);
+                self.shared.report_answer_delay_ms.store(delay, Ordering::SeqCst);
             }
             ["drops-next-report"] => set(&self.shared.drops_next_report, true),
-            ["moves"] => self.address = self.shared.listen(&self.observer),
+            ["moves"] => self.address = self.shared.listen(&self.request_sender),
             ["delays-list"] => set(&self.shared.delays_list, true),
             ["releases-list"] => set(&self.shared.delays_list, false),
             ["closes-old-watches"] => self.shared.close_old_watches(),
@@ -140,98 +151,104 @@
         }
     }
 
-    /// Expects reports of just these messages, in any order and each with this end. One whose confirmation comes late is sent
-    /// again, which does no harm; but that has to cease.
+    /// Expects reports of exactly these messages, in any order and each with this end. A report may be repeated, as the
+    /// forwarder sends it again if its confirmation is late; the repetitions must end.
     fn expect_reports(&self, ids: Vec<String>, state: &str) {
-        let (begun, mut reported) = (Instant::now(), BTreeSet::new());
+        let (started_at, mut reported) = (Instant::now(), BTreeSet::new());
         loop {
             let settled = reported.len() == ids.len();
-            let patience = if settled { SETTLED_AFTER } else { PATIENCE };
-            match self.reports.recv_timeout(patience) {
+            let timeout = if settled { REPORTS_SETTLE_TIME } else { STEP_TIMEOUT };
+            match self.reports.recv_timeout(timeout) {
                 Ok(report) => {
                     let id = report["id"].as_str().expect("an id").to_owned();
                     assert_eq!(report["state"].as_str(), Some(state), "{report}");
-                    assert!(ids.contains(&id), "{report} is one of {ids:?}");
+                    assert!(ids.contains(&id), "{report} is not one of {ids:?}");
                     reported.insert(id);
                 }
                 Err(_) => return assert!(settled, "only {reported:?} of {ids:?} were reported"),
             }
-            assert!(begun.elapsed() < PATIENCE, "reports are repeated without end");
+            assert!(started_at.elapsed() < STEP_TIMEOUT, "reports are repeated without end");
         }
     }
 }
 
-impl Shared {
-    /// Listens at a further address.
-    fn listen(self: &Arc<Self>, observer: &Observer) -> SocketAddr {
+impl SharedState {
+    /// Listens at a new address, which becomes the present one.
+    fn listen(self: &Arc<Self>, request_sender: &RequestSender) -> SocketAddr {
         let number = self.address_number.fetch_add(1, Ordering::SeqCst) + 1;
-        let socket = bound();
+        let socket = bound_socket();
         let address = local_address(&socket);
-        let (shared, observer) = (self.clone(), Mutex::new(observer.clone()));
-        accept(listening(socket, 64), move |stream| {
-            let observer = observer.lock().expect("unpoisoned").clone();
-            shared.serve(number, stream, &observer);
+        let (shared, request_sender) = (self.clone(), Mutex::new(request_sender.clone()));
+        serve_connections(listen(socket, 64), move |stream| {
+            let request_sender = request_sender.lock().expect("unpoisoned").clone();
+            shared.serve(number, stream, &request_sender);
         });
         address
     }
 
+    /// Returns an event with entries: all of the list if it is complete, else the changed ones.
     fn event(&self, complete: bool, instances: Vec<Value>) -> String {
         let generation = self.generation.load(Ordering::SeqCst);
         json!({"generation": generation, "reset": complete, "instances": instances}).to_string() + "\n"
     }
 
     fn complete_list(&self) -> String {
-        let all = self.list.lock().expect("unpoisoned").values().cloned().collect();
-        self.event(true, all)
+        let entries = self.list.lock().expect("unpoisoned").values().cloned().collect();
+        self.event(true, entries)
     }
 
+    /// Sends a line on all watches, and removes those that the forwarder has closed.
     fn send_on_watches(&self, line: &str) {
-        let chunk = chunk(line);
+        let chunk = http_chunk(line);
         let mut watches = self.watches.lock().expect("unpoisoned");
         watches.retain_mut(|(_, stream)| write(stream, chunk.as_bytes()).is_ok());
     }
 
-    /// Closes the watches that were opened at an address that it has left.
+    /// Closes the watches at former addresses.
     fn close_old_watches(&self) {
-        let present = self.address_number.load(Ordering::SeqCst);
+        let present_number = self.address_number.load(Ordering::SeqCst);
         let mut watches = self.watches.lock().expect("unpoisoned");
-        watches.retain(|(number, stream)| *number == present || stream.shutdown(Shutdown::Both).is_err());
+        watches
+            .retain(|(number, stream)| *number == present_number || stream.shutdown(Shutdown::Both).is_err());
     }
 
-    fn serve(&self, number: u32, mut stream: TcpStream, observer: &Observer) {
+    /// Serves a connection at the address of the given number.
+    fn serve(&self, number: u32, mut stream: TcpStream, request_sender: &RequestSender) {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         while let Some(request) = read_message(&mut reader) {
             if number != self.address_number.load(Ordering::SeqCst) {
                 return;
             }
             if request.head.starts_with("GET ") {
-                return self.open_watch(number, stream, &request.head, observer);
+                return self.open_watch(number, stream, &request.head, request_sender);
             }
             if self.drops_next_report.swap(false, Ordering::SeqCst) {
                 return self.unanswered.lock().expect("unpoisoned").push(stream);
             }
-            let status = self.take_reports(&request.body, observer);
-            let delay = self.answers_reports_after.load(Ordering::SeqCst);
+            let status = self.receive_reports(&request.body, request_sender);
+            let delay = self.report_answer_delay_ms.load(Ordering::SeqCst);
             thread::sleep(Duration::from_millis(delay.into()));
-            // The write fails if the forwarder has ended, which the script checks where it matters.
+            // The write fails if the forwarder has ended; the script checks that where it is wrong.
             let _ = stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         }
     }
 
-    fn open_watch(&self, number: u32, mut stream: TcpStream, head: &str, observer: &Observer) {
+    /// Responds to a watch request with the complete list and keeps its connection for later events.
+    fn open_watch(&self, number: u32, mut stream: TcpStream, head: &str, request_sender: &RequestSender) {
         let after = head.split("after=").nth(1).and_then(|a| a.split(' ').next()).unwrap_or("-");
-        // Sending and writing fail if the scenario or the forwarder has ended, which is no fault here.
-        let _ = observer.watched.send(after.to_owned());
+        // Sending fails if the scenario has ended, writing if the forwarder has; neither is an error here.
+        let _ = request_sender.watch_requests.send(after.to_owned());
         while self.delays_list.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(2));
         }
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         let line = self.complete_list();
-        let _ = stream.write_all(chunk(&line).as_bytes());
+        let _ = stream.write_all(http_chunk(&line).as_bytes());
         self.watches.lock().expect("unpoisoned").push((number, stream));
     }
 
-    fn take_reports(&self, body: &[u8], observer: &Observer) -> &'static str {
+    /// Passes the delivery reports of a request to the script, unless they are rejected. Returns the status of the response.
+    fn receive_reports(&self, body: &[u8], request_sender: &RequestSender) -> &'static str {
         if self.rejects_reports.load(Ordering::SeqCst) {
             return "500 No";
         }
@@ -240,13 +257,14 @@
             let mut report: Value = serde_json::from_str(line).expect("a report");
             trace(format_args!("report {line}"));
             report["alone"] = (lines.len() == 1).into();
-            // The scenario may have ended.
-            let _ = observer.reports.send(report);
+            // Sending fails if the scenario has ended.
+            let _ = request_sender.reports.send(report);
         }
         "204 No Content"
     }
 }
 
-fn chunk(line: &str) -> String {
+/// Encodes a line as a chunk of a chunked HTTP body.
+fn http_chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\r\n", line.len())
 }
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -1,6 +1,6 @@
-//! A process of the forwarder, and its log.
+//! A process of the forwarder and its log.
 
-use super::sockets::soon;
+use super::sockets::poll_until;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,8 +8,8 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The forwarder, without the environment variables that it would read.
-pub fn program() -> Command {
+/// Returns a command that starts the forwarder without the environment variables that it reads.
+pub fn forwarder_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_cedarbridge"));
     for name in ["NAME", "LISTEN", "DISCOVERY", "STATE", "CONFIG", "OPERATOR"] {
         command.env_remove(format!("ROUTER_{name}"));
@@ -18,29 +18,31 @@
     command
 }
 
-/// Where Cargo puts the library of `crates/faultshim`: beside the tests.
-pub fn fault_library() -> PathBuf {
-    let test = std::env::current_exe().expect("a path");
-    let library = test.with_file_name("libcedarbridge_faultshim.so");
+/// Returns the path of the library of `crates/faultshim`, which Cargo puts into the folder of the test executables.
+pub fn fault_library_path() -> PathBuf {
+    let test_executable = std::env::current_exe().expect("the path of the test");
+    let library = test_executable.with_file_name("libcedarbridge_faultshim.so");
     assert!(library.exists(), "{} is not built", library.display());
     library
 }
 
-/// A process that runs, or none.
+/// A process of the forwarder that was started, or none.
 #[derive(Default)]
 pub struct Process {
     child: Option<Child>,
-    /// The address for admin requests.
-    pub operator: Option<SocketAddr>,
+    /// The address of the admin listener; `None` if there is none or the process does not serve yet.
+    pub admin_address: Option<SocketAddr>,
+    /// The lines of standard error so far.
     log: Arc<Mutex<Vec<String>>>,
 }
 
 impl Process {
+    /// Starts a process and collects its log.
     pub fn spawn(mut command: Command) -> Self {
-        let mut child = command.stderr(Stdio::piped()).spawn().expect("it starts");
-        let lines = BufReader::new(child.stderr.take().expect("a pipe")).lines();
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("the process starts");
+        let lines = BufReader::new(child.stderr.take().expect("a pipe for standard error")).lines();
         let log = Arc::<Mutex<Vec<String>>>::default();
-        let process = Process { child: Some(child), operator: None, log: log.clone() };
+        let process = Process { child: Some(child), admin_address: None, log: log.clone() };
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
                 eprintln!("  {line}");
@@ -50,6 +52,7 @@
         process
     }
 
+    /// Whether a process was started and its exit was not awaited yet.
     pub fn is_started(&self) -> bool {
         self.child.is_some()
     }
@@ -58,41 +61,43 @@
         self.child.as_mut().expect("started")
     }
 
+    /// Sends a signal by its name without `SIG`.
     pub fn signal(&mut self, name: &str) {
-        let id = self.child().id();
-        let sent = Command::new("sh").args(["-c", &format!("kill -{name} {id}")]).status();
-        assert!(sent.expect("a shell").success());
+        let process_id = self.child().id();
+        let sent = Command::new("sh").args(["-c", &format!("kill -{name} {process_id}")]).status();
+        assert!(sent.expect("a shell runs").success());
     }
 
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         let mut child = self.child.take().expect("started");
-        child.kill().and_then(|()| child.wait()).expect("it ends");
+        child.kill().and_then(|()| child.wait()).expect("the process ends");
     }
 
-    /// Waits for its end, which must be a success.
-    pub fn exit(&mut self) {
-        let status = self.ended();
+    /// Waits for the exit of the process, which must be successful.
+    pub fn wait_for_success(&mut self) {
+        let status = self.wait_for_exit();
         assert!(status.success(), "{status}");
     }
 
-    /// Waits for its end.
-    pub fn ended(&mut self) -> ExitStatus {
-        // Kept until it has ended: a process that hangs is killed with the world.
+    /// Waits for the exit of the process and returns its status.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        // `self.child` is cleared only after the exit, so that `drop` kills a process that hangs.
         let child = self.child();
-        let status = soon("the end of the program", || child.try_wait().expect("a child"));
+        let status = poll_until("the exit of the process", || child.try_wait().expect("a child process"));
         self.child = None;
         status
     }
 
-    /// Waits for a line of the log that contains a text.
-    pub fn logged(&self, text: &str) {
-        let there = || self.log.lock().expect("unpoisoned").iter().any(|l| l.contains(text)).then_some(());
-        soon(&format!("log line `{text}`"), there);
+    /// Waits for a line of the log that contains the text.
+    pub fn wait_for_log(&self, text: &str) {
+        let find = || self.log.lock().expect("unpoisoned").iter().any(|l| l.contains(text)).then_some(());
+        poll_until(&format!("log line `{text}`"), find);
     }
 
-    /// Waits for an address that a line of the log gives behind a key.
-    pub fn logged_address(&self, line: &str, key: &str) -> SocketAddr {
-        soon(line, || {
+    /// Waits for a line of the log that contains the text `line`, and returns the address after the text `key` in it.
+    pub fn wait_for_logged_address(&self, line: &str, key: &str) -> SocketAddr {
+        poll_until(line, || {
             let log = self.log.lock().expect("unpoisoned");
             let rest = log.iter().find(|l| l.contains(line))?.split_once(key)?.1;
             rest.split(',').next()?.trim().parse().ok()
@@ -103,7 +108,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Both fail if it has just ended.
+            // Both calls fail if the process has just ended.
             let _ = child.kill();
             let _ = child.wait();
         }
--- a/tests/scenario/registry.rs
+++ b/tests/scenario/registry.rs
@@ -1,29 +1,31 @@
-//! The registry and its replica, played by the stand-in.
+//! The registry and its replica, which are stand-ins of `crates/registry-standin`.
 
 use super::endpoint::Endpoint;
-use super::sockets::soon;
+use super::sockets::poll_until;
 use cedarbridge_registry_standin::{Instance, Mode, StandIn};
 use serde_json::json;
 use std::collections::BTreeMap;
 
+/// A registry and a replica of it.
 pub struct Registry {
     primary: StandIn,
     replica: StandIn,
 }
 
 impl Registry {
+    /// Starts both, without instances.
     pub fn start() -> Self {
         let primary = StandIn::start().expect("a port");
         let replica = primary.replica().expect("a port");
         Registry { primary, replica }
     }
 
-    /// A site file with the addresses of both.
-    pub fn fill_in(&self, site: &str) -> String {
+    /// Replaces `{registry}` and `{replica}` in a site file by their URLs.
+    pub fn insert_urls(&self, site: &str) -> String {
         site.replace("{registry}", &self.primary.url()).replace("{replica}", &self.replica.url())
     }
 
-    /// Plays a line of the script.
+    /// Runs a line of the script; `rest` is the text after its first word, for `asked` after its second one.
     pub fn step(&self, words: &[&str], rest: &str, endpoints: &BTreeMap<String, Endpoint>) {
         let registry = &self.primary;
         let instance = |id: &str, endpoint: &Endpoint| {
@@ -35,37 +37,39 @@
             }
             ["status", name, status] => registry.set_status(name, status),
             ["delete", name] => registry.delete(name),
-            ["replace", name, other] => {
+            ["replace", name, new_id] => {
                 registry.delete(name);
-                registry.put(instance(other, &endpoints[*name]));
+                registry.put(instance(new_id, &endpoints[*name]));
             }
             ["restarts-empty"] => registry.restart_empty(),
             ["loses-deltas"] => registry.lose_deltas(),
-            ["silent"] => registry.set(|m| m.silent = true),
-            ["answers-normally"] => registry.set(|m| *m = Mode::default()),
-            ["sends-truncated-answers"] => registry.set(|m| m.half = true),
-            ["xml"] => registry.set(|m| m.xml = true),
-            ["gzip"] => registry.set(|m| m.gzip = true),
+            ["silent"] => registry.set(|mode| mode.silent = true),
+            ["answers-normally"] => registry.set(|mode| *mode = Mode::default()),
+            ["sends-truncated-answers"] => registry.set(|mode| mode.half = true),
+            ["xml"] => registry.set(|mode| mode.xml = true),
+            ["gzip"] => registry.set(|mode| mode.gzip = true),
             ["freezes-replica"] => self.replica.freeze(true),
-            ["sends-huge-answers"] => registry.set(|m| m.instead = Some(vec![b' '; 100_000_000])),
+            ["sends-huge-answers"] => registry.set(|mode| mode.instead = Some(vec![b' '; 100_000_000])),
             ["sends-gzip-bombs"] => {
-                registry.set(|m| (m.gzip, m.instead) = (true, Some(vec![b' '; 3_000_000])))
+                registry.set(|mode| (mode.gzip, mode.instead) = (true, Some(vec![b' '; 3_000_000])))
             }
-            ["sends-deep-nesting"] => registry.set(|m| m.instead = Some(vec![b'['; 1_000_000])),
+            ["sends-deep-nesting"] => registry.set(|mode| mode.instead = Some(vec![b'['; 1_000_000])),
             ["sends-a-long-name"] => {
                 let name = "x".repeat(500_000);
                 let app = json!({"name": "A", "instance": [{"instanceId": name, "status": "UP"}]});
-                let all = json!({"applications": {"application": [app]}});
-                registry.set(|m| m.instead = Some(all.to_string().into_bytes()));
+                let response = json!({"applications": {"application": [app]}});
+                registry.set(|mode| mode.instead = Some(response.to_string().into_bytes()));
             }
-            ["holds", wanted] => {
-                let (id, status) = wanted.split_once('=').expect("id=status");
-                let look = || registry.statuses("CEDARBRIDGE").get(id).map_or("", String::as_str) == status;
-                soon(wanted, || look().then_some(()));
+            ["holds", expected] => {
+                let (id, status) = expected.split_once('=').expect("id=status");
+                let is_held =
+                    || registry.statuses("CEDARBRIDGE").get(id).map_or("", String::as_str) == status;
+                poll_until(expected, || is_held().then_some(()));
             }
             ["asked", ..] => {
-                let asked = |r: &StandIn| r.asked().iter().any(|a| a.replace("/eureka/v2", "") == rest);
-                soon(rest, || (asked(registry) || asked(&self.replica)).then_some(()));
+                let was_asked =
+                    |server: &StandIn| server.asked().iter().any(|a| a.replace("/eureka/v2", "") == rest);
+                poll_until(rest, || (was_asked(registry) || was_asked(&self.replica)).then_some(()));
             }
             _ => panic!("no such step of a registry"),
         }
--- a/tests/scenario/script.rs
+++ b/tests/scenario/script.rs
@@ -1,23 +1,23 @@
-//! Words of a script: escapes, numbered ids, the text behind a word.
+//! Words of a script: escapes, ranges of ids, the text after a word.
 
-/// `\r` and `\n` as they are written in a line of a script.
+/// Replaces the escapes `\r` and `\n` of a script's line with the characters.
 pub fn unescape(text: &str) -> String {
     text.replace("\\r", "\r").replace("\\n", "\n")
 }
 
-/// `m*3` stands for m1, m2 and m3.
-pub fn numbered(ids: &[&str]) -> Vec<String> {
-    let each = |id: &&str| match id.split_once('*') {
+/// Expands ids such as `m*3`, which stands for m1, m2 and m3.
+pub fn expand_ids(ids: &[&str]) -> Vec<String> {
+    let expand = |id: &&str| match id.split_once('*') {
         Some((name, count)) => {
             let count: usize = count.parse().expect("a number");
             (1..=count).map(|n| format!("{name}{n}")).collect()
         }
         None => vec![(*id).to_owned()],
     };
-    ids.iter().flat_map(each).collect()
+    ids.iter().flat_map(expand).collect()
 }
 
-/// The text behind a word of a line.
-pub fn text_behind<'a>(rest: &'a str, word: &str) -> &'a str {
-    rest.split_once(word).expect("the word").1.trim_start()
+/// Returns the text after the first occurrence of a word in a line.
+pub fn text_after<'a>(rest: &'a str, word: &str) -> &'a str {
+    rest.split_once(word).expect("the word is in the line").1.trim_start()
 }
--- a/tests/scenario/sockets.rs
+++ b/tests/scenario/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets and waiting, for all parties of a scenario.
+//! Sockets, HTTP messages and polling, for all parties of a scenario.
 
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
@@ -8,16 +8,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a scenario waits for anything; every step of a sound program takes less.
-pub const PATIENCE: Duration = Duration::from_secs(15);
+/// The longest time that a step of a scenario waits. A forwarder without faults needs less for every step.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// An HTTP message: its head, and its body by its length.
+/// An HTTP message whose body has a `Content-Length`, or no body.
 pub struct HttpMessage {
     pub head: String,
     pub body: Vec<u8>,
 }
 
-/// Reads a message of known length; none at the end of the connection.
+/// Reads an HTTP message; `None` if the connection ends before it is complete.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -27,30 +27,31 @@
     }
     let lower = head.to_lowercase();
     let length = lower.split("content-length: ").nth(1).and_then(|l| l.split("\r\n").next());
-    let mut body = vec![0; length.map_or(0, |l| l.parse().expect("a length"))];
+    let mut body = vec![0; length.map_or(0, |l| l.parse().expect("a content length"))];
     stream.read_exact(&mut body).ok()?;
     Some(HttpMessage { head, body })
 }
 
-/// A socket with a port of its own that does not listen yet.
-pub fn bound() -> Socket {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
+/// Returns a socket that is bound to a free port of loopback and does not listen yet.
+pub fn bound_socket() -> Socket {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a new socket");
+    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a free port");
     socket
 }
 
-/// The address of a bound socket.
+/// Returns the address of a bound socket.
 pub fn local_address(socket: &Socket) -> SocketAddr {
     socket.local_addr().expect("bound").as_socket().expect("an address")
 }
 
-pub fn listening(socket: Socket, backlog: i32) -> TcpListener {
-    socket.listen(backlog).expect("listens");
+/// Makes a bound socket listen, with a backlog of the given number of connections.
+pub fn listen(socket: Socket, backlog: i32) -> TcpListener {
+    socket.listen(backlog).expect("the socket listens");
     socket.into()
 }
 
-/// Serves each connection of a listener in a thread of its own.
-pub fn accept(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) {
+/// Accepts the connections of a listener and serves each in a thread of its own.
+pub fn serve_connections(listener: TcpListener, serve: impl Fn(TcpStream) + Send + Sync + 'static) {
     let serve = Arc::new(serve);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -60,23 +61,24 @@
     });
 }
 
-/// Connects with a read timeout of [`PATIENCE`].
+/// Connects with a read timeout of [`STEP_TIMEOUT`].
 pub fn connect(address: SocketAddr) -> TcpStream {
-    let stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    let stream = TcpStream::connect(address).expect("something listens at the address");
+    stream.set_read_timeout(Some(STEP_TIMEOUT)).expect("the timeout is set");
     stream
 }
 
 thread_local! {
-    /// Whether what is written goes out byte by byte, each in a packet of its own; one scenario plays in a thread.
+    /// Whether [`write`] sends each byte in a packet of its own. It is per thread, as each scenario runs in its own thread.
     static BYTE_BY_BYTE: Cell<bool> = const { Cell::new(false) };
 }
 
-/// From here on all parties write byte by byte.
+/// Makes [`write`] send byte by byte from here on, for this scenario.
 pub fn write_byte_by_byte() {
     BYTE_BY_BYTE.set(true);
 }
 
+/// Writes bytes to a connection, one by one after [`write_byte_by_byte`].
 pub fn write(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
     if !BYTE_BY_BYTE.get() {
         return stream.write_all(bytes);
@@ -88,14 +90,14 @@
     })
 }
 
-/// Polls until the look finds something, for [`PATIENCE`] at most.
-pub fn soon<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + PATIENCE;
+/// Calls `find` until it returns something. Panics after [`STEP_TIMEOUT`], with a description of what was awaited.
+pub fn poll_until<T>(awaited: &str, mut find: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + STEP_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = find() {
             return found;
         }
-        assert!(Instant::now() < until, "never came: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {awaited}");
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -4,7 +4,7 @@
 mod scenario;
 
 use cedarbridge::net::config::Config;
-use scenario::process::program;
+use scenario::process::forwarder_command;
 use scenario::run_scenario;
 use serde_json::{json, Value};
 
@@ -173,7 +173,7 @@
         ("/settings/specifics/per-call", json!([5, 0]), "per-call"),
     ] {
         std::fs::write(&path, config_with(pointer, value)).expect("written");
-        let output = program().arg(&path).output().expect("it runs");
+        let output = forwarder_command().arg(&path).output().expect("it runs");
         let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(
             !output.status.success() && stderr.lines().count() == 1 && stderr.contains(expected),
--- a/tests/site.rs
+++ b/tests/site.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 
-use scenario::process::program;
+use scenario::process::forwarder_command;
 use scenario::run_scenario;
 use std::process::Output;
 
@@ -126,7 +126,7 @@
 }
 
 fn run(arguments: &[&str]) -> (Option<i32>, String, String) {
-    let Output { status, stdout, stderr } = program().args(arguments).output().expect("it runs");
+    let Output { status, stdout, stderr } = forwarder_command().args(arguments).output().expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     (status.code(), text(stdout), text(stderr))
 }
