--- a/tests/scenario/environment.rs
+++ b/tests/scenario/environment.rs
@@ -35,7 +35,7 @@
     clients: BTreeMap<String, Client>,
     /// Connections to the forwarder that send nothing more and stay open.
     idle_connections: Vec<TcpStream>,
-    /// The process that was started last.
+    /// The process that a line without `old` or `first` is about.
     process: Process,
     /// The predecessor of `process`.
     old: Process,
@@ -275,7 +275,8 @@
         let lifecycle = if lifecycle == "moved" { "active" } else { lifecycle };
         let entry = json!({
             "instanceId": name, "hostPort": endpoint.address.to_string(), "zone": endpoint.zone,
-            "machineType": endpoint.kind, "cell": endpoint.destination, "lifecycle": lifecycle, "weight": 50.0, "startedAtMs": 0,
+            "machineType": endpoint.kind, "cell": endpoint.destination,
+            "lifecycle": lifecycle, "weight": 50.0, "startedAtMs": 0,
         });
         self.platform.set_entry(name, entry.clone());
         entry
@@ -288,6 +289,7 @@
         changes.iter().map(|c| apply(c).expect("name=lifecycle")).collect()
     }
 
+    /// Runs a line of the platform. Lines that name endpoints are run here, the rest by [`Platform::step`].
     fn platform_step(&mut self, words: &[&str]) {
         match words {
             ["send", changes @ ..] => {
@@ -364,7 +366,7 @@
             command.env("FAULTSHIM_PLAN", self.folder.join("faults"));
             command.env("FAULTSHIM_FOLDER", self.folder.join("state"));
         }
-        // The platform starts the forwarder with this variable. It keeps its value until the process ends, also after `moves`.
+        // The platform starts the forwarder with this variable. A process keeps its value, also after `platform moves`.
         command.arg(self.folder.join("config.json"));
         command.env("ROUTER_DISCOVERY", self.platform.address.to_string());
         let site = self.folder.join("site.yaml");
@@ -402,8 +404,8 @@
         poll_until("a healthy forwarder", || self.get("/_health").starts_with("HTTP/1.1 200").then_some(()));
     }
 
-    /// Sends a GET request to the forwarder and returns its response. It is empty if the request fails, as it may while system
-    /// calls of the forwarder fail; callers poll.
+    /// Sends a GET request to the forwarder and returns its response. The response is empty if the request fails, as it may
+    /// while system calls of the forwarder fail; callers poll.
     fn get(&self, path: &str) -> String {
         self.try_get(path).unwrap_or_default()
     }
@@ -446,8 +448,8 @@
         fs::write(newest, bytes).expect("the segment is written");
     }
 
-    /// Writes a fault plan, whose rules are separated by semicolons, and clears the record of the faults that the previous one
-    /// injected. The plan is replaced by a rename, so that the forwarder never reads a part of it.
+    /// Writes a fault plan, whose rules are separated by semicolons, and clears the record of the faults that the previous
+    /// plan injected. The plan is replaced by a rename, so that the forwarder never reads a part of it.
     fn write_fault_plan(&self, rules: &str) {
         let new_plan = self.folder.join("faults.new");
         fs::write(&new_plan, rules.replace(';', "\n")).expect("the plan is written");
--- a/tests/scenario/platform.rs
+++ b/tests/scenario/platform.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// After this time without a delivery report, the forwarder is taken not to repeat any.
+/// If no delivery report arrives in this time, the forwarder has ceased to repeat them.
 const REPORTS_SETTLE_TIME: Duration = Duration::from_millis(500);
 /// The time between two heartbeats on the watches.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -228,7 +228,7 @@
             let status = self.receive_reports(&request.body, request_sender);
             let delay = self.report_answer_delay_ms.load(Ordering::SeqCst);
             thread::sleep(Duration::from_millis(delay.into()));
-            // The write fails if the forwarder has ended; the script checks that where it is wrong.
+            // The write fails if the forwarder has ended. A script that has to rule that out checks it by a line of its own.
             let _ = stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         }
     }
--- a/tests/scenario/sockets.rs
+++ b/tests/scenario/sockets.rs
@@ -69,7 +69,8 @@
 }
 
 thread_local! {
-    /// Whether [`write`] sends each byte in a packet of its own. It is per thread, as each scenario runs in its own thread.
+    /// Whether [`write`] sends each byte in a packet of its own. It holds for the thread that runs the scenario; other threads,
+    /// such as the one that sends heartbeats, write everything at once.
     static BYTE_BY_BYTE: Cell<bool> = const { Cell::new(false) };
 }
 
