--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,13 +1,13 @@
-//! Events that cross each other: a watch event, a signal, a byte or a close that arrives between two steps of the
-//! program. Each crossing is forced by another party that acts on a cue. Scenarios over sockets, in the language of
-//! `scenario/mod.rs`.
+//! Tests of events that cross each other: a watch event, a signal, a byte or a close that arrives between two steps of the
+//! forwarder. Each script forces the order: a party acts only after an event that the script waits for. They are scenarios
+//! over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::run_scenario;
 
-/// Guards against a retry where it is not deduplicated: the class is deduplicated by zone, and the first attempt was
-/// in flight as the process was killed.
+/// Guards against a retry in a zone where the message is not deduplicated. Its class is deduplicated by zone, and the first
+/// attempt was in flight when the process was killed.
 #[test]
 fn after_a_kill_a_message_that_may_have_run_is_retried_in_its_zone_only() {
     run_scenario(
@@ -32,8 +32,8 @@
     );
 }
 
-/// Guards against a deduplication window that is counted from when the message was received: it runs from the first
-/// attempt that may have run, which was later here.
+/// Guards against a deduplication window that counts from the receipt of the message. It counts from the first attempt that
+/// may have run, which is later.
 #[test]
 fn after_a_kill_the_deduplication_window_counts_from_the_first_attempt() {
     run_scenario(
@@ -52,8 +52,8 @@
     );
 }
 
-/// Guards against a retry whose connection is established when its deduplication window is over: it would run twice.
-/// A message that is received meanwhile and ends by its own deadline is the cue that the window is over.
+/// Guards against a message that runs twice because its retry is sent after the deduplication window, once the connection is
+/// established. The script knows that the window is over when another message reaches its deadline of 2100 ms.
 #[test]
 fn a_retry_that_waits_for_its_connection_is_not_sent_after_its_deduplication_window() {
     run_scenario(
@@ -78,8 +78,7 @@
     );
 }
 
-/// Guards against a call by the endpoint list that was known at the start, to an endpoint that has started draining
-/// by then.
+/// Guards against a call to a draining endpoint, made from the cached endpoint list, in which it does not drain yet.
 #[test]
 fn a_new_process_makes_no_call_before_it_has_received_the_endpoint_list() {
     run_scenario(
@@ -100,7 +99,7 @@
     );
 }
 
-/// Guards against the full drain grace for an endpoint that left before this process started: its grace counts as
+/// Guards against a full drain grace for an endpoint that started draining before this process started. Its grace counts as
 /// over.
 #[test]
 fn an_endpoint_that_left_before_the_start_gets_no_call_that_waited_for_its_connection() {
@@ -124,7 +123,7 @@
     );
 }
 
-/// The platform may send nothing: the cached list must do then.
+/// Guards against a forwarder that sends nothing because the platform sends no list: it falls back to the cached one.
 #[test]
 fn a_new_process_that_receives_no_endpoint_list_uses_the_cached_one() {
     run_scenario(
@@ -143,8 +142,8 @@
     );
 }
 
-/// Guards against a reset that destroys a response: bytes behind the last request are unread as the connection
-/// closes.
+/// Guards against a response that is lost because the connection is reset: closing a connection with unread bytes, here
+/// those behind the last request, resets it.
 #[test]
 fn bytes_behind_the_last_request_are_discarded_without_a_response() {
     run_scenario(
@@ -171,8 +170,8 @@
     );
 }
 
-/// Guards against a request that crosses the close of an idle connection: it is neither admitted nor answered by a
-/// reset, so that its client may send it once more.
+/// Guards against a request that is admitted, or answered by a reset, while its idle connection is being closed. Its client
+/// sees an orderly end and may send it again.
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_admitted() {
     run_scenario(
@@ -196,7 +195,7 @@
     );
 }
 
-/// Guards against closing a connection that was accepted just before the signal and whose first request is in flight.
+/// Guards against closing a connection that was accepted just before SIGTERM and whose first request is in flight.
 #[test]
 fn a_client_that_connected_just_before_sigterm_still_gets_its_response() {
     run_scenario(
@@ -218,8 +217,8 @@
     );
 }
 
-/// Guards against the full drain grace for an endpoint whose drain was delayed by a silent watch: the grace counts
-/// from the last event received on that watch.
+/// Guards against a full drain grace for an endpoint whose drain is received late because the watch was silent. The grace
+/// counts from the last event that was received on that watch.
 #[test]
 fn a_drain_delayed_by_a_silent_watch_applies_to_a_call_that_waits_for_its_connection() {
     run_scenario(
@@ -241,8 +240,8 @@
     );
 }
 
-/// Guards against a single byte on an idle connection that is consumed unnoticed: what follows it would be read as
-/// the response to the next call.
+/// Guards against consuming a single byte on an idle connection unnoticed: the bytes after it would be read as the response
+/// to the next call.
 #[test]
 fn one_byte_on_an_idle_connection_closes_it() {
     run_scenario(
@@ -265,7 +264,7 @@
     );
 }
 
-/// Guards against a request that gets no response since its client half-closed right behind it, and may yet read.
+/// Guards against a request that gets no response because its client half-closed right after it: the client may still read.
 #[test]
 fn a_client_that_half_closes_with_its_request_gets_503_and_is_not_admitted() {
     run_scenario(
@@ -284,8 +283,8 @@
     );
 }
 
-/// Guards against a delivery report that waits on a silent connection until its message is lost: it is sent on
-/// another one before the next is due, 400 ms later.
+/// Guards against a delivery report that waits for an answer on a silent connection for too long. It must be sent on another
+/// connection before the next report is due, 400 ms later.
 #[test]
 fn a_delivery_report_on_a_silent_connection_is_sent_on_another_in_time() {
     run_scenario(
@@ -304,9 +303,9 @@
     );
 }
 
-/// Guards against an error, or no response at all, for a request that is incomplete as the program stops deciding: it
-/// was not admitted. The delivery report of a message that ends meanwhile is the cue to begin it late, while
-/// connections are still accepted.
+/// Guards against an error, or no response at all, for a request that is incomplete when the last decision step is over. It
+/// is not admitted, so its client must be told to retry. The script begins the request after the delivery report of another
+/// message, which is late in the shutdown, while connections are still accepted.
 #[test]
 fn a_request_that_is_incomplete_as_decisions_end_gets_503_for_a_retry() {
     run_scenario(
@@ -325,11 +324,11 @@
     );
 }
 
-/// Guards against a drain that lies unread on a watch as that is replaced by one whose list is older: after a stall it went
-/// with the watch, and calls went to the endpoint.
+/// Guards against a drain that is lost because it lies unread on a watch that is replaced after a stall. The list of the new
+/// watch was older, and calls went to the draining endpoint.
 #[test]
-fn a_drain_that_lies_unread_on_a_replaced_watch_binds_calls() {
-    // Which of the two watches is read first is chance.
+fn a_drain_that_lies_unread_on_a_replaced_watch_applies_to_calls() {
+    // The order in which the two watches are read is random, so the scenario runs three times.
     for _ in 0..3 {
         run_scenario(
             "with e1=1 e2=1:one:hidden
--- a/tests/deployment_variants.rs
+++ b/tests/deployment_variants.rs
@@ -1,13 +1,13 @@
-//! Another deployment than the first: few connections at an endpoint, short deduplication windows beside idempotent
-//! classes, batches of five, retry-after on some rejections only, and no word of limits. Scenarios over sockets, in
-//! the language of `scenario/mod.rs`.
+//! Tests of a deployment that differs from the one in the other tests: endpoints accept few connections, some classes have a
+//! short deduplication window and others are idempotent, a call has up to five messages, only some rejections have a
+//! retry-after, and none names a limit. The tests are scenarios over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::run_scenario;
 
-/// Guards against mistaking an endpoint that has no connection left for one without capacity. Then nobody closes the
-/// idle connections that fill its table, and a large fleet has three calls in five rejected.
+/// Guards against treating an endpoint at its connection limit as one at its capacity. The idle connections that fill its
+/// table were not closed then, and a large fleet had three of five calls rejected.
 #[test]
 fn an_endpoint_at_its_connection_limit_gets_idle_connections_back() {
     run_scenario(
@@ -37,8 +37,8 @@
     );
 }
 
-/// An endpoint without capacity keeps the connection open; one that closes a connection it has served before does so
-/// for reasons of its own.
+/// Guards against closing idle connections for an endpoint that is only at its capacity. Such an endpoint keeps the
+/// connection open; if it closes one that it has served before, that is no sign of its connection limit.
 #[test]
 fn an_endpoint_at_capacity_keeps_its_connection() {
     run_scenario(
@@ -59,7 +59,8 @@
     );
 }
 
-/// An endpoint that sends a retry-after has accepted the connection, whatever it does with it afterwards.
+/// Guards against ignoring a retry-after because the endpoint closes the connection: it has accepted the connection, and is
+/// not at its connection limit.
 #[test]
 fn a_rejection_with_a_retry_after_is_honored_although_it_closes_the_connection() {
     run_scenario(
@@ -78,8 +79,8 @@
     );
 }
 
-/// Both classes lose their responses: the message whose deduplication window is short fails with it, the idempotent
-/// one is retried.
+/// The responses to both messages are lost. The message whose deduplication window is short fails, and the idempotent one is
+/// retried.
 #[test]
 fn a_short_deduplication_window_fails_one_class_and_not_the_other() {
     run_scenario(
@@ -104,7 +105,8 @@
     );
 }
 
-/// Batches of five to one endpoint, while the only call slot is taken: each message has a result of its own, and what was rejected or lost is retried.
+/// Five messages that wait for the only call slot are sent as one batch. Each gets its own result, and those that were
+/// rejected or failed are retried.
 #[test]
 fn a_batch_of_five_gives_each_message_its_own_result() {
     run_scenario(
@@ -137,7 +139,7 @@
     );
 }
 
-/// Cross-zone calls have a cost: the endpoint in the same zone is called first, and the other one when that is busy.
+/// Cross-zone calls have a cost, so the endpoint in the same zone is called first, and the other one when the first is busy.
 #[test]
 fn the_endpoint_in_the_same_zone_is_called_first_and_the_other_when_it_is_busy() {
     run_scenario(
@@ -163,7 +165,7 @@
     );
 }
 
-/// A call that waits for its connection may begin within the drain grace of an endpoint, and not after it.
+/// A call that waits for its connection may send its first byte within the drain grace of its endpoint, and not after it.
 #[test]
 fn the_drain_grace_of_the_settings_applies_to_the_first_byte() {
     run_scenario(
--- a/tests/each_call.rs
+++ b/tests/each_call.rs
@@ -1,26 +1,28 @@
-//! Each system call that the forwarder makes fails once, at each of its first places: whatever was accepted is delivered, across a
-//! kill too, and the process ends in order. Scenarios over sockets, in the language of `scenario/mod.rs`.
+//! Tests in which each system call that the forwarder makes fails once: in one run the first call of that name, in the next
+//! run the second, and so on. All accepted messages must be delivered, also after a kill, and the process must shut down in
+//! time. The tests are scenarios over sockets, in the language of `scenario/mod.rs`.
 //!
-//! `EACH_CALL_PLACES=60 cargo test --test each_call` tries more places.
+//! `EACH_CALL_PLACES=60 cargo test --test each_call` fails each of the first 60 calls of a name.
 
 mod scenario;
 
 use scenario::run_scenario;
 
-/// Places that are tried for each failure, unless the environment says more.
-const PLACES: u32 = 4;
+/// How many of the first calls of a name fail, each in a run of its own, unless `EACH_CALL_PLACES` is set.
+const DEFAULT_FAILING_CALLS: u32 = 4;
 
-fn places() -> u32 {
-    std::env::var("EACH_CALL_PLACES").map_or(PLACES, |text| text.parse().expect("a number"))
+fn failing_calls() -> u32 {
+    std::env::var("EACH_CALL_PLACES").map_or(DEFAULT_FAILING_CALLS, |text| text.parse().expect("a number"))
 }
 
-/// Plays a life of the forwarder with a call that fails once in each of its processes, for each place.
-fn fails_once(call: &str, failures: &[&str]) {
+/// Runs the forwarder from its start to its shutdown, with a kill between, for each failure and each number of the failing
+/// call. The failure is injected once in each of the two processes.
+fn fail_each_call_once(system_call: &str, failures: &[&str]) {
     for failure in failures {
-        for place in 1..=places() {
+        for call_number in 1..=failing_calls() {
             run_scenario(&format!(
                 "with e1=1 e2=2:one:leaving operator=on open=64 faults=on
-                 faults {call} {failure} nth={place} count=1
+                 faults {system_call} {failure} nth={call_number} count=1
                  start
 
                  e1 answers-all
@@ -40,34 +42,35 @@
     }
 }
 
-/// A test for each call, so that they run side by side.
+/// Defines a test for each system call, so that the tests run in parallel.
 macro_rules! each_may_fail_once {
-    ($($name:ident: $call:literal $failures:expr,)*) => {
+    ($($name:ident: $system_call:literal $failures:expr,)*) => {
         $(
             #[test]
             fn $name() {
-                fails_once($call, &$failures);
+                fail_each_call_once($system_call, &$failures);
             }
         )*
     };
 }
 
 each_may_fail_once! {
-    accept_may_fail_once_at_each_place: "accept" ["ECONNABORTED", "EMFILE", "EINTR"],
-    socket_may_fail_once_at_each_place: "socket" ["EMFILE", "ENOBUFS"],
-    connect_may_fail_once_at_each_place: "connect" ["ECONNREFUSED", "EADDRNOTAVAIL", "EINTR"],
-    recv_may_fail_once_at_each_place: "recv" ["ECONNRESET", "EINTR"],
-    send_may_fail_once_at_each_place: "send" ["EPIPE", "EINTR"],
-    open_may_fail_once_at_each_place: "open" ["EIO", "EMFILE"],
-    opendir_may_fail_once_at_each_place: "opendir" ["EIO"],
-    read_may_fail_once_at_each_place: "read" ["EIO", "EINTR", "short"],
-    write_may_fail_once_at_each_place: "write" ["EIO", "ENOSPC", "torn=EIO", "EINTR"],
-    unlink_may_fail_once_at_each_place: "unlink" ["EIO"],
+    accept_may_fail_once_at_any_call: "accept" ["ECONNABORTED", "EMFILE", "EINTR"],
+    socket_may_fail_once_at_any_call: "socket" ["EMFILE", "ENOBUFS"],
+    connect_may_fail_once_at_any_call: "connect" ["ECONNREFUSED", "EADDRNOTAVAIL", "EINTR"],
+    recv_may_fail_once_at_any_call: "recv" ["ECONNRESET", "EINTR"],
+    send_may_fail_once_at_any_call: "send" ["EPIPE", "EINTR"],
+    open_may_fail_once_at_any_call: "open" ["EIO", "EMFILE"],
+    opendir_may_fail_once_at_any_call: "opendir" ["EIO"],
+    read_may_fail_once_at_any_call: "read" ["EIO", "EINTR", "short"],
+    write_may_fail_once_at_any_call: "write" ["EIO", "ENOSPC", "torn=EIO", "EINTR"],
+    unlink_may_fail_once_at_any_call: "unlink" ["EIO"],
 }
 
-/// The one file that is replaced by a rename keeps cordons: one that is not kept is refused, and may be asked for again.
+/// Cordons are persisted in the only file that is replaced by a rename. A cordon that cannot be persisted is rejected, and
+/// the request may be repeated.
 #[test]
-fn rename_may_fail_once_and_the_cordon_is_refused() {
+fn rename_may_fail_once_and_the_cordon_is_rejected() {
     run_scenario(
         "with e1=1 operator=on faults=on
          start
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,12 +1,13 @@
-//! System calls that fail as Linux documents them, and a wall clock that is stepped, against the real program: a
-//! library of our own is preloaded (`crates/faultshim`). Scenarios over sockets, in the language of
-//! `scenario/mod.rs`.
+//! Tests of the forwarder while system calls fail as Linux documents them, or while the wall clock is stepped. The library
+//! `crates/faultshim` is preloaded into the program and injects these faults. The tests are scenarios over sockets, in the
+//! language of `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::run_scenario;
 
-/// Guards against records that follow a torn one: recovery stopped there, and what had been admitted since was lost.
+/// Guards against journal records that are written after a torn one: recovery stopped at the torn record, and the messages
+/// admitted after it were lost.
 #[test]
 fn messages_admitted_after_a_torn_journal_write_survive_a_kill() {
     run_scenario(
@@ -29,7 +30,8 @@
     );
 }
 
-/// Guards against deadlines kept by a clock that is set: none of the admitted messages was delivered.
+/// Guards against deadlines that are measured by the wall clock, which may be set: after it was set forward by an hour, no
+/// admitted message was delivered.
 #[test]
 fn a_wall_clock_set_forward_before_a_restart_does_not_shorten_deadlines() {
     run_scenario(
@@ -47,7 +49,8 @@
     );
 }
 
-/// Guards against the same the other way: messages stayed without a result for an hour.
+/// Guards against deadlines that are measured by the wall clock: after it was set back by an hour, messages got no result
+/// for an hour.
 #[test]
 fn a_wall_clock_set_back_before_a_restart_does_not_extend_deadlines() {
     run_scenario(
@@ -63,8 +66,8 @@
     );
 }
 
-/// Guards against counting a full folder as failed attempts: all attempts were spent in some 60 ms, and messages were
-/// returned that had 19 s left and a healthy endpoint.
+/// Guards against counting an attempt as failed because it cannot be journaled in a full state folder: messages used up all
+/// their attempts in some 60 ms and were returned, with 19 s left and a healthy endpoint.
 #[test]
 fn messages_wait_while_the_journal_cannot_be_written_and_then_proceed() {
     run_scenario(
@@ -85,8 +88,8 @@
     );
 }
 
-/// Guards against a result that is forgotten as it cannot be written: after a kill the message, which must not run
-/// twice, was reported as failed.
+/// Guards against a result that is lost because it cannot be written to the journal: after a kill, the message of a
+/// non-idempotent class was reported as failed although it was delivered.
 #[test]
 fn a_result_that_could_not_be_journaled_is_journaled_later() {
     run_scenario(
@@ -108,8 +111,8 @@
     );
 }
 
-/// Guards against a last pass over the listener's queue that ends at the first error: requests that waited there were
-/// reset.
+/// Guards against accepting the rest of the listener's backlog at the shutdown only up to the first error: the requests that
+/// waited in it were reset.
 #[test]
 fn queued_requests_are_answered_after_sigterm_although_accept_fails_now_and_then() {
     run_scenario(
@@ -132,7 +135,7 @@
     );
 }
 
-/// Guards against a shutdown that waits for a listener whose accept never succeeds.
+/// Guards against a shutdown that waits for a listener on which accept never succeeds.
 #[test]
 fn a_listener_that_always_fails_does_not_delay_shutdown() {
     run_scenario(
@@ -152,8 +155,8 @@
     );
 }
 
-/// Guards against a start that fails as the folder cannot be read at that moment: admitted messages still have to be
-/// delivered.
+/// Guards against a start that fails because the state folder cannot be read for a moment: the admitted messages in it must
+/// be delivered.
 #[test]
 fn a_start_waits_for_a_state_folder_that_cannot_be_read_yet() {
     run_scenario(
@@ -171,7 +174,7 @@
     );
 }
 
-/// Guards against connections that are closed as a signal interrupts a read or a write on them.
+/// Guards against connections that are closed because a signal interrupted a read or a write on them.
 #[test]
 fn interrupted_reads_and_writes_are_retried() {
     run_scenario(
@@ -186,7 +189,7 @@
     );
 }
 
-/// Short reads and writes are no errors at all.
+/// Guards against treating a short read or write as an error, or as a complete one.
 #[test]
 fn short_reads_and_writes_lose_nothing() {
     run_scenario(
@@ -206,7 +209,8 @@
     );
 }
 
-/// Guards against ending the program as the owner file cannot be written: it serves, and may be replaced once it can.
+/// Guards against a program that ends because the owner file cannot be written. It must serve, and hand over to a successor
+/// once the file is written.
 #[test]
 fn a_full_state_folder_at_the_start_does_not_end_a_process_with_an_admin_listener() {
     run_scenario(
@@ -228,8 +232,8 @@
     );
 }
 
-/// Guards against a connection that is closed without a response as its client half-closes while the response is
-/// decided.
+/// Guards against a connection that is closed without a response because its client half-closed before the decision step
+/// that admits or rejects its message.
 #[test]
 fn a_client_that_half_closes_while_it_waits_gets_its_response() {
     run_scenario(
@@ -247,8 +251,8 @@
     );
 }
 
-/// Guards against a request that crosses the close of a connection that was never used: it would be read and get no
-/// response. The client gets a 503 before the close.
+/// Guards against a request that gets no response because it crosses the close of a connection that was never used. The
+/// client gets a 503 before the close.
 #[test]
 fn an_unused_connection_gets_503_before_it_is_closed() {
     run_scenario(
@@ -268,7 +272,7 @@
     );
 }
 
-/// Guards against circuit breakers that open, and attempts that are spent, as this machine is short of ports or
+/// Guards against circuit breakers that open, and attempts that are used up, because this machine is short of ports or file
 /// descriptors for a moment.
 #[test]
 fn a_local_resource_shortage_is_no_endpoint_failure() {
@@ -285,7 +289,7 @@
     );
 }
 
-/// A network error of one attempt fails that attempt, and the message is retried.
+/// Guards against a message that fails at the first network error: the error fails one attempt, and the message is retried.
 #[test]
 fn an_unreachable_network_fails_the_attempt_and_not_the_message() {
     run_scenario(
@@ -301,8 +305,8 @@
     );
 }
 
-/// Guards against lost signals: an interrupted read after a short one left half a signal's number behind, every later
-/// one was read across two, and SIGTERM was never received.
+/// Guards against lost signals. After a short read, an interrupted one left a part of a signal's number unread, so that each
+/// later read returned parts of two numbers, and SIGTERM was never received.
 #[test]
 fn signals_are_received_although_reads_are_short_and_interrupted() {
     let reloads = "reload open=9\n sleep 5\n".repeat(12);
@@ -314,12 +318,12 @@
          exit-within 3700
          faults\n"
     );
-    // Two lost signals cancel each other out: one round alone would prove little.
+    // Two such faults cancel each other out, so that one round could pass by chance; six are run.
     run_scenario(&format!("with e1=1 faults=on\n{}", round.repeat(6)));
 }
 
-/// Guards against a result later than a message's deadline and 0.3 s: a request that lay unread, as its process was
-/// stopped or accept failed, is late when it is read, and its deadline counts from when it was sent.
+/// Guards against a result that comes more than 0.3 s after the deadline. A request that lay unread, because the process was
+/// stopped or accept failed, is late when it is read; its deadline counts from when it was sent.
 #[test]
 fn a_request_that_lay_unread_ends_within_the_deadline_of_its_client() {
     run_scenario(
@@ -339,7 +343,7 @@
     );
 }
 
-/// Guards against a pause that grows with each failed accept: a request with little time left waited until that was over.
+/// Guards against a pause that grows with each failed accept: a request with little time left had to wait for its end.
 #[test]
 fn a_request_with_little_time_left_is_accepted_although_accept_fails_now_and_then() {
     run_scenario(
@@ -356,7 +360,8 @@
     );
 }
 
-/// Guards against a pause after each connect that fails as this machine is short of ports: the delivery report came late.
+/// Guards against a pause after each connect that fails because this machine is short of ports: the delivery report came
+/// late.
 #[test]
 fn a_delivery_report_comes_in_time_although_connect_fails_now_and_then() {
     run_scenario(
@@ -373,8 +378,8 @@
     );
 }
 
-/// Guards against a growing pause between the connects of a watch that fail as this machine is short of ports: what the
-/// platform's new agent has counts as told 4 s after the signal.
+/// Guards against a growing pause between connects of a watch that fail because this machine is short of ports. Four seconds
+/// after SIGHUP, the platform counts the endpoint list at its new address as received by the forwarder.
 #[test]
 fn a_moved_watch_is_opened_in_time_although_connect_fails_now_and_then() {
     run_scenario(
@@ -391,9 +396,9 @@
     );
 }
 
-/// Guards against an end that is reported before it is on disk: after a kill the message was called again.
+/// Guards against a message whose end is reported before it is in the journal: after a kill, the message was sent again.
 #[test]
-fn an_end_that_the_journal_does_not_take_is_not_reported_while_a_restart_could_call_for_its_message() {
+fn an_end_that_cannot_be_journaled_is_not_reported_while_a_restart_could_send_its_message_again() {
     run_scenario(
         "with e1=1 faults=on
          start
@@ -417,9 +422,10 @@
     );
 }
 
-/// Guards against an end that is held back until the journal takes it: it is owed when the message's time is over.
+/// Guards against an end that is held back until the journal can be written: it must be reported once the message's deadline
+/// has passed.
 #[test]
-fn an_end_that_the_journal_does_not_take_is_reported_once_the_time_of_its_message_is_over() {
+fn an_end_that_cannot_be_journaled_is_reported_once_the_deadline_of_its_message_has_passed() {
     run_scenario(
         "with e1=1 faults=on
          start
@@ -443,9 +449,9 @@
     );
 }
 
-/// Guards against a 503 for a message that the journal still has as open: after a kill it was called.
+/// Guards against a 503 for a message that is still open in the journal: after a kill, the message was sent.
 #[test]
-fn a_message_whose_rejection_the_journal_does_not_take_is_accepted() {
+fn a_message_whose_rejection_cannot_be_journaled_is_accepted() {
     run_scenario(
         "with e1=1 faults=on
          start
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -420,7 +420,7 @@
 /// Guards against calls to a draining endpoint by a successor whose own watch is slow, when only the predecessor's watch has
 /// received the drain.
 #[test]
-fn a_drain_observed_by_the_predecessor_after_the_hand_over_binds_the_successor() {
+fn a_drain_observed_by_the_predecessor_after_the_hand_over_applies_to_the_successor() {
     run_scenario(
         "with e1=1 e2=1:one:hidden operator=on
          start
@@ -494,7 +494,7 @@
 /// Guards against a drain that is missed because it arrives during a hand-over that then fails. The watch was closed with
 /// the line unread, and the next watch was slow.
 #[test]
-fn a_drain_observed_during_a_hand_over_that_fails_binds_calls() {
+fn a_drain_observed_during_a_hand_over_that_fails_applies_to_calls() {
     run_scenario(
         "with e1=1 e2=1:one:hidden operator=on
          start
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -13,14 +13,14 @@
     hold-down: {first: 300ms, longest: 1s, forget: 5s}, shrink: {share: 0.4, confirm: 1s}, snapshot-after: 300ms, \
     back-off: {first: 50ms, longest: 200ms}}}";
 
-/// Plays a scenario with a registry and [`SITE`].
-fn play_with_registry(endpoints: &str, script: &str) {
+/// Runs a scenario with a registry and the site file [`SITE`].
+fn run_with_registry(endpoints: &str, script: &str) {
     run_scenario(&format!("{endpoints}\nstart-registry\n{SITE}\n{script}"));
 }
 
 #[test]
 fn registry_entries_are_added_drained_and_removed() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=1:one:hidden",
         "registry put e1
          start
@@ -55,7 +55,7 @@
 /// received.
 #[test]
 fn a_drain_applies_to_a_call_that_waits_for_its_connection() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden:stalled grace=60",
         "registry put e1
          start
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_silent_registry_leaves_its_last_view_in_use_and_loses_no_message() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_start_with_a_silent_registry_uses_the_persisted_view() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_start_with_a_silent_registry_and_no_view_uses_the_pushed_endpoint_list() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1 e2=2:one:hidden",
         "registry silent
          start
@@ -154,7 +154,7 @@
 /// Guards against the loss of a call in flight when its endpoint is replaced by another one at the same address.
 #[test]
 fn an_instance_that_is_replaced_at_its_address_is_another_endpoint() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -181,7 +181,7 @@
 /// Guards against changes that stay unknown because a delta was lost: the hash of the cached entries shows the loss.
 #[test]
 fn a_lost_delta_is_detected_by_its_hash() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden e3=3:one:hidden",
         "registry put e1 e2 e3
          start
@@ -200,7 +200,7 @@
 
 #[test]
 fn an_empty_registry_is_not_accepted_unless_it_stays_empty() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry put e1 e2
          start
@@ -245,7 +245,7 @@
 
 #[test]
 fn xml_and_gzip_responses_are_read_and_oversized_ones_rejected() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry xml
          registry put e1
@@ -276,7 +276,7 @@
 
 #[test]
 fn a_reload_moves_to_another_registry_during_traffic() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,5 +1,5 @@
 //! Restarts after a kill: what the forwarder restores from its journal, and how it handles a damaged or a full one. The
-//! scenarios are played over sockets; `scenario/mod.rs` describes their language.
+//! tests are scenarios over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
--- a/tests/scenario/sockets.rs
+++ b/tests/scenario/sockets.rs
@@ -69,7 +69,7 @@
 }
 
 thread_local! {
-    /// Whether [`write`] sends each byte in a packet of its own. It holds for the thread that runs the scenario; other threads,
+    /// Whether [`write`] sends each byte in a packet of its own. It holds for the thread of the scenario; other threads,
     /// such as the one that sends heartbeats, write everything at once.
     static BYTE_BY_BYTE: Cell<bool> = const { Cell::new(false) };
 }
