--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -58,7 +58,7 @@
     assert!(missing.is_empty(), "{}", missing.join("\n"));
 }
 
-/// A call of a log macro in the source, as a table_row of the table in `docs/logs.md`.
+/// A call of a log macro in the source, as a row of the table in `docs/logs.md`.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct LogLine {
     message: String,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,7 +15,7 @@
     delivered: usize,
 }
 
-fn run_outage(settings: &Settings, weight: f64, per_s: usize) -> OutageRun {
+fn run_outage(settings: &Settings, weight: f64, messages_per_second: usize) -> OutageRun {
     let mut fleet: Vec<PolicyHarness> = (0..LARGE_FLEET as u64)
         .map(|seed| PolicyHarness {
             policy: DeliveryPolicy::new(settings.clone(), seed).expect("good settings"),
@@ -34,9 +34,12 @@
         let mut calls = 0;
         for (i, harness) in fleet.iter_mut().enumerate() {
             let mut events: Vec<Event> = due_events[i].drain(..).collect();
-            // The forwarders receive messages in turn, `per_s` per second in total.
-            for n in 0..per_s {
-                if tick < 350 && (tick % 10) == n * 10 / per_s && (tick / 10 * per_s + n) % LARGE_FLEET == i {
+            // The forwarders receive messages in turn, `messages_per_second` per second in total.
+            for n in 0..messages_per_second {
+                if tick < 350
+                    && (tick % 10) == n * 10 / messages_per_second
+                    && (tick / 10 * messages_per_second + n) % LARGE_FLEET == i
+                {
                     events.push(Event::Message(harness.new_message(WITH_KEY, 1)));
                     run.received += 1;
                 }
@@ -58,8 +61,8 @@
 }
 
 fn assert_no_overload(settings: Settings) {
-    let (weight, per_s) = (60.0, 50);
-    let run = run_outage(&settings, weight, per_s);
+    let (weight, messages_per_second) = (60.0, 50);
+    let run = run_outage(&settings, weight, messages_per_second);
     let window = (settings.overload_window / (100 * MS)) as usize;
     for end in 150 + window..250 {
         let share =
@@ -72,7 +75,7 @@
     }
     // All messages are delivered except those rejected in the outage, most of them in time.
     assert!(run.delivered * 10 >= run.received * 8, "{} of {}", run.delivered, run.received);
-    assert!(run.delivered_late >= 20 * per_s * 9 / 10, "{}", run.delivered_late);
+    assert!(run.delivered_late >= 20 * messages_per_second * 9 / 10, "{}", run.delivered_late);
 }
 
 #[test]
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -257,8 +257,8 @@
     }
 }
 
-/// Guards against a repeat in a zone that does not drop it: if compaction copies the record of a message, it must keep
-/// the zone of the first attempt.
+/// Guards against a retry in a zone that does not deduplicate it: compaction, which copies the record of a message, must
+/// keep the zone of its first attempt.
 #[test]
 fn the_first_attempt_is_kept_through_compaction_and_later_attempts() {
     let folder = JournalFolder::new("first-attempt");
--- a/tests/journal_faults.rs
+++ b/tests/journal_faults.rs
@@ -240,7 +240,8 @@
     }
 }
 
-/// Guards against the same if several operations in a row fail.
+/// Guards against the loss of an acknowledged record, and against restoring a rejected one, if several operations in a row
+/// fail.
 #[test]
 fn what_was_acknowledged_is_restored_if_several_operations_in_a_row_fail() {
     for seed in 0..60 {
@@ -253,7 +254,8 @@
     }
 }
 
-/// Guards against the loss of a completion that cannot be written at first: the message would be sent or failed once more.
+/// Guards against the loss of a completion that cannot be written at first: the message would be sent again, or reported as
+/// failed again.
 #[test]
 fn events_during_a_failure_are_written_once_the_journal_works_again() {
     let memory = MemoryStorage::default();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -153,7 +153,7 @@
     let key = EntryKey { group: "A".into(), id: "j".into() };
     membership.apply(4, REGISTRY, SourceUpdate::Patch { listings: vec![], removed: vec![(key, 8)] });
     assert!(membership.apply(5, REGISTRY, patch(vec![up("j", 2, 6)])).is_empty());
-    // A replica that lags lacks new entries: an update with lower stamps that lacks an entry is doubted.
+    // A replica that lags lacks new entries: an update with lower stamps that lacks an entry is not accepted at once.
     let mut membership = pushed_and_registry();
     membership.apply(0, REGISTRY, complete(vec![up("a", 1, 1), up("b", 2, 2), up("c", 3, 3), up("d", 4, 9)]));
     assert!(membership
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -33,7 +33,7 @@
     assert!(error.to_string().contains("setting `balancers`: 0 is out of range"));
 }
 
-/// Runs one script of events and returns the actions. If `beside` is set, a second policy instance processes
+/// Runs one script of events and returns the actions. If `beside_another` is set, a second policy instance processes
 /// other events between the steps.
 fn run_script(beside_another: bool) -> Vec<Action> {
     let mut harness = PolicyHarness::new(settings(), (0..6).map(|i| entry(i, u64::from(i) / 2, 0)).collect());
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_reload_binds_queued_messages_and_leaves_attempts_in_flight() {
+fn a_reload_applies_to_queued_messages_and_not_to_attempts_in_flight() {
     let reload = |route: &str| Event::Settings(Box::new(settings_with_routes(&[route])));
     let mut harness = PolicyHarness::new(
         settings_with_routes(&["name: a, match: {}, timeout: 2s, attempts: 5, give-up: 15s"]),
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -28,7 +28,7 @@
 //! | --- | --- |
 //! | `start`, `begin-start`, `started` | starts the forwarder and waits until it serves; only starts it; only waits |
 //! | `start-without-list` | starts the forwarder and does not wait for the endpoint list |
-//! | `stop`, `continue`, `term`, `kill` | sends SIGSTOP, SIGCONT, SIGTERM or SIGKILL; `kill` waits for the exit |
+//! | `stop`, `continue`, `term`, `kill` | sends SIGSTOP, SIGCONT, SIGTERM or SIGKILL; `kill` also waits for the exit |
 //! | `exit`, `exit-within 3700`, `exit-with-failure` | waits for the exit, successful (in 3700 ms) or with a failure |
 //! | `reload open=4`, `reload` | changes options, writes the configuration and sends SIGHUP |
 //! | `reload TEXT` | writes the text as the configuration and sends SIGHUP |
@@ -44,7 +44,7 @@
 //! | --- | --- |
 //! | `u1 send m1 dest=1 class=notice size=3 deadline=9000m` | sends a message; these values are the defaults |
 //! | `u1 sends 20 m class=notice` | sends m1 to m20, and expects a 202 for each |
-//! | `u1 sends-until-accepted 5 m` | sends five messages, each under ids m1-1, m1-2, … to m5-… until it gets a 202 |
+//! | `u1 sends-until-accepted 5 m` | sends five messages, each until it gets a 202: the first as m1-1, m1-2 and so on |
 //! | `u1 send-raw TEXT`, `u1 connect` | sends the text as it is; only connects |
 //! | `u1 expect 202 WORD…`, `u1 expect end` | expects a response with these words in its head; the end of the connection |
 //! | `u1 end-sending`, `u1 close` | shuts down the sending side; closes the connection |
@@ -66,10 +66,10 @@
 //!
 //! | line | effect |
 //! | --- | --- |
-//! | `platform send e1=leaving` | changes entries of the endpoint list, and sends the change on the open watches |
+//! | `platform send e1=leaving` | sets lifecycles (`active`, `leaving`, `left`) in the list and sends them on the watches |
 //! | `platform send e1=moved` | moves an endpoint to a new address; connections to its former one stay open |
-//! | `platform changes-silently e1=leaving` | changes the list without an event on the open watches |
-//! | `platform changes-on-old-watches e1=leaving` | sends the change only on watches at the platform's former addresses |
+//! | `platform changes-silently e1=leaving` | sets lifecycles in the list and sends nothing on the watches |
+//! | `platform changes-on-old-watches e1=leaving` | sets lifecycles and sends them only on watches at former addresses |
 //! | `platform expect m1 failed [alone]` | expects the next delivery report (as the only one of its request) |
 //! | `platform expect-all m*20 returned` | expects reports of m1 to m20 in any order, possibly repeated |
 //! | `platform expect-no-report` | expects that no further delivery report has arrived |
@@ -78,7 +78,7 @@
 //! | `platform drops-next-report` | leaves the next delivery report unanswered |
 //! | `platform answers-reports-after 200` | answers delivery reports after 200 ms |
 //! | `platform stops-heartbeats` | sends no heartbeats on the watches |
-//! | `platform moves` | listens at a new address only, which the configuration has from the next reload on |
+//! | `platform moves` | answers only at a new address, which is in the configuration from the next start or reload on |
 //! | `platform closes-old-watches` | closes the watches at the former addresses |
 //! | `platform delays-list`, `… releases-list` | holds back the complete list on new watches; sends it |
 //!
@@ -93,7 +93,7 @@
 //! | `registry xml`, `… gzip` | answers in XML; with compression |
 //! | `registry sends-huge-answers`, `… sends-gzip-bombs` | answers 100 MB; 3 MB that compression makes small |
 //! | `registry sends-deep-nesting`, `… sends-a-long-name` | answers a million brackets; an id of 500 000 bytes |
-//! | `registry answers-normally` | ends all of these ways to answer |
+//! | `registry answers-normally` | answers correctly again |
 //! | `registry freezes-replica` | from here on the replica answers with its present list |
 //! | `registry holds n0=UP`, `registry holds n0=` | waits until instance n0 has this status; is not registered |
 //! | `registry asked GET /apps` | waits until the registry or the replica has received this request |
@@ -111,7 +111,7 @@
 //! | line | effect |
 //! | --- | --- |
 //! | `upgrade`, `begin-upgrade`, `upgraded` | starts a successor and waits until it serves; only starts it; only waits |
-//! | `old term`, `old exit`, `old log TEXT`, `old admin …` | the same for the predecessor; clients stay connected to it |
+//! | `old term`, `old exit`, `old log TEXT`, `old admin …` | the same for the predecessor, which keeps its clients |
 //! | `undo-upgrade` | kills the successor if it still runs; further lines are about its predecessor |
 //! | `keep-first`, `first kill` | before a second `upgrade`, keeps the first of then three processes; kills it |
 //! | `successor asks 200 [token=X] [format=9] [accepts=list-line]` | asks for a hand-over, expects the status |
@@ -125,7 +125,7 @@
 //! | line | effect |
 //! | --- | --- |
 //! | `wait delivered=2 lists>=1 routes/NAME/held=1` | waits until counters have these values |
-//! | `log TEXT` | waits for a log line that contains the text |
+//! | `log TEXT` | waits until the log has a line that contains the text |
 //! | `health 503` | waits until a health request of a client gets this status |
 //! | `start-timer`, `within 1300` | expects that less than 1300 ms have passed since `start-timer` |
 //! | `state-at-most 50000` | expects that the files of the state folder take at most 50 000 bytes |
--- a/tests/scenario/script.rs
+++ b/tests/scenario/script.rs
@@ -1,4 +1,4 @@
-//! Words of a script: escapes, ranges of ids, the text after a word.
+//! Helpers for the words of a script: escapes, ranges of ids, the text after a word.
 
 /// Replaces the escapes `\r` and `\n` of a script's line with the characters.
 pub fn unescape(text: &str) -> String {
--- a/tests/scenario/settings.rs
+++ b/tests/scenario/settings.rs
@@ -14,7 +14,7 @@
     pub drain_grace_ms: f64,
     /// The shortest time between two decision steps, in milliseconds.
     pub min_step_interval_ms: f64,
-    /// The forwarder's index among all forwarders; any JSON, as invalid ones are tested too.
+    /// The forwarder's index among all forwarders. It may be any JSON, because tests set invalid indexes too.
     pub forwarder_index: Value,
     /// The deduplication window of class `brief`, in milliseconds. `None` leaves out the classes `zoned` and `brief`.
     pub brief_window_ms: Option<f64>,
