--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -4,8 +4,8 @@
 mod scenario;
 
 use cedarbridge_registry_standin::{Instance, StandIn};
-use scenario::play;
-use scenario::process::program;
+use scenario::process::forwarder_command;
+use scenario::run_scenario;
 use std::process::Output;
 
 /// A site file with short intervals that names the registry.
@@ -13,14 +13,14 @@
     hold-down: {first: 300ms, longest: 1s, forget: 5s}, shrink: {share: 0.4, confirm: 1s}, snapshot-after: 300ms, \
     back-off: {first: 50ms, longest: 200ms}}}";
 
-/// Plays a scenario with a registry and [`SITE`].
-fn play_with_registry(endpoints: &str, script: &str) {
-    play(&format!("{endpoints}\nstart-registry\n{SITE}\n{script}"));
+/// Runs a scenario with a registry and the site file [`SITE`].
+fn run_with_registry(endpoints: &str, script: &str) {
+    run_scenario(&format!("{endpoints}\nstart-registry\n{SITE}\n{script}"));
 }
 
 #[test]
 fn registry_entries_are_added_drained_and_removed() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=1:one:hidden",
         "registry put e1
          start
@@ -55,7 +55,7 @@
 /// received.
 #[test]
 fn a_drain_applies_to_a_call_that_waits_for_its_connection() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden:stalled grace=60",
         "registry put e1
          start
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_silent_registry_leaves_its_last_view_in_use_and_loses_no_message() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -87,14 +87,14 @@
          u1 expect 202
          e1 expect m1
          e1 send m1 200
-         registry half
+         registry sends-truncated-answers
          wait registry/failures>=4
          u1 send m2
          u1 expect 202
          e1 expect m2
          e1 send m2 200
          wait delivered=2 registry/entries=1 failed=0 returned=0
-         registry answers
+         registry answers-normally
          registry status e1 DOWN
 
          wait registry/flaps=1",
@@ -103,14 +103,14 @@
 
 #[test]
 fn a_start_with_a_silent_registry_uses_the_persisted_view() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
 
          wait registry/entries=1
          log endpoint list changed
-         state-holds registry.view
+         state-contains registry.view
          kill
          registry silent
          start
@@ -121,11 +121,11 @@
          e1 expect m1
          e1 send m1 200
          wait delivered=1
-         registry answers
+         registry answers-normally
          wait registry/serves_kept_view=false
          kill
          registry silent
-         damage-view
+         damage-registry-view
          start
 
          log the persisted view is damaged",
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_start_with_a_silent_registry_and_no_view_uses_the_pushed_endpoint_list() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1 e2=2:one:hidden",
         "registry silent
          start
@@ -145,7 +145,7 @@
          e1 expect m1
          e1 send m1 200
          registry put e2
-         registry answers
+         registry answers-normally
 
          wait registry/entries=1 delivered=1",
     );
@@ -154,7 +154,7 @@
 /// Guards against the loss of a call in flight when its endpoint is replaced by another one at the same address.
 #[test]
 fn an_instance_that_is_replaced_at_its_address_is_another_endpoint() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -181,7 +181,7 @@
 /// Guards against changes that stay unknown because a delta was lost: the hash of the cached entries shows the loss.
 #[test]
 fn a_lost_delta_is_detected_by_its_hash() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden e3=3:one:hidden",
         "registry put e1 e2 e3
          start
@@ -191,7 +191,7 @@
          wait registry/failures>=1
          registry status e1 DOWN
          registry loses-deltas
-         registry answers
+         registry answers-normally
 
          wait registry/flaps=1
          registry asked GET /apps/delta",
@@ -200,7 +200,7 @@
 
 #[test]
 fn an_empty_registry_is_not_accepted_unless_it_stays_empty() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry put e1 e2
          start
@@ -222,7 +222,7 @@
 
 #[test]
 fn a_stale_replica_changes_nothing() {
-    play(
+    run_scenario(
         "with e1=1:one:hidden e2=2:one:hidden
          start-registry
          registry put e1 e2
@@ -245,7 +245,7 @@
 
 #[test]
 fn xml_and_gzip_responses_are_read_and_oversized_ones_rejected() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden e2=2:one:hidden",
         "registry xml
          registry put e1
@@ -257,7 +257,7 @@
          wait registry/entries=2
          registry sends-gzip-bombs
          log more than 1000000 bytes
-         registry answers
+         registry answers-normally
          registry sends-huge-answers
          log too-large
          registry sends-deep-nesting
@@ -276,7 +276,7 @@
 
 #[test]
 fn a_reload_moves_to_another_registry_during_traffic() {
-    play_with_registry(
+    run_with_registry(
         "with e1=1:one:hidden",
         "registry put e1
          start
@@ -302,7 +302,7 @@
 
 #[test]
 fn the_forwarder_registers_renews_and_cancels() {
-    play(
+    run_scenario(
         "with e1=1
          start-registry
          site {version: 1, registry: {addresses: [\"{registry}\"], poll: 100ms, register: {app: CEDARBRIDGE, renew: 100ms, lease: 1s}}}
@@ -327,7 +327,7 @@
 
 /// Runs a command of the program and returns its exit code and standard output.
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
-    let Output { status, stdout, .. } = program().args(arguments).output().expect("it runs");
+    let Output { status, stdout, .. } = forwarder_command().args(arguments).output().expect("it runs");
     (status.code(), String::from_utf8(stdout).expect("text"))
 }
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,13 +1,13 @@
 //! Restarts after a kill: what the forwarder restores from its journal, and how it handles a damaged or a full one. The
-//! scenarios are played over sockets; `scenario/mod.rs` describes their language.
+//! tests are scenarios over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
-use scenario::play;
+use scenario::run_scenario;
 
 #[test]
 fn after_a_kill_every_admitted_message_is_restored() {
-    play(
+    run_scenario(
         "with e1=1 e2=9:one:leaving e3=8:one:leaving
          start
 
@@ -40,7 +40,7 @@
 /// Guards against unlimited attempts of a message if the process is killed again and again.
 #[test]
 fn attempts_made_before_a_kill_count_toward_the_attempt_limit() {
-    play(
+    run_scenario(
         "with e1=1
          start
 
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_damaged_journal_loses_its_tail_and_nothing_else() {
-    play(
+    run_scenario(
         "with e1=9:one:leaving
          start
 
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_full_journal_gives_503_until_space_is_reclaimed() {
-    play(
+    run_scenario(
         "with b1=9:many:leaving disk=0.05
          start
 
@@ -105,19 +105,19 @@
          u1 expect 202
          u1 send m4 dest=9 size=10000
          u1 expect 503 Retry-After
-         state-under 50000
+         state-at-most 50000
          platform send b1=active
          b1 expect m1 m2 m3
          b1 send m1 200 m1=delivered m2=failed m3=failed
          wait delivered=1
          u1 send m5 dest=9 size=10000
          u1 expect 202
-         state-under 50000
+         state-at-most 50000
          kill
          start
 
          wait restored=3
-         state-under 50000",
+         state-at-most 50000",
     );
 }
 
@@ -125,7 +125,7 @@
 /// restored and delivered.
 #[test]
 fn a_message_whose_client_half_closed_and_got_503_is_not_restored_after_a_kill() {
-    play(
+    run_scenario(
         "with e1=1:one:leaving tick=400
          start
 
