--- a/crates/registry-standin/src/applications.rs
+++ b/crates/registry-standin/src/applications.rs
@@ -76,7 +76,7 @@
     }
 
     /// Forgets the changes that a delta would report.
-    pub(crate) fn lose_deltas(&mut self) {
+    pub(crate) fn clear_deltas(&mut self) {
         self.recent.clear();
     }
 
--- a/crates/registry-standin/src/http.rs
+++ b/crates/registry-standin/src/http.rs
@@ -1,12 +1,12 @@
 //! Reading requests and writing responses, on blocking sockets.
 
-use crate::Mode;
+use crate::FaultMode;
 use flate2::{write::GzEncoder, Compression};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
 /// Reads a request: its method, path and body.
-pub fn request(from: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
+pub fn read_request(from: &mut BufReader<TcpStream>) -> Option<(String, String, Vec<u8>)> {
     let mut first = String::new();
     from.read_line(&mut first).ok().filter(|n| *n > 0)?;
     let mut length = 0;
@@ -28,11 +28,11 @@
 }
 
 /// Writes an answer, in chunks if it is long.
-pub(crate) fn respond(
+pub(crate) fn write_response(
     stream: &mut TcpStream,
     status: u16,
     body: Vec<u8>,
-    mode: &Mode,
+    mode: &FaultMode,
 ) -> std::io::Result<()> {
     let (body, packed) = if mode.gzip && !body.is_empty() {
         let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
@@ -41,7 +41,7 @@
     } else {
         (body, "")
     };
-    if mode.half {
+    if mode.truncate_responses {
         let head = format!("HTTP/1.1 {status} X\r\n{packed}Content-Length: {}\r\n\r\n", body.len());
         stream.write_all(head.as_bytes())?;
         return stream.write_all(&body[..body.len() / 2]);
--- a/crates/registry-standin/src/lib.rs
+++ b/crates/registry-standin/src/lib.rs
@@ -6,8 +6,8 @@
 mod instance;
 
 use applications::Applications;
-pub use http::request;
-use http::respond;
+pub use http::read_request;
+use http::write_response;
 pub use instance::Instance;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Read};
@@ -20,30 +20,30 @@
 
 /// How a replica goes wrong.
 #[derive(Clone, Debug, Default)]
-pub struct Mode {
+pub struct FaultMode {
     /// It takes questions and answers none.
     pub silent: bool,
     /// It writes half of each answer and closes.
-    pub half: bool,
+    pub truncate_responses: bool,
     /// It packs its answers.
     pub gzip: bool,
     /// It answers in XML.
     pub xml: bool,
     /// It answers this in place of any list.
-    pub instead: Option<Vec<u8>>,
+    pub body_override: Option<Vec<u8>>,
 }
 
 #[derive(Default)]
 struct Replica {
-    mode: Mode,
+    mode: FaultMode,
     /// What it knows while it lags: the whole, and what changed.
     frozen: Option<(String, String)>,
-    asked: Vec<String>,
+    received_requests: Vec<String>,
 }
 
 /// A registry that listens, or a replica of it.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct FakeRegistry {
     apps: Arc<Mutex<Applications>>,
     replica: Arc<Mutex<Replica>>,
     address: SocketAddr,
@@ -53,20 +53,20 @@
     mutex.lock().expect("no thread that held it has panicked")
 }
 
-impl StandIn {
+impl FakeRegistry {
     /// Starts a registry that is empty, on a port that the system picks.
-    pub fn start() -> std::io::Result<StandIn> {
-        StandIn::listen(Arc::default())
+    pub fn start() -> std::io::Result<FakeRegistry> {
+        FakeRegistry::listen(Arc::default())
     }
 
     /// Starts another server of the same registry.
-    pub fn replica(&self) -> std::io::Result<StandIn> {
-        StandIn::listen(self.apps.clone())
+    pub fn replica(&self) -> std::io::Result<FakeRegistry> {
+        FakeRegistry::listen(self.apps.clone())
     }
 
-    fn listen(apps: Arc<Mutex<Applications>>) -> std::io::Result<StandIn> {
+    fn listen(apps: Arc<Mutex<Applications>>) -> std::io::Result<FakeRegistry> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let it = StandIn { apps, replica: Arc::default(), address: listener.local_addr()? };
+        let it = FakeRegistry { apps, replica: Arc::default(), address: listener.local_addr()? };
         let serving = it.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -111,8 +111,8 @@
     }
 
     /// Loses the changes that a delta would tell.
-    pub fn lose_deltas(&self) {
-        lock(&self.apps).lose_deltas();
+    pub fn clear_deltas(&self) {
+        lock(&self.apps).clear_deltas();
     }
 
     /// From now on it answers what it knows now, or again what is true.
@@ -124,13 +124,13 @@
     }
 
     /// Changes how it goes wrong.
-    pub fn set(&self, change: impl FnOnce(&mut Mode)) {
+    pub fn update_fault_mode(&self, change: impl FnOnce(&mut FaultMode)) {
         change(&mut lock(&self.replica).mode);
     }
 
     /// What it was asked: method and path, in order.
-    pub fn asked(&self) -> Vec<String> {
-        lock(&self.replica).asked.clone()
+    pub fn received_requests(&self) -> Vec<String> {
+        lock(&self.replica).received_requests.clone()
     }
 
     /// The statuses of an application's instances, by id.
@@ -145,10 +145,10 @@
         let _ = stream.set_nodelay(true);
         let Ok(handle) = stream.try_clone() else { return };
         let (mut reader, mut stream) = (BufReader::new(handle), stream);
-        while let Some((method, path, body)) = request(&mut reader) {
+        while let Some((method, path, body)) = read_request(&mut reader) {
             let mode = {
                 let mut replica = lock(&self.replica);
-                replica.asked.push(format!("{method} {path}"));
+                replica.received_requests.push(format!("{method} {path}"));
                 replica.mode.clone()
             };
             if mode.silent {
@@ -157,13 +157,13 @@
                 return;
             }
             let (status, body) = self.answer(&method, &path, &body, &mode);
-            if respond(&mut stream, status, body, &mode).is_err() || mode.half {
+            if write_response(&mut stream, status, body, &mode).is_err() || mode.truncate_responses {
                 return;
             }
         }
     }
 
-    fn answer(&self, method: &str, path: &str, body: &[u8], mode: &Mode) -> (u16, Vec<u8>) {
+    fn answer(&self, method: &str, path: &str, body: &[u8], mode: &FaultMode) -> (u16, Vec<u8>) {
         let path = path.strip_prefix(PREFIX).unwrap_or(path);
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -184,9 +184,9 @@
         (status, Vec::new())
     }
 
-    fn query(&self, apps: &Applications, parts: &[&str], mode: &Mode) -> (u16, Vec<u8>) {
-        if let Some(instead) = &mode.instead {
-            return (200, instead.clone());
+    fn query(&self, apps: &Applications, parts: &[&str], mode: &FaultMode) -> (u16, Vec<u8>) {
+        if let Some(body) = &mode.body_override {
+            return (200, body.clone());
         }
         let matching = |keep: &dyn Fn(&Instance) -> bool| {
             let entries: Vec<_> = apps.instances.values().filter(|i| keep(i)).map(|i| (i, None)).collect();
--- a/crates/registry-standin/src/show/changes.rs
+++ b/crates/registry-standin/src/show/changes.rs
@@ -1,6 +1,6 @@
 //! Changes of the registry's entries: out of service and back, or replaced by another id at the same address.
 
-use cedarbridge_registry_standin::{Instance, StandIn};
+use cedarbridge_registry_standin::{FakeRegistry, Instance};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -18,13 +18,13 @@
 
 /// The endpoints in the registry.
 pub struct EndpointChanges<'a> {
-    registry: &'a StandIn,
+    registry: &'a FakeRegistry,
     endpoints: Vec<Endpoint>,
 }
 
 impl<'a> EndpointChanges<'a> {
     /// Registers an endpoint at each address, two for each partner.
-    pub fn new(registry: &'a StandIn, addresses: &[SocketAddr]) -> Self {
+    pub fn new(registry: &'a FakeRegistry, addresses: &[SocketAddr]) -> Self {
         let new =
             |address: &SocketAddr| Endpoint { address: *address, generation: 0, is_out_of_service: false };
         let it = EndpointChanges { registry, endpoints: addresses.iter().map(new).collect() };
--- a/crates/registry-standin/src/show/main.rs
+++ b/crates/registry-standin/src/show/main.rs
@@ -9,7 +9,7 @@
 mod peers;
 mod summary;
 
-use cedarbridge_registry_standin::{Instance, StandIn};
+use cedarbridge_registry_standin::{FakeRegistry, Instance};
 use changes::EndpointChanges;
 use clap::Parser;
 use forwarder::Forwarder;
@@ -56,7 +56,7 @@
 }
 
 /// The entries that the registry holds without any traffic, ten an application.
-fn add_idle_entries(registry: &StandIn, count: usize) {
+fn add_idle_entries(registry: &FakeRegistry, count: usize) {
     for number in 0..count {
         let address =
             SocketAddr::from(([127, 1 + (number >> 16) as u8, (number >> 8) as u8, number as u8], 9));
@@ -77,12 +77,12 @@
 }
 
 fn show_in(args: &Args, folder: &Path) -> Result<(), Failure> {
-    let registry = StandIn::start()?;
+    let registry = FakeRegistry::start()?;
     let endpoints = Endpoints::start(args.endpoints)?;
     let mut changes = EndpointChanges::new(&registry, &endpoints.addresses);
     add_idle_entries(&registry, args.idle);
     // These entries are as old as the registry: no delta reports them.
-    registry.lose_deltas();
+    registry.clear_deltas();
     let agent = PlatformAgent::start()?;
     config_files::write(folder, agent.address, &registry)?;
     let mut forwarder = Forwarder::start(&args.daemon, folder)?;
@@ -96,9 +96,9 @@
     thread::sleep(SETTLING_TIME);
     let before_silence = forwarder.counters()?;
     if args.silent > 0 {
-        registry.set(|mode| mode.silent = true);
+        registry.update_fault_mode(|mode| mode.silent = true);
         thread::sleep(Duration::from_secs(args.silent));
-        registry.set(|mode| mode.silent = false);
+        registry.update_fault_mode(|mode| mode.silent = false);
     }
     let sent = load.stop();
     let (used, span) = (forwarder.cpu_seconds()? - cpu_before, started.elapsed().as_secs_f64());
--- a/crates/registry-standin/src/show/peers.rs
+++ b/crates/registry-standin/src/show/peers.rs
@@ -1,6 +1,6 @@
 //! The forwarder's peers: partners' endpoints that answer every call, and the platform's agent.
 
-use cedarbridge_registry_standin::request;
+use cedarbridge_registry_standin::read_request;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -79,7 +79,7 @@
     let _ = stream.set_nodelay(true);
     let Ok(handle) = stream.try_clone() else { return };
     let mut reader = BufReader::new(handle);
-    while request(&mut reader).is_some() {
+    while read_request(&mut reader).is_some() {
         calls.fetch_add(1, Ordering::SeqCst);
         thread::sleep(SERVICE_TIME);
         if stream.write_all(OK).is_err() {
@@ -92,7 +92,7 @@
     let Ok(mut writer) = stream.try_clone() else { return };
     let Ok(handle) = stream.try_clone() else { return };
     let mut reader = BufReader::new(handle);
-    while let Some((method, _, body)) = request(&mut reader) {
+    while let Some((method, _, body)) = read_request(&mut reader) {
         if method != "POST" {
             return send_list(&mut writer);
         }
--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 
-use cedarbridge_registry_standin::{Instance, StandIn};
+use cedarbridge_registry_standin::{FakeRegistry, Instance};
 use scenario::play;
 use scenario::process::program;
 use std::process::Output;
@@ -332,7 +332,7 @@
 
 #[test]
 fn the_commands_show_which_instances_would_be_listed_and_why() {
-    let registry = StandIn::start().expect("a port");
+    let registry = FakeRegistry::start().expect("a port");
     let replica = registry.replica().expect("a port");
     let put = |id: &str, port: u16, partner, kind| {
         let address = ([127, 0, 0, 1], port).into();
@@ -376,9 +376,9 @@
     let (code, diff) = registry_command("diff", &[]);
     assert_eq!((code, diff.lines().count()), (Some(0), 2), "{diff}");
     assert!(diff.lines().all(|l| l.starts_with("PARTNERS/a  127.0.0.1:")), "{diff}");
-    registry.set(|m| m.half = true);
+    registry.update_fault_mode(|m| m.truncate_responses = true);
     assert_eq!(registry_command("diff", &[]).0, Some(1));
-    replica.set(|m| m.half = true);
+    replica.update_fault_mode(|m| m.truncate_responses = true);
     assert_eq!(registry_command("list", &[]).0, Some(1));
     std::fs::remove_dir_all(folder).expect("removed");
 }
--- a/tests/scenario/registry.rs
+++ b/tests/scenario/registry.rs
@@ -2,18 +2,18 @@
 
 use super::endpoint::Endpoint;
 use super::sockets::soon;
-use cedarbridge_registry_standin::{Instance, Mode, StandIn};
+use cedarbridge_registry_standin::{FakeRegistry, FaultMode, Instance};
 use serde_json::json;
 use std::collections::BTreeMap;
 
 pub struct Registry {
-    primary: StandIn,
-    replica: StandIn,
+    primary: FakeRegistry,
+    replica: FakeRegistry,
 }
 
 impl Registry {
     pub fn start() -> Self {
-        let primary = StandIn::start().expect("a port");
+        let primary = FakeRegistry::start().expect("a port");
         let replica = primary.replica().expect("a port");
         Registry { primary, replica }
     }
@@ -40,23 +40,26 @@
                 registry.put(instance(other, &endpoints[*name]));
             }
             ["restarts-empty"] => registry.restart_empty(),
-            ["loses-deltas"] => registry.lose_deltas(),
-            ["silent"] => registry.set(|m| m.silent = true),
-            ["answers"] => registry.set(|m| *m = Mode::default()),
-            ["half"] => registry.set(|m| m.half = true),
-            ["xml"] => registry.set(|m| m.xml = true),
-            ["gzip"] => registry.set(|m| m.gzip = true),
+            ["loses-deltas"] => registry.clear_deltas(),
+            ["silent"] => registry.update_fault_mode(|m| m.silent = true),
+            ["answers"] => registry.update_fault_mode(|m| *m = FaultMode::default()),
+            ["half"] => registry.update_fault_mode(|m| m.truncate_responses = true),
+            ["xml"] => registry.update_fault_mode(|m| m.xml = true),
+            ["gzip"] => registry.update_fault_mode(|m| m.gzip = true),
             ["freezes-replica"] => self.replica.freeze(true),
-            ["sends-huge-answers"] => registry.set(|m| m.instead = Some(vec![b' '; 100_000_000])),
-            ["sends-gzip-bombs"] => {
-                registry.set(|m| (m.gzip, m.instead) = (true, Some(vec![b' '; 3_000_000])))
+            ["sends-huge-answers"] => {
+                registry.update_fault_mode(|m| m.body_override = Some(vec![b' '; 100_000_000]))
+            }
+            ["sends-gzip-bombs"] => registry
+                .update_fault_mode(|m| (m.gzip, m.body_override) = (true, Some(vec![b' '; 3_000_000]))),
+            ["sends-deep-nesting"] => {
+                registry.update_fault_mode(|m| m.body_override = Some(vec![b'['; 1_000_000]))
             }
-            ["sends-deep-nesting"] => registry.set(|m| m.instead = Some(vec![b'['; 1_000_000])),
             ["sends-a-long-name"] => {
                 let name = "x".repeat(500_000);
                 let app = json!({"name": "A", "instance": [{"instanceId": name, "status": "UP"}]});
                 let all = json!({"applications": {"application": [app]}});
-                registry.set(|m| m.instead = Some(all.to_string().into_bytes()));
+                registry.update_fault_mode(|m| m.body_override = Some(all.to_string().into_bytes()));
             }
             ["holds", wanted] => {
                 let (id, status) = wanted.split_once('=').expect("id=status");
@@ -64,7 +67,9 @@
                 soon(wanted, || look().then_some(()));
             }
             ["asked", ..] => {
-                let asked = |r: &StandIn| r.asked().iter().any(|a| a.replace("/eureka/v2", "") == rest);
+                let asked = |r: &FakeRegistry| {
+                    r.received_requests().iter().any(|a| a.replace("/eureka/v2", "") == rest)
+                };
                 soon(rest, || (asked(registry) || asked(&self.replica)).then_some(()));
             }
             _ => panic!("no such step of a registry"),
