--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -1,104 +1,112 @@
-//! The rules, checked against what clients and destinations observed and what the endpoint list said at the time,
-//! without the forwarder's own records. A violation is reported by rule, time, forwarder and message. Simulations and
-//! live rehearsals are audited by the same code, with the tolerances of the platform's page.
+//! Audits the delivery rules against what clients and destinations observe and what the endpoint list says at the time,
+//! without the forwarder's own records.
+//!
+//! A violation is reported with its rule, time, forwarder and message. The same code audits simulations and live
+//! rehearsals, with different tolerances.
 
-use crate::world::World;
+use crate::environment::Environment;
 use cedarbridge::routes::{Timing, MAX_ATTEMPTS_PER_MESSAGE};
 use cedarbridge::{Class, Idempotency, Lifecycle, Micros, Outcome, Settings};
 use std::fmt;
 
-/// New work may still go to a draining endpoint for so long after the forwarder received the update.
+/// New calls may go to a draining endpoint for this time after the forwarder has received the update.
 const DRAIN_GRACE: Micros = 250_000;
 
-/// An attempt so close to the end of a wait is not judged.
-const CLOCK_STEP: Micros = 1_000;
+/// An attempt this close to the end of a `retry_after` is not a violation.
+const RETRY_AFTER_END_TOLERANCE: Micros = 1_000;
 
-/// Requests that may be rejected or left unanswered in one upgrade.
-const ALLOWED_REJECTED_IN_UPGRADE: usize = 2;
+/// The number of requests that may be rejected or left unanswered during one upgrade.
+const MAX_REJECTED_IN_UPGRADE: usize = 2;
 
-/// Tolerances, as the clocks of two sides never agree to the microsecond.
+/// Tolerances for the differences between what a forwarder and its peers observe at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
-    /// A retry_after or a drain binds so long after it was received: attempts in flight are allowed.
-    pub wait: Micros,
+    /// The time from a rejection until its `retry_after` binds; attempts that are sent meanwhile are allowed.
+    pub retry_after: Micros,
     /// How late a final answer may be.
     pub answer: Micros,
-    /// Added to the time that work may go to a draining endpoint.
+    /// Extra time in which new calls may go to a draining endpoint.
     pub drain: Micros,
     /// How long after the next attempt's start the end of an attempt may be observed.
     pub overlap: Micros,
-    /// Destinations observe deliveries before the forwarder does, which may then retry where the class allows it.
-    pub sockets: bool,
+    /// Whether destinations observe a delivery before the forwarder does. The forwarder may then still retry, or report
+    /// another outcome.
+    pub deliveries_seen_early: bool,
 }
 
-/// In virtual time both sides observe everything in order.
+/// The tolerances in virtual time, where both sides observe all events in order.
 pub const VIRTUAL: Tolerances =
-    Tolerances { wait: 1_000, answer: 50_000, drain: 0, overlap: 0, sockets: false };
-/// On sockets, as the platform's rules have it.
-pub const SOCKETS: Tolerances =
-    Tolerances { wait: 100_000, answer: 300_000, drain: 50_000, overlap: 50_000, sockets: true };
-
-/// The rules by name.
+    Tolerances { retry_after: 1_000, answer: 50_000, drain: 0, overlap: 0, deliveries_seen_early: false };
+/// The tolerances on sockets, from the platform's rules.
+pub const SOCKETS: Tolerances = Tolerances {
+    retry_after: 100_000,
+    answer: 300_000,
+    drain: 50_000,
+    overlap: 50_000,
+    deliveries_seen_early: true,
+};
+
+/// The delivery rules that the audit checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer for each message, and no attempt after it.
-    OneAnswer,
-    /// The final answer comes in time.
-    InTime,
-    /// No second attempt while one is in flight.
-    OneOut,
-    /// No more attempts than allowed.
-    Attempts,
-    /// No retry beyond what the class allows.
-    Repeats,
-    /// A destination's retry_after is respected.
-    Waits,
-    /// Nothing new to an endpoint that drains.
-    Drains,
+    /// Each message gets exactly one final answer, and no attempt after it.
+    SingleAnswer,
+    /// The final answer comes before the message's deadline.
+    AnswerDeadline,
+    /// A message has at most one attempt in flight.
+    SingleAttempt,
+    /// A message has no more attempts than its route and the forwarder allow.
+    AttemptLimit,
+    /// A message that may have been processed is retried, or given back to its client, only if its class allows it.
+    RetryPermitted,
+    /// A destination gets no attempt within the `retry_after` of its rejection.
+    RetryAfter,
+    /// A draining endpoint gets no new calls.
+    Draining,
     /// A destination that recovers is not overloaded again.
-    PushedOver,
-    /// Hardly a request is rejected while a process is upgraded.
-    Door,
-    /// Only messages that clients sent are forwarded, and only to their own destination.
-    Strays,
+    RecoveryOverload,
+    /// At most [`MAX_REJECTED_IN_UPGRADE`] requests are rejected or left unanswered while a process is upgraded.
+    UpgradeRejections,
+    /// A forwarder sends only messages that clients sent, and only to their own destination.
+    StrayMessages,
 }
 
 impl Rule {
-    /// Its name in reports.
+    /// The rule's name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Rule::OneAnswer => "one-answer",
-            Rule::InTime => "in-time",
-            Rule::OneOut => "one-out",
-            Rule::Attempts => "attempts",
-            Rule::Repeats => "repeats",
-            Rule::Waits => "waits",
-            Rule::Drains => "drains",
-            Rule::PushedOver => "pushed-over",
-            Rule::Door => "door",
-            Rule::Strays => "strays",
+            Rule::SingleAnswer => "one-answer",
+            Rule::AnswerDeadline => "in-time",
+            Rule::SingleAttempt => "one-out",
+            Rule::AttemptLimit => "attempts",
+            Rule::RetryPermitted => "repeats",
+            Rule::RetryAfter => "waits",
+            Rule::Draining => "drains",
+            Rule::RecoveryOverload => "pushed-over",
+            Rule::UpgradeRejections => "door",
+            Rule::StrayMessages => "strays",
         }
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleViolation {
-    /// Which.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When.
+    /// When the violation was observed.
     pub at: Micros,
-    /// The forwarder that broke it, from 0; none if no single one did.
+    /// The index of the forwarder; `None` if no single forwarder violated the rule.
     pub forwarder: Option<usize>,
-    /// The message's number, in the order of requests.
+    /// The message's number, in the order in which forwarders received the messages; `None` if it concerns no message.
     pub message: Option<usize>,
-    /// What happened.
+    /// A description of what happened.
     pub what: String,
 }
 
 impl fmt::Display for RuleViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let at = self.at.saturating_sub(crate::world::START) as f64 / 1e6;
+        let at = self.at.saturating_sub(crate::environment::RUN_START) as f64 / 1e6;
         write!(f, "[{}] at {at:.3} s", self.rule.name())?;
         if let Some(forwarder) = self.forwarder {
             write!(f, ", forwarder {}", forwarder + 1)?;
@@ -110,92 +118,95 @@
     }
 }
 
-/// How a message ended.
+/// The end of a message, as its client or a notice reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
-    /// Delivered.
+    /// The destination accepted it.
     Delivered,
-    /// Rejected: the client may retry.
+    /// The forwarder rejected it: the client may retry.
     Rejected,
-    /// Failed.
+    /// The forwarder gave it up: the client may not retry.
     Failed,
-    /// The client disconnected before the answer: its outcome is not judged.
+    /// The client disconnected before the answer: the message's outcome is not audited.
     Disconnected,
 }
 
-/// What is known of a message that a forwarder received.
+/// The audit's record of a message that a forwarder received.
 #[derive(Clone, Copy, Debug, Default)]
 struct MessageRecord {
     forwarder: u32,
     attempts: u32,
+    /// When the client sent its request for the first time.
+    requested: Micros,
+    /// When the forwarder received this message.
     received: Micros,
-    taken: Micros,
     deadline: Micros,
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     in_flight: u32,
-    /// When a second attempt was sent while one was in flight.
+    /// When a second attempt was sent while one was in flight; `None` again once the first has ended.
     overlap_since: Option<Micros>,
+    /// When the first attempt was sent that the destination may have processed.
     may_have_run_at: Option<Micros>,
     end: Option<MessageEnd>,
-    /// When a notice reported that end.
-    notified: Option<Micros>,
+    /// When a notice first reported the end.
+    first_notice: Option<Micros>,
 }
 
-/// How many there are of what an audit tracks.
+/// The numbers of forwarders, destinations and endpoints that an audit tracks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AuditSizes {
-    /// Forwarders.
+    /// The number of forwarders.
     pub forwarders: usize,
-    /// Destinations.
+    /// The number of destinations.
     pub destinations: usize,
-    /// Endpoints of the list.
+    /// The number of endpoints in the endpoint list, with those that are added later.
     pub endpoints: usize,
 }
 
 impl AuditSizes {
-    /// The sizes of a day.
-    pub fn of(world: &World) -> Self {
+    /// The numbers of an environment.
+    pub fn of(environment: &Environment) -> Self {
         AuditSizes {
-            forwarders: world.fleet.len(),
-            destinations: world.destinations.len(),
-            endpoints: world.list.len(),
+            forwarders: environment.fleet.len(),
+            destinations: environment.destinations.len(),
+            endpoints: environment.endpoints.len(),
         }
     }
 }
 
-/// A destination's retry_after, as a forwarder received it.
+/// A destination's `retry_after`, as a forwarder received it.
 #[derive(Clone, Copy, Default)]
-struct Wait {
+struct RetryAfter {
     received: Micros,
     until: Micros,
 }
 
-/// The rules of one day.
+/// The audit of one run.
 pub struct Audit {
     class: Class,
     tolerances: Tolerances,
     messages: Vec<MessageRecord>,
-    /// For each forwarder and destination, when a retry_after was received and until when it binds.
-    waits: Vec<Vec<Wait>>,
-    /// For each forwarder and endpoint, since when the forwarder knows that it is draining or removed.
-    drains: Vec<Vec<Option<Micros>>>,
+    /// For each forwarder and destination, the `retry_after` that binds last.
+    retry_afters: Vec<Vec<RetryAfter>>,
+    /// For each forwarder and endpoint, the time since which the forwarder knows that the endpoint is draining or removed.
+    draining_since: Vec<Vec<Option<Micros>>>,
     /// For each forwarder, the spans in which no answer is overdue, such as restarts.
-    excused: Vec<Vec<(Micros, Micros)>>,
-    /// The violations so far.
+    excused_spans: Vec<Vec<(Micros, Micros)>>,
+    /// The violations so far; in the order of time once the audit is closed.
     pub violations: Vec<RuleViolation>,
 }
 
 impl Audit {
-    /// An audit of so many forwarders, destinations and endpoints.
+    /// An audit for the settings' first class.
     pub fn new(settings: &Settings, sizes: AuditSizes, tolerances: Tolerances) -> Self {
         let AuditSizes { forwarders, destinations, endpoints } = sizes;
         Audit {
             class: settings.classes[0].clone(),
             tolerances,
             messages: Vec::new(),
-            waits: vec![vec![Wait::default(); destinations]; forwarders],
-            drains: vec![vec![None; endpoints]; forwarders],
-            excused: vec![Vec::new(); forwarders],
+            retry_afters: vec![vec![RetryAfter::default(); destinations]; forwarders],
+            draining_since: vec![vec![None; endpoints]; forwarders],
+            excused_spans: vec![Vec::new(); forwarders],
             violations: Vec::new(),
         }
     }
@@ -211,90 +222,102 @@
         });
     }
 
-    /// Something was sent that belongs to no message, or to another destination.
-    pub fn stray_message(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
-        let (rule, forwarder) = (Rule::Strays, Some(forwarder));
+    /// Records that a forwarder sent something that belongs to no message, or to another destination.
+    pub fn record_stray_message(&mut self, at: Micros, forwarder: usize, what: impl Into<String>) {
+        let (rule, forwarder) = (Rule::StrayMessages, Some(forwarder));
         self.violations.push(RuleViolation { rule, at, forwarder, message: None, what: what.into() });
     }
 
-    /// A forwarder's process was upgraded; so many requests were rejected or left unanswered meanwhile.
-    pub fn replaced(&mut self, at: Micros, forwarder: usize, rejected_during_upgrade: usize) {
-        if rejected_during_upgrade > ALLOWED_REJECTED_IN_UPGRADE {
+    /// Records the upgrade of a forwarder's process, with the number of requests that were rejected or left unanswered
+    /// meanwhile.
+    pub fn forwarder_upgraded(&mut self, at: Micros, forwarder: usize, rejected_during_upgrade: usize) {
+        if rejected_during_upgrade > MAX_REJECTED_IN_UPGRADE {
             let what = format!(
-                "{rejected_during_upgrade} hand-ins ended at the door, {ALLOWED_REJECTED_IN_UPGRADE} allowed"
+                "{rejected_during_upgrade} hand-ins ended at the door, {MAX_REJECTED_IN_UPGRADE} allowed"
             );
-            let (rule, forwarder) = (Rule::Door, Some(forwarder));
+            let (rule, forwarder) = (Rule::UpgradeRejections, Some(forwarder));
             self.violations.push(RuleViolation { rule, at, forwarder, message: None, what });
         }
     }
 
-    /// A forwarder receives a message; messages are numbered in this order.
-    pub fn taken(&mut self, now: Micros, forwarder: usize, received: Micros, time_left: Micros) {
+    /// Records that a forwarder receives a message; messages are numbered in this order. `requested` is when the client
+    /// sent its request for the first time.
+    pub fn message_received(&mut self, now: Micros, forwarder: usize, requested: Micros, time_left: Micros) {
         let (forwarder, deadline) = (forwarder as u32, now + time_left);
         self.messages.push(MessageRecord {
             forwarder,
-            received,
-            taken: now,
+            requested,
+            received: now,
             deadline,
             ..MessageRecord::default()
         });
     }
 
-    /// An attempt is sent; `first` is when its first byte was observed, the timing is the plan's for its message.
-    pub fn sent(&mut self, now: Micros, first: Micros, to: (usize, usize), message: usize, timing: &Timing) {
+    /// Records that an attempt is sent. `first_byte` is when its first byte was observed, `to` the indexes of its
+    /// destination and endpoint, and `timing` what the routes give its message.
+    pub fn attempt_sent(
+        &mut self,
+        now: Micros,
+        first_byte: Micros,
+        to: (usize, usize),
+        message: usize,
+        timing: &Timing,
+    ) {
         let (destination, endpoint) = to;
-        let m = self.messages[message];
-        let forwarder = m.forwarder as usize;
-        let mut found: Vec<(Rule, &str)> = Vec::new();
-        match m.end {
-            Some(MessageEnd::Delivered) if self.tolerances.sockets => {}
+        let record = self.messages[message];
+        let forwarder = record.forwarder as usize;
+        let mut violations: Vec<(Rule, &str)> = Vec::new();
+        match record.end {
+            Some(MessageEnd::Delivered) if self.tolerances.deliveries_seen_early => {}
             Some(MessageEnd::Disconnected) | None => {}
-            Some(_) => found.push((Rule::OneAnswer, "an attempt after its end")),
+            Some(_) => violations.push((Rule::SingleAnswer, "an attempt after its end")),
         }
-        if m.in_flight > 0 && self.tolerances.overlap == 0 {
-            found.push((Rule::OneOut, "a second attempt while one is out"));
+        if record.in_flight > 0 && self.tolerances.overlap == 0 {
+            violations.push((Rule::SingleAttempt, "a second attempt while one is out"));
         }
-        if m.attempts >= timing.max_attempts(MAX_ATTEMPTS_PER_MESSAGE) {
-            found.push((Rule::Attempts, "more attempts than allowed"));
+        if record.attempts >= timing.max_attempts(MAX_ATTEMPTS_PER_MESSAGE) {
+            violations.push((Rule::AttemptLimit, "more attempts than allowed"));
         }
-        match (self.class.idempotency, m.may_have_run_at) {
+        match (self.class.idempotency, record.may_have_run_at) {
             (Idempotency::NonIdempotent, Some(_)) => {
-                found.push((Rule::Repeats, "a repeat of what may not run twice"))
+                violations.push((Rule::RetryPermitted, "a repeat of what may not run twice"))
             }
-            (Idempotency::WithKey, Some(ran)) if now >= ran + self.class.deduplication_window => {
-                found.push((Rule::Repeats, "a repeat after the partner's memory of the first"));
+            (Idempotency::WithKey, Some(run_at)) if now >= run_at + self.class.deduplication_window => {
+                violations.push((Rule::RetryPermitted, "a repeat after the partner's memory of the first"));
             }
             _ => {}
         }
-        let wait = self.waits[forwarder][destination];
-        if first > wait.received + self.tolerances.wait && first + CLOCK_STEP < wait.until {
-            found.push((Rule::Waits, "sent within a told wait"));
+        let retry_after = self.retry_afters[forwarder][destination];
+        if first_byte > retry_after.received + self.tolerances.retry_after
+            && first_byte + RETRY_AFTER_END_TOLERANCE < retry_after.until
+        {
+            violations.push((Rule::RetryAfter, "sent within a told wait"));
         }
         let grace = DRAIN_GRACE + self.tolerances.drain;
-        if self.drains[forwarder][endpoint].is_some_and(|since| first > since + grace) {
-            found.push((Rule::Drains, "sent to an endpoint that drains"));
+        if self.draining_since[forwarder][endpoint].is_some_and(|since| first_byte > since + grace) {
+            violations.push((Rule::Draining, "sent to an endpoint that drains"));
         }
-        found.into_iter().for_each(|(rule, what)| self.record_violation(rule, now, message, what));
-        let m = &mut self.messages[message];
-        if m.in_flight > 0 && self.tolerances.overlap > 0 {
-            m.overlap_since.get_or_insert(now);
+        violations.into_iter().for_each(|(rule, what)| self.record_violation(rule, now, message, what));
+        let record = &mut self.messages[message];
+        if record.in_flight > 0 && self.tolerances.overlap > 0 {
+            record.overlap_since.get_or_insert(now);
         }
-        (m.in_flight, m.attempts) = (m.in_flight + 1, m.attempts + 1);
+        (record.in_flight, record.attempts) = (record.in_flight + 1, record.attempts + 1);
     }
 
-    /// An attempt ended, with an answer or without.
+    /// Records that an attempt that was sent at `sent_at` ended, with an answer or without.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
         destination: usize,
         message: usize,
-        sent: Micros,
+        sent_at: Micros,
         outcome: Outcome,
     ) {
-        let m = &mut self.messages[message];
-        m.in_flight = m.in_flight.saturating_sub(1);
-        let overlap_since = m.overlap_since.take();
-        let unsure = matches!(
+        let record = &mut self.messages[message];
+        record.in_flight = record.in_flight.saturating_sub(1);
+        let overlap_since = record.overlap_since.take();
+        let may_have_run = matches!(
             outcome,
             Outcome::TimedOut
                 | Outcome::Reset
@@ -302,128 +325,147 @@
                 | Outcome::Cancelled
                 | Outcome::Error
         );
-        if unsure {
-            m.may_have_run_at.get_or_insert(sent);
+        if may_have_run {
+            record.may_have_run_at.get_or_insert(sent_at);
         }
-        let forwarder = m.forwarder as usize;
+        let forwarder = record.forwarder as usize;
         if let Some(since) = overlap_since.filter(|s| now > s + self.tolerances.overlap) {
-            self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
+            self.record_violation(Rule::SingleAttempt, since, message, "a second attempt while one is out");
         }
-        if let Outcome::Rejected(Some(wait)) = outcome {
-            let known = &mut self.waits[forwarder][destination];
-            if now + wait > known.until {
+        if let Outcome::Rejected(Some(retry_after)) = outcome {
+            let known = &mut self.retry_afters[forwarder][destination];
+            if now + retry_after > known.until {
                 let received = if known.until > now { known.received } else { now };
-                *known = Wait { received, until: now + wait };
+                *known = RetryAfter { received, until: now + retry_after };
             }
         }
     }
 
-    /// A forwarder's process ended: its attempts in flight may have run, and it has forgotten every retry_after.
-    pub fn died(&mut self, now: Micros, forwarder: usize) {
-        for m in self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.in_flight > 0) {
-            m.in_flight = 0;
-            m.overlap_since = None;
-            m.may_have_run_at.get_or_insert(now);
+    /// Records that a forwarder's process ended. The destinations may have processed its attempts in flight, and the next
+    /// process knows no `retry_after` and no draining endpoint yet.
+    pub fn forwarder_stopped(&mut self, now: Micros, forwarder: usize) {
+        for record in
+            self.messages.iter_mut().filter(|m| m.forwarder as usize == forwarder && m.in_flight > 0)
+        {
+            record.in_flight = 0;
+            record.overlap_since = None;
+            record.may_have_run_at.get_or_insert(now);
         }
-        self.waits[forwarder].fill(Wait::default());
-        self.drains[forwarder].fill(None);
+        self.retry_afters[forwarder].fill(RetryAfter::default());
+        self.draining_since[forwarder].fill(None);
     }
 
-    /// A forwarder stays away, and another takes over one of its messages.
-    pub fn moved(&mut self, message: usize, to: usize) {
+    /// Records that another forwarder takes over a message of a forwarder that is not restarted.
+    pub fn message_moved(&mut self, message: usize, to: usize) {
         self.messages[message].forwarder = to as u32;
     }
 
-    /// No answer of a forwarder is overdue within this span.
-    pub fn excuse(&mut self, forwarder: usize, from: Micros, to: Micros) {
-        self.excused[forwarder].push((from, to));
+    /// Excuses late answers: no answer of the forwarder is overdue within this span.
+    pub fn excuse_late_answers(&mut self, forwarder: usize, from: Micros, to: Micros) {
+        self.excused_spans[forwarder].push((from, to));
     }
 
-    /// The forwarder is running again: its last excused span ends then.
-    pub fn excused_until(&mut self, forwarder: usize, to: Micros) {
-        if let Some(last) = self.excused[forwarder].last_mut() {
+    /// Sets the end of the forwarder's last excused span, once the forwarder is running again.
+    pub fn end_excused_span(&mut self, forwarder: usize, to: Micros) {
+        if let Some(last) = self.excused_spans[forwarder].last_mut() {
             last.1 = to;
         }
     }
 
-    /// When an answer is due, extended where a restart covers it.
+    /// When an answer that is due at `end` is overdue: later if an excused span covers that time.
     fn due(&self, forwarder: usize, end: Micros) -> Micros {
         let within = |e: &&(Micros, Micros)| e.0 <= end + self.tolerances.answer && end < e.1;
-        self.excused[forwarder].iter().filter(within).map(|e| e.1).max().unwrap_or(end).max(end)
+        self.excused_spans[forwarder].iter().filter(within).map(|e| e.1).max().unwrap_or(end).max(end)
     }
 
-    /// A message has got its final answer.
-    pub fn ended(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
-        let m = self.messages[message];
-        if m.end.is_some_and(|e| e != MessageEnd::Disconnected) {
+    /// Records the final answer of a message.
+    pub fn message_ended(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
+        let record = self.messages[message];
+        if record.end.is_some_and(|e| e != MessageEnd::Disconnected) {
             // On sockets a destination may observe a delivery after its forwarder's timeout.
-            if !(self.tolerances.sockets && end == MessageEnd::Delivered) {
-                self.record_violation(Rule::OneAnswer, now, message, "a second final answer");
+            if !(self.tolerances.deliveries_seen_early && end == MessageEnd::Delivered) {
+                self.record_violation(Rule::SingleAnswer, now, message, "a second final answer");
             }
             return;
         }
-        if m.end.is_some() {
+        if record.end.is_some() {
             return;
         }
         if end == MessageEnd::Rejected
-            && m.may_have_run_at.is_some()
+            && record.may_have_run_at.is_some()
             && self.class.idempotency != Idempotency::Idempotent
         {
-            self.record_violation(Rule::Repeats, now, message, "given back though it may have run");
+            self.record_violation(Rule::RetryPermitted, now, message, "given back though it may have run");
         }
-        // A reload never shortens the time of an attempt in flight; days here have none.
-        // A retry that arrives after its deadline is answered at once.
-        let due = self.due(m.forwarder as usize, timing.ends_at(m.received, m.deadline).max(m.taken));
+        // A reload never shortens the time of an attempt in flight, and no run reloads changed routes, so the timing is
+        // the one at the start. A retry that arrives after its deadline is answered at once.
+        let due = self.due(
+            record.forwarder as usize,
+            timing.ends_at(record.requested, record.deadline).max(record.received),
+        );
         if end != MessageEnd::Disconnected && now > due.saturating_add(self.tolerances.answer) {
-            self.record_violation(Rule::InTime, now, message, "its final answer came too late");
+            self.record_violation(Rule::AnswerDeadline, now, message, "its final answer came too late");
         }
         self.messages[message].end = Some(end);
     }
 
-    /// A notice reports that a message was rejected or failed. The same notice again after a restart is one whose
-    /// acknowledgement was lost; a notice of a delivered message does no harm.
-    pub fn notified(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
-        let m = self.messages[message];
-        let restarted =
-            |since: Micros| self.excused[m.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now);
-        match (m.end, m.notified) {
+    /// Records a notice that a message was rejected or failed. The same notice is allowed again after a restart, when its
+    /// acknowledgement may have been lost. A notice of a message that a destination accepted is ignored.
+    pub fn notice_received(&mut self, now: Micros, message: usize, timing: &Timing, end: MessageEnd) {
+        let record = self.messages[message];
+        let restarted = |since: Micros| {
+            self.excused_spans[record.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now)
+        };
+        match (record.end, record.first_notice) {
             (Some(MessageEnd::Delivered | MessageEnd::Disconnected), _) => {}
             (Some(before), Some(since)) if before == end && restarted(since) => {}
-            _ => self.ended(now, message, timing, end),
+            _ => self.message_ended(now, message, timing, end),
         }
-        self.messages[message].notified.get_or_insert(now);
+        self.messages[message].first_notice.get_or_insert(now);
     }
 
-    /// A forwarder receives an endpoint's lifecycle.
-    pub fn lists(&mut self, now: Micros, forwarder: usize, endpoint: usize, lifecycle: Lifecycle) {
-        let since = &mut self.drains[forwarder][endpoint];
+    /// Records that a forwarder receives an endpoint's lifecycle.
+    pub fn lifecycle_received(
+        &mut self,
+        now: Micros,
+        forwarder: usize,
+        endpoint: usize,
+        lifecycle: Lifecycle,
+    ) {
+        let since = &mut self.draining_since[forwarder][endpoint];
         *since = match lifecycle {
             Lifecycle::Listed => None,
             Lifecycle::Draining | Lifecycle::Removed => since.or(Some(now)),
         };
     }
 
-    /// A message has no final answer yet.
-    pub fn open_at(&self, message: usize) -> bool {
+    /// Whether a message has no final answer yet.
+    pub fn is_open(&self, message: usize) -> bool {
         self.messages[message].end.is_none()
     }
 
-    /// The day is over: all messages must have ended, and no destination may have been overloaded on its recovery.
+    /// Closes the audit at the end of the run: all messages must have ended, and no destination may have been overloaded as
+    /// it recovered. `overloaded` yields the destinations' indexes with the times.
     pub fn close(&mut self, now: Micros, overloaded: impl Iterator<Item = (usize, Micros)>) {
         for message in 0..self.messages.len() {
-            let m = self.messages[message];
-            if m.end.is_none() {
-                self.record_violation(Rule::OneAnswer, now, message, "never got a final answer");
+            let record = self.messages[message];
+            if record.end.is_none() {
+                self.record_violation(Rule::SingleAnswer, now, message, "never got a final answer");
             }
-            if let Some(since) = m.overlap_since {
-                self.record_violation(Rule::OneOut, since, message, "a second attempt while one is out");
+            if let Some(since) = record.overlap_since {
+                self.record_violation(
+                    Rule::SingleAttempt,
+                    since,
+                    message,
+                    "a second attempt while one is out",
+                );
             }
         }
         for (destination, at) in overloaded {
             let what = format!("partner {} was pushed over on its return", destination + 1);
-            let rule = Rule::PushedOver;
+            let rule = Rule::RecoveryOverload;
             self.violations.push(RuleViolation { rule, at, forwarder: None, message: None, what });
         }
-        self.violations.sort_by_key(|b| b.at);
+        self.violations.sort_by_key(|v| v.at);
     }
 }
--- a/crates/rehearsal/src/bin/cedarbridge-top.rs
+++ b/crates/rehearsal/src/bin/cedarbridge-top.rs
@@ -1,4 +1,4 @@
-//! `cedarbridge-top`: watches a running forwarder in the terminal, by what its `/_counters` tell.
+//! `cedarbridge-top`: shows the counters of a running forwarder in the terminal, from its `/_counters`.
 
 use cedarbridge_rehearsal::view::top;
 use clap::Parser;
@@ -9,22 +9,22 @@
 #[derive(Parser)]
 #[command(name = "cedarbridge-top", version, about = "Watches a running forwarder in the terminal.")]
 struct Args {
-    /// Where it listens
+    /// The forwarder's client address
     address: SocketAddr,
-    /// Milliseconds from one look to the next
-    #[arg(long, default_value_t = 1000)]
-    every: u64,
-    /// Plain lines, also on a terminal
+    /// Milliseconds between two polls of the counters
+    #[arg(long = "every", default_value_t = 1000)]
+    interval_ms: u64,
+    /// Print plain text, also on a terminal
     #[arg(long)]
     plain: bool,
-    /// End after so many looks; with plain lines only
-    #[arg(long)]
-    looks: Option<u32>,
+    /// End after this number of polls; with plain text only
+    #[arg(long = "looks")]
+    polls: Option<u32>,
 }
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    match top(args.address, Duration::from_millis(args.every.max(50)), args.plain, args.looks) {
+    match top(args.address, Duration::from_millis(args.interval_ms.max(50)), args.plain, args.polls) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("cedarbridge-top: {e}");
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,8 +1,8 @@
-//! An experiment as it is written in YAML: the days to draw, their faults, and the variants to compare. Nothing is
-//! played here.
+//! The experiment file in YAML: the ranges that environments are generated from, their faults, and the variants to
+//! compare.
 
+use crate::config_duration::ConfigDuration;
 use crate::scenario::FaultKind;
-use crate::span::Span;
 use cedarbridge::routes::{Plan, Platform};
 use cedarbridge::settings_json::Names;
 use cedarbridge::site::Site;
@@ -12,208 +12,232 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A range that figures are drawn from, the ends included.
+/// A range that a value is drawn from, from its lower to its upper end.
 pub type Range = (f64, f64);
 
-/// The complete file.
+/// An experiment file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// What it is called in the report.
+    /// The title that reports show.
     pub title: String,
-    /// How long clients send messages; a day goes on until all have ended.
-    pub length: Span,
-    /// Forwarders that share the traffic.
+    /// How long clients send messages. A run lasts until all messages have ended.
+    #[serde(rename = "length")]
+    pub duration: ConfigDuration,
+    /// The number of forwarders that share the traffic.
     pub forwarders: usize,
-    /// Days a load and variant.
+    /// The number of runs for each load and variant.
     pub seeds: u64,
-    /// Traffic as shares of full load, each from a range.
+    /// The loads to run with, each a range of shares of full load.
     pub loads: Vec<Range>,
-    /// The ranges that destinations are drawn from.
+    /// The ranges that the destinations' properties are drawn from.
     #[serde(default, rename = "partners")]
-    pub destinations: Partners,
-    /// Share of the messages that come in clumps, and their size in seconds of the destination's limit.
-    #[serde(default)]
-    pub clumps: Clumps,
-    /// Faults of destinations.
+    pub destinations: DestinationRanges,
+    /// The ranges that the bursts' properties are drawn from.
+    #[serde(default, rename = "clumps")]
+    pub bursts: BurstRanges,
+    /// The destinations' faults.
     #[serde(default, rename = "troubles")]
     pub faults: Vec<FaultSpec>,
     /// The variants to compare.
     pub variants: Vec<Variant>,
 }
 
-/// The ranges of the destinations' figures.
+/// The ranges that the destinations' properties are drawn from.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Partners {
-    /// How many.
+pub struct DestinationRanges {
+    /// The number of destinations.
     pub count: usize,
-    /// Messages a second for one at full load, in the mean.
+    /// Full load: messages a second for each destination, on average.
     pub rate: Range,
-    /// How unevenly traffic is spread: the exponent of the Zipf law.
-    pub zipf: Range,
-    /// The mean service time of a message.
-    pub work_ms: Range,
-    /// Destinations are slower or faster than that by a factor of up to this.
-    pub unlike: f64,
-    /// Limit over the calls at full load.
+    /// How unevenly traffic is spread over the destinations: the exponent of Zipf's law.
+    #[serde(rename = "zipf")]
+    pub traffic_skew: Range,
+    /// The mean service time of a message, in milliseconds.
+    #[serde(rename = "work_ms")]
+    pub service_time_ms: Range,
+    /// The largest factor by which a destination is slower or faster than that.
+    #[serde(rename = "unlike")]
+    pub service_time_factor: f64,
+    /// The rate limit as a multiple of the calls at full load.
     pub headroom: Range,
-    /// Capacity over the limit.
-    pub spare: Range,
-    /// One-way time of the network.
-    pub network_ms: Range,
-    /// Destinations, by their rank, with a service time of their own.
-    pub paces: Vec<PaceOf>,
+    /// The capacity as a multiple of the rate limit.
+    #[serde(rename = "spare")]
+    pub capacity_factor: Range,
+    /// The one-way delay of the network, in milliseconds.
+    #[serde(rename = "network_ms")]
+    pub network_delay_ms: Range,
+    /// Destinations whose service time is given in place of a drawn one.
+    #[serde(rename = "paces")]
+    pub service_times: Vec<ServiceTimeOverride>,
 }
 
-/// A destination with a service time of its own.
+/// The service time of one destination, in place of a drawn one.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PaceOf {
-    /// Its place by traffic, 1 for the busiest.
+pub struct ServiceTimeOverride {
+    /// The destination's rank by traffic, 1 for the busiest.
     pub rank: usize,
     /// The mean service time of a message.
-    pub work: Span,
+    #[serde(rename = "work")]
+    pub service_time: ConfigDuration,
 }
 
-impl Default for Partners {
+impl Default for DestinationRanges {
     fn default() -> Self {
-        Partners {
+        DestinationRanges {
             count: 14,
             rate: (4.6, 5.9),
-            zipf: (0.66, 0.96),
-            work_ms: (120.0, 200.0),
-            unlike: 2.0,
+            traffic_skew: (0.66, 0.96),
+            service_time_ms: (120.0, 200.0),
+            service_time_factor: 2.0,
             headroom: (1.2, 2.3),
-            spare: (1.2, 1.6),
-            network_ms: (7.0, 22.0),
-            paces: Vec::new(),
+            capacity_factor: (1.2, 1.6),
+            network_delay_ms: (7.0, 22.0),
+            service_times: Vec::new(),
         }
     }
 }
 
-/// Messages that arrive in clumps for one destination.
+/// The ranges that the properties of bursts are drawn from.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Clumps {
-    /// Their share of all.
+pub struct BurstRanges {
+    /// The share of all messages that arrive in bursts.
     pub share: Range,
-    /// Their size, in seconds of the destination's limit.
+    /// The size of a burst, in seconds of the destination's rate limit.
     pub seconds: Range,
 }
 
-impl Default for Clumps {
+impl Default for BurstRanges {
     fn default() -> Self {
-        Clumps { share: (0.052, 0.15), seconds: (1.2, 3.5) }
+        BurstRanges { share: (0.052, 0.15), seconds: (1.2, 3.5) }
     }
 }
 
-/// One fault of a day.
+/// A fault of a destination, with its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// Which.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// How bad: a factor for `slow`, a share for `fail`.
+    /// The range of the factor of `slow` or of the share of `fail`; `None` for the other kinds.
     #[serde(default)]
     pub size: Option<Range>,
     /// The destination's rank by traffic, 1 for the busiest.
     pub rank: usize,
-    /// When it begins.
-    pub from: Span,
-    /// How long it lasts.
+    /// When the fault starts, from the start of the run.
+    #[serde(rename = "from")]
+    pub start: ConfigDuration,
+    /// How long the fault lasts.
     #[serde(rename = "for")]
-    pub lasts: Span,
+    pub duration: ConfigDuration,
 }
 
 impl FaultSpec {
-    /// The fault, with its size drawn by a number from 0 to 1.
-    pub fn drawn(&self, draw: f64) -> Fault {
-        let size = self.size.map_or(1.0, |r| r.0 + (r.1 - r.0) * draw);
+    /// The fault, with a size from its range: 0 for the lower end, 1 for the upper one.
+    pub fn with_size_at(&self, position: f64) -> Fault {
+        let size = self.size.map_or(1.0, |r| r.0 + (r.1 - r.0) * position);
         self.kind.fault(size)
     }
 }
 
-/// A way to run the forwarders.
+/// A configuration of the forwarders that an experiment compares with others.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// What it is called in the report.
+    /// The name that reports show.
     pub name: String,
-    /// The site file that it runs with, from the experiment's folder; without one, none.
+    /// The site file that the forwarders run with, relative to the experiment's folder; `None` to run without one.
     #[serde(default)]
     pub site: Option<PathBuf>,
 }
 
-/// Why an experiment cannot be played.
+/// Why an experiment or a scenario cannot be run.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
-    /// A file cannot be read.
+    /// A file cannot be read or written.
     #[error("cannot read `{0}`: {1}")]
     Unreadable(PathBuf, std::io::Error),
-    /// The experiment's file is not in its form.
+    /// The file is not YAML in the form of an experiment.
     #[error("{0}:{1}")]
     Malformed(PathBuf, String),
-    /// Its figures make no sense.
+    /// A value is out of its range, or the values contradict each other.
     #[error("{0}: {1}")]
-    InvalidFigures(PathBuf, String),
-    /// A site file is refused, for these reasons.
+    InvalidValues(PathBuf, String),
+    /// A site file or a scenario has these errors, one a line.
     #[error("{0}")]
     Rejected(String),
 }
 
 impl Experiment {
-    /// Reads an experiment and checks its figures.
+    /// Reads an experiment and checks its values.
+    ///
+    /// # Errors
+    /// The file cannot be read, is not an experiment, or has a value that is out of its range.
     pub fn read(path: &Path) -> Result<Self, InputError> {
         let text = std::fs::read_to_string(path).map_err(|e| InputError::Unreadable(path.into(), e))?;
         let options = serde_saphyr::options! { with_snippet: false };
         let experiment: Experiment = serde_saphyr::from_str_with_options(&text, options).map_err(|e| {
-            let at = e.location().map(|l| format!("{}:{}: ", l.line(), l.column())).unwrap_or_default();
-            InputError::Malformed(path.into(), format!("{at}{e}"))
+            let position = e.location().map(|l| format!("{}:{}: ", l.line(), l.column())).unwrap_or_default();
+            InputError::Malformed(path.into(), format!("{position}{e}"))
         })?;
-        let unfit = |what: &str| Err(InputError::InvalidFigures(path.into(), what.into()));
+        let invalid = |reason: &str| Err(InputError::InvalidValues(path.into(), reason.into()));
         let destinations = experiment.destinations.count;
         if experiment.forwarders == 0 || experiment.seeds == 0 || destinations == 0 {
-            return unfit("forwarders, seeds and partners must be 1 at least");
+            return invalid("`forwarders`, `seeds` and the `count` of partners must be at least 1");
         }
         if experiment.variants.is_empty() || experiment.loads.is_empty() {
-            return unfit("there must be a variant and a load");
+            return invalid("at least one variant and one load are required");
         }
-        let ranks = experiment.faults.iter().map(|t| t.rank);
+        let ranks = experiment.faults.iter().map(|f| f.rank);
         if ranks
-            .chain(experiment.destinations.paces.iter().map(|p| p.rank))
+            .chain(experiment.destinations.service_times.iter().map(|s| s.rank))
             .any(|r| r == 0 || r > destinations)
         {
-            return unfit("a `rank` is a place among the partners, 1 for the busiest");
+            return invalid("a `rank` must be from 1, for the busiest partner, to the number of partners");
         }
-        let needs_size = |t: &FaultSpec| matches!(t.kind, FaultKind::Slow | FaultKind::Fail);
-        if experiment.faults.iter().any(|t| needs_size(t) != t.size.is_some()) {
-            return unfit("`slow` and `fail` need a `size`, the other troubles have none");
+        let needs_size = |f: &FaultSpec| matches!(f.kind, FaultKind::Slow | FaultKind::FailCalls);
+        if experiment.faults.iter().any(|f| needs_size(f) != f.size.is_some()) {
+            return invalid("`slow` and `fail` need a `size`, other kinds have none");
         }
-        let p = &experiment.destinations;
-        let ranges = [p.rate, p.zipf, p.work_ms, p.headroom, p.spare, p.network_ms, experiment.clumps.share];
-        let all = ranges.iter().chain(&experiment.loads).chain([&experiment.clumps.seconds]);
+        let d = &experiment.destinations;
+        let ranges = [
+            d.rate,
+            d.traffic_skew,
+            d.service_time_ms,
+            d.headroom,
+            d.capacity_factor,
+            d.network_delay_ms,
+            experiment.bursts.share,
+        ];
+        let all = ranges.iter().chain(&experiment.loads).chain([&experiment.bursts.seconds]);
         if all.into_iter().any(|r| !(r.0 > 0.0 && r.0 <= r.1 && r.1.is_finite())) {
-            return unfit("a range goes from a figure above zero to one that is no smaller");
+            return invalid("a range must go from a number above 0 to one that is no smaller");
         }
         Ok(experiment)
     }
 
-    /// The plan of a variant, checked by the forwarder's own check.
+    /// The routes of a variant's site file, checked as the forwarder checks them; `None` if the variant has no site file.
+    /// `folder` is the experiment's folder, `platform` the settings and names that the site file is checked against.
+    ///
+    /// # Errors
+    /// The site file cannot be read, or has errors.
     pub fn plan(
         &self,
-        of: &Variant,
+        variant: &Variant,
         folder: &Path,
-        as_of: &(Settings, Names),
+        platform: &(Settings, Names),
     ) -> Result<Option<Arc<Plan>>, InputError> {
-        let Some(site) = &of.site else { return Ok(None) };
+        let Some(site) = &variant.site else { return Ok(None) };
         let path = folder.join(site);
         let text = std::fs::read_to_string(&path).map_err(|e| InputError::Unreadable(path.clone(), e))?;
-        let read = Site::read(&text, Platform { settings: &as_of.0, names: &as_of.1 });
-        let lines = |b: Vec<cedarbridge::config_error::ConfigError>| {
+        let site = Site::read(&text, Platform { settings: &platform.0, names: &platform.1 });
+        let to_lines = |errors: Vec<cedarbridge::config_error::ConfigError>| {
             let file = path.display().to_string();
-            InputError::Rejected(b.iter().map(|b| b.line(&file)).collect::<Vec<_>>().join("\n"))
+            InputError::Rejected(errors.iter().map(|e| e.line(&file)).collect::<Vec<_>>().join("\n"))
         };
-        Ok(Some(Arc::new(read.map_err(lines)?.routes)))
+        Ok(Some(Arc::new(site.map_err(to_lines)?.routes)))
     }
 }
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -1,80 +1,81 @@
-//! The figures of a day: value delivered against value offered, for destinations with faults and the others, call
-//! slots and delivery times. Nothing is judged here.
+//! The figures of a run: value delivered against value offered, for destinations with faults and for the others, call
+//! slots and delivery times. The verdict on the figures is up to [`crate::verdict`].
 
-use crate::world::{World, START};
+use crate::environment::{Environment, RUN_START};
 use cedarbridge::{BreakerState, Micros, Outcome};
 use hdrhistogram::Histogram;
 
 const SECOND: Micros = 1_000_000;
-/// Value is shown in windows of this length, by the time of the request.
+/// Value is recorded in windows of this length, by the time of the request.
 pub const WINDOW: Micros = 5 * SECOND;
-/// The latency objective: a message's value halves with each further such time ...
-const AIM: Micros = 2_500_000;
-/// ... but not under this.
-const LATE: f64 = 0.3;
+/// The latency objective. A message delivered within it has its full value; later, the value halves with each further
+/// objective ...
+const LATENCY_OBJECTIVE: Micros = 2_500_000;
+/// ... but does not fall below this share.
+const LATE_VALUE_FLOOR: f64 = 0.3;
 
 /// Value offered and delivered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DeliveredValue {
-    /// Offered.
+    /// The sum of the weights of all requests.
     pub offered: f64,
-    /// Delivered.
-    pub delivered_value: f64,
+    /// The sum of the values of the delivered requests.
+    pub delivered: f64,
 }
 
 impl DeliveredValue {
-    /// The share that was delivered; all of nothing.
+    /// The share that was delivered; 1 if nothing was offered.
     pub fn share(self) -> f64 {
         if self.offered > 0.0 {
-            self.delivered_value / self.offered
+            self.delivered / self.offered
         } else {
             1.0
         }
     }
 }
 
-/// The messages of a destination or a channel.
+/// The figures of the requests of one destination or tenant.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct DeliveryStats {
     /// Value offered and delivered.
     pub value: DeliveredValue,
-    /// Messages, a client's retries not counted.
+    /// The number of requests; a client's retries are not counted.
     pub messages: u64,
-    /// Messages delivered.
+    /// The number of requests that were delivered.
     pub delivered: u64,
-    /// Delivery times from the request, in milliseconds.
-    pub times: Option<Histogram<u32>>,
-    /// Messages delivered in each second of the day.
+    /// The times from request to delivery, in milliseconds; `None` without a delivery.
+    pub delivery_times: Option<Histogram<u32>>,
+    /// The number of deliveries in each second of the run.
     pub by_second: Vec<u32>,
 }
 
-impl Tally {
-    fn add(&mut self, weight: f64) {
+impl DeliveryStats {
+    fn add_request(&mut self, weight: f64) {
         self.messages += 1;
         self.value.offered += weight;
     }
 
-    fn deliver(&mut self, now: Micros, delivered_value: f64, ms: u64) {
-        let second = (now.saturating_sub(START) / SECOND) as usize;
+    fn add_delivery(&mut self, now: Micros, value: f64, ms: u64) {
+        let second = (now.saturating_sub(RUN_START) / SECOND) as usize;
         if self.by_second.len() <= second {
             self.by_second.resize(second + 1, 0);
         }
         self.by_second[second] += 1;
         self.delivered += 1;
-        self.value.delivered_value += delivered_value;
-        let times = self.times.get_or_insert_with(|| {
-            Histogram::new_with_bounds(1, 60_000, 2).expect("bounds that are in order")
-        });
+        self.value.delivered += value;
+        let times = self
+            .delivery_times
+            .get_or_insert_with(|| Histogram::new_with_bounds(1, 60_000, 2).expect("valid histogram bounds"));
         times.saturating_record(ms);
     }
 
-    /// A quantile of the delivery times, in milliseconds.
-    pub fn time(&self, quantile: f64) -> u64 {
-        self.times.as_ref().map_or(0, |t| t.value_at_quantile(quantile))
+    /// A quantile of the delivery times, in milliseconds; 0 without a delivery.
+    pub fn delivery_time(&self, quantile: f64) -> u64 {
+        self.delivery_times.as_ref().map_or(0, |t| t.value_at_quantile(quantile))
     }
 }
 
-/// A client's request, over all its retries.
+/// The state of a client's request, over all its retries.
 #[derive(Clone, Copy)]
 struct RequestState {
     at: Micros,
@@ -82,28 +83,29 @@
     destination: u32,
     tenant: u16,
     forwarder: u32,
+    /// Whether its destination has a fault during the run.
     faulty: bool,
     delivered: bool,
 }
 
-/// Open messages and calls in flight at a time, over all forwarders.
+/// A sample of open messages and calls in flight, over all forwarders.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When.
+    /// When the sample was taken.
     pub at: Micros,
-    /// Open messages.
+    /// The number of open messages.
     pub open_messages: usize,
-    /// Calls in flight.
+    /// The number of calls in flight.
     pub in_flight: usize,
 }
 
-/// The names of outcomes, by [`outcome`]'s numbers.
-pub const OUTCOMES: [&str; 9] =
+/// The names of the outcomes in reports, indexed by [`outcome_index`].
+pub const OUTCOME_NAMES: [&str; 9] =
     ["ok", "error", "full", "timed out", "connect failed", "reset", "stale", "cancelled", "not sent"];
 
-/// The number of an outcome.
-pub fn outcome(of: Outcome) -> usize {
-    match of {
+/// The index of an outcome in [`OUTCOME_NAMES`].
+pub fn outcome_index(outcome: Outcome) -> usize {
+    match outcome {
         Outcome::Ok => 0,
         Outcome::Error => 1,
         Outcome::Rejected(_) => 2,
@@ -116,117 +118,120 @@
     }
 }
 
-/// A forwarder's process that was replaced while it served.
+/// The upgrade of a forwarder's process while it served.
 #[derive(Clone, Copy, Debug)]
 pub struct Upgrade {
-    /// From the start of the successor until it accepted clients.
-    pub ready: Micros,
-    /// From the predecessor's signal until it had exited.
-    pub left: Micros,
-    /// Requests that were refused a connection, disconnected or left unanswered meanwhile.
+    /// The time from the start of the successor until it accepted clients.
+    pub ready_time: Micros,
+    /// The time from SIGTERM to the predecessor until it had exited.
+    pub exit_time: Micros,
+    /// The number of requests that got no connection, were disconnected or were left unanswered during the upgrade.
     pub rejected_during_upgrade: usize,
 }
 
-/// The figures of one day.
+/// The figures of one run.
 pub struct Figures {
-    tries: Vec<RequestState>,
-    /// By destination.
-    pub by_destination: Vec<Tally>,
-    /// By channel.
-    pub by_channel: Vec<Tally>,
-    /// Attempts by their outcome, as [`OUTCOMES`] has them.
+    requests: Vec<RequestState>,
+    /// The figures of each destination's requests.
+    pub by_destination: Vec<DeliveryStats>,
+    /// The figures of each tenant's requests.
+    pub by_tenant: Vec<DeliveryStats>,
+    /// The number of attempts by outcome; see [`OUTCOME_NAMES`].
     pub outcomes: [u64; 9],
-    /// Samples, by time.
+    /// Samples in the order of time.
     pub samples: Vec<Sample>,
-    /// For each destination, when the worst of its breakers changed, and to what.
+    /// For each destination, the times at which the worst of its breakers changed, with the new state.
     pub breakers: Vec<Vec<(Micros, BreakerState)>>,
+    /// Whether each destination has a fault during the run.
     faulty: Vec<bool>,
-    fault: (Micros, Micros),
-    slots: usize,
-    /// Value by window, over all destinations.
+    /// The start of the first fault and the end of the last one.
+    fault_span: (Micros, Micros),
+    /// Call slots of all forwarders together.
+    call_slots: usize,
+    /// Value by window of [`WINDOW`], over all destinations.
     pub windows: Vec<DeliveredValue>,
-    /// Value at destinations with faults.
+    /// The value of requests to destinations with faults.
     pub faulty_value: DeliveredValue,
-    /// Value at all others.
+    /// The value of requests to all other destinations.
     pub healthy_value: DeliveredValue,
-    /// Slot time that calls to destinations with faults took while the faults lasted, in microseconds.
-    slots_lost: Micros,
-    /// Delivery times from the request, in milliseconds, to destinations with faults and to the others.
-    pub times: [Histogram<u32>; 2],
-    /// Messages rejected.
-    pub refused: u64,
-    /// Messages that failed.
+    /// The slot time that calls to destinations with faults took during the faults, in microseconds.
+    slot_time_lost: Micros,
+    /// The times from request to delivery, in milliseconds: to destinations with faults, and to the others.
+    pub delivery_times: [Histogram<u32>; 2],
+    /// The number of messages that were rejected.
+    pub rejected: u64,
+    /// The number of messages that failed.
     pub failed: u64,
-    /// Messages delivered.
+    /// The number of requests that were delivered.
     pub delivered: u64,
-    /// Attempts made.
+    /// The number of attempts that were sent.
     pub attempts: u64,
-    /// Processes that were upgraded, in the order of time.
+    /// The upgrades of processes, in the order of time.
     pub upgrades: Vec<Upgrade>,
-    /// Value by the forwarder that received a message first.
+    /// For each forwarder, the value of the requests that its clients sent to it first.
     pub by_forwarder: Vec<DeliveredValue>,
-    /// Connections made to endpoints; counted in virtual time.
+    /// The number of connections made to endpoints; counted only in virtual time.
     pub connections: u64,
-    /// For each destination, the calls that reached it in each second of the day.
-    pub offered: Vec<Vec<u32>>,
-    /// For each destination, when messages were delivered, in the order of time.
+    /// For each destination, the number of calls that reached it in each second of the run.
+    pub calls_by_second: Vec<Vec<u32>>,
+    /// For each destination, the times of its deliveries, in order.
     pub deliveries: Vec<Vec<Micros>>,
 }
 
 impl Figures {
-    /// Figures of a day before it is played.
-    pub fn new(world: &World) -> Self {
-        let mut faulty = vec![false; world.destinations.len()];
-        world.faults.iter().for_each(|f| faulty[f.destination] = true);
-        let from = world.faults.iter().map(|f| f.begin).min().unwrap_or(world.end);
-        let to = world.faults.iter().map(|f| f.end).max().unwrap_or(world.end);
-        let windows = (world.end - START).div_ceil(WINDOW) as usize;
-        let times = || Histogram::new_with_bounds(1, 60_000, 3).expect("bounds that are in order");
-        let tries = world.requests.iter().map(|h| RequestState {
-            at: h.at,
-            weight: h.weight as f32,
-            destination: h.destination as u32,
-            tenant: h.tenant as u16,
-            forwarder: h.forwarder as u32,
-            faulty: faulty[h.destination],
+    /// The figures of a run before it starts: everything offered, nothing delivered.
+    pub fn new(environment: &Environment) -> Self {
+        let mut faulty = vec![false; environment.destinations.len()];
+        environment.faults.iter().for_each(|f| faulty[f.destination] = true);
+        let from = environment.faults.iter().map(|f| f.start).min().unwrap_or(environment.end);
+        let to = environment.faults.iter().map(|f| f.end).max().unwrap_or(environment.end);
+        let windows = (environment.end - RUN_START).div_ceil(WINDOW) as usize;
+        let histogram = || Histogram::new_with_bounds(1, 60_000, 3).expect("valid histogram bounds");
+        let requests = environment.requests.iter().map(|request| RequestState {
+            at: request.at,
+            weight: request.weight as f32,
+            destination: request.destination as u32,
+            tenant: request.tenant as u16,
+            forwarder: request.forwarder as u32,
+            faulty: faulty[request.destination],
             delivered: false,
         });
         let mut figures = Figures {
-            tries: tries.collect(),
-            by_destination: vec![Tally::default(); world.destinations.len()],
-            by_channel: vec![Tally::default(); world.names.tenants.len()],
+            requests: requests.collect(),
+            by_destination: vec![DeliveryStats::default(); environment.destinations.len()],
+            by_tenant: vec![DeliveryStats::default(); environment.names.tenants.len()],
             outcomes: [0; 9],
             samples: Vec::new(),
-            breakers: vec![Vec::new(); world.destinations.len()],
+            breakers: vec![Vec::new(); environment.destinations.len()],
             faulty,
-            fault: (from, to),
-            slots: world.settings.max_concurrent_calls * world.fleet.len(),
+            fault_span: (from, to),
+            call_slots: environment.settings.max_concurrent_calls * environment.fleet.len(),
             windows: vec![DeliveredValue::default(); windows],
             faulty_value: DeliveredValue::default(),
             healthy_value: DeliveredValue::default(),
-            slots_lost: 0,
-            times: [times(), times()],
-            refused: 0,
+            slot_time_lost: 0,
+            delivery_times: [histogram(), histogram()],
+            rejected: 0,
             failed: 0,
             delivered: 0,
             attempts: 0,
             upgrades: Vec::new(),
-            by_forwarder: vec![DeliveredValue::default(); world.fleet.len()],
+            by_forwarder: vec![DeliveredValue::default(); environment.fleet.len()],
             connections: 0,
-            offered: vec![Vec::new(); world.destinations.len()],
-            deliveries: vec![Vec::new(); world.destinations.len()],
+            calls_by_second: vec![Vec::new(); environment.destinations.len()],
+            deliveries: vec![Vec::new(); environment.destinations.len()],
         };
-        for h in &world.requests {
-            figures.by_forwarder[h.forwarder].offered += h.weight;
-            figures.side(figures.faulty[h.destination]).offered += h.weight;
-            figures.by_destination[h.destination].add(h.weight);
-            figures.by_channel[h.tenant].add(h.weight);
-            figures.windows[((h.at - START) / WINDOW) as usize].offered += h.weight;
+        for request in &environment.requests {
+            figures.by_forwarder[request.forwarder].offered += request.weight;
+            figures.value_for(figures.faulty[request.destination]).offered += request.weight;
+            figures.by_destination[request.destination].add_request(request.weight);
+            figures.by_tenant[request.tenant].add_request(request.weight);
+            figures.windows[((request.at - RUN_START) / WINDOW) as usize].offered += request.weight;
         }
         figures
     }
 
-    fn side(&mut self, faulty: bool) -> &mut DeliveredValue {
+    fn value_for(&mut self, faulty: bool) -> &mut DeliveredValue {
         if faulty {
             &mut self.faulty_value
         } else {
@@ -234,109 +239,110 @@
         }
     }
 
-    /// An attempt was sent.
-    pub fn attempt(&mut self) {
+    /// Records that an attempt was sent.
+    pub fn attempt_sent(&mut self) {
         self.attempts += 1;
     }
 
-    /// A call reached a destination.
-    pub fn call(&mut self, now: Micros, destination: usize) {
-        let second = (now.saturating_sub(START) / SECOND) as usize;
-        let line = &mut self.offered[destination];
-        if line.len() <= second {
-            line.resize(second + 1, 0);
+    /// Records that a call reached a destination.
+    pub fn call_received(&mut self, now: Micros, destination: usize) {
+        let second = (now.saturating_sub(RUN_START) / SECOND) as usize;
+        let calls = &mut self.calls_by_second[destination];
+        if calls.len() <= second {
+            calls.resize(second + 1, 0);
         }
-        line[second] += 1;
+        calls[second] += 1;
     }
 
-    /// How long after a time the next message was delivered to a destination.
+    /// The time from `from` to the next delivery to a destination; `None` if there was none.
     pub fn next_delivery(&self, destination: usize, from: Micros) -> Option<Micros> {
         let all = &self.deliveries[destination];
         all.get(all.partition_point(|t| *t < from)).map(|t| t - from)
     }
 
-    /// For each outage of a destination: how long after its end the first message was delivered there.
-    pub fn returns(&self, world: &World) -> Vec<(usize, Option<Micros>)> {
-        let back = world.faults.iter().filter(|f| f.fault.is_outage());
-        back.map(|f| (f.destination, self.next_delivery(f.destination, f.end))).collect()
+    /// For each outage: its destination, and the time from its end to the destination's first delivery.
+    pub fn recovery_times(&self, environment: &Environment) -> Vec<(usize, Option<Micros>)> {
+        let outages = environment.faults.iter().filter(|f| f.fault.is_outage());
+        outages.map(|f| (f.destination, self.next_delivery(f.destination, f.end))).collect()
     }
 
-    /// An attempt ended.
-    pub fn outcome(&mut self, of: Outcome) {
-        self.outcomes[outcome(of)] += 1;
+    /// Records the outcome of an attempt.
+    pub fn attempt_ended(&mut self, outcome: Outcome) {
+        self.outcomes[outcome_index(outcome)] += 1;
     }
 
-    /// The worst of a destination's breakers is in this state now.
-    pub fn breaker(&mut self, now: Micros, destination: usize, status: BreakerState) {
-        let line = &mut self.breakers[destination];
-        let before = line.last().map_or(BreakerState::Closed, |l| l.1);
-        if before != status {
-            line.push((now, status));
+    /// Records the state of the worst of a destination's breakers, if it has changed.
+    pub fn breaker_changed(&mut self, now: Micros, destination: usize, state: BreakerState) {
+        let changes = &mut self.breakers[destination];
+        let before = changes.last().map_or(BreakerState::Closed, |l| l.1);
+        if before != state {
+            changes.push((now, state));
         }
     }
 
-    /// A request was delivered, at its first try or a retry.
-    pub fn delivered(&mut self, now: Micros, first: usize) {
-        let t = self.tries[first];
-        if t.delivered {
+    /// Records the delivery of a request, by its first message or by a client's retry. Only the first delivery counts.
+    pub fn delivered(&mut self, now: Micros, request: usize) {
+        let state = self.requests[request];
+        if state.delivered {
             return;
         }
-        self.tries[first].delivered = true;
-        let age = now.saturating_sub(t.at);
-        let late = age.saturating_sub(AIM) as f64 / AIM as f64;
-        let delivered_value =
-            f64::from(t.weight) * if age <= AIM { 1.0 } else { 0.5f64.powf(late).max(LATE) };
+        self.requests[request].delivered = true;
+        let age = now.saturating_sub(state.at);
+        let late = age.saturating_sub(LATENCY_OBJECTIVE) as f64 / LATENCY_OBJECTIVE as f64;
+        let value = f64::from(state.weight)
+            * if age <= LATENCY_OBJECTIVE { 1.0 } else { 0.5f64.powf(late).max(LATE_VALUE_FLOOR) };
         let ms = (age / 1000).max(1);
-        self.side(t.faulty).delivered_value += delivered_value;
-        self.by_forwarder[t.forwarder as usize].delivered_value += delivered_value;
-        self.deliveries[t.destination as usize].push(now);
-        self.by_destination[t.destination as usize].deliver(now, delivered_value, ms);
-        self.by_channel[t.tenant as usize].deliver(now, delivered_value, ms);
-        self.windows[((t.at - START) / WINDOW) as usize].delivered_value += delivered_value;
-        self.times[usize::from(!t.faulty)].saturating_record(ms);
+        self.value_for(state.faulty).delivered += value;
+        self.by_forwarder[state.forwarder as usize].delivered += value;
+        self.deliveries[state.destination as usize].push(now);
+        self.by_destination[state.destination as usize].add_delivery(now, value, ms);
+        self.by_tenant[state.tenant as usize].add_delivery(now, value, ms);
+        self.windows[((state.at - RUN_START) / WINDOW) as usize].delivered += value;
+        self.delivery_times[usize::from(!state.faulty)].saturating_record(ms);
         self.delivered += 1;
     }
 
-    /// A message was rejected or failed.
-    pub fn given_up(&mut self, refused: bool) {
-        if refused {
-            self.refused += 1;
+    /// Records that a message was rejected, or else failed.
+    pub fn message_given_up(&mut self, rejected: bool) {
+        if rejected {
+            self.rejected += 1;
         } else {
             self.failed += 1;
         }
     }
 
-    /// A call ended that had used a slot for so long.
-    pub fn slot_released(&mut self, now: Micros, destination: usize, open_messages: Micros) {
-        let (from, to) = self.fault;
+    /// Records that a call to a destination ended that had held its slot for `held` microseconds.
+    pub fn slot_released(&mut self, now: Micros, destination: usize, held: Micros) {
+        let (from, to) = self.fault_span;
         if self.faulty[destination] {
-            let begin = (now - open_messages).max(from);
-            self.slots_lost += now.min(to).saturating_sub(begin);
+            let start = (now - held).max(from);
+            self.slot_time_lost += now.min(to).saturating_sub(start);
         }
     }
 
-    /// Value of the complete day.
+    /// The value of all requests.
     pub fn value(&self) -> DeliveredValue {
-        let (a, b) = (self.faulty_value, self.healthy_value);
+        let (faulty, healthy) = (self.faulty_value, self.healthy_value);
         DeliveredValue {
-            offered: a.offered + b.offered,
-            delivered_value: a.delivered_value + b.delivered_value,
+            offered: faulty.offered + healthy.offered,
+            delivered: faulty.delivered + healthy.delivered,
         }
     }
 
-    /// The share of all slot time during the faults that calls to destinations with faults took.
-    pub fn slots_lost(&self) -> f64 {
-        let (from, to) = self.fault;
-        let all = (to.saturating_sub(from)) as f64 * self.slots as f64;
+    /// The share of all slot time between the first fault's start and the last one's end that calls to destinations with
+    /// faults took; 0 without faults.
+    pub fn slot_time_lost_share(&self) -> f64 {
+        let (from, to) = self.fault_span;
+        let all = (to.saturating_sub(from)) as f64 * self.call_slots as f64;
         if all > 0.0 {
-            self.slots_lost as f64 / all
+            self.slot_time_lost as f64 / all
         } else {
             0.0
         }
     }
 
-    /// A quantile of the delivery times, in milliseconds.
-    pub fn time(&self, faulty: bool, quantile: f64) -> u64 {
-        self.times[usize::from(!faulty)].value_at_quantile(quantile)
+    /// A quantile of the delivery times to destinations with faults, or else to the others, in milliseconds.
+    pub fn delivery_time(&self, faulty: bool, quantile: f64) -> u64 {
+        self.delivery_times[usize::from(!faulty)].value_at_quantile(quantile)
     }
 }
--- a/crates/rehearsal/src/fleet_command.rs
+++ b/crates/rehearsal/src/fleet_command.rs
@@ -1,25 +1,25 @@
-//! The command `fleet`.
+//! The command `fleet`: simulates a scenario with fleets of several sizes.
 
-use crate::rehearsal::LoadedScenario;
+use crate::scenario_commands::LoadedScenario;
 use cedarbridge_rehearsal::experiment::InputError;
 use cedarbridge_rehearsal::fleet::{self, Row, TurnOrder};
 use clap::Args;
 use std::path::{Path, PathBuf};
 use std::time::Instant;
 
-/// How fleets of several sizes are played.
+/// The options of the command `fleet`.
 #[derive(Args)]
 pub struct FleetOptions {
-    /// The sizes, in place of the scenario's
+    /// The numbers of forwarders, in place of the scenario's
     #[arg(long, value_name = "COUNT", value_delimiter = ',')]
     counts: Vec<usize>,
-    /// Days for each, in place of the scenario's
+    /// Runs for each fleet, in place of the scenario's
     #[arg(long)]
     seeds: Option<usize>,
-    /// Play each size also with turns by chance
-    #[arg(long)]
-    chance: bool,
-    /// Where to write the page with plots
+    /// Simulate each fleet also with turns at random
+    #[arg(long = "chance")]
+    random_turns: bool,
+    /// Where to write the HTML page with plots
     #[arg(long, value_name = "FILE")]
     html: Option<PathBuf>,
     /// Where to write the figures as JSON; `-` prints them in place of the table
@@ -27,53 +27,59 @@
     json: Option<PathBuf>,
 }
 
-/// Plays a scenario in virtual time with each of its fleets, and one forwarder in place of all; true if all was as
-/// expected.
+/// Simulates a scenario with each of its fleets, and with a single forwarder as the reference. Returns whether the fleets
+/// met the scenario's expectations.
+///
+/// # Errors
+/// The scenario has errors or no section `fleet`, or an output file cannot be written.
 pub fn fleet(path: &Path, options: &FleetOptions) -> Result<bool, InputError> {
-    let ready = LoadedScenario::read(path)?;
-    let scenario = &ready.scenario;
+    let loaded = LoadedScenario::read(path)?;
+    let scenario = &loaded.scenario;
     let Some(section) = &scenario.fleet else {
-        return Err(InputError::Rejected(format!("{}:1:1: it has no section `fleet`", path.display())));
+        return Err(InputError::Rejected(format!(
+            "{}:1:1: the scenario has no section `fleet`",
+            path.display()
+        )));
     };
     let counts = match &options.counts[..] {
         [] => section.value.counts.iter().map(|c| c.value).collect(),
         given => given.to_vec(),
     };
     if counts.contains(&0) || options.seeds == Some(0) {
-        return Err(InputError::InvalidFigures(
+        return Err(InputError::InvalidValues(
             path.into(),
-            "`--counts` and `--seeds` are 1 at least".into(),
+            "`--counts` and `--seeds` must be at least 1".into(),
         ));
     }
-    let days = options.seeds.unwrap_or(section.value.seeds) as u64;
+    let runs = options.seeds.unwrap_or(section.value.seeds) as u64;
     let mut fleets = vec![(1, TurnOrder::Single)];
     for count in counts {
-        fleets.push((count, TurnOrder::Numbered));
-        fleets.extend(options.chance.then_some((count, TurnOrder::Random)));
+        fleets.push((count, TurnOrder::Indexed));
+        fleets.extend(options.random_turns.then_some((count, TurnOrder::Random)));
     }
     let mut rows = Vec::new();
-    for (count, turns) in fleets {
-        let begun = Instant::now();
-        let seeds = scenario.seed..scenario.seed + days;
-        let one = |seed| -> Result<_, InputError> {
-            let plan = ready.plan(&fleet::draw(scenario, count, turns, seed))?;
-            Ok(fleet::simulate_fleet_day(scenario, plan, count, turns, seed))
+    for (count, turn_order) in fleets {
+        let started = Instant::now();
+        let seeds = scenario.seed..scenario.seed + runs;
+        let run = |seed| -> Result<_, InputError> {
+            let plan = loaded.plan(&fleet::build_fleet_environment(scenario, count, turn_order, seed))?;
+            Ok(fleet::simulate_fleet_run(scenario, plan, count, turn_order, seed))
         };
-        rows.push(Row { count, turns, days: seeds.map(one).collect::<Result<_, _>>()? });
+        rows.push(Row { count, turn_order, runs: seeds.map(run).collect::<Result<_, _>>()? });
         eprintln!(
-            "{count} forwarders, {}: {days} days in {:.1} s",
-            turns.progress_label(),
-            begun.elapsed().as_secs_f64()
+            "{count} forwarders, {}: {runs} runs in {:.1} s",
+            turn_order.progress_label(),
+            started.elapsed().as_secs_f64()
         );
     }
-    let unread = |path: &Path| {
+    let unwritable = |path: &Path| {
         let path = path.to_owned();
         move |e| InputError::Unreadable(path, e)
     };
     let json = format!("{:#}\n", fleet::as_json(scenario, &rows));
     match &options.json {
         Some(to) if to.as_os_str() == "-" => print!("{json}"),
-        Some(to) => std::fs::write(to, json).map_err(unread(to))?,
+        Some(to) => std::fs::write(to, json).map_err(unwritable(to))?,
         None => {}
     }
     if options.json.as_ref().is_none_or(|to| to.as_os_str() != "-") {
@@ -81,9 +87,9 @@
     }
     if let Some(to) = &options.html {
         std::fs::write(to, fleet::page(scenario, &rows).expect("plots of finite figures"))
-            .map_err(unread(to))?;
+            .map_err(unwritable(to))?;
     }
-    let unmet = fleet::unmet(scenario, &rows);
-    unmet.iter().for_each(|what| eprintln!("NOT AS EXPECTED: {what}"));
+    let unmet = fleet::unmet_expectations(scenario, &rows);
+    unmet.iter().for_each(|reason| eprintln!("NOT AS EXPECTED: {reason}"));
     Ok(unmet.is_empty())
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,14 +1,17 @@
-//! An emulator in virtual time: it drives the delivery policy through its interface against destination models, under
-//! a load that is uneven and clumped, and audits every rule while it runs. It has
-//! no sockets; what the network code adds is outside of it.
+//! Tests the forwarder under load and faults, in virtual time and on sockets, and audits every delivery rule.
 //!
-//! A day is drawn from a seed ([`world`]), played ([`simulation`]) under each variant of an experiment ([`experiment`]),
-//! measured ([`figures`]) and reported ([`report`]). The same seed gives the same bytes.
+//! An environment is generated from a seed ([`environment`]) for a scenario ([`scenario`]) or an experiment
+//! ([`experiment`]). The simulation ([`simulation`]) runs the delivery policy against destination models in virtual time,
+//! without sockets and without the network code. A live rehearsal ([`live`]) runs real forwarder processes on loopback.
+//! Both audit the delivery rules ([`audit`]) and record figures ([`figures`]), which [`report`], [`fleet`] and [`verdict`]
+//! present. In virtual time, the same seed gives the same bytes.
 
 pub mod audit;
-pub mod capture;
+pub mod captured_traffic;
+pub mod config_duration;
+pub mod environment;
 pub mod experiment;
-mod experiment_day;
+mod experiment_environment;
 pub mod figures;
 pub mod fleet;
 pub mod forwarder_config;
@@ -16,10 +19,8 @@
 pub mod plot;
 pub mod report;
 pub mod scenario;
-pub mod scenario_day;
+pub mod scenario_environment;
 pub mod simulation;
-pub mod span;
 pub mod table;
 pub mod verdict;
 pub mod view;
-pub mod world;
--- a/crates/rehearsal/src/live/call.rs
+++ b/crates/rehearsal/src/live/call.rs
@@ -1,4 +1,4 @@
-//! Calls on a destination's connection: each is read, audited, processed by the destination's model and answered.
+//! The calls on a connection to a destination: each is read, audited, processed by the destination's model and answered.
 
 use super::LiveRun;
 use crate::audit::MessageEnd;
@@ -16,22 +16,25 @@
 /// The largest body of a call, in bytes.
 const MAX_BODY: usize = 1 << 20;
 
-/// A message in a call: its id and its number.
+/// A message in a call.
 struct CarriedMessage {
+    /// The message's id on the wire.
     id: String,
+    /// The message's number.
     message: usize,
 }
 
-/// A call from its last byte to its response.
+/// A call whose last byte was received and that has no response yet.
 struct ReceivedCall<'a> {
     run: &'a Rc<LiveRun>,
     endpoint: usize,
     destination: usize,
-    /// When its connection was opened.
-    opened: Micros,
-    sent: Micros,
+    /// When the connection was opened.
+    opened_at: Micros,
+    /// When the call's last byte was received.
+    received_at: Micros,
     carried: &'a [CarriedMessage],
-    batch: bool,
+    is_batch: bool,
 }
 
 /// Counts a call as in flight while it lives.
@@ -50,21 +53,26 @@
     }
 }
 
-/// Answers the calls on a connection until it ends.
-pub(super) async fn converse(run: &Rc<LiveRun>, forwarder: usize, endpoint: usize, stream: Async<TcpStream>) {
-    let destination = run.world.list[endpoint].destination;
-    let opened = run.now();
+/// Answers the calls on a connection until the connection ends.
+pub(super) async fn serve_connection(
+    run: &Rc<LiveRun>,
+    forwarder: usize,
+    endpoint: usize,
+    stream: Async<TcpStream>,
+) {
+    let destination = run.environment.endpoints[endpoint].destination;
+    let opened_at = run.now();
     let mut connection = HttpConnection::new(stream);
     loop {
-        // Idle connections are reset when the destination refuses connections.
-        let changed = run.destinations.borrow()[destination].changed.1.clone();
-        let received = async { Some(connection.fill().await) };
-        let other = async {
-            // The channel's end is the change.
-            let _ = changed.recv().await;
+        // A fault that refuses connections also resets the idle ones.
+        let fault_change = run.destinations.borrow()[destination].fault_change.1.clone();
+        let filled = async { Some(connection.fill().await) };
+        let fault_changed = async {
+            // The channel is closed at a change.
+            let _ = fault_change.recv().await;
             None
         };
-        match future::or(received, other).await {
+        match future::or(filled, fault_changed).await {
             Some(Ok(n)) if n > 0 => {}
             Some(_) => return,
             None if matches!(
@@ -76,29 +84,36 @@
             }
             None => continue,
         }
-        let first = run.now();
+        let first_byte = run.now();
         let Ok(head) = connection.read_request().await else { return };
         let Ok(body) = connection.request_body(&head, MAX_BODY).await else { return };
         let now = run.now();
-        run.figures.borrow_mut().call(now, destination);
-        let batch = head.target == "/v1/messages:batch";
-        let carried = match read(run, &head, &body, batch) {
+        run.figures.borrow_mut().call_received(now, destination);
+        let is_batch = head.target == "/v1/messages:batch";
+        let carried = match read_messages(run, &head, &body, is_batch) {
             Ok(carried) => carried,
-            Err(why) => {
-                run.audit.borrow_mut().stray_message(now, forwarder, why.to_string());
-                // A forwarder that does not read the rejection is audited all the same.
+            Err(error) => {
+                run.audit.borrow_mut().record_stray_message(now, forwarder, error.to_string());
+                // The violation is recorded, even if the forwarder does not read this response.
                 let _ = connection.write(b"HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             }
         };
-        audit_attempts(run, forwarder, endpoint, (first, now), &carried);
-        let call =
-            ReceivedCall { run, endpoint, destination, opened, sent: run.now(), carried: &carried, batch };
+        audit_attempts(run, forwarder, endpoint, (first_byte, now), &carried);
+        let call = ReceivedCall {
+            run,
+            endpoint,
+            destination,
+            opened_at,
+            received_at: run.now(),
+            carried: &carried,
+            is_batch,
+        };
         let in_flight = CallInFlight::new(run);
         let outcome = call.process(&mut connection).await;
         drop(in_flight);
-        if let Some(end) = outcome {
-            if end == Outcome::Reset {
+        if let Some(outcome) = outcome {
+            if outcome == Outcome::Reset {
                 reset(&connection);
             }
             return;
@@ -107,50 +122,50 @@
     }
 }
 
-/// Audits the attempts of a call, whose first and last byte were observed at these times.
+/// Audits the attempts of a call, whose first and last bytes were received at these times.
 fn audit_attempts(
     run: &LiveRun,
     forwarder: usize,
     endpoint: usize,
-    (first, now): (Micros, Micros),
+    (first_byte, now): (Micros, Micros),
     carried: &[CarriedMessage],
 ) {
-    let destination = run.world.list[endpoint].destination;
+    let destination = run.environment.endpoints[endpoint].destination;
     for CarriedMessage { id, message } in carried {
-        let first_try = run.sent_requests.borrow()[*message].first;
-        if run.world.requests[first_try].destination != destination {
-            run.audit.borrow_mut().stray_message(
+        let request = run.sent_messages.borrow()[*message].request;
+        if run.environment.requests[request].destination != destination {
+            run.audit.borrow_mut().record_stray_message(
                 now,
                 forwarder,
                 format!("`{id}` came to another's endpoint"),
             );
         }
-        let timing = run.timing(first_try);
-        run.audit.borrow_mut().sent(now, first, (destination, endpoint), *message, &timing);
-        run.figures.borrow_mut().attempt();
+        let timing = run.timing(request);
+        run.audit.borrow_mut().attempt_sent(now, first_byte, (destination, endpoint), *message, &timing);
+        run.figures.borrow_mut().attempt_sent();
     }
 }
 
-/// Resets a connection rather than closing it.
+/// Makes the connection end with a reset, rather than with an orderly close, when it is dropped.
 fn reset(connection: &HttpConnection) {
     // A connection that has ended already needs no reset.
     let _ = SockRef::from(connection.socket()).set_linger(Some(Duration::ZERO));
 }
 
 impl ReceivedCall<'_> {
-    /// Processes the call and responds; returns the outcome if it ends the connection.
+    /// Processes the call and responds. Returns the outcome if it ends the connection, or else `None`.
     async fn process(&self, connection: &mut HttpConnection) -> Option<Outcome> {
-        let (fate, calls_ended) = self.begin();
-        if let Err(outcome) = self.wait_until_due(&fate, calls_ended, connection).await {
+        let (fate, ended_calls_version) = self.start();
+        if let Err(outcome) = self.wait_until_due(&fate, ended_calls_version, connection).await {
             self.end_attempts(outcome);
             return Some(outcome);
         }
-        let answer = fate.answer.expect("one that was due").answer;
-        let Some((text, outcome)) = response_text(&fate, answer, self.carried, self.batch) else {
+        let answer = fate.answer.expect("an answer was due").answer;
+        let Some((text, outcome)) = response_text(&fate, answer, self.carried, self.is_batch) else {
             self.end_attempts(Outcome::Reset);
             return Some(Outcome::Reset);
         };
-        // The forwarder may have timed out by now.
+        // The forwarder may have closed the connection after its timeout.
         if connection.write(text.as_bytes()).await.is_err() {
             self.end_attempts(Outcome::TimedOut);
             return Some(Outcome::TimedOut);
@@ -158,69 +173,81 @@
         self.end_attempts(outcome);
         if outcome == Outcome::Ok {
             for CarriedMessage { message, .. } in self.carried {
-                self.run.ended(*message, MessageEnd::Delivered, false);
+                self.run.message_ended(*message, MessageEnd::Delivered, false);
             }
         }
         None
     }
 
-    /// The model's fate of the call, and the count of ended calls at its begin.
-    fn begin(&self) -> (CallFate, u32) {
+    /// Passes the call to the model. Returns the model's answer, and the count of faults that have ended calls so far.
+    fn start(&self) -> (CallFate, u32) {
         let mut destinations = self.run.destinations.borrow_mut();
-        let p = &mut destinations[self.destination];
-        let stranded = p.half_open.is_some_and(|since| self.opened < since);
-        let fate = if stranded && p.model.visible_fault() == Some(Fault::HalfOpenConnections) {
+        let state = &mut destinations[self.destination];
+        let is_half_open = state.half_open_since.is_some_and(|since| self.opened_at < since);
+        let fate = if is_half_open && state.model.visible_fault() == Some(Fault::HalfOpenConnections) {
             CallFate { answer: None, report: None, unconnected: false }
         } else {
-            p.model.call(self.sent, self.run.world.list[self.endpoint].index, self.carried.len())
+            state.model.call(
+                self.received_at,
+                self.run.environment.endpoints[self.endpoint].index,
+                self.carried.len(),
+            )
         };
-        (fate, p.calls_ended)
+        (fate, state.ended_calls_version)
     }
 
+    /// Records the outcome of all attempts of the call.
     fn end_attempts(&self, outcome: Outcome) {
         let now = self.run.now();
         for CarriedMessage { message, .. } in self.carried {
-            self.run.audit.borrow_mut().attempt_ended(now, self.destination, *message, self.sent, outcome);
-            self.run.figures.borrow_mut().outcome(outcome);
+            self.run.audit.borrow_mut().attempt_ended(
+                now,
+                self.destination,
+                *message,
+                self.received_at,
+                outcome,
+            );
+            self.run.figures.borrow_mut().attempt_ended(outcome);
         }
     }
 
-    /// Waits until the answer is due; the forwarder may time out and a fault may end the call before.
+    /// Waits until the answer is due. Returns an outcome if the forwarder closes the connection or a fault resets it first.
     async fn wait_until_due(
         &self,
         fate: &CallFate,
-        calls_ended: u32,
+        ended_calls_version: u32,
         connection: &mut HttpConnection,
     ) -> Result<(), Outcome> {
         let mut due = fate.answer.map(|a| a.at);
         loop {
-            let changed: Receiver<()> = self.run.destinations.borrow()[self.destination].changed.1.clone();
-            let answer = async {
+            let fault_change: Receiver<()> =
+                self.run.destinations.borrow()[self.destination].fault_change.1.clone();
+            let answer_due = async {
                 match due {
-                    Some(at) => self.run.until(at).await,
+                    Some(at) => self.run.sleep_until(at).await,
                     None => future::pending().await,
                 }
                 Some(true)
             };
-            let other = async {
-                // The channel's end is the change.
-                let _ = changed.recv().await;
+            let fault_changed = async {
+                // The channel is closed at a change.
+                let _ = fault_change.recv().await;
                 Some(false)
             };
-            let left = async {
-                // A forwarder sends nothing before the response, so this is the connection's end.
+            let closed = async {
+                // A forwarder sends nothing before the response, so the connection has ended.
                 let _ = connection.fill().await;
                 None
             };
-            match future::or(left, future::or(other, answer)).await {
+            match future::or(closed, future::or(fault_changed, answer_due)).await {
                 None => return Err(Outcome::TimedOut),
                 Some(true) => return Ok(()),
                 Some(false) => {
-                    let (ended_now, ended_by_reset) = {
-                        let p = &self.run.destinations.borrow()[self.destination];
-                        (p.calls_ended, p.ended_by_reset)
+                    let (current_version, ended_by_reset) = {
+                        let state = &self.run.destinations.borrow()[self.destination];
+                        (state.ended_calls_version, state.ended_by_reset)
                     };
-                    if ended_now != calls_ended {
+                    if current_version != ended_calls_version {
                         if ended_by_reset {
                             return Err(Outcome::Reset);
                         }
@@ -232,12 +259,12 @@
     }
 }
 
-/// The response to a call, and the outcome it stands for; none if the connection breaks in place of it.
+/// The HTTP response to a call and its outcome; `None` if the connection breaks in place of a response.
 fn response_text(
     fate: &CallFate,
     answer: Answer,
     carried: &[CarriedMessage],
-    batch: bool,
+    is_batch: bool,
 ) -> Option<(String, Outcome)> {
     let load = fate
         .report
@@ -253,7 +280,7 @@
         ),
         Answer::ConnectionBroken | Answer::ConnectionRefused => return None,
     };
-    let body = match (answer, batch) {
+    let body = match (answer, is_batch) {
         (Answer::Ok, true) => carried.iter().map(|c| format!("{} delivered\r\n", c.id)).collect(),
         _ => String::new(),
     };
@@ -261,7 +288,7 @@
     Some((text, outcome))
 }
 
-/// Why a call of a forwarder is not accepted.
+/// Why a call of a forwarder is invalid. The texts are part of the reported violations.
 #[derive(Debug, thiserror::Error)]
 enum CallError {
     #[error("`{0}` was handed in by nobody")]
@@ -270,33 +297,33 @@
     Malformed,
 }
 
-/// Reads the messages of a call.
-fn read(
+/// Reads the messages of a call: one in the head, or several in the body of a batch.
+fn read_messages(
     run: &LiveRun,
     head: &RequestHead,
     body: &[u8],
-    batch: bool,
+    is_batch: bool,
 ) -> Result<Vec<CarriedMessage>, CallError> {
-    let number = |id: &str| {
-        let found = run.ids.borrow().get(id).copied();
+    let find_message = |id: &str| {
+        let found = run.message_ids.borrow().get(id).copied();
         found
             .map(|message| CarriedMessage { id: id.to_owned(), message })
             .ok_or_else(|| CallError::UnknownMessage(id.to_owned()))
     };
-    if !batch {
-        return Ok(vec![number(head.headers.get("X-Request-Id").unwrap_or_default())?]);
+    if !is_batch {
+        return Ok(vec![find_message(head.headers.get("X-Request-Id").unwrap_or_default())?]);
     }
-    let mut all = Vec::new();
+    let mut messages = Vec::new();
     let mut rest = body;
     while !rest.is_empty() {
-        let odd = || CallError::Malformed;
-        let end = rest.windows(2).position(|w| w == b"\r\n").ok_or_else(odd)?;
-        let line = std::str::from_utf8(&rest[..end]).map_err(|_| odd())?;
+        let malformed = || CallError::Malformed;
+        let end = rest.windows(2).position(|w| w == b"\r\n").ok_or_else(malformed)?;
+        let line = std::str::from_utf8(&rest[..end]).map_err(|_| malformed())?;
         let mut words = line.split(' ');
-        let (id, length) = (words.next().ok_or_else(odd)?, words.nth(1).ok_or_else(odd)?);
-        let length: usize = length.parse().map_err(|_| odd())?;
-        all.push(number(id)?);
-        rest = rest.get(end + 2 + length + 2..).ok_or_else(odd)?;
+        let (id, length) = (words.next().ok_or_else(malformed)?, words.nth(1).ok_or_else(malformed)?);
+        let length: usize = length.parse().map_err(|_| malformed())?;
+        messages.push(find_message(id)?);
+        rest = rest.get(end + 2 + length + 2..).ok_or_else(malformed)?;
     }
-    Ok(all)
+    Ok(messages)
 }
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -1,7 +1,7 @@
-//! Destinations' endpoints on sockets: each listens once for each forwarder, so that the caller is known. A call's
-//! outcome is that of the destination's model, as in virtual time; connections, resets and silence are real.
+//! The destinations' endpoints on sockets. Each endpoint has one listener for each forwarder, so that the caller is known.
+//! The destination's model decides the outcome of a call, as in virtual time; connections and resets are real.
 
-use super::call::converse;
+use super::call::serve_connection;
 use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
 use cedarbridge::Lifecycle;
@@ -12,25 +12,28 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections that wait to be accepted; the system caps it.
+/// The number of connections that may wait to be accepted; the system may set a lower limit.
 const BACKLOG: i32 = 1024;
 
 /// Starts all endpoints for all forwarders.
+///
+/// # Errors
+/// An address cannot be bound.
 pub fn start(run: &Rc<LiveRun>) -> Result<(), LiveError> {
-    for forwarder in 0..run.world.fleet.len() {
-        for endpoint in 0..run.world.list.len() {
-            // An address of its own keeps its port from others while it refuses.
+    for forwarder in 0..run.environment.fleet.len() {
+        for endpoint in 0..run.environment.endpoints.len() {
+            // Each listener has its own address, so that no other program takes its port while it refuses connections.
             let ip = [127, 100 + (forwarder % 100) as u8, (endpoint >> 8) as u8, 1 + (endpoint & 0xfe) as u8];
             let listener = listen(SocketAddr::from((ip, 0)), BACKLOG)
-                .map_err(|e| LiveError::System("no address for an endpoint".into(), e))?;
-            let address = listener.get_ref().local_addr().expect("bound");
-            let advertised = match run.options.fault {
-                Some(fault) if fault.at_calls() => {
+                .map_err(|e| LiveError::System("cannot bind an address for an endpoint".into(), e))?;
+            let address = listener.get_ref().local_addr().expect("the listener is bound");
+            let advertised = match run.options.proxy_fault {
+                Some(fault) if fault.is_call_fault() => {
                     super::proxy::start_call_proxy(run, endpoint, address, fault)?
                 }
                 _ => address,
             };
-            run.addresses.borrow_mut()[forwarder].push(advertised);
+            run.endpoint_addresses.borrow_mut()[forwarder].push(advertised);
             run.clone().spawn(serve(run.clone(), forwarder, endpoint, listener, address));
         }
     }
@@ -45,7 +48,8 @@
     Async::new(socket.into())
 }
 
-/// A listener that accepts nothing: its backlog is full, so that new connections wait in vain.
+/// Opens a listener whose backlog is full, so that new connections are never established. Also returns the sockets that
+/// fill the backlog.
 fn unresponsive_listener(address: SocketAddr) -> std::io::Result<(Socket, Vec<Socket>)> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -55,22 +59,22 @@
     for _ in 0..2 {
         let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         filler.set_nonblocking(true)?;
-        // Connected or pending: either way the backlog is full.
+        // A connected and a pending socket both fill the backlog.
         let _ = filler.connect(&address.into());
         fillers.push(filler);
     }
     Ok((socket, fillers))
 }
 
-/// The sockets of an endpoint: a listener, an unresponsive one, or none while it refuses connections.
-struct Listening {
+/// The sockets of an endpoint: a listener, an unresponsive listener, or neither while it refuses connections.
+struct EndpointSockets {
     listener: Option<Async<TcpListener>>,
     unresponsive: Option<(Socket, Vec<Socket>)>,
 }
 
-impl Listening {
-    /// Opens and closes sockets as the destination's fault says; false if the address cannot be bound yet.
-    fn follow(&mut self, fault: Option<Fault>, address: SocketAddr) -> bool {
+impl EndpointSockets {
+    /// Opens and closes sockets for the destination's fault. Returns false if the address cannot be bound yet.
+    fn apply_fault(&mut self, fault: Option<Fault>, address: SocketAddr) -> bool {
         match fault {
             Some(Fault::RefuseConnections) => (self.listener, self.unresponsive) = (None, None),
             Some(Fault::Silent) if self.unresponsive.is_some() => {}
@@ -89,7 +93,7 @@
     }
 }
 
-/// Accepts connections, or refuses or ignores them while a fault says so.
+/// Accepts connections, or refuses or ignores them during a fault.
 async fn serve(
     run: Rc<LiveRun>,
     forwarder: usize,
@@ -97,40 +101,48 @@
     listener: Async<TcpListener>,
     address: SocketAddr,
 ) {
-    let destination = run.world.list[endpoint].destination;
-    let mut listening = Listening { listener: Some(listener), unresponsive: None };
+    let destination = run.environment.endpoints[endpoint].destination;
+    let mut sockets = EndpointSockets { listener: Some(listener), unresponsive: None };
     loop {
-        let (fault, changed) = {
+        let (fault, fault_change) = {
             let destinations = run.destinations.borrow();
-            (destinations[destination].model.visible_fault(), destinations[destination].changed.1.clone())
+            (
+                destinations[destination].model.visible_fault(),
+                destinations[destination].fault_change.1.clone(),
+            )
         };
-        // A removed endpoint accepts nothing, as its process has ended.
-        let gone = run.list.borrow()[endpoint] == Lifecycle::Removed && run.now() > crate::world::START;
-        if !listening.follow(fault, address) {
-            // The unresponsive listener's sockets close in a moment.
+        // A removed endpoint accepts no connections, as if its process had ended.
+        let is_removed = run.lifecycles.borrow()[endpoint] == Lifecycle::Removed
+            && run.now() > crate::environment::RUN_START;
+        if !sockets.apply_fault(fault, address) {
+            // The sockets of the unresponsive listener are still being closed.
             Timer::after(Duration::from_millis(20)).await;
             continue;
         }
         let accepted = async {
-            match &listening.listener {
-                Some(l) if !gone => l.accept().await.ok().map(|c| c.0),
+            match &sockets.listener {
+                Some(l) if !is_removed => l.accept().await.ok().map(|c| c.0),
                 _ => future::pending().await,
             }
         };
-        let other = async {
-            // The channel's end is the change.
-            let _ = changed.recv().await;
+        let fault_changed = async {
+            // The channel is closed at a change.
+            let _ = fault_change.recv().await;
             None
         };
-        match future::or(other, accepted).await {
-            // The connection limit counts all forwarders together.
-            Some(stream) if run.held[endpoint].get() >= run.world.connections[destination] => drop(stream),
+        match future::or(fault_changed, accepted).await {
+            // The connection limit applies to all forwarders together.
+            Some(stream)
+                if run.open_connections[endpoint].get() >= run.environment.max_connections[destination] =>
+            {
+                drop(stream)
+            }
             Some(stream) => {
-                run.held[endpoint].set(run.held[endpoint].get() + 1);
+                run.open_connections[endpoint].set(run.open_connections[endpoint].get() + 1);
                 let run = run.clone();
                 run.clone().spawn(async move {
-                    converse(&run, forwarder, endpoint, stream).await;
-                    run.held[endpoint].set(run.held[endpoint].get() - 1);
+                    serve_connection(&run, forwarder, endpoint, stream).await;
+                    run.open_connections[endpoint].set(run.open_connections[endpoint].get() - 1);
                 });
             }
             None => {}
--- a/crates/rehearsal/src/live/load.rs
+++ b/crates/rehearsal/src/live/load.rs
@@ -1,7 +1,7 @@
-//! A load that keeps its schedule however long responses take: each message has its time, one that finds no free
-//! connection is sent late and counted as late, and latencies are measured from the planned time.
+//! An open-loop load generator. Each message has a planned time that does not depend on earlier responses. A message that
+//! finds no free connection is sent late and counted as late, and latencies are measured from the planned time.
 
-use crate::capture::CapturedDay;
+use crate::captured_traffic::CapturedTraffic;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -12,159 +12,167 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The schedule is looked at this often.
-const TICK: Duration = Duration::from_micros(500);
-/// A send is late beyond this.
-pub const LATE: Duration = Duration::from_millis(5);
+/// The time between two checks of the schedule.
+const SCHEDULE_INTERVAL: Duration = Duration::from_micros(500);
+/// A message that is sent more than this time after its planned time is late.
+pub const LATE_AFTER: Duration = Duration::from_millis(5);
 
-/// What to send.
+/// The load to send.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Where to.
+    /// The address of the forwarder.
     pub to: SocketAddr,
     /// Messages a second.
     pub rate: f64,
-    /// For how long.
-    pub length: Duration,
-    /// Connections.
+    /// How long messages are sent.
+    pub duration: Duration,
+    /// The number of connections.
     pub connections: usize,
-    /// Destinations, in turn.
+    /// The number of destinations; messages go to the ids from 0 in turn.
     pub destinations: u64,
-    /// The channel, where no captured day says it.
-    pub channel: String,
-    /// The class.
+    /// The tenant of messages that are not captured.
+    pub tenant: String,
+    /// The class of all messages.
     pub class: String,
-    /// A day whose messages are sent at its own times in place of the rate.
-    pub day: Option<CapturedDay>,
-    /// Begins each id, so that two loads do not share one.
-    pub name: String,
+    /// Captured traffic that is sent at its own times, in place of the rate.
+    pub captured: Option<CapturedTraffic>,
+    /// The prefix of each message id, so that two loads do not share an id.
+    pub id_prefix: String,
 }
 
-/// The result.
+/// The result of a load.
 #[derive(Debug)]
 pub struct LoadResult {
-    /// Messages sent.
+    /// The number of messages that were sent.
     pub sent: u64,
-    /// Sent later than planned by more than [`LATE`].
+    /// The number of messages that were sent later than planned by more than [`LATE_AFTER`].
     pub late: u64,
-    /// Accepted.
-    pub taken: u64,
-    /// Rejected.
-    pub refused: u64,
-    /// Answered otherwise, or not at all.
+    /// The number of messages that were accepted.
+    pub accepted: u64,
+    /// The number of messages that were rejected.
+    pub rejected: u64,
+    /// The number of messages that got another response or none.
     pub failed: u64,
-    /// From the planned time to the send, in microseconds.
+    /// The times from the planned time to the send, in microseconds.
     pub lateness: Histogram<u32>,
-    /// From the planned time to the answer, in microseconds.
-    pub answers: Histogram<u32>,
-    /// How long it took.
+    /// The times from the planned time to the response, in microseconds.
+    pub latencies: Histogram<u32>,
+    /// How long the load took.
     pub took: Duration,
 }
 
 struct LoadRun {
     load: Load,
-    begun: Instant,
+    started: Instant,
     result: RefCell<LoadResult>,
 }
 
-/// Sends it, on this thread.
+/// Sends the load on this thread.
+///
+/// # Errors
+/// A connection cannot be opened.
 pub fn run(load: Load) -> std::io::Result<LoadResult> {
-    let times = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
+    let times = || Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
     let result = LoadResult {
         sent: 0,
         late: 0,
-        taken: 0,
-        refused: 0,
+        accepted: 0,
+        rejected: 0,
         failed: 0,
         lateness: times(),
-        answers: times(),
+        latencies: times(),
         took: Duration::ZERO,
     };
     let executor = Rc::new(LocalExecutor::new());
     let run_state = async {
-        let (due, due_messages) = async_channel::unbounded::<(u64, Duration)>();
+        let (due_sender, due_messages) = async_channel::unbounded::<(u64, Duration)>();
         let mut connections = Vec::new();
         for _ in 0..load.connections {
             connections.push(HttpConnection::new(Async::<TcpStream>::connect(load.to).await?));
         }
-        let total = match &load.day {
-            Some(day) => day.messages.len() as u64,
-            None => (load.rate * load.length.as_secs_f64()) as u64,
+        let total = match &load.captured {
+            Some(captured) => captured.messages.len() as u64,
+            None => (load.rate * load.duration.as_secs_f64()) as u64,
         };
-        let run_state = Rc::new(LoadRun { begun: Instant::now(), load, result: RefCell::new(result) });
+        let run_state = Rc::new(LoadRun { started: Instant::now(), load, result: RefCell::new(result) });
         let senders: Vec<_> = connections
             .into_iter()
-            .map(|w| executor.spawn(send(run_state.clone(), w, due_messages.clone())))
+            .map(|connection| {
+                executor.spawn(send_messages(run_state.clone(), connection, due_messages.clone()))
+            })
             .collect();
         drop(due_messages);
-        plan(&run_state, total, &due).await;
-        drop(due);
-        for s in senders {
-            s.await;
+        schedule_messages(&run_state, total, &due_sender).await;
+        drop(due_sender);
+        for sender in senders {
+            sender.await;
         }
-        let took = run_state.begun.elapsed();
+        let took = run_state.started.elapsed();
         let run_state = Rc::try_unwrap(run_state).unwrap_or_else(|_| unreachable!("all senders have ended"));
         Ok(LoadResult { took, ..run_state.result.into_inner() })
     };
     async_io::block_on(executor.run(run_state))
 }
 
-/// When a message is due.
-fn due(load: &Load, n: u64) -> Duration {
-    match &load.day {
-        Some(day) => Duration::from_secs_f64(day.messages[n as usize].ms / 1e3),
-        None => Duration::from_secs_f64(n as f64 / load.rate),
+/// The planned time of a message, from the start of the load.
+fn due_time(load: &Load, number: u64) -> Duration {
+    match &load.captured {
+        Some(captured) => Duration::from_secs_f64(captured.messages[number as usize].ms / 1e3),
+        None => Duration::from_secs_f64(number as f64 / load.rate),
     }
 }
 
-async fn plan(run_state: &LoadRun, total: u64, to: &Sender<(u64, Duration)>) {
+/// Sends each message's number to the connections' tasks when the message is due.
+async fn schedule_messages(run_state: &LoadRun, total: u64, due_sender: &Sender<(u64, Duration)>) {
     let mut next = 0;
     while next < total {
-        let now = run_state.begun.elapsed();
-        while next < total && due(&run_state.load, next) <= now {
-            // The channel is unbounded and its receivers outlive the plan.
-            let _ = to.try_send((next, due(&run_state.load, next)));
+        let now = run_state.started.elapsed();
+        while next < total && due_time(&run_state.load, next) <= now {
+            // The channel is unbounded, and its receivers outlive this function.
+            let _ = due_sender.try_send((next, due_time(&run_state.load, next)));
             next += 1;
         }
-        Timer::after(TICK).await;
+        Timer::after(SCHEDULE_INTERVAL).await;
     }
 }
 
-fn request(load: &Load, n: u64) -> String {
-    let line = load.day.as_ref().map(|d| &d.messages[n as usize]);
-    let channel = line.map_or(load.channel.as_str(), |l| l.channel.as_str());
-    let to = line.map_or(n % load.destinations, |l| l.destination);
-    let id = format!("{}{n}", load.name);
+/// The HTTP request of a message.
+fn request_text(load: &Load, number: u64) -> String {
+    let captured = load.captured.as_ref().map(|c| &c.messages[number as usize]);
+    let tenant = captured.map_or(load.tenant.as_str(), |m| m.tenant.as_str());
+    let destination = captured.map_or(number % load.destinations, |m| m.destination);
+    let id = format!("{}{number}", load.id_prefix);
     format!(
-        "POST /api HTTP/1.1\r\nHost: load\r\nX-Request-Id: {id}\r\nX-Class: {}\r\nX-Tenant: {channel}\r\n\
-         X-Deadline: 28000m\r\nIdempotency-Key: {id}\r\nX-Addressing: dest={to}\r\nContent-Length: 4\r\n\r\nload",
+        "POST /api HTTP/1.1\r\nHost: load\r\nX-Request-Id: {id}\r\nX-Class: {}\r\nX-Tenant: {tenant}\r\n\
+         X-Deadline: 28000m\r\nIdempotency-Key: {id}\r\nX-Addressing: dest={destination}\r\nContent-Length: 4\r\n\r\nload",
         load.class
     )
 }
 
-async fn send(
+/// Sends the due messages on one connection, one at a time.
+async fn send_messages(
     run_state: Rc<LoadRun>,
     mut connection: HttpConnection,
     due_messages: Receiver<(u64, Duration)>,
 ) {
     let micros = |d: Duration| (d.as_micros() as u64).max(1);
-    while let Ok((n, planned)) = due_messages.recv().await {
-        let request = request(&run_state.load, n);
-        let late = run_state.begun.elapsed().saturating_sub(planned);
+    while let Ok((number, planned)) = due_messages.recv().await {
+        let request = request_text(&run_state.load, number);
+        let late = run_state.started.elapsed().saturating_sub(planned);
         {
             let mut result = run_state.result.borrow_mut();
             result.sent += 1;
-            result.late += u64::from(late > LATE);
+            result.late += u64::from(late > LATE_AFTER);
             result.lateness.saturating_record(micros(late));
         }
         let status = exchange(&mut connection, request.as_bytes()).await;
-        let answered = run_state.begun.elapsed().saturating_sub(planned);
+        let latency = run_state.started.elapsed().saturating_sub(planned);
         {
             let mut result = run_state.result.borrow_mut();
-            result.answers.saturating_record(micros(answered));
+            result.latencies.saturating_record(micros(latency));
             match status {
-                Some((200 | 202, _)) => result.taken += 1,
-                Some((429 | 503, _)) => result.refused += 1,
+                Some((200 | 202, _)) => result.accepted += 1,
+                Some((429 | 503, _)) => result.rejected += 1,
                 _ => result.failed += 1,
             }
         }
@@ -176,7 +184,7 @@
     }
 }
 
-/// The status, and whether the connection stays.
+/// Sends a request and reads the response. Returns its status and whether the connection stays open; `None` if it breaks.
 async fn exchange(connection: &mut HttpConnection, request: &[u8]) -> Option<(u16, bool)> {
     connection.write(request).await.ok()?;
     let head = connection.read_response().await.ok()?;
@@ -184,8 +192,12 @@
     Some((head.status, head.keep_alive))
 }
 
-/// A server in a thread of its own that accepts everything at once, to measure what the load itself can do.
-pub fn sink() -> std::io::Result<SocketAddr> {
+/// Starts a server in its own thread that accepts every message at once, to measure the load generator alone. Returns its
+/// address.
+///
+/// # Errors
+/// No address can be bound.
+pub fn start_sink() -> std::io::Result<SocketAddr> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
     let address = listener.get_ref().local_addr()?;
     std::thread::spawn(move || {
@@ -200,6 +212,7 @@
     Ok(address)
 }
 
+/// Answers every request on a connection with 202.
 async fn accept_all(mut connection: HttpConnection) {
     while let Ok(head) = connection.read_request().await {
         if connection.request_body(&head, 64 * 1024).await.is_err() {
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -1,22 +1,23 @@
-//! A scenario on sockets: destinations, a platform agent for each forwarder, clients, and real forwarders as
-//! processes, all on loopback and on ports that the system picks. What both sides observe is audited as it happens.
+//! Runs a scenario on sockets: destinations, a platform agent for each forwarder, clients, and real forwarder processes,
+//! all on loopback and on ports that the system picks. The audit reads what clients and destinations observe.
 //!
-//! One thread and one clock, so that observations are in order. Every process ends with this one, however it ends.
+//! A run has one thread and one clock, so that its observations are in order. The system ends every forwarder process
+//! together with this process, also when this process is killed.
 
 mod agent;
 mod call;
 mod clients;
-mod daemon;
-mod day;
 mod endpoint;
+mod forwarder_process;
 pub mod load;
 pub mod proxy;
 mod sampling;
+mod schedule;
 
 use crate::audit::{Audit, AuditSizes, MessageEnd, RuleViolation, SOCKETS};
+use crate::environment::{Environment, RUN_START};
 use crate::figures::Figures;
 use crate::verdict::Lateness;
-use crate::world::{World, START};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -25,10 +26,10 @@
 use cedarbridge::routes::{Plan, Timing};
 use cedarbridge::{ClassId, DestinationId, KindId, Lifecycle, Micros};
 use cedarbridge_endpoint_model::{DestinationModel, Fault};
-pub use daemon::DaemonError;
+pub use forwarder_process::StartError;
 pub use sampling::counters;
 
-use daemon::Daemon;
+use forwarder_process::LiveForwarder;
 use futures_lite::{future, FutureExt, StreamExt};
 use hdrhistogram::Histogram;
 use proxy::ProxyFault;
@@ -43,82 +44,82 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A forwarder must be out so long after SIGTERM.
+/// A forwarder must have exited this time after SIGTERM.
 const SHUTDOWN_LIMIT: Duration = Duration::from_millis(3_700);
 
-/// How to run.
+/// The options of a live run.
 pub struct Options {
-    /// The forwarder's program and the first of its arguments.
-    pub daemon: Vec<PathBuf>,
-    /// The program that starts it so that it ends with the kit: this one, with its hidden command.
-    pub keeper: PathBuf,
-    /// Where files and logs go.
+    /// The forwarder's program and its first arguments.
+    pub forwarder_command: Vec<PathBuf>,
+    /// The program whose hidden command `under` starts a forwarder so that it ends with this process.
+    pub launcher: PathBuf,
+    /// The folder of the forwarders' files and logs.
     pub folder: PathBuf,
-    /// The site file of the forwarders.
+    /// The site file of the forwarders; `None` to run without one.
     pub site: Option<PathBuf>,
-    /// What the forwarders log, by the daemon's own word for it.
+    /// The forwarders' log level, as their option `--log-level` takes it.
     pub log_level: String,
-    /// A fault put between a forwarder and the rest, to see it caught.
-    pub fault: Option<ProxyFault>,
-    /// Broken off after this.
-    pub limit: Duration,
+    /// A fault of a proxy between forwarders and their peers, to test that the audit detects it.
+    pub proxy_fault: Option<ProxyFault>,
+    /// The run is aborted after this time.
+    pub time_limit: Duration,
 }
 
-/// The result of a run.
+/// The result of a live run.
 pub struct LiveResult {
-    /// The figures.
+    /// The figures of the run.
     pub figures: Figures,
-    /// Rules broken.
+    /// The rule violations.
     pub violations: Vec<RuleViolation>,
-    /// How late the kit itself was.
-    pub late: Lateness,
-    /// What else went wrong.
+    /// How far the run was behind its own schedule.
+    pub lateness: Lateness,
+    /// Descriptions of what else went wrong, such as a forwarder that did not end in time.
     pub incidents: Vec<String>,
 }
 
-/// Why a run could not be made.
+/// Why a live run could not be completed.
 #[derive(Debug, thiserror::Error)]
 pub enum LiveError {
-    /// The machine does not give what the scenario asks.
-    #[error("this machine cannot play it: {0}")]
+    /// The machine lacks a resource that the scenario needs.
+    #[error("this machine cannot run the scenario: {0}")]
     Machine(String),
-    /// Something of the system failed.
+    /// A system call failed; the text says for which purpose.
     #[error("{0}: {1}")]
     System(String, std::io::Error),
-    /// It was broken off from outside.
-    #[error("broken off")]
-    BrokenOff,
-    /// A part of the kit itself failed.
-    #[error("a part of the kit panicked; all that it started was ended")]
-    Panic,
+    /// The run was interrupted by a signal or by the user.
+    #[error("interrupted")]
+    Interrupted,
+    /// A task of the run panicked.
+    #[error("a task of the run panicked; all started processes were ended")]
+    TaskPanic,
     /// A forwarder did not start.
     #[error("{0}")]
-    Daemon(#[from] DaemonError),
+    Start(#[from] StartError),
 }
 
 /// An update to the view of a run.
 #[derive(Clone, Debug)]
 pub enum ViewUpdate {
-    /// Progress, twice a second.
+    /// The progress of the run, sent after each sample.
     Progress(Progress),
 }
 
-/// A run's progress.
+/// The progress of a live run.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Microseconds since the day's begin, and its complete length.
+    /// The time since the start of the run and the length of the run, in microseconds.
     pub at: (Micros, Micros),
-    /// Requests sent, and all that are planned.
+    /// The numbers of requests that were sent and that are planned.
     pub sent: (usize, usize),
-    /// Value delivered and offered so far.
+    /// The value delivered and offered so far.
     pub value: (f64, f64),
-    /// Rules broken so far.
+    /// The number of rule violations so far.
     pub violations: usize,
-    /// Each forwarder's `/_counters?by=partner`; none from one that does not answer.
+    /// Each forwarder's `/_counters?by=partner`; `None` from one that does not answer.
     pub forwarders: Vec<Option<Value>>,
 }
 
-/// A command of the view.
+/// A command of the view to the run.
 #[derive(Clone, Copy, Debug)]
 pub enum ViewCommand {
     /// Inject a fault into a destination, or end all of its injected faults.
@@ -127,269 +128,285 @@
     Quit,
 }
 
-/// A request that was sent; a retry is another one.
+/// A message that a client sent. A client's retry is another message for the same request.
 #[derive(Clone, Copy)]
-struct SentRequest {
-    first: usize,
-    retried: bool,
+struct SentMessage {
+    /// The index of the request.
+    request: usize,
+    is_retry: bool,
 }
 
-/// A destination's model, with what its connections must know.
+/// The model of a destination, with the state that its connections share.
 struct LiveDestination {
     model: DestinationModel,
-    /// Connections from before this are dead while they are half-open.
-    half_open: Option<Micros>,
-    /// Counts the faults that ended calls in flight; each call compares it.
-    calls_ended: u32,
-    /// Whether calls in flight are reset, or else left without an answer.
+    /// The start of a half-open fault: connections that were opened before get no answers. `None` without the fault.
+    half_open_since: Option<Micros>,
+    /// Counts the faults that ended calls in flight. A call is ended if the count has changed since the call began.
+    ended_calls_version: u32,
+    /// Whether these faults reset the calls in flight, or else leave them without an answer.
     ended_by_reset: bool,
-    /// Closed at a change of faults, which wakes those that wait for it.
-    changed: (Sender<()>, Receiver<()>),
-    /// Faults injected by hand.
-    injected: Vec<Fault>,
+    /// A channel that is closed at each change of faults, to wake the tasks that wait for a change.
+    fault_change: (Sender<()>, Receiver<()>),
+    /// The faults that the user has injected.
+    injected_faults: Vec<Fault>,
 }
 
 /// The state of a live run, shared by its tasks.
 pub(crate) struct LiveRun {
-    world: Rc<World>,
+    environment: Rc<Environment>,
     plan: Option<Arc<Plan>>,
     options: Options,
     executor: Rc<LocalExecutor<'static>>,
-    begun: Cell<Option<Instant>>,
+    /// When the run started; `None` until all forwarders are ready.
+    started: Cell<Option<Instant>>,
     audit: RefCell<Audit>,
     figures: RefCell<Figures>,
     destinations: RefCell<Vec<LiveDestination>>,
-    sent_requests: RefCell<Vec<SentRequest>>,
-    ids: RefCell<HashMap<String, usize>>,
-    /// By forwarder and endpoint of the list, where it listens for that forwarder.
-    addresses: RefCell<Vec<Vec<SocketAddr>>>,
-    /// The current endpoint list, and its version.
-    list: RefCell<Vec<Lifecycle>>,
-    version: Cell<u64>,
-    /// Closed at a change of the list, which wakes its watches.
+    sent_messages: RefCell<Vec<SentMessage>>,
+    message_ids: RefCell<HashMap<String, usize>>,
+    /// For each forwarder and endpoint, the address on which the endpoint listens for that forwarder.
+    endpoint_addresses: RefCell<Vec<Vec<SocketAddr>>>,
+    /// The current lifecycle of each endpoint in the list.
+    lifecycles: RefCell<Vec<Lifecycle>>,
+    list_version: Cell<u64>,
+    /// Channels that are closed at a change of the list, to wake its watches.
     list_watchers: RefCell<Vec<Sender<()>>>,
-    daemons: RefCell<Vec<Daemon>>,
+    forwarders: RefCell<Vec<LiveForwarder>>,
     rng: RefCell<ChaCha8Rng>,
-    /// Clients that will retry or look for a forwarder.
+    /// The number of clients that will retry or are looking for a forwarder.
     clients_waiting: Cell<usize>,
-    open: Cell<usize>,
-    sent: Cell<usize>,
-    late: RefCell<(Histogram<u32>, u64, u64)>,
-    /// How long forwarders took to answer `/_counters`, in microseconds.
-    answer_times: RefCell<Histogram<u32>>,
+    /// The number of messages without a final answer.
+    open_messages: Cell<usize>,
+    /// The number of requests that were sent.
+    sent_count: Cell<usize>,
+    /// The event loop's lateness in microseconds, the number of late sends, and the number of all sends.
+    lateness: RefCell<(Histogram<u32>, u64, u64)>,
+    /// The times that forwarders took to answer `/_counters`, in microseconds.
+    counters_times: RefCell<Histogram<u32>>,
     incidents: RefCell<Vec<String>>,
-    pools: RefCell<Vec<Vec<HttpConnection>>>,
-    /// For each forwarder that is being upgraded, the requests rejected or left unanswered meanwhile.
+    /// The clients' idle connections, by forwarder.
+    idle_connections: RefCell<Vec<Vec<HttpConnection>>>,
+    /// For each forwarder that is being upgraded, the number of requests rejected or left unanswered meanwhile.
     rejected_in_upgrade: RefCell<Vec<Option<usize>>>,
-    /// Calls in flight at destinations.
+    /// The number of calls in flight at all destinations.
     calls_in_flight: Cell<usize>,
-    /// Open connections, by endpoint.
-    held: Vec<Cell<usize>>,
-    /// Signals that a task has panicked.
+    /// The number of open connections of each endpoint, over all forwarders.
+    open_connections: Vec<Cell<usize>>,
+    /// A channel that signals the panic of a task.
     panicked: (Sender<()>, Receiver<()>),
 }
 
 impl LiveRun {
-    /// The day's time; its begin, before that.
+    /// The time on the run's clock; [`RUN_START`] until the run starts.
     fn now(&self) -> Micros {
-        self.begun.get().map_or(START, |b| START + b.elapsed().as_micros() as Micros)
+        self.started.get().map_or(RUN_START, |s| RUN_START + s.elapsed().as_micros() as Micros)
     }
 
-    /// Sleeps until a time of the day.
-    async fn until(&self, at: Micros) {
-        if let Some(begun) = self.begun.get() {
-            Timer::at(begun + Duration::from_micros(at.saturating_sub(START))).await;
+    /// Sleeps until a time on the run's clock. Returns at once if the run has not started.
+    async fn sleep_until(&self, at: Micros) {
+        if let Some(started) = self.started.get() {
+            Timer::at(started + Duration::from_micros(at.saturating_sub(RUN_START))).await;
         }
     }
 
-    fn timing(&self, first: usize) -> Timing {
-        let destination = self.world.requests[first].destination;
-        let (to, kind) = (DestinationId(destination as u64), KindId(self.world.kinds[destination]));
-        self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), ClassId(0)))
+    /// The timing that the routes give a request's messages.
+    fn timing(&self, request: usize) -> Timing {
+        let destination = self.environment.requests[request].destination;
+        let (id, kind) =
+            (DestinationId(destination as u64), KindId(self.environment.destination_kinds[destination]));
+        self.plan.as_ref().map_or(Timing::default(), |p| p.timing(id, Some(kind), ClassId(0)))
     }
 
-    /// Counts a request that was refused a connection, disconnected or left unanswered.
+    /// Counts a request that got no connection, was disconnected or was left unanswered, if the forwarder is being upgraded.
     fn count_rejected_in_upgrade(&self, forwarder: usize) {
         self.rejected_in_upgrade.borrow_mut()[forwarder].iter_mut().for_each(|n| *n += 1);
     }
 
-    fn report_incident(&self, what: String) {
-        self.incidents.borrow_mut().push(what);
+    fn report_incident(&self, description: String) {
+        self.incidents.borrow_mut().push(description);
     }
 
+    /// Spawns a task. Its panic ends the run.
     fn spawn(self: &Rc<Self>, task: impl std::future::Future<Output = ()> + 'static) {
         let panicked = self.panicked.0.clone();
         let task = std::panic::AssertUnwindSafe(task).catch_unwind();
         let task = async move {
             if task.await.is_err() {
-                // A full channel has the news of an earlier panic.
+                // If the channel is full, it already signals an earlier panic.
                 let _ = panicked.try_send(());
             }
         };
         self.executor.spawn(task).detach();
     }
 
-    /// A message's end was reported to its client or the platform.
-    fn ended(&self, message: usize, end: MessageEnd, notice: bool) {
-        let first = self.sent_requests.borrow()[message].first;
-        let (now, timing) = (self.now(), self.timing(first));
+    /// Records the end of a message, as its client got it or as a notice reports it.
+    fn message_ended(&self, message: usize, end: MessageEnd, by_notice: bool) {
+        let request = self.sent_messages.borrow()[message].request;
+        let (now, timing) = (self.now(), self.timing(request));
         let mut audit = self.audit.borrow_mut();
-        let before = audit.open_at(message);
-        if notice {
-            audit.notified(now, message, &timing, end);
+        let was_open = audit.is_open(message);
+        if by_notice {
+            audit.notice_received(now, message, &timing, end);
         } else {
-            audit.ended(now, message, &timing, end);
+            audit.message_ended(now, message, &timing, end);
         }
-        if before {
-            self.open.set(self.open.get() - 1);
+        if was_open {
+            self.open_messages.set(self.open_messages.get() - 1);
             match end {
-                MessageEnd::Delivered => self.figures.borrow_mut().delivered(now, first),
-                MessageEnd::Rejected => self.figures.borrow_mut().given_up(true),
-                MessageEnd::Failed => self.figures.borrow_mut().given_up(false),
+                MessageEnd::Delivered => self.figures.borrow_mut().delivered(now, request),
+                MessageEnd::Rejected => self.figures.borrow_mut().message_given_up(true),
+                MessageEnd::Failed => self.figures.borrow_mut().message_given_up(false),
                 MessageEnd::Disconnected => {}
             }
         }
     }
 
-    /// Applies the faults that a destination has now, planned and injected.
-    fn apply_faults(&self, destination: usize, begun: Option<Fault>) {
+    /// Applies the planned and injected faults that a destination has now. `started` is the fault that starts now, if any.
+    fn apply_faults(&self, destination: usize, started: Option<Fault>) {
         let now = self.now();
-        let planned = self.world.faults.iter().filter(|f| f.applies(destination, now));
-        let mut all: Vec<Fault> = planned.map(|f| f.fault).collect();
+        let planned = self.environment.faults.iter().filter(|f| f.applies(destination, now));
+        let mut faults: Vec<Fault> = planned.map(|f| f.fault).collect();
         let mut destinations = self.destinations.borrow_mut();
-        let p = &mut destinations[destination];
-        all.extend(&p.injected);
-        p.half_open = match all.contains(&Fault::HalfOpenConnections) {
-            true => p.half_open.or(Some(now)),
+        let state = &mut destinations[destination];
+        faults.extend(&state.injected_faults);
+        state.half_open_since = match faults.contains(&Fault::HalfOpenConnections) {
+            true => state.half_open_since.or(Some(now)),
             false => None,
         };
-        p.model.set_faults(now, all);
-        if let Some(calls_ended) = begun.and_then(Fault::effect_on_calls_in_flight) {
-            p.calls_ended += 1;
-            p.ended_by_reset = calls_ended == cedarbridge_endpoint_model::InFlightEffect::Broken;
+        state.model.set_faults(now, faults);
+        if let Some(effect) = started.and_then(Fault::effect_on_calls_in_flight) {
+            state.ended_calls_version += 1;
+            state.ended_by_reset = effect == cedarbridge_endpoint_model::InFlightEffect::Broken;
         }
-        // Closing the channel wakes all that wait for a change.
+        // Closing the channel wakes all tasks that wait for a change.
         let (sender, receiver) = async_channel::bounded(1);
-        let old = std::mem::replace(&mut p.changed, (sender, receiver));
+        let old = std::mem::replace(&mut state.fault_change, (sender, receiver));
         old.0.close();
     }
 }
 
-/// Checks that the machine allows as many descriptors as the scenario needs.
-fn check_descriptors(world: &World) -> Result<(), LiveError> {
-    let forwarder_count = world.fleet.len();
-    let listeners = forwarder_count * (world.list.len() + 1);
-    let calls = forwarder_count * world.settings.max_concurrent_calls;
-    let clients = forwarder_count * world.settings.max_open_messages.min(2_000);
+/// Checks that the process may open as many file descriptors as the scenario needs.
+fn check_descriptors(environment: &Environment) -> Result<(), LiveError> {
+    let forwarder_count = environment.fleet.len();
+    let listeners = forwarder_count * (environment.endpoints.len() + 1);
+    let calls = forwarder_count * environment.settings.max_concurrent_calls;
+    let clients = forwarder_count * environment.settings.max_open_messages.min(2_000);
     let needed = listeners + 2 * calls + clients + 128;
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     match limit {
-        Some(most) if (needed as u64) > most => Err(LiveError::Machine(format!(
+        Some(allowed) if (needed as u64) > allowed => Err(LiveError::Machine(format!(
             "it needs about {needed} descriptors ({listeners} listeners for {forwarder_count} forwarders and {} endpoints), \
-             {most} are allowed; `simulate` plays it without sockets",
-            world.list.len()
+             {allowed} are allowed; `simulate` runs it without sockets",
+            environment.endpoints.len()
         ))),
         _ => Ok(()),
     }
 }
 
-/// Plays a day on sockets and returns it with its result. The view receives updates and may send commands.
+/// Runs an environment on sockets, and returns it with the result. The view receives updates and may send commands.
+///
+/// # Errors
+/// The machine lacks file descriptors, a forwarder does not start, a system call fails, or the run is interrupted.
 pub fn rehearse(
-    world: World,
+    environment: Environment,
     plan: Option<Arc<Plan>>,
     seed: u64,
     options: Options,
     view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
-) -> (Rc<World>, Result<LiveResult, LiveError>) {
-    let world = Rc::new(world);
-    let day_done = play(world.clone(), plan, seed, options, view);
-    (world, day_done)
+) -> (Rc<Environment>, Result<LiveResult, LiveError>) {
+    let environment = Rc::new(environment);
+    let result = run(environment.clone(), plan, seed, options, view);
+    (environment, result)
 }
 
-fn play(
-    world: Rc<World>,
+fn run(
+    environment: Rc<Environment>,
     plan: Option<Arc<Plan>>,
     seed: u64,
     options: Options,
     view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
 ) -> Result<LiveResult, LiveError> {
-    check_descriptors(&world)?;
+    check_descriptors(&environment)?;
     let executor = Rc::new(LocalExecutor::new());
-    let limit = options.limit;
-    let run = Rc::new(LiveRun::new(world, plan, seed, options, executor.clone()));
+    let time_limit = options.time_limit;
+    let run = Rc::new(LiveRun::new(environment, plan, seed, options, executor.clone()));
     let until_over = async {
-        let too_long = async {
-            Timer::after(limit).await;
-            run.report_incident(format!("not over after {} s: broken off", limit.as_secs()));
+        let timed_out = async {
+            Timer::after(time_limit).await;
+            run.report_incident(format!("not over after {} s: broken off", time_limit.as_secs()));
             Ok(())
         };
         let panicked = async {
-            // Its sender lives as long as the run, so this is a panic.
+            // The sender lives as long as the run, so a result means a panic.
             let _ = run.panicked.1.recv().await;
-            Err(LiveError::Panic)
+            Err(LiveError::TaskPanic)
         };
-        future::or(panicked, future::or(interrupted(), future::or(day::day(&run, view), too_long))).await
+        future::or(
+            panicked,
+            future::or(interrupted(), future::or(schedule::run_schedule(&run, view), timed_out)),
+        )
+        .await
     };
     let done = async_io::block_on(executor.run(until_over));
-    // All processes are ended, whatever the result.
-    run.daemons.borrow_mut().clear();
+    // Dropping the forwarders ends their processes, whatever the result is.
+    run.forwarders.borrow_mut().clear();
     done?;
     Ok(run.take_result())
 }
 
 impl LiveRun {
     fn new(
-        world: Rc<World>,
+        environment: Rc<Environment>,
         plan: Option<Arc<Plan>>,
         seed: u64,
         options: Options,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
-        let destinations = world.destinations.iter().zip(0u64..).map(|(m, n)| LiveDestination {
+        let destinations = environment.destinations.iter().zip(0u64..).map(|(m, n)| LiveDestination {
             model: DestinationModel::new(m.clone(), seed ^ n << 16),
-            half_open: None,
-            calls_ended: 0,
+            half_open_since: None,
+            ended_calls_version: 0,
             ended_by_reset: false,
-            changed: async_channel::bounded(1),
-            injected: Vec::new(),
+            fault_change: async_channel::bounded(1),
+            injected_faults: Vec::new(),
         });
-        let forwarder_count = world.fleet.len();
-        let list = (0..world.list.len())
-            .map(|e| if e < world.listed { Lifecycle::Listed } else { Lifecycle::Removed })
+        let forwarder_count = environment.fleet.len();
+        let lifecycles = (0..environment.endpoints.len())
+            .map(|e| if e < environment.initially_listed { Lifecycle::Listed } else { Lifecycle::Removed })
             .collect();
-        let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that are in order");
+        let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
         LiveRun {
-            audit: RefCell::new(Audit::new(&world.settings, AuditSizes::of(&world), SOCKETS)),
-            figures: RefCell::new(Figures::new(&world)),
+            audit: RefCell::new(Audit::new(&environment.settings, AuditSizes::of(&environment), SOCKETS)),
+            figures: RefCell::new(Figures::new(&environment)),
             destinations: RefCell::new(destinations.collect()),
-            sent_requests: RefCell::default(),
-            ids: RefCell::default(),
-            addresses: RefCell::new(vec![Vec::new(); forwarder_count]),
-            list: RefCell::new(list),
-            version: Cell::new(1),
+            sent_messages: RefCell::default(),
+            message_ids: RefCell::default(),
+            endpoint_addresses: RefCell::new(vec![Vec::new(); forwarder_count]),
+            lifecycles: RefCell::new(lifecycles),
+            list_version: Cell::new(1),
             list_watchers: RefCell::default(),
-            daemons: RefCell::default(),
+            forwarders: RefCell::default(),
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(seed)),
             clients_waiting: Cell::new(0),
-            open: Cell::new(0),
-            sent: Cell::new(0),
-            answer_times: RefCell::new(times.clone()),
-            late: RefCell::new((times, 0, 0)),
+            open_messages: Cell::new(0),
+            sent_count: Cell::new(0),
+            counters_times: RefCell::new(times.clone()),
+            lateness: RefCell::new((times, 0, 0)),
             incidents: RefCell::default(),
-            pools: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
+            idle_connections: RefCell::new((0..forwarder_count).map(|_| Vec::new()).collect()),
             rejected_in_upgrade: RefCell::new(vec![None; forwarder_count]),
             calls_in_flight: Cell::new(0),
-            held: vec![Cell::new(0); world.list.len()],
+            open_connections: vec![Cell::new(0); environment.endpoints.len()],
             panicked: async_channel::bounded(1),
-            begun: Cell::new(None),
+            started: Cell::new(None),
             executor,
-            world,
+            environment,
             plan,
             options,
         }
     }
 
-    /// The figures and violations once the day is over.
+    /// Closes the audit and takes the result out of the finished run.
     fn take_result(&self) -> LiveResult {
         let now = self.now();
         let overloaded: Vec<_> = self
@@ -399,28 +416,29 @@
             .enumerate()
             .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
             .collect();
-        let mut audit = self.audit.replace(Audit::new(&self.world.settings, AuditSizes::default(), SOCKETS));
+        let mut audit =
+            self.audit.replace(Audit::new(&self.environment.settings, AuditSizes::default(), SOCKETS));
         audit.close(now, overloaded.into_iter());
-        let (times, late_sends, sends) = self.late.borrow().clone();
-        let late = Lateness {
-            loop_p99: times.value_at_quantile(0.99),
-            loop_most: times.max(),
+        let (loop_times, late_sends, sends) = self.lateness.borrow().clone();
+        let lateness = Lateness {
+            loop_p99: loop_times.value_at_quantile(0.99),
+            loop_max: loop_times.max(),
             late_sends,
             sends,
-            counters_p90: self.answer_times.borrow().value_at_quantile(0.9),
+            counters_p90: self.counters_times.borrow().value_at_quantile(0.9),
         };
-        let figures = self.figures.replace(Figures::new(&self.world));
-        LiveResult { figures, violations: audit.violations, late, incidents: self.incidents.take() }
+        let figures = self.figures.replace(Figures::new(&self.environment));
+        LiveResult { figures, violations: audit.violations, lateness, incidents: self.incidents.take() }
     }
 }
 
-/// Ends when the kit is asked to stop by a signal.
+/// Waits for SIGINT or SIGTERM, and returns the error that ends the run.
 async fn interrupted() -> Result<(), LiveError> {
     let signals = Signals::new([async_signal::Signal::Int, async_signal::Signal::Term]);
     match signals {
         Ok(mut signals) => {
             signals.next().await;
-            Err(LiveError::BrokenOff)
+            Err(LiveError::Interrupted)
         }
         Err(_) => future::pending().await,
     }
--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -1,5 +1,5 @@
-//! Faults between a forwarder and its surroundings, to test that the audit catches each: a transparent proxy repeats
-//! calls, sends them within a retry_after, or drops notices.
+//! Proxies between a forwarder and its peers that violate the delivery rules on purpose, to test that the audit detects
+//! each violation. A proxy repeats calls, sends them within a `retry_after`, or drops notices, for example.
 
 use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
@@ -12,42 +12,51 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the proxy does.
+/// The fault that a proxy adds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ProxyFault {
-    /// Sends every tenth call a second time, while the first is out.
-    Twice,
-    /// Sends every tenth call thirteen times more, one after the other.
-    Thirteen,
-    /// Sends a call again within the wait that its answer told.
-    InWait,
-    /// Sends its last call again 400 ms after its endpoint began to drain.
-    AfterDrain,
-    /// Sends calls under an id that nobody handed in.
-    OtherId,
-    /// Sends a partner that has just come back as much as it can.
-    Push,
-    /// Keeps every notice for itself.
-    KeepNotices,
-    /// Tells the other end as well with every notice.
-    BothEnds,
+    /// Sends every tenth call a second time, while the first is in flight
+    #[value(name = "twice")]
+    DuplicateCall,
+    /// Sends every tenth call thirteen more times, one after the other
+    #[value(name = "thirteen")]
+    ExceedAttempts,
+    /// Sends a rejected call again within the `retry_after` of the response
+    #[value(name = "in-wait")]
+    IgnoreRetryAfter,
+    /// Sends its last call again 400 ms after its endpoint began to drain
+    #[value(name = "after-drain")]
+    SendAfterDrain,
+    /// Sends calls with a message id that no client sent
+    #[value(name = "other-id")]
+    ChangeId,
+    /// Floods a destination that has just recovered
+    #[value(name = "push")]
+    FloodOnRecovery,
+    /// Drops every notice
+    #[value(name = "keep-notices")]
+    DropNotices,
+    /// Sends each notice also with the opposite end
+    #[value(name = "both-ends")]
+    ContradictNotices,
 }
 
 impl ProxyFault {
-    /// The proxy is in front of a destination's endpoints, not of the agent.
-    pub fn at_calls(self) -> bool {
-        !matches!(self, ProxyFault::KeepNotices | ProxyFault::BothEnds)
+    /// Whether the proxy is between the forwarder and the endpoints, or else between the forwarder and its agent.
+    pub fn is_call_fault(self) -> bool {
+        !matches!(self, ProxyFault::DropNotices | ProxyFault::ContradictNotices)
     }
 }
 
+/// Opens the listener of a proxy.
 fn listen() -> Result<(Async<TcpListener>, SocketAddr), LiveError> {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0));
-    let listener = listener.map_err(|e| LiveError::System("no address for a fault".into(), e))?;
-    let address = listener.get_ref().local_addr().expect("bound");
+    let listener = listener.map_err(|e| LiveError::System("cannot bind an address for a proxy".into(), e))?;
+    let address = listener.get_ref().local_addr().expect("the listener is bound");
     Ok((listener, address))
 }
 
-/// Starts a proxy in front of an endpoint; the list has its address.
+/// Starts a proxy in front of an endpoint, and returns the address to put into the endpoint list.
 pub(crate) fn start_call_proxy(
     run: &Rc<LiveRun>,
     endpoint: usize,
@@ -57,29 +66,34 @@
     let (listener, address) = listen()?;
     let run = run.clone();
     run.clone().spawn(async move {
-        let (count, last) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
+        let (call_count, last_call) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
-            ProxyFault::AfterDrain => run.spawn(send_after_drain(run.clone(), endpoint, real, last.clone())),
-            ProxyFault::Push => run.spawn(flood_on_recovery(run.clone(), endpoint, real, last.clone())),
+            ProxyFault::SendAfterDrain => {
+                run.spawn(send_after_drain(run.clone(), endpoint, real, last_call.clone()))
+            }
+            ProxyFault::FloodOnRecovery => {
+                run.spawn(flood_on_recovery(run.clone(), endpoint, real, last_call.clone()))
+            }
             _ => {}
         }
         while let Ok((stream, _)) = listener.accept().await {
-            let (count, last, run) = (count.clone(), last.clone(), run.clone());
+            let (call_count, last_call, run) = (call_count.clone(), last_call.clone(), run.clone());
             run.clone().spawn(async move {
-                // A connection that ends is no failure of the proxy.
-                let _ = relay_calls(&run, HttpConnection::new(stream), real, fault, &count, &last).await;
+                // The end of a connection is not an error of the proxy.
+                let _ = relay_calls(&run, HttpConnection::new(stream), real, fault, &call_count, &last_call)
+                    .await;
             });
         }
     });
     Ok(address)
 }
 
-/// The call that the proxy forwards.
+/// The bytes of the call that the proxy forwards.
 fn forwarded_call(head: &RequestHead, body: &[u8], fault: ProxyFault) -> Vec<u8> {
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
         if let Some(value) = head.headers.get(name) {
-            let suffix = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
+            let suffix = if fault == ProxyFault::ChangeId && name == "X-Request-Id" { "-other" } else { "" };
             text += &format!("{name}: {value}{suffix}\r\n");
         }
     }
@@ -88,15 +102,15 @@
     bytes
 }
 
-/// An answer that is passed on, with what the proxy reads of it.
-struct Relayed {
-    answer: Vec<u8>,
-    wait_ms: Option<f64>,
+/// A response that the proxy relays, with the fields that the proxy reads.
+struct RelayedResponse {
+    bytes: Vec<u8>,
+    retry_after_ms: Option<f64>,
     status: u16,
 }
 
-/// Sends a call and returns its answer unchanged.
-async fn send(real: SocketAddr, bytes: &[u8]) -> Option<Relayed> {
+/// Sends a call and returns its response; `None` if the connection fails.
+async fn send(real: SocketAddr, bytes: &[u8]) -> Option<RelayedResponse> {
     let mut connection = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
     connection.write(bytes).await.ok()?;
     let head = connection.read_response().await.ok()?;
@@ -107,50 +121,52 @@
             text += &format!("{name}: {value}\r\n");
         }
     }
-    let wait_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
-    let mut answer = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
-    answer.extend_from_slice(&body);
-    Some(Relayed { answer, wait_ms, status: head.status })
+    let retry_after_ms = head.headers.get("X-RateLimit-Wait-Ms").and_then(|w| w.parse().ok());
+    let mut response = format!("{text}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
+    response.extend_from_slice(&body);
+    Some(RelayedResponse { bytes: response, retry_after_ms, status: head.status })
 }
 
+/// Relays the calls on a forwarder's connection, and adds the fault. Returns when the connection ends.
 async fn relay_calls(
     run: &Rc<LiveRun>,
-    mut from: HttpConnection,
+    mut client: HttpConnection,
     real: SocketAddr,
     fault: ProxyFault,
-    count: &Cell<u32>,
-    last: &Cell<Option<Vec<u8>>>,
+    call_count: &Cell<u32>,
+    last_call: &Cell<Option<Vec<u8>>>,
 ) -> Option<()> {
     loop {
-        let head = from.read_request().await.ok()?;
-        let body = from.request_body(&head, 1 << 20).await.ok()?;
+        let head = client.read_request().await.ok()?;
+        let body = client.request_body(&head, 1 << 20).await.ok()?;
         let bytes = forwarded_call(&head, &body, fault);
-        count.set(count.get() + 1);
-        last.set(Some(bytes.clone()));
-        let tenth = count.get() % 10 == 1;
-        if fault == ProxyFault::Twice && tenth {
+        call_count.set(call_count.get() + 1);
+        last_call.set(Some(bytes.clone()));
+        let is_tenth = call_count.get() % 10 == 1;
+        if fault == ProxyFault::DuplicateCall && is_tenth {
             let bytes = bytes.clone();
             run.spawn(async move {
                 send(real, &bytes).await;
             });
         }
-        // The forwarder may time out meanwhile: so does the proxy.
-        let sent = async { send(real, &bytes).await };
-        let left = async {
-            // Whatever is read or fails: the forwarder has left.
-            let _ = from.fill().await;
+        // If the forwarder closes the connection after its timeout, the proxy ends, too.
+        let responded = async { send(real, &bytes).await };
+        let closed = async {
+            // A forwarder sends nothing before the response, so the connection has ended.
+            let _ = client.fill().await;
             None
         };
-        let Relayed { answer, wait_ms, status } = future::or(sent, left).await?;
-        from.write(&answer).await.ok()?;
-        match (fault, wait_ms) {
-            (ProxyFault::InWait, Some(wait)) if wait > 250.0 => {
+        let RelayedResponse { bytes: response, retry_after_ms, status } =
+            future::or(responded, closed).await?;
+        client.write(&response).await.ok()?;
+        match (fault, retry_after_ms) {
+            (ProxyFault::IgnoreRetryAfter, Some(retry_after)) if retry_after > 250.0 => {
                 run.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
                     send(real, &bytes).await;
                 });
             }
-            (ProxyFault::Thirteen, _) if tenth && status == 200 => {
+            (ProxyFault::ExceedAttempts, _) if is_tenth && status == 200 => {
                 run.spawn(async move {
                     for _ in 0..13 {
                         send(real, &bytes).await;
@@ -162,34 +178,37 @@
     }
 }
 
+/// Sends the last call again after its endpoint began to drain.
 async fn send_after_drain(
     run: Rc<LiveRun>,
     endpoint: usize,
     real: SocketAddr,
-    last: Rc<Cell<Option<Vec<u8>>>>,
+    last_call: Rc<Cell<Option<Vec<u8>>>>,
 ) {
-    while run.list.borrow()[endpoint] != Lifecycle::Draining {
+    while run.lifecycles.borrow()[endpoint] != Lifecycle::Draining {
         Timer::after(Duration::from_millis(10)).await;
     }
     Timer::after(Duration::from_millis(400)).await;
-    if let Some(bytes) = last.take() {
+    if let Some(bytes) = last_call.take() {
         send(real, &bytes).await;
     }
 }
 
+/// Sends the last call 400 times as soon as its destination has recovered from an outage.
 async fn flood_on_recovery(
     run: Rc<LiveRun>,
     endpoint: usize,
     real: SocketAddr,
-    last: Rc<Cell<Option<Vec<u8>>>>,
+    last_call: Rc<Cell<Option<Vec<u8>>>>,
 ) {
-    let destination = run.world.list[endpoint].destination;
-    let away = |t: Option<Fault>| t.is_some_and(|t| matches!(t, Fault::Hang | Fault::RefuseConnections));
-    let mut was_away = false;
+    let destination = run.environment.endpoints[endpoint].destination;
+    let is_outage =
+        |fault: Option<Fault>| fault.is_some_and(|f| matches!(f, Fault::Hang | Fault::RefuseConnections));
+    let mut was_down = false;
     loop {
         let fault = run.destinations.borrow()[destination].model.visible_fault();
-        if was_away && !away(fault) {
-            let Some(bytes) = last.take() else { return };
+        if was_down && !is_outage(fault) {
+            let Some(bytes) = last_call.take() else { return };
             for _ in 0..400 {
                 let bytes = bytes.clone();
                 run.spawn(async move {
@@ -199,12 +218,12 @@
             }
             return;
         }
-        was_away = away(fault);
+        was_down = is_outage(fault);
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
-/// Starts a proxy in front of an agent.
+/// Starts a proxy in front of an agent, and returns its address.
 pub(crate) fn start_agent_proxy(
     run: &Rc<LiveRun>,
     real: SocketAddr,
@@ -215,7 +234,7 @@
     run.clone().spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             run.spawn(async move {
-                // A connection that ends is no failure of the proxy.
+                // The end of a connection is not an error of the proxy.
                 let _ = relay_notices(stream, real, fault).await;
             });
         }
@@ -223,36 +242,37 @@
     Ok(address)
 }
 
+/// Relays the requests on a forwarder's connection to its agent, and adds the fault to notices.
 async fn relay_notices(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
-    let mut from = HttpConnection::new(stream);
+    let mut client = HttpConnection::new(stream);
     loop {
-        let head = from.read_request().await.ok()?;
+        let head = client.read_request().await.ok()?;
         if head.method == "GET" {
-            // The list is passed on unchanged.
-            let onward = Async::<TcpStream>::connect(real).await.ok()?;
+            // The endpoint list is relayed unchanged.
+            let agent = Async::<TcpStream>::connect(real).await.ok()?;
             let text = format!("GET {} HTTP/1.1\r\nHost: agent\r\n\r\n", head.target);
-            io::AsyncWriteExt::write_all(&mut (&onward), text.as_bytes()).await.ok()?;
-            let client = from.socket().try_clone().ok()?;
-            let client = Async::new(client).ok()?;
-            io::copy(&onward, &client).await.ok()?;
+            io::AsyncWriteExt::write_all(&mut (&agent), text.as_bytes()).await.ok()?;
+            let socket = client.socket().try_clone().ok()?;
+            let socket = Async::new(socket).ok()?;
+            io::copy(&agent, &socket).await.ok()?;
             return None;
         }
-        let mut body = from.request_body(&head, 1 << 22).await.ok()?;
-        if fault == ProxyFault::BothEnds {
+        let mut body = client.request_body(&head, 1 << 22).await.ok()?;
+        if fault == ProxyFault::ContradictNotices {
             let text = String::from_utf8_lossy(&body).into_owned();
-            let other = |l: &str| match l.contains("\"failed\"") {
-                true => l.replace("\"failed\"", "\"returned\""),
-                false => l.replace("\"returned\"", "\"failed\""),
+            let opposite = |line: &str| match line.contains("\"failed\"") {
+                true => line.replace("\"failed\"", "\"returned\""),
+                false => line.replace("\"returned\"", "\"failed\""),
             };
-            let both: Vec<String> = text.lines().flat_map(|l| [l.to_owned(), other(l)]).collect();
+            let both: Vec<String> = text.lines().flat_map(|line| [line.to_owned(), opposite(line)]).collect();
             body = both.join("\n").into_bytes();
-            let mut onward = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
+            let mut agent = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
             let head =
                 format!("POST /reports HTTP/1.1\r\nHost: agent\r\nContent-Length: {}\r\n\r\n", body.len());
-            onward.write(head.as_bytes()).await.ok()?;
-            onward.write(&body).await.ok()?;
-            onward.read_response().await.ok()?;
+            agent.write(head.as_bytes()).await.ok()?;
+            agent.write(&body).await.ok()?;
+            agent.read_response().await.ok()?;
         }
-        from.write(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").await.ok()?;
+        client.write(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n").await.ok()?;
     }
 }
--- a/crates/rehearsal/src/plot.rs
+++ b/crates/rehearsal/src/plot.rs
@@ -1,13 +1,13 @@
-//! What all plots and pages share.
+//! Helpers that all plots and HTML pages share.
 
 use plotters::style::RGBColor;
 
-/// A plot that is drawn, or why it cannot be.
+/// The result of drawing a plot.
 pub type PlotResult = Result<(), Box<dyn std::error::Error>>;
 
-/// The colour of a plot's line, by its place.
-pub fn colour(at: usize) -> RGBColor {
-    const ALL: [RGBColor; 6] = [
+/// The colour of a plot's line, by the line's index; six colours repeat.
+pub fn colour(index: usize) -> RGBColor {
+    const COLOURS: [RGBColor; 6] = [
         RGBColor(0x33, 0x66, 0xaa),
         RGBColor(0xcc, 0x66, 0x22),
         RGBColor(0x33, 0x88, 0x44),
@@ -15,10 +15,10 @@
         RGBColor(0xaa, 0x33, 0x55),
         RGBColor(0x66, 0x66, 0x66),
     ];
-    ALL[at % ALL.len()]
+    COLOURS[index % COLOURS.len()]
 }
 
-/// A text as HTML has it.
-pub fn escaped(text: &str) -> String {
+/// Escapes a text for HTML.
+pub fn escape_html(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
--- a/crates/rehearsal/src/scenario/destinations.rs
+++ b/crates/rehearsal/src/scenario/destinations.rs
@@ -1,7 +1,7 @@
-//! The destinations of a scenario, their faults, and endpoints that are replaced.
+//! The destinations of a scenario, their faults, and the replacement of endpoints.
 
-use super::{Moment, SpannedName};
-use crate::span::Span;
+use super::{RelativeTime, SpannedName};
+use crate::config_duration::ConfigDuration;
 use cedarbridge_endpoint_model::Fault;
 use serde::Deserialize;
 use serde_saphyr::Spanned;
@@ -16,146 +16,156 @@
     SmallPartner,
 }
 
-/// A destination, or several alike.
+/// One destination, or several with the same properties.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct DestinationGroup {
-    /// Its name; of several, the name with a number from 1 on.
+    /// The destination's name; with a `count` above 1, each name gets a number from 1 as its suffix.
     pub name: SpannedName,
-    /// How many.
-    #[serde(default = "super::single")]
+    /// The number of destinations in the group.
+    #[serde(default = "super::default_count")]
     pub count: usize,
-    /// Its kind.
+    /// The destinations' kind.
     pub kind: DestinationKind,
-    /// Its share of the traffic, against the others'.
+    /// Each destination's share of the traffic, relative to the shares of the others.
     pub share: f64,
     /// The mean service time of a message.
-    pub work: Span,
-    /// Its spread: standard deviation over mean.
-    #[serde(default = "spread")]
-    pub spread: f64,
-    /// Its limit over its traffic at full load; 0 for no limit.
-    #[serde(default = "headroom")]
+    #[serde(rename = "work")]
+    pub service_time: ConfigDuration,
+    /// The coefficient of variation of the service time: standard deviation over mean.
+    #[serde(default = "default_service_time_variation", rename = "spread")]
+    pub service_time_variation: f64,
+    /// The rate limit as a multiple of the destination's traffic at full load; 0 for no limit.
+    #[serde(default = "default_headroom")]
     pub headroom: f64,
-    /// Its capacity over its limit.
-    #[serde(default = "spare")]
-    pub spare: f64,
-    /// Endpoints.
-    #[serde(default = "super::single")]
+    /// The capacity as a multiple of the rate limit.
+    #[serde(default = "default_capacity_factor", rename = "spare")]
+    pub capacity_factor: f64,
+    /// The number of endpoints of each destination.
+    #[serde(default = "super::default_count")]
     pub endpoints: usize,
     /// Calls that may queue at an endpoint; by default 0.7 s of its capacity.
-    pub queue: Option<usize>,
-    /// The connection limit of an endpoint.
-    #[serde(default = "connections")]
-    pub connections: usize,
-    /// The retry_after of a rejection.
+    #[serde(rename = "queue")]
+    pub queue_length: Option<usize>,
+    /// The connection limit of an endpoint, over all forwarders.
+    #[serde(default = "default_connections", rename = "connections")]
+    pub max_connections: usize,
+    /// The `retry_after` that comes with a rejection; `None` if rejections carry none.
     #[serde(rename = "tells-wait")]
-    pub retry_after: Option<Span>,
-    /// Rejected calls use up the limit too; by default they do at small partners.
-    pub refused_count: Option<bool>,
-    /// Share of calls that fail on a good day.
-    #[serde(default)]
-    pub errors: f64,
-    /// Its share of capacity as it recovers, and when it is back at all of it.
-    #[serde(default = "cold")]
-    pub cold: (f64, Span),
+    pub retry_after: Option<ConfigDuration>,
+    /// Whether rejected calls count against the rate limit; by default only at small partners.
+    #[serde(rename = "refused-count")]
+    pub rejections_count: Option<bool>,
+    /// The share of calls that fail while the destination has no fault, from 0 to 1.
+    #[serde(default, rename = "errors")]
+    pub error_rate: f64,
+    /// The share of its capacity that a destination has when it recovers, and the time until it has all of it.
+    #[serde(default = "default_slow_start", rename = "cold")]
+    pub slow_start: (f64, ConfigDuration),
 }
 
-fn spread() -> f64 {
+fn default_service_time_variation() -> f64 {
     0.5
 }
 
-fn headroom() -> f64 {
+fn default_headroom() -> f64 {
     1.5
 }
 
-fn spare() -> f64 {
+fn default_capacity_factor() -> f64 {
     1.4
 }
 
-fn connections() -> usize {
+fn default_connections() -> usize {
     64
 }
 
-fn cold() -> (f64, Span) {
-    (0.28, Span(8_500_000))
+fn default_slow_start() -> (f64, ConfigDuration) {
+    (0.28, ConfigDuration(8_500_000))
 }
 
 /// The kinds of fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Its service time is longer by a factor.
+    /// Multiplies the service time by a factor.
     Slow,
     /// Accepts calls and answers none.
     Hang,
-    /// Refuses connections, and resets those that are open.
-    Refuse,
-    /// Fails a share of its calls at once.
-    Fail,
+    /// Refuses new connections, and resets open ones.
+    #[serde(rename = "refuse")]
+    RefuseConnections,
+    /// Fails a share of the calls at once.
+    #[serde(rename = "fail")]
+    FailCalls,
     /// Rejects every call as over capacity.
-    Shut,
+    #[serde(rename = "shut")]
+    RejectAll,
     /// Answers nothing, not even a new connection.
     Silent,
     /// Processes the call and resets the connection in place of an answer.
-    Reset,
-    /// Connections that are open get no answer; new ones work.
-    HalfOpen,
-    /// Its limit is reduced to a share.
-    Lowered,
+    #[serde(rename = "reset")]
+    ResetConnections,
+    /// Leaves calls on the connections that were open without an answer; new connections work.
+    #[serde(rename = "half-open")]
+    HalfOpenConnections,
+    /// Reduces the rate limit to a share of it.
+    #[serde(rename = "lowered")]
+    ReducedLimit,
 }
 
 impl FaultKind {
-    /// The destination model's fault; the size is a factor or a share, where the kind has one.
+    /// The fault of the destination model. The size is a factor or a share; kinds that have neither ignore it.
     pub fn fault(self, size: f64) -> Fault {
         match self {
             FaultKind::Slow => Fault::Slow(size),
             FaultKind::Hang => Fault::Hang,
-            FaultKind::Refuse => Fault::RefuseConnections,
-            FaultKind::Fail => Fault::FailCalls(size),
-            FaultKind::Shut => Fault::RejectAll,
+            FaultKind::RefuseConnections => Fault::RefuseConnections,
+            FaultKind::FailCalls => Fault::FailCalls(size),
+            FaultKind::RejectAll => Fault::RejectAll,
             FaultKind::Silent => Fault::Silent,
-            FaultKind::Reset => Fault::ResetConnections,
-            FaultKind::HalfOpen => Fault::HalfOpenConnections,
-            FaultKind::Lowered => Fault::ReducedLimit(size),
+            FaultKind::ResetConnections => Fault::ResetConnections,
+            FaultKind::HalfOpenConnections => Fault::HalfOpenConnections,
+            FaultKind::ReducedLimit => Fault::ReducedLimit(size),
         }
     }
 }
 
-/// One fault.
+/// A fault of a destination, with its time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FaultSpec {
-    /// Which.
+    /// The kind of fault.
     pub kind: Spanned<FaultKind>,
-    /// How bad: a factor for `slow`, a share for `fail` and `lowered`.
+    /// The factor of `slow`, or the share of `fail` and `lowered`; `None` for the other kinds.
     pub size: Option<f64>,
-    /// Whose.
+    /// The destination that has the fault.
     #[serde(rename = "partner")]
     pub destination: SpannedName,
-    /// When it begins.
-    pub at: Moment,
-    /// How long it lasts.
+    /// When the fault begins.
+    pub at: RelativeTime,
+    /// How long the fault lasts.
     #[serde(rename = "for")]
-    pub lasts: Span,
+    pub duration: ConfigDuration,
 }
 
 impl FaultSpec {
-    /// The destination model's fault.
+    /// The fault of the destination model.
     pub fn fault(&self) -> Fault {
         self.kind.value.fault(self.size.unwrap_or(1.0))
     }
 }
 
-/// An endpoint that is drained and replaced by another.
+/// The replacement of a destination's first endpoint: a new endpoint is listed and the old one is drained.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Replacement {
-    /// Whose: its first endpoint.
+    /// The destination whose first endpoint is replaced.
     #[serde(rename = "partner")]
     pub destination: SpannedName,
-    /// When it begins to drain.
-    pub at: Moment,
-    /// How long it drains before it is removed; the other is listed from the drain's begin on.
-    pub drains: Span,
+    /// When the new endpoint is listed and the old one begins to drain.
+    pub at: RelativeTime,
+    /// How long the old endpoint drains before it is removed from the list.
+    #[serde(rename = "drains")]
+    pub drain_time: ConfigDuration,
 }
--- a/crates/rehearsal/src/scenario/error.rs
+++ b/crates/rehearsal/src/scenario/error.rs
@@ -1,16 +1,16 @@
-//! What is wrong with a scenario.
+//! Errors in a scenario file, with their positions.
 
 use serde_saphyr::Location;
 use std::fmt;
 
-/// What is wrong with a scenario, and where.
+/// An error in a scenario file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The line, from 1; 0 for the complete file.
+    /// The line, from 1; 0 if the error concerns the whole file.
     pub line: u64,
-    /// The column, from 1.
+    /// The column, from 1; 0 if the error concerns the whole file.
     pub column: u64,
-    /// What is wrong, and what would be right.
+    /// What is wrong, and which values are accepted.
     pub reason: String,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl ScenarioError {
-    pub(super) fn at(at: Location, reason: impl Into<String>) -> Self {
-        ScenarioError { line: at.line(), column: at.column(), reason: reason.into() }
+    pub(super) fn at(location: Location, reason: impl Into<String>) -> Self {
+        ScenarioError { line: location.line(), column: location.column(), reason: reason.into() }
     }
 }
--- a/crates/rehearsal/src/scenario/traffic.rs
+++ b/crates/rehearsal/src/scenario/traffic.rs
@@ -1,81 +1,83 @@
-//! The traffic of a scenario: clients, channels, phases and clumps.
+//! The traffic section of a scenario: client behaviour, tenants, phases and bursts.
 
 use super::SpannedName;
-use crate::span::Span;
+use crate::config_duration::ConfigDuration;
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-/// What clients do.
+/// How clients react to a rejection.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// The share of them that retry after a rejection.
+    /// The share of clients that retry after a rejection, from 0 to 1.
     #[serde(rename = "again")]
     pub retry_share: f64,
-    /// How long they wait before, at least.
-    pub after: (Span, Span),
+    /// The shortest and the longest time that a client waits before its retry.
+    #[serde(rename = "after")]
+    pub retry_delay: (ConfigDuration, ConfigDuration),
 }
 
 impl Default for Clients {
     fn default() -> Self {
-        Clients { retry_share: 0.75, after: (Span(530_000), Span(1_500_000)) }
+        Clients { retry_share: 0.75, retry_delay: (ConfigDuration(530_000), ConfigDuration(1_500_000)) }
     }
 }
 
-/// A channel.
+/// A tenant's part of the traffic.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Channel {
-    /// Its name.
+pub struct TenantTraffic {
+    /// The tenant's name.
     pub name: SpannedName,
-    /// Its agreed share of full load.
+    /// The tenant's agreed share of full load, relative to the other tenants' shares.
     pub share: f64,
-    /// What it sends of its share.
-    #[serde(default = "super::full_share")]
-    pub uses: f64,
+    /// What the tenant sends, as a multiple of its agreed share.
+    #[serde(default = "super::full_share", rename = "uses")]
+    pub usage: f64,
 }
 
-/// A phase of the day.
+/// A time span of the run with a constant load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Phase {
-    /// Its name.
+    /// The name that other sections refer to.
     pub name: SpannedName,
-    /// How long it lasts.
+    /// How long the phase lasts.
     #[serde(rename = "for")]
-    pub lasts: Span,
-    /// Its traffic, as a share of full load.
+    pub duration: ConfigDuration,
+    /// The phase's traffic, as a share of full load.
     pub load: Spanned<f64>,
-    /// The share of it that arrives in clumps, beside the named ones.
-    #[serde(default)]
-    pub clumps: Option<Spanned<f64>>,
+    /// The share of the phase's traffic that arrives in unnamed bursts, in addition to the named ones.
+    #[serde(default, rename = "clumps")]
+    pub burst_share: Option<Spanned<f64>>,
 }
 
-/// When something happens: from the day's begin, a phase's or a clump's.
+/// A time relative to the start of the run, of a phase or of a burst.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Moment {
-    /// A phase's name.
+pub struct RelativeTime {
+    /// The phase whose start the time is relative to.
     pub phase: Option<SpannedName>,
-    /// A clump's name: while it is in flight.
-    pub clump: Option<SpannedName>,
-    /// So long after its begin.
-    pub after: Option<Span>,
+    /// The burst whose start the time is relative to.
+    #[serde(rename = "clump")]
+    pub burst: Option<SpannedName>,
+    /// The offset from that start; `None` means 0.
+    pub after: Option<ConfigDuration>,
 }
 
-/// Messages for one destination that arrive at once.
+/// A burst: many messages for one destination within a short time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
-pub struct Clump {
-    /// Its name.
+pub struct Burst {
+    /// The name that other sections refer to.
     pub name: SpannedName,
-    /// For which destination.
+    /// The destination of all messages of the burst.
     #[serde(rename = "partner")]
     pub destination: SpannedName,
-    /// When it begins.
-    pub at: Moment,
-    /// How many.
+    /// When the first message is sent.
+    pub at: RelativeTime,
+    /// The number of messages.
     pub messages: Spanned<usize>,
-    /// Within which time.
-    pub within: Span,
+    /// The time over which the messages are spread evenly.
+    pub within: ConfigDuration,
 }
