--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -1,4 +1,4 @@
-//! Calls between forwarders and endpoints: connections, attempts, timeouts, and what the destinations' models answer.
+//! Calls from forwarders to endpoints: connections, attempts, timeouts, and the answers of the destination models.
 
 use super::event_queue::SimulationEvent;
 use super::Simulation;
@@ -8,29 +8,34 @@
 use rand::RngExt;
 use std::collections::VecDeque;
 
-/// An idle connection is closed after this.
+/// An idle connection is closed after this time.
 const IDLE_TIMEOUT: Micros = 5_000_000;
-/// A connection that is not established within this has failed.
+/// A connection that is not established within this time has failed.
 const CONNECT_TIMEOUT: Micros = 1_500_000;
 
-/// A message's attempt within a call.
+/// An attempt to deliver a message, as part of a call.
 pub(super) struct Attempt {
     pub(super) message: usize,
+    /// The attempt's number for this message, from 0.
     pub(super) attempt: u32,
     pub(super) timeout_at: Micros,
+    /// The last attempt that the policy allows for the message.
     pub(super) final_attempt: bool,
+    /// Whether the attempt has no outcome yet.
     pub(super) pending: bool,
 }
 
-/// A call, or the slot of one that has ended. Events of an earlier version of it are void.
+/// A call, or the slot of an ended call that the next call reuses.
 #[derive(Default)]
 pub(super) struct Call {
     pub(super) forwarder: usize,
     pub(super) endpoint: usize,
-    pub(super) sent: Micros,
+    pub(super) sent_at: Micros,
+    /// Whether its last byte has arrived at the endpoint.
     pub(super) arrived: bool,
-    /// The endpoint has reached its connection limit.
+    /// Whether it got no connection because the endpoint has reached its connection limit.
     pub(super) connect_failed: bool,
+    /// Scheduled events that carry an older version are void.
     pub(super) version: u32,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -38,18 +43,18 @@
 /// A forwarder's connections to an endpoint.
 #[derive(Clone, Default)]
 pub(super) struct EndpointLink {
-    /// Calls in flight, each on a connection of its own.
+    /// Calls in flight, each on its own connection.
     pub(super) in_flight: u32,
-    /// The most calls that were in flight at once.
+    /// The largest number of calls that were in flight at once.
     pub(super) peak: u32,
-    /// Connections that are dead without the forwarder's knowing.
-    pub(super) stranded: u32,
-    /// Since when each idle connection is idle, the oldest first.
+    /// Connections that are dead at the endpoint while the forwarder takes them for open.
+    pub(super) half_open: u32,
+    /// The time since which each idle connection is idle, oldest first.
     pub(super) idle: VecDeque<Micros>,
 }
 
 impl EndpointLink {
-    /// Connections that are open now.
+    /// The number of open connections; closes those that have been idle for too long.
     pub(super) fn open_connections(&mut self, now: Micros) -> usize {
         while self.idle.front().is_some_and(|since| since + IDLE_TIMEOUT <= now) {
             self.idle.pop_front();
@@ -59,57 +64,58 @@
 }
 
 impl Simulation<'_> {
-    /// Begins a call to an endpoint and returns its number.
+    /// Starts a call to an endpoint and returns its index in `calls`.
     pub(super) fn begin_call(&mut self, forwarder: usize, endpoint: EndpointId) -> usize {
         let endpoint = endpoint.0 as usize - 1;
         let number = self.free_calls.pop().unwrap_or_else(|| {
             self.calls.push(Call::default());
             self.calls.len() - 1
         });
-        let c = &mut self.calls[number];
-        (c.forwarder, c.endpoint, c.sent, c.arrived) = (forwarder, endpoint, self.now, false);
-        c.attempts.clear();
-        let version = c.version;
-        self.in_flight[self.world.list[endpoint].destination].push(number);
+        let call = &mut self.calls[number];
+        (call.forwarder, call.endpoint, call.sent_at, call.arrived) = (forwarder, endpoint, self.now, false);
+        call.attempts.clear();
+        let version = call.version;
+        self.in_flight[self.environment.endpoints[endpoint].destination].push(number);
         self.calls[number].connect_failed = !self.connect(forwarder, endpoint);
-        let arrives_at = self.now + self.network();
+        let arrives_at = self.now + self.draw_network_delay();
         self.schedule(arrives_at, SimulationEvent::CallArrives(number, version));
         number
     }
 
-    /// Takes an idle connection for a call, or opens one; false if the endpoint has reached its connection limit.
+    /// Reuses an idle connection for a call, or opens one. Returns false if the endpoint has reached its connection limit.
     pub(super) fn connect(&mut self, forwarder: usize, endpoint: usize) -> bool {
-        let (now, width) = (self.now, self.world.list.len());
-        let most = self.world.connections[self.world.list[endpoint].destination];
-        let at = forwarder * width + endpoint;
-        self.links[at].open_connections(now);
-        let reused = self.links[at].idle.pop_back().is_some();
-        let mut held = || {
+        let (now, endpoint_count) = (self.now, self.environment.endpoints.len());
+        let limit = self.environment.max_connections[self.environment.endpoints[endpoint].destination];
+        let index = forwarder * endpoint_count + endpoint;
+        self.links[index].open_connections(now);
+        let reused = self.links[index].idle.pop_back().is_some();
+        let mut open_connections = || {
             self.links
                 .iter_mut()
                 .skip(endpoint)
-                .step_by(width)
+                .step_by(endpoint_count)
                 .map(|l| l.open_connections(now))
                 .sum::<usize>()
         };
-        let made = reused || most == usize::MAX || held() < most;
-        let link = &mut self.links[at];
-        link.in_flight += u32::from(made);
+        let connected = reused || limit == usize::MAX || open_connections() < limit;
+        let link = &mut self.links[index];
+        link.in_flight += u32::from(connected);
         link.peak = link.peak.max(link.in_flight);
-        self.figures.connections += u64::from(made && !reused);
-        made
+        self.figures.connections += u64::from(connected && !reused);
+        connected
     }
 
-    /// Frees a call: events still scheduled for it are void and its slot is reused. An answered call leaves its connection idle.
+    /// Frees a call's slot for reuse; events that are still scheduled for the call become void. An answered call leaves its
+    /// connection open and idle.
     pub(super) fn release_call(&mut self, number: usize, answered: bool) {
-        let c = &mut self.calls[number];
-        c.version = c.version.wrapping_add(1);
-        let (forwarder, endpoint, connect_failed) = (c.forwarder, c.endpoint, c.connect_failed);
-        let in_flight = &mut self.in_flight[self.world.list[endpoint].destination];
-        if let Some(at) = in_flight.iter().position(|o| *o == number) {
-            in_flight.swap_remove(at);
+        let call = &mut self.calls[number];
+        call.version = call.version.wrapping_add(1);
+        let (forwarder, endpoint, connect_failed) = (call.forwarder, call.endpoint, call.connect_failed);
+        let in_flight = &mut self.in_flight[self.environment.endpoints[endpoint].destination];
+        if let Some(index) = in_flight.iter().position(|other| *other == number) {
+            in_flight.swap_remove(index);
         }
-        let link = &mut self.links[forwarder * self.world.list.len() + endpoint];
+        let link = &mut self.links[forwarder * self.environment.endpoints.len() + endpoint];
         if !connect_failed {
             link.in_flight = link.in_flight.saturating_sub(1);
             link.idle.extend(answered.then_some(self.now));
@@ -117,32 +123,32 @@
         self.free_calls.push(number);
     }
 
-    /// Draws the one-way time of the network.
-    pub(super) fn network(&mut self) -> Micros {
-        self.rng.random_range(self.world.network.0..=self.world.network.1)
+    /// Draws a one-way delay of the network.
+    pub(super) fn draw_network_delay(&mut self) -> Micros {
+        self.rng.random_range(self.environment.network_delay.0..=self.environment.network_delay.1)
     }
 
     /// Adds a message's attempt to a call.
-    pub(super) fn add_attempt(&mut self, number: usize, message: usize, timeout_at: Micros, last: bool) {
+    pub(super) fn add_attempt(&mut self, number: usize, message: usize, timeout_at: Micros, is_final: bool) {
         let call = &mut self.calls[number];
         let endpoint = call.endpoint;
-        let m = &mut self.messages[message];
+        let state = &mut self.messages[message];
         call.attempts.push(Attempt {
             message,
-            attempt: m.attempts,
+            attempt: state.attempts,
             timeout_at,
-            final_attempt: last,
+            final_attempt: is_final,
             pending: true,
         });
-        m.attempts += 1;
-        m.call = Some(number as u32);
+        state.attempts += 1;
+        state.call = Some(number as u32);
         let timing = self.timing(message);
-        let destination = self.world.list[endpoint].destination;
-        self.audit.sent(self.now, self.now, (destination, endpoint), message, &timing);
-        self.figures.attempt();
+        let destination = self.environment.endpoints[endpoint].destination;
+        self.audit.attempt_sent(self.now, self.now, (destination, endpoint), message, &timing);
+        self.figures.attempt_sent();
     }
 
-    /// The last byte of a call has arrived: schedules what comes back first, the answer or the timeout.
+    /// Handles the arrival of a call's last byte at its endpoint: schedules the call's end by its answer or its timeout.
     pub(super) fn call_arrives(&mut self, number: usize, version: u32) {
         let call = &mut self.calls[number];
         if call.version != version {
@@ -150,37 +156,37 @@
         }
         call.arrived = true;
         if call.connect_failed {
-            let back = self.now + self.network();
-            return self.schedule_outcome(number, Some((back, Outcome::ConnectFailed)), None, true);
+            let answered_at = self.now + self.draw_network_delay();
+            return self.schedule_outcome(number, Some((answered_at, Outcome::ConnectFailed)), None, true);
         }
-        let (forwarder, endpoint, sent, attempts) =
-            (call.forwarder, call.endpoint, call.sent, call.attempts.len());
-        let listed = &self.world.list[endpoint];
-        let (destination, place) = (listed.destination, listed.index);
-        let link = &mut self.links[forwarder * self.world.list.len() + endpoint];
-        if link.stranded > 0 {
-            link.stranded -= 1;
+        let (forwarder, endpoint, sent_at, attempts) =
+            (call.forwarder, call.endpoint, call.sent_at, call.attempts.len());
+        let listed = &self.environment.endpoints[endpoint];
+        let (destination, endpoint_index) = (listed.destination, listed.index);
+        let link = &mut self.links[forwarder * self.environment.endpoints.len() + endpoint];
+        if link.half_open > 0 {
+            link.half_open -= 1;
             if self.destinations[destination].visible_fault() == Some(Fault::HalfOpenConnections) {
                 return self.schedule_outcome(number, None, None, false);
             }
         }
-        self.figures.call(self.now, destination);
-        let response = self.destinations[destination].call(self.now, place, attempts);
-        let back = self.network();
+        self.figures.call_received(self.now, destination);
+        let response = self.destinations[destination].call(self.now, endpoint_index, attempts);
+        let return_delay = self.draw_network_delay();
         let report = response.report.map(|r| LoadReport { remaining_share: r.remaining_share, rate: r.rate });
         let answer = match response.answer.map(|a| (a.at, a.answer)) {
-            Some((_, Answer::ConnectionRefused)) => Some((self.now + back, Outcome::ConnectFailed)),
-            Some((at, Answer::Ok)) => Some((at + back, Outcome::Ok)),
-            Some((at, Answer::ConnectionBroken)) => Some((at + back, Outcome::Reset)),
-            Some((at, Answer::Error)) => Some((at + back, Outcome::Error)),
-            Some((at, Answer::Rejected(wait))) => Some((at + back, Outcome::Rejected(wait))),
-            None if response.unconnected => Some((sent + CONNECT_TIMEOUT, Outcome::ConnectFailed)),
+            Some((_, Answer::ConnectionRefused)) => Some((self.now + return_delay, Outcome::ConnectFailed)),
+            Some((at, Answer::Ok)) => Some((at + return_delay, Outcome::Ok)),
+            Some((at, Answer::ConnectionBroken)) => Some((at + return_delay, Outcome::Reset)),
+            Some((at, Answer::Error)) => Some((at + return_delay, Outcome::Error)),
+            Some((at, Answer::Rejected(wait))) => Some((at + return_delay, Outcome::Rejected(wait))),
+            None if response.unconnected => Some((sent_at + CONNECT_TIMEOUT, Outcome::ConnectFailed)),
             None => None,
         };
         self.schedule_outcome(number, answer, report, response.unconnected);
     }
 
-    /// Schedules how a call ends, by its answer or by its timeouts, and voids what was scheduled before.
+    /// Schedules the end of a call, by its answer or by its timeouts, and voids the events that were scheduled before.
     pub(super) fn schedule_outcome(
         &mut self,
         number: usize,
@@ -188,18 +194,18 @@
         report: Option<LoadReport>,
         unconnected: bool,
     ) {
-        // As on sockets: a final attempt times out alone, any other timeout ends the call.
+        // As on sockets: the timeout of a final attempt ends that attempt alone, any other timeout ends the whole call.
         let call = &mut self.calls[number];
         call.version = call.version.wrapping_add(1);
         let version = call.version;
-        let waited = || call.attempts.iter().filter(|p| p.pending);
-        let firm = waited().filter(|p| !p.final_attempt).map(|p| p.timeout_at).min();
-        let Some(latest) = waited().map(|p| p.timeout_at).max() else { return };
-        let cut = firm.unwrap_or(latest);
-        let end = answer.map_or(cut, |a| a.0.min(cut));
-        let alone: Vec<(usize, Micros)> =
-            call.attempts.iter().enumerate().map(|(n, p)| (n, p.timeout_at)).filter(|p| p.1 < end).collect();
-        for (attempt_index, at) in alone {
+        let pending = || call.attempts.iter().filter(|a| a.pending);
+        let first_call_timeout = pending().filter(|a| !a.final_attempt).map(|a| a.timeout_at).min();
+        let Some(last_timeout) = pending().map(|a| a.timeout_at).max() else { return };
+        let timeout = first_call_timeout.unwrap_or(last_timeout);
+        let end = answer.map_or(timeout, |a| a.0.min(timeout));
+        let earlier_timeouts: Vec<(usize, Micros)> =
+            call.attempts.iter().enumerate().map(|(n, a)| (n, a.timeout_at)).filter(|a| a.1 < end).collect();
+        for (attempt_index, at) in earlier_timeouts {
             let event = SimulationEvent::CallEnds {
                 call: number,
                 version,
@@ -210,10 +216,10 @@
             self.schedule(at.max(self.now), event);
         }
         let (outcome, report) = match answer {
-            Some((at, outcome)) if at < cut => {
+            Some((at, outcome)) if at < timeout => {
                 (outcome, report.filter(|_| outcome != Outcome::ConnectFailed))
             }
-            // No connection was established by then, so nothing can have run.
+            // Without a connection, the destination cannot have processed anything.
             _ if unconnected => (Outcome::ConnectFailed, None),
             _ => (Outcome::TimedOut, None),
         };
@@ -221,7 +227,7 @@
         self.schedule(end.max(self.now), event);
     }
 
-    /// Completes the attempts of a call, or one of them, and reports the outcomes to the policy.
+    /// Completes one attempt of a call, or all pending ones if the index is `None`, and reports the outcomes to the policy.
     pub(super) fn complete_attempts(
         &mut self,
         number: usize,
@@ -230,33 +236,33 @@
         report: Option<LoadReport>,
     ) {
         let call = &mut self.calls[number];
-        let (forwarder, endpoint, sent) = (call.forwarder, call.endpoint, call.sent);
-        let destination = self.world.list[endpoint].destination;
-        let due: Vec<(usize, u32)> = call
+        let (forwarder, endpoint, sent_at) = (call.forwarder, call.endpoint, call.sent_at);
+        let destination = self.environment.endpoints[endpoint].destination;
+        let completed: Vec<(usize, u32)> = call
             .attempts
             .iter_mut()
             .enumerate()
-            .filter(|(n, p)| p.pending && attempt_index.is_none_or(|only| only == *n))
-            .map(|(_, p)| {
-                p.pending = false;
-                (p.message, p.attempt)
+            .filter(|(n, a)| a.pending && attempt_index.is_none_or(|index| index == *n))
+            .map(|(_, a)| {
+                a.pending = false;
+                (a.message, a.attempt)
             })
             .collect();
-        if call.attempts.iter().all(|p| !p.pending) && !due.is_empty() {
-            self.figures.slot_released(self.now, destination, self.now - sent);
+        if call.attempts.iter().all(|a| !a.pending) && !completed.is_empty() {
+            self.figures.slot_released(self.now, destination, self.now - sent_at);
             let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected(_) | Outcome::Error);
             self.release_call(number, answered);
         }
-        for (message, attempt) in due {
-            self.audit.attempt_ended(self.now, destination, message, sent, outcome);
-            self.figures.outcome(outcome);
+        for (message, attempt) in completed {
+            self.audit.attempt_ended(self.now, destination, message, sent_at, outcome);
+            self.figures.attempt_ended(outcome);
             self.messages[message].call = None;
             let ended = outcome == Outcome::Ok;
             if ended && !self.messages[message].closed {
                 let timing = self.timing(message);
-                self.audit.ended(self.now, message, &timing, MessageEnd::Delivered);
+                self.audit.message_ended(self.now, message, &timing, MessageEnd::Delivered);
                 self.close_message(message);
-                self.figures.delivered(self.now, self.messages[message].first as usize);
+                self.figures.delivered(self.now, self.messages[message].request as usize);
             }
             self.push_event(
                 forwarder,
@@ -265,7 +271,7 @@
                     attempt,
                     endpoint: EndpointId(endpoint as u32 + 1),
                     outcome,
-                    elapsed: self.now - sent,
+                    elapsed: self.now - sent_at,
                     ended,
                     report,
                 },
@@ -273,12 +279,12 @@
         }
     }
 
-    /// Cancels an attempt in flight.
+    /// Cancels an attempt that is in flight.
     pub(super) fn cancel(&mut self, message: usize, attempt: u32) {
         let Some(number) = self.messages[message].call.map(|c| c as usize) else { return };
         let call = &self.calls[number];
-        let place = call.attempts.iter().position(|p| p.message == message && p.attempt == attempt);
-        if let Some(attempt_index) = place {
+        let found = call.attempts.iter().position(|a| a.message == message && a.attempt == attempt);
+        if let Some(attempt_index) = found {
             let (attempt_index, outcome, version) = (Some(attempt_index), Outcome::Cancelled, call.version);
             self.schedule(
                 self.now,
@@ -287,44 +293,46 @@
         }
     }
 
-    /// Applies the faults that begin or end now; one destination may have several at once.
+    /// Applies the faults that start or end now; a destination may have several faults at once.
     pub(super) fn apply_faults(&mut self) {
         let now = self.now;
-        let world = self.world;
-        let touched = world.faults.iter().filter(|f| f.begin == now || f.end == now).map(|f| f.destination);
-        for destination in touched.collect::<std::collections::BTreeSet<_>>() {
-            let active = world.faults.iter().filter(|f| f.applies(destination, now)).map(|f| f.fault);
+        let environment = self.environment;
+        let changed =
+            environment.faults.iter().filter(|f| f.start == now || f.end == now).map(|f| f.destination);
+        for destination in changed.collect::<std::collections::BTreeSet<_>>() {
+            let active = environment.faults.iter().filter(|f| f.applies(destination, now)).map(|f| f.fault);
             self.destinations[destination].set_faults(now, active.collect());
-            let begins = world.faults.iter().filter(|f| f.destination == destination && f.begin == now);
-            for begun in begins.map(|f| f.fault) {
-                if begun == Fault::HalfOpenConnections {
-                    self.strand_connections(destination);
+            let starting =
+                environment.faults.iter().filter(|f| f.destination == destination && f.start == now);
+            for fault in starting.map(|f| f.fault) {
+                if fault == Fault::HalfOpenConnections {
+                    self.mark_half_open(destination);
                 }
-                if let Some(taken) = begun.effect_on_calls_in_flight() {
-                    self.end_calls_in_flight(destination, taken);
+                if let Some(effect) = fault.effect_on_calls_in_flight() {
+                    self.end_calls_in_flight(destination, effect);
                 }
             }
         }
     }
 
-    /// Leaves the connections that forwarders have open to a destination dead: calls on them get no answer.
-    pub(super) fn strand_connections(&mut self, destination: usize) {
-        let width = self.world.list.len();
+    /// Makes the forwarders' open connections to a destination half-open: calls on them get no answer.
+    pub(super) fn mark_half_open(&mut self, destination: usize) {
+        let endpoint_count = self.environment.endpoints.len();
         for (n, link) in self.links.iter_mut().enumerate() {
-            if self.world.list[n % width].destination == destination {
-                link.stranded = link.peak;
+            if self.environment.endpoints[n % endpoint_count].destination == destination {
+                link.half_open = link.peak;
             }
         }
     }
 
-    /// Ends the calls that a destination was working on, as its fault says.
-    pub(super) fn end_calls_in_flight(&mut self, destination: usize, taken: InFlightEffect) {
+    /// Ends the calls that a destination is processing, with the effect of its new fault.
+    pub(super) fn end_calls_in_flight(&mut self, destination: usize, effect: InFlightEffect) {
         for number in self.in_flight[destination].clone() {
             if !self.calls[number].arrived {
                 continue;
             }
-            let answer = match taken {
-                InFlightEffect::Broken => Some((self.now + self.network(), Outcome::Reset)),
+            let answer = match effect {
+                InFlightEffect::Broken => Some((self.now + self.draw_network_delay(), Outcome::Reset)),
                 InFlightEffect::Silent => None,
             };
             self.schedule_outcome(number, answer, None, false);
--- a/crates/rehearsal/src/simulation/event_queue.rs
+++ b/crates/rehearsal/src/simulation/event_queue.rs
@@ -1,22 +1,24 @@
-//! The queue of what happens in a simulated day, in the order of virtual time.
+//! The queue of simulation events, in the order of virtual time.
 
 use cedarbridge::{Lifecycle, LoadReport, Micros, Outcome};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Bits of a heap key that hold the slot; the sequence number stands above them. No day has 2^24 events queued at once.
+/// The low bits of a heap key that hold the slot; the sequence number is in the bits above. A run never has 2^24 events
+/// queued at once.
 const SLOT_BITS: u32 = 24;
 
-/// What happens at a moment of the day.
+/// An event of the simulation.
 pub(super) enum SimulationEvent {
-    Request {
-        first: usize,
-        retry_of: Option<usize>,
-        first_tried: Micros,
-    },
+    /// A client connects to send the request with this index.
+    Request { index: usize, retry_of: Option<usize>, first_tried: Micros },
+    /// The forwarder takes a policy step.
     PolicyStep(usize),
+    /// A timer of the forwarder's policy expires.
     Timer(usize),
+    /// The last byte of the call arrives at its endpoint; void if the call's version has changed.
     CallArrives(usize, u32),
+    /// A call, or one attempt of it, ends; void if the call's version has changed.
     CallEnds {
         call: usize,
         version: u32,
@@ -24,25 +26,25 @@
         outcome: Outcome,
         report: Option<LoadReport>,
     },
+    /// A planned fault starts or ends.
     FaultChange,
-    ListChange {
-        forwarder: usize,
-        endpoint: usize,
-        lifecycle: Lifecycle,
-    },
+    /// The forwarder learns a change of the endpoint list.
+    ListChange { forwarder: usize, endpoint: usize, lifecycle: Lifecycle },
+    /// The fleet gets the planned size with this index.
     FleetSize(usize),
+    /// The forwarder reloads its settings.
     SettingsUpdate(usize),
+    /// The planned stop with this index begins.
     Stop(usize),
-    DrainCheck {
-        forwarder: usize,
-        since: Micros,
-        back: Micros,
-    },
+    /// A draining forwarder checks whether its process can end.
+    DrainCheck { forwarder: usize, since: Micros, restart_delay: Micros },
+    /// The forwarder's process is ready.
     Start(usize),
+    /// The figures sample open messages and breakers.
     Sample,
 }
 
-/// Events by time; events of one moment come in the order in which they were queued.
+/// A queue of events, ordered by time; events of the same time come out in the order in which they were pushed.
 #[derive(Default)]
 pub(super) struct EventQueue {
     heap: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -56,7 +58,7 @@
 }
 
 impl EventQueue {
-    /// Queues an event.
+    /// Queues an event for a time.
     pub(super) fn push(&mut self, time: Micros, event: SimulationEvent) {
         let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
@@ -67,7 +69,7 @@
         self.heap.push(Reverse((time, self.last_sequence << SLOT_BITS | slot as u64)));
     }
 
-    /// Takes the next event with its time.
+    /// Removes the next event and returns it with its time; `None` if the queue is empty.
     pub(super) fn pop(&mut self) -> Option<(Micros, SimulationEvent)> {
         loop {
             let Reverse((time, key)) = self.heap.pop()?;
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The next event, if it happens at this moment.
+    /// The next event, if its time is `now`.
     pub(super) fn peek_at(&self, now: Micros) -> Option<&SimulationEvent> {
         let Reverse((time, key)) = self.heap.peek()?;
         self.slots[slot_of(*key)].as_ref().filter(|_| *time == now)
--- a/crates/rehearsal/src/simulation/policy_step.rs
+++ b/crates/rehearsal/src/simulation/policy_step.rs
@@ -1,11 +1,11 @@
-//! Steps of forwarders' delivery policies, and the actions that they return.
+//! Steps of the forwarders' delivery policies, and the actions that the policies return.
 
 use super::event_queue::SimulationEvent;
 use super::Simulation;
 use cedarbridge::{Action, DeliveryPolicy, Event, Micros};
 use rayon::prelude::*;
 
-/// A forwarder's step.
+/// One step of a forwarder's policy, taken out of the simulation so that steps can run in parallel.
 pub(super) struct PolicyStep {
     pub(super) forwarder: usize,
     pub(super) policy: DeliveryPolicy,
@@ -26,15 +26,15 @@
         self.schedule_step(forwarder, self.now);
     }
 
-    /// Schedules a step at a time, but no sooner after the last one than the minimum step interval.
+    /// Schedules a forwarder's step at a time, but no sooner than the minimum step interval after its last step.
     pub(super) fn schedule_step(&mut self, forwarder: usize, at: Micros) {
         let f = &mut self.forwarders[forwarder];
-        if !f.up {
+        if !f.is_up {
             return;
         }
-        let at = at.max(f.last_step + self.world.settings.min_step_interval);
+        let at = at.max(f.last_step + self.environment.settings.min_step_interval);
         let at = if self.common_steps {
-            at.next_multiple_of(self.world.settings.min_step_interval.max(1))
+            at.next_multiple_of(self.environment.settings.min_step_interval.max(1))
         } else {
             at
         };
@@ -44,21 +44,21 @@
         }
     }
 
-    /// Steps a forwarder, if a step is due now.
+    /// Takes a forwarder's step, if one is due now.
     pub(super) fn step_alone(&mut self, forwarder: usize) {
         if let Some(mut step) = self.take_due_step(forwarder) {
-            step.step(self.now + self.world.fleet[forwarder].clock);
+            step.step(self.now + self.environment.fleet[forwarder].clock_offset);
             self.apply_step(step);
         }
     }
 
-    /// Steps all forwarders that are due at this moment in parallel; none sees another's actions before the moment is over.
+    /// Takes the steps of all forwarders that are due now in parallel. Their actions are applied after the last of the steps.
     pub(super) fn step_together(&mut self, first: usize) {
         let now = self.now;
         let mut due = vec![first];
         while let Some(event) = self.events.peek_at(now) {
             let SimulationEvent::PolicyStep(forwarder) = *event else {
-                // Every other event of this moment comes before the steps: they are queued again behind it.
+                // Another event of the same time comes first: the steps are queued again behind it.
                 due.drain(..).for_each(|f| self.schedule(now, SimulationEvent::PolicyStep(f)));
                 return;
             };
@@ -66,8 +66,8 @@
             due.push(forwarder);
         }
         let mut steps: Vec<PolicyStep> = due.into_iter().filter_map(|f| self.take_due_step(f)).collect();
-        let fleet = &self.world.fleet;
-        steps.par_iter_mut().for_each(|s| s.step(now + fleet[s.forwarder].clock));
+        let fleet = &self.environment.fleet;
+        steps.par_iter_mut().for_each(|s| s.step(now + fleet[s.forwarder].clock_offset));
         steps.into_iter().for_each(|s| self.apply_step(s));
     }
 
@@ -75,7 +75,7 @@
     pub(super) fn take_due_step(&mut self, forwarder: usize) -> Option<PolicyStep> {
         let now = self.now;
         let f = &mut self.forwarders[forwarder];
-        // A step that was scheduled for an earlier time has replaced this one.
+        // A step that was scheduled for an earlier time replaces this one.
         if f.due != Some(now) {
             return None;
         }
@@ -83,31 +83,37 @@
         f.last_step = now;
         let mut events = std::mem::take(&mut f.events);
         for event in &mut events {
-            // The time left counts from the step that reads the message.
-            if let Event::Message(m) = event {
-                let first = self.messages[m.id.0 as usize].first as usize;
-                let deadline = self.world.requests[first].at + self.world.settings.classes[0].deadline;
-                m.time_left = deadline.saturating_sub(now);
+            // A message's time left counts from the step that reads the message.
+            if let Event::Message(message) = event {
+                let request = self.messages[message.id.0 as usize].request as usize;
+                let deadline =
+                    self.environment.requests[request].at + self.environment.settings.classes[0].deadline;
+                message.time_left = deadline.saturating_sub(now);
             }
         }
         Some(PolicyStep { forwarder, policy: std::mem::take(&mut f.policy), events, actions: Vec::new() })
     }
 
-    /// Carries out the actions of a step, in their order.
+    /// Carries out the actions of a step, in order.
     pub(super) fn apply_step(&mut self, step: PolicyStep) {
         let (now, forwarder) = (self.now, step.forwarder);
-        let clock = self.world.fleet[forwarder].clock;
+        let clock_offset = self.environment.fleet[forwarder].clock_offset;
         self.forwarders[forwarder].policy = step.policy;
-        let mut open: Option<(u64, usize)> = None;
+        let mut current_call: Option<(u64, usize)> = None;
         for action in step.actions {
             match action {
-                Action::Send { id, endpoint, call, timeout_at, final_attempt: last, .. } => {
-                    let number = match open.filter(|o| o.0 == call) {
+                Action::Send { id, endpoint, call, timeout_at, final_attempt: is_final, .. } => {
+                    let number = match current_call.filter(|c| c.0 == call) {
                         Some((_, number)) => number,
                         None => self.begin_call(forwarder, endpoint),
                     };
-                    open = Some((call, number));
-                    self.add_attempt(number, id.0 as usize, timeout_at.saturating_sub(clock), last);
+                    current_call = Some((call, number));
+                    self.add_attempt(
+                        number,
+                        id.0 as usize,
+                        timeout_at.saturating_sub(clock_offset),
+                        is_final,
+                    );
                 }
                 Action::Reject { id, retry_after, .. } => {
                     self.reject_or_fail(id.0 as usize, Some(retry_after))
@@ -116,8 +122,8 @@
                 Action::Cancel { id, attempt } => self.cancel(id.0 as usize, attempt),
                 Action::Timer { delay, .. } => self.schedule(now + delay, SimulationEvent::Timer(forwarder)),
                 Action::CloseIdle { endpoint } => {
-                    let at = forwarder * self.world.list.len() + endpoint.0 as usize - 1;
-                    self.links[at].idle.clear();
+                    let index = forwarder * self.environment.endpoints.len() + endpoint.0 as usize - 1;
+                    self.links[index].idle.clear();
                 }
                 Action::HealthCheck { .. } | Action::Subscribe | Action::Log(_) => {}
             }
--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests: which forwarder receives them, retries after a rejection, and how messages end.
+//! The clients' requests: which forwarder receives them, retries after a rejection, and how messages end.
 
 use super::event_queue::SimulationEvent;
 use super::{Simulation, CLASS, CLIENT_PATIENCE, RECONNECT_DELAY};
@@ -7,60 +7,65 @@
 use cedarbridge::{DestinationId, Event, KindId, MessageId, Micros, NewMessage, TenantId};
 use rand::RngExt;
 
-/// A message as a forwarder received it; a client's retry is another message.
+/// A message as a forwarder received it. A client's retry is another message for the same request.
 pub(super) struct Message {
-    /// The index of the client's request, whose weight counts once for all its messages.
-    pub(super) first: u32,
+    /// The index of the client's request. Its weight counts once for all its messages.
+    pub(super) request: u32,
     pub(super) forwarder: u32,
     pub(super) attempts: u32,
+    /// The call of its attempt in flight; `None` if no attempt is in flight.
     pub(super) call: Option<u32>,
     pub(super) closed: bool,
     pub(super) is_retry: bool,
 }
 
 impl Simulation<'_> {
-    /// A client connects with a request, for the first time or again.
-    pub(super) fn receive_request(&mut self, first: usize, retry_of: Option<usize>, first_tried: Micros) {
-        let request = self.world.requests[first];
-        let fresh = retry_of.is_none() && first_tried == self.now;
-        if fresh {
-            if let Some(next) = self.world.requests.get(first + 1) {
+    /// Handles a client that connects to send a request, for the first time or again.
+    pub(super) fn receive_request(&mut self, index: usize, retry_of: Option<usize>, first_tried: Micros) {
+        let request = self.environment.requests[index];
+        let is_first_try = retry_of.is_none() && first_tried == self.now;
+        if is_first_try {
+            if let Some(next) = self.environment.requests.get(index + 1) {
                 self.schedule(
                     next.at,
-                    SimulationEvent::Request { first: first + 1, retry_of: None, first_tried: next.at },
+                    SimulationEvent::Request { index: index + 1, retry_of: None, first_tried: next.at },
                 );
             }
         }
-        self.clients_waiting -= usize::from(!fresh);
+        self.clients_waiting -= usize::from(!is_first_try);
         // A retry may reach any forwarder.
-        let to = if retry_of.is_some() { self.rng.random_range(0..self.size) } else { request.forwarder };
-        let deadline = request.at + self.world.settings.classes[0].deadline;
+        let preferred = if retry_of.is_some() {
+            self.rng.random_range(0..self.active_forwarders)
+        } else {
+            request.forwarder
+        };
+        let deadline = request.at + self.environment.settings.classes[0].deadline;
         if self.now >= deadline {
             return;
         }
-        let Some(forwarder) = self.accepting_forwarder(to) else {
-            // No forwarder accepts connections.
+        let Some(forwarder) = self.accepting_forwarder(preferred) else {
+            // No forwarder accepts the request now.
             if self.now + RECONNECT_DELAY < first_tried + CLIENT_PATIENCE {
                 self.clients_waiting += 1;
                 self.schedule(
                     self.now + RECONNECT_DELAY,
-                    SimulationEvent::Request { first, retry_of, first_tried },
+                    SimulationEvent::Request { index, retry_of, first_tried },
                 );
             } else {
-                self.figures.given_up(true);
+                self.figures.message_given_up(true);
             }
             return;
         };
-        if forwarder != to && first_tried == self.now {
+        if forwarder != preferred && first_tried == self.now {
             self.clients_waiting += 1;
             return self.schedule(
                 self.now + RECONNECT_DELAY,
-                SimulationEvent::Request { first, retry_of, first_tried },
+                SimulationEvent::Request { index, retry_of, first_tried },
             );
         }
         let id = self.messages.len();
         let message = Message {
-            first: first as u32,
+            request: index as u32,
             forwarder: forwarder as u32,
             attempts: 0,
             call: None,
@@ -69,18 +74,18 @@
         };
         self.messages.push(message);
         self.open += 1;
-        self.forwarders[forwarder].open += 1;
-        self.audit.taken(self.now, forwarder, request.at, deadline - self.now);
+        self.forwarders[forwarder].open_messages += 1;
+        self.audit.message_received(self.now, forwarder, request.at, deadline - self.now);
         self.push_message(forwarder, id, deadline, retry_of.is_some(), false);
     }
 
-    /// The first forwarder, from this one on, that accepts requests.
+    /// The first forwarder that accepts requests, counted from `from` on; `None` if none does.
     pub(super) fn accepting_forwarder(&self, from: usize) -> Option<usize> {
-        let n = self.forwarders.len();
-        (0..n).map(|i| (from + i) % n).find(|f| self.forwarders[*f].accepts)
+        let count = self.forwarders.len();
+        (0..count).map(|i| (from + i) % count).find(|f| self.forwarders[*f].accepts_requests)
     }
 
-    /// Hands a message to a forwarder's policy.
+    /// Queues a message for a forwarder's policy.
     pub(super) fn push_message(
         &mut self,
         forwarder: usize,
@@ -89,8 +94,8 @@
         client_retry: bool,
         failed_over: bool,
     ) {
-        let m = &self.messages[id];
-        let request = &self.world.requests[m.first as usize];
+        let state = &self.messages[id];
+        let request = &self.environment.requests[state.request as usize];
         let message = NewMessage {
             id: MessageId(id as u64),
             class: CLASS,
@@ -102,53 +107,55 @@
             first_attempt: None,
             client_retry,
             // Only a message from a predecessor's journal has attempts or is failed over.
-            restored: failed_over || m.attempts > 0,
-            attempts: m.attempts,
+            restored: failed_over || state.attempts > 0,
+            attempts: state.attempts,
         };
         self.push_event(forwarder, Event::Message(message));
     }
 
-    /// Gives a message that a stopped process had open to the process that takes over its journal.
+    /// Queues an open message of a stopped process for the policy of the process that takes over its journal.
     pub(super) fn restore_message(&mut self, forwarder: usize, id: usize) {
-        let m = &self.messages[id];
-        let attempted = m.attempts > 0;
-        let deadline = self.world.requests[m.first as usize].at + self.world.settings.classes[0].deadline;
+        let message = &self.messages[id];
+        let attempted = message.attempts > 0;
+        let deadline = self.environment.requests[message.request as usize].at
+            + self.environment.settings.classes[0].deadline;
         self.push_message(forwarder, id, deadline, !attempted, attempted);
     }
 
-    /// The timing that the plan gives a message.
+    /// The timing that the routes give a message.
     pub(super) fn timing(&self, message: usize) -> Timing {
-        let destination = self.world.requests[self.messages[message].first as usize].destination;
-        let (to, kind) = (DestinationId(destination as u64), KindId(self.world.kinds[destination]));
-        self.plan.as_ref().map_or(Timing::default(), |p| p.timing(to, Some(kind), CLASS))
+        let destination = self.environment.requests[self.messages[message].request as usize].destination;
+        let (id, kind) =
+            (DestinationId(destination as u64), KindId(self.environment.destination_kinds[destination]));
+        self.plan.as_ref().map_or(Timing::default(), |p| p.timing(id, Some(kind), CLASS))
     }
 
     /// Marks a message as ended.
     pub(super) fn close_message(&mut self, message: usize) {
-        let m = &mut self.messages[message];
-        if !m.closed {
-            m.closed = true;
+        let state = &mut self.messages[message];
+        if !state.closed {
+            state.closed = true;
             self.open -= 1;
-            self.forwarders[m.forwarder as usize].open -= 1;
+            self.forwarders[state.forwarder as usize].open_messages -= 1;
         }
     }
 
-    /// Ends a message that the policy rejected, with its retry_after, or failed.
-    pub(super) fn reject_or_fail(&mut self, message: usize, refused: Option<Option<Micros>>) {
+    /// Ends a message that the policy rejected, which may come with a `retry_after`, or failed (`None`).
+    pub(super) fn reject_or_fail(&mut self, message: usize, rejection: Option<Option<Micros>>) {
         let timing = self.timing(message);
-        let end = if refused.is_some() { MessageEnd::Rejected } else { MessageEnd::Failed };
-        self.audit.ended(self.now, message, &timing, end);
+        let end = if rejection.is_some() { MessageEnd::Rejected } else { MessageEnd::Failed };
+        self.audit.message_ended(self.now, message, &timing, end);
         self.close_message(message);
-        let m = &self.messages[message];
-        let (first, is_retry) = (m.first as usize, m.is_retry);
-        self.figures.given_up(refused.is_some());
-        let Some(advice) = refused else { return };
-        if let Some(wait) = self.world.requests[first].retry_after.filter(|_| !is_retry) {
-            let later = self.now + advice.unwrap_or(0).max(wait);
+        let state = &self.messages[message];
+        let (index, is_retry) = (state.request as usize, state.is_retry);
+        self.figures.message_given_up(rejection.is_some());
+        let Some(retry_after) = rejection else { return };
+        if let Some(delay) = self.environment.requests[index].retry_delay.filter(|_| !is_retry) {
+            let retry_at = self.now + retry_after.unwrap_or(0).max(delay);
             self.clients_waiting += 1;
             self.schedule(
-                later,
-                SimulationEvent::Request { first, retry_of: Some(message), first_tried: later },
+                retry_at,
+                SimulationEvent::Request { index, retry_of: Some(message), first_tried: retry_at },
             );
         }
     }
--- a/crates/rehearsal/src/verdict/export.rs
+++ b/crates/rehearsal/src/verdict/export.rs
@@ -1,99 +1,108 @@
-//! A run for other programs: JSON for scripts, JUnit for a CI.
+//! The report of a run for other programs: JSON for scripts, JUnit XML for CI.
 
 use super::page::seconds;
-use super::{Check, Run, RunMode, Verdict};
+use super::{ExpectationCheck, RunMode, RunReport, Verdict};
 use crate::audit::{Rule, RuleViolation};
-use crate::figures::{Tally, OUTCOMES};
-use crate::world::START;
+use crate::environment::RUN_START;
+use crate::figures::{DeliveryStats, OUTCOME_NAMES};
 use quick_junit::{NonSuccessKind, TestCase, TestCaseStatus, TestSuite};
 use serde_json::{json, Value};
 
-impl Run<'_> {
-    /// For scripts.
+impl RunReport<'_> {
+    /// The report as JSON, for scripts.
     pub fn json(&self) -> Value {
-        let f = self.figures;
-        let tally = |t: &Tally| {
-            json!({"messages": t.messages, "delivered": t.delivered, "asked": t.value.offered, "got": t.value.delivered_value,
-                "by_second": t.by_second, "ms": {"p50": t.time(0.5), "p90": t.time(0.9), "p99": t.time(0.99), "p99.9": t.time(0.999)}})
+        let figures = self.figures;
+        let stats_json = |stats: &DeliveryStats| {
+            json!({"messages": stats.messages, "delivered": stats.delivered, "asked": stats.value.offered, "got": stats.value.delivered,
+                "by_second": stats.by_second, "ms": {"p50": stats.delivery_time(0.5), "p90": stats.delivery_time(0.9), "p99": stats.delivery_time(0.99), "p99.9": stats.delivery_time(0.999)}})
         };
-        let named = |names: &[String], all: &[Tally]| -> Value {
+        let stats_by_name = |names: &[String], all: &[DeliveryStats]| -> Value {
             names
                 .iter()
                 .zip(all)
-                .map(|(n, t)| (n.clone(), tally(t)))
+                .map(|(name, stats)| (name.clone(), stats_json(stats)))
                 .collect::<serde_json::Map<_, _>>()
                 .into()
         };
         let (verdict, reasons) = match self.verdict() {
             Verdict::Passed => ("passed", Vec::new()),
-            Verdict::Failed(why) => ("failed", why),
-            Verdict::NotJudged(why) => ("not judged", vec![why]),
+            Verdict::Failed(reasons) => ("failed", reasons),
+            Verdict::NotJudged(reason) => ("not judged", vec![reason]),
         };
-        let w = f.value();
-        let outcomes: serde_json::Map<String, Value> =
-            OUTCOMES.iter().zip(f.outcomes).map(|(n, c)| ((*n).to_owned(), c.into())).collect();
+        let value = figures.value();
+        let outcomes: serde_json::Map<String, Value> = OUTCOME_NAMES
+            .iter()
+            .zip(figures.outcomes)
+            .map(|(name, count)| ((*name).to_owned(), count.into()))
+            .collect();
         json!({
             "title": self.scenario.title, "seed": self.seed, "verdict": verdict, "reasons": reasons,
-            "worth": {"asked": w.offered, "delivered": w.delivered_value, "share": w.share()},
+            "worth": {"asked": value.offered, "delivered": value.delivered, "share": value.share()},
             "live": matches!(self.run_mode, RunMode::Live(_)), "seconds": self.took.as_secs_f64(),
-            "messages": self.world.requests.len(), "delivered": f.delivered, "refused": f.refused,
-            "failed": f.failed, "attempts": f.attempts, "outcomes": outcomes,
-            "upgrades": f.upgrades.iter().map(|u| json!({"ready_us": u.ready, "left_us": u.left,
+            "messages": self.environment.requests.len(), "delivered": figures.delivered, "refused": figures.rejected,
+            "failed": figures.failed, "attempts": figures.attempts, "outcomes": outcomes,
+            "upgrades": figures.upgrades.iter().map(|u| json!({"ready_us": u.ready_time, "left_us": u.exit_time,
                 "at_the_door": u.rejected_during_upgrade})).collect::<Vec<_>>(),
-            "channels": named(&self.world.names.tenants, &f.by_channel),
-            "partners": named(&self.world.destination_names, &f.by_destination),
-            "breakers": self.world.destination_names.iter().zip(&f.breakers).map(|(name, line)| {
-                let line = line.iter().map(|(at, s)| json!([seconds(*at), s.name()]));
-                (name.clone(), line.collect::<Vec<_>>().into())
+            "channels": stats_by_name(&self.environment.names.tenants, &figures.by_tenant),
+            "partners": stats_by_name(&self.environment.destination_names, &figures.by_destination),
+            "breakers": self.environment.destination_names.iter().zip(&figures.breakers).map(|(name, changes)| {
+                let changes = changes.iter().map(|(at, state)| json!([seconds(*at), state.name()]));
+                (name.clone(), changes.collect::<Vec<_>>().into())
             }).collect::<serde_json::Map<_, Value>>(),
-            "broken": self.violations.iter().map(|b| json!({"rule": b.rule.name(), "at_us": b.at.saturating_sub(START),
-                "forwarder": b.forwarder.map(|f| f + 1), "message": b.message, "what": b.what})).collect::<Vec<_>>(),
+            "broken": self.violations.iter().map(|v| json!({"rule": v.rule.name(), "at_us": v.at.saturating_sub(RUN_START),
+                "forwarder": v.forwarder.map(|f| f + 1), "message": v.message, "what": v.what})).collect::<Vec<_>>(),
         })
     }
 
-    /// For a CI: a case for each expectation and one for each rule.
+    /// The report as JUnit XML, for CI: a test case for each expectation and for each rule. The cases are skipped if the
+    /// run got no verdict.
+    ///
+    /// # Panics
+    /// The scenario's title or a violation has control characters that XML does not allow.
     pub fn junit(&self) -> String {
         let mut report = quick_junit::Report::new("cedarbridge-rehearsal");
         let mut suite = TestSuite::new(self.scenario.title.clone());
-        let loaded = match self.verdict() {
-            Verdict::NotJudged(why) => Some(why),
+        let skip_reason = match self.verdict() {
+            Verdict::NotJudged(reason) => Some(reason),
             _ => None,
         };
-        let mut case = |name: String, fine: bool, what: String| {
-            let status = match &loaded {
-                Some(why) => {
+        let mut add_case = |name: String, passed: bool, message: String| {
+            let status = match &skip_reason {
+                Some(reason) => {
                     let mut skipped = TestCaseStatus::skipped();
-                    skipped.set_message(why.clone());
+                    skipped.set_message(reason.clone());
                     skipped
                 }
-                None if fine => TestCaseStatus::success(),
+                None if passed => TestCaseStatus::success(),
                 None => {
                     let mut failure = TestCaseStatus::non_success(NonSuccessKind::Failure);
-                    failure.set_message(what);
+                    failure.set_message(message);
                     failure
                 }
             };
             suite.add_test_case(TestCase::new(name, status));
         };
-        for Check { name, met, what } in self.checks().into_iter().filter(|c| c.name != "rules") {
-            case(format!("expected {name}"), met, what);
+        for ExpectationCheck { name, met, description } in
+            self.checks().into_iter().filter(|c| c.name != "rules")
+        {
+            add_case(format!("expected {name}"), met, description);
         }
         let rules = [
-            Rule::OneAnswer,
-            Rule::InTime,
-            Rule::OneOut,
-            Rule::Attempts,
-            Rule::Repeats,
-            Rule::Waits,
-            Rule::Drains,
-            Rule::PushedOver,
-            Rule::Door,
-            Rule::Strays,
+            Rule::SingleAnswer,
+            Rule::AnswerDeadline,
+            Rule::SingleAttempt,
+            Rule::AttemptLimit,
+            Rule::RetryPermitted,
+            Rule::RetryAfter,
+            Rule::Draining,
+            Rule::RecoveryOverload,
+            Rule::UpgradeRejections,
+            Rule::StrayMessages,
         ];
         for rule in rules {
             let violations: Vec<String> =
-                self.violations.iter().filter(|b| b.rule == rule).map(RuleViolation::to_string).collect();
-            case(format!("rule {}", rule.name()), violations.is_empty(), violations.join("\n"));
+                self.violations.iter().filter(|v| v.rule == rule).map(RuleViolation::to_string).collect();
+            add_case(format!("rule {}", rule.name()), violations.is_empty(), violations.join("\n"));
         }
         report.add_test_suite(suite);
         report.to_string().expect("text without control characters")
--- a/crates/rehearsal/src/verdict/mod.rs
+++ b/crates/rehearsal/src/verdict/mod.rs
@@ -1,68 +1,68 @@
-//! The result of a rehearsal, in all its forms: a summary for the terminal, a page with plots, JSON for scripts and
-//! JUnit for a CI. Value delivered against value offered stands at the top of each.
+//! The verdict on a run, and its report: a text summary, an HTML page with plots, JSON for scripts, and JUnit XML for CI.
+//! Each starts with the value delivered against the value offered.
 
 mod export;
 mod page;
 mod summary;
 
 use crate::audit::RuleViolation;
+use crate::environment::Environment;
 use crate::figures::Figures;
 use crate::scenario::Scenario;
-use crate::world::World;
 use cedarbridge::Micros;
 use std::time::Duration;
 
-/// How far behind its schedule the kit itself was, on sockets.
+/// How far a live run was behind its own schedule. A late run says nothing about the forwarder.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lateness {
-    /// Its event loop, at the 99th percentile and the most.
+    /// The lateness of the run's event loop, at the 99th percentile.
     pub loop_p99: Micros,
-    /// The most.
-    pub loop_most: Micros,
-    /// Requests that were sent later than planned by more than [`SEND_LATE`], of all.
+    /// The largest lateness of the event loop.
+    pub loop_max: Micros,
+    /// The number of requests that were sent more than [`LATE_SEND`] after their planned time.
     pub late_sends: u64,
-    /// All requests.
+    /// The number of requests that were sent.
     pub sends: u64,
-    /// How long forwarders took to answer `/_counters`, at the 90th percentile.
+    /// The time that forwarders took to answer `/_counters`, at the 90th percentile.
     pub counters_p90: Micros,
 }
 
-/// A request is late beyond this.
-pub const SEND_LATE: Micros = 50_000;
-/// A run whose event loop was late by more than this at the 99th percentile is not judged, ...
-const LOOP_LATE: Micros = 40_000;
-/// ... nor one with more than this share of late requests.
-const SENDS_LATE: f64 = 0.02;
+/// A request that is sent more than this time after its planned time is late.
+pub const LATE_SEND: Micros = 50_000;
+/// A run gets no verdict if its event loop was later than this at the 99th percentile, ...
+const MAX_LOOP_LATENESS: Micros = 40_000;
+/// ... if more than this share of its requests was sent late, ...
+const MAX_LATE_SEND_SHARE: f64 = 0.02;
 
-/// ... nor one whose forwarders took longer than this, at the 90th percentile, to answer `/_counters`.
-const COUNTERS_LATE: Micros = 60_000;
+/// ... or if its forwarders took longer than this to answer `/_counters` at the 90th percentile.
+const MAX_COUNTERS_TIME: Micros = 60_000;
 
 /// How a run was made.
 #[derive(Clone, Copy, Debug)]
 pub enum RunMode {
-    /// In virtual time.
+    /// A simulation in virtual time.
     Virtual,
-    /// On sockets, with real forwarders.
+    /// A live rehearsal on sockets, with real forwarders.
     Live(Lateness),
 }
 
-/// A run and its result.
-pub struct Run<'a> {
-    /// The scenario.
+/// A finished run and its result.
+pub struct RunReport<'a> {
+    /// The scenario that was run.
     pub scenario: &'a Scenario,
-    /// Its day.
-    pub world: &'a World,
-    /// Its seed.
+    /// The environment of the run.
+    pub environment: &'a Environment,
+    /// The seed of the run.
     pub seed: u64,
-    /// The result.
+    /// The figures of the run.
     pub figures: &'a Figures,
-    /// Rules broken.
+    /// The rule violations.
     pub violations: &'a [RuleViolation],
-    /// How it was made.
+    /// How the run was made.
     pub run_mode: RunMode,
-    /// What else went wrong: a forwarder that ended by itself, an aborted run.
+    /// Descriptions of what else went wrong: a forwarder that ended by itself, a run that was aborted.
     pub incidents: &'a [String],
-    /// How long it took.
+    /// The real time that the run took.
     pub took: Duration,
 }
 
@@ -71,43 +71,52 @@
 pub enum Verdict {
     /// All expectations were met.
     Passed,
-    /// These expectations were not met.
+    /// These expectations were not met, each with what was observed.
     Failed(Vec<String>),
-    /// The machine was too loaded for a verdict.
+    /// The machine was too loaded for a verdict; the text has the measured lateness.
     NotJudged(String),
 }
 
 /// An expectation of the scenario, and what was observed.
-struct Check {
+struct ExpectationCheck {
     name: &'static str,
     met: bool,
-    what: String,
+    /// The observed and the expected value.
+    description: String,
 }
 
-impl Run<'_> {
+impl RunReport<'_> {
     /// The expectations, each with what was observed.
-    fn checks(&self) -> Vec<Check> {
-        let (e, f) = (&self.scenario.expect, self.figures);
-        let mut all = Vec::new();
-        let mut check = |name, met, what| all.push(Check { name, met, what });
-        let rules = self.violations.len();
-        check("rules", rules <= e.violations, format!("{rules} rules broken, {} allowed", e.violations));
-        if let Some(least) = &e.delivered_share {
-            let value = f.value().share();
-            let what = format!("worth {value:.3}, {} expected at least", least.value);
-            check("worth", value >= least.value, what);
+    fn checks(&self) -> Vec<ExpectationCheck> {
+        let (expect, figures) = (&self.scenario.expect, self.figures);
+        let mut checks = Vec::new();
+        let mut check = |name, met, description| checks.push(ExpectationCheck { name, met, description });
+        let violations = self.violations.len();
+        check(
+            "rules",
+            violations <= expect.max_violations,
+            format!("{violations} rules broken, {} allowed", expect.max_violations),
+        );
+        if let Some(min) = &expect.min_delivered_share {
+            let share = figures.value().share();
+            let description = format!("worth {share:.3}, {} expected at least", min.value);
+            check("worth", share >= min.value, description);
         }
-        for (name, most, seen) in [("refused", e.refused, f.refused), ("failed", e.failed, f.failed)] {
-            if let Some(most) = most {
-                check(name, seen <= most, format!("{seen} {name}, {most} expected at most"));
+        for (name, max, observed) in [
+            ("refused", expect.max_rejected, figures.rejected),
+            ("failed", expect.max_failed, figures.failed),
+        ] {
+            if let Some(max) = max {
+                check(name, observed <= max, format!("{observed} {name}, {max} expected at most"));
             }
         }
-        if let Some(most) = e.returns {
-            let returns = f.returns(self.world);
-            let longest = returns.iter().map(|r| r.1.unwrap_or(Micros::MAX)).max().unwrap_or(0);
+        if let Some(max) = expect.max_recovery_time {
+            let recovery_times = figures.recovery_times(self.environment);
+            let longest = recovery_times.iter().map(|r| r.1.unwrap_or(Micros::MAX)).max().unwrap_or(0);
             let ms = |t: Micros| if t == Micros::MAX { "never".into() } else { format!("{} ms", t / 1000) };
-            let what = format!("first delivery after a return: {}, {} at most", ms(longest), ms(most.0));
-            check("returns", longest <= most.0, what);
+            let description =
+                format!("first delivery after a return: {}, {} at most", ms(longest), ms(max.0));
+            check("returns", longest <= max.0, description);
         }
         let incidents = self.incidents.join("; ");
         check(
@@ -115,24 +124,28 @@
             self.incidents.is_empty(),
             if incidents.is_empty() { "nothing odd".into() } else { incidents },
         );
-        all
+        checks
     }
 
-    /// The verdict.
+    /// The verdict on the run.
     pub fn verdict(&self) -> Verdict {
-        if let RunMode::Live(late) = self.run_mode {
-            let share = late.late_sends as f64 / late.sends.max(1) as f64;
-            if late.loop_p99 > LOOP_LATE || share > SENDS_LATE || late.counters_p90 > COUNTERS_LATE {
+        if let RunMode::Live(lateness) = self.run_mode {
+            let share = lateness.late_sends as f64 / lateness.sends.max(1) as f64;
+            if lateness.loop_p99 > MAX_LOOP_LATENESS
+                || share > MAX_LATE_SEND_SHARE
+                || lateness.counters_p90 > MAX_COUNTERS_TIME
+            {
                 return Verdict::NotJudged(format!(
                     "the machine was loaded: the kit ran late by {:.0} ms at p99 and sent {:.1}% of the messages late, \
                      forwarders took {:.0} ms at p90 to tell how they stand",
-                    late.loop_p99 as f64 / 1e3,
+                    lateness.loop_p99 as f64 / 1e3,
                     share * 100.0,
-                    late.counters_p90 as f64 / 1e3
+                    lateness.counters_p90 as f64 / 1e3
                 ));
             }
         }
-        let failed: Vec<String> = self.checks().into_iter().filter(|c| !c.met).map(|c| c.what).collect();
+        let failed: Vec<String> =
+            self.checks().into_iter().filter(|c| !c.met).map(|c| c.description).collect();
         if failed.is_empty() {
             Verdict::Passed
         } else {
@@ -140,32 +153,34 @@
         }
     }
 
+    /// The value delivered and offered, and the verdict, in one line.
     fn headline(&self) -> String {
-        let w = self.figures.value();
+        let value = self.figures.value();
         let verdict = match self.verdict() {
             Verdict::Passed => "as expected".into(),
-            Verdict::Failed(why) => format!("NOT AS EXPECTED: {}", why.join("; ")),
-            Verdict::NotJudged(why) => format!("NOT JUDGED: {why}"),
+            Verdict::Failed(reasons) => format!("NOT AS EXPECTED: {}", reasons.join("; ")),
+            Verdict::NotJudged(reason) => format!("NOT JUDGED: {reason}"),
         };
         format!(
             "worth delivered {:.1} of {:.1} asked: {:.3}; {verdict}",
-            w.delivered_value,
-            w.offered,
-            w.share()
+            value.delivered,
+            value.offered,
+            value.share()
         )
     }
 
-    fn run_mode(&self) -> String {
-        let what = match self.run_mode {
+    /// The seed, the mode and the duration of the run, in one line.
+    fn run_description(&self) -> String {
+        let mode = match self.run_mode {
             RunMode::Virtual => "in virtual time".into(),
-            RunMode::Live(l) => format!(
+            RunMode::Live(lateness) => format!(
                 "live; the kit itself late by {:.1} ms at p99, {:.1} ms at most, {} of {} hand-ins late",
-                l.loop_p99 as f64 / 1e3,
-                l.loop_most as f64 / 1e3,
-                l.late_sends,
-                l.sends
+                lateness.loop_p99 as f64 / 1e3,
+                lateness.loop_max as f64 / 1e3,
+                lateness.late_sends,
+                lateness.sends
             ),
         };
-        format!("seed {}, {what}; took {:.1} s", self.seed, self.took.as_secs_f64())
+        format!("seed {}, {mode}; took {:.1} s", self.seed, self.took.as_secs_f64())
     }
 }
--- a/crates/rehearsal/src/verdict/summary.rs
+++ b/crates/rehearsal/src/verdict/summary.rs
@@ -1,32 +1,33 @@
-//! The summary of a run for a terminal.
+//! The text summary of a run, for a terminal.
 
-use super::Run;
-use crate::figures::{Tally, Upgrade, OUTCOMES};
+use super::RunReport;
+use crate::figures::{DeliveryStats, Upgrade, OUTCOME_NAMES};
 use std::fmt::Write;
 
-/// Destinations that the summary shows, those that fared worst; a page has all of them.
-const SUMMARY_ROWS: usize = 20;
-/// Rule violations that the summary shows.
-const SUMMARY_VIOLATIONS: usize = 10;
+/// The largest number of destinations that the summary shows: those with the smallest share of the value. The HTML page
+/// has all of them.
+const MAX_DESTINATIONS: usize = 20;
+/// The largest number of rule violations that the summary shows.
+const MAX_VIOLATIONS: usize = 10;
 
-impl Run<'_> {
-    /// The summary for a terminal.
+impl RunReport<'_> {
+    /// The text summary: headline, figures, tables, upgrades and violations.
     pub fn summary(&self) -> String {
-        let f = self.figures;
-        let mut out = format!("{}\n{}\n{}\n\n", self.scenario.title, self.headline(), self.run_mode());
+        let figures = self.figures;
+        let mut out = format!("{}\n{}\n{}\n\n", self.scenario.title, self.headline(), self.run_description());
         let _ = writeln!(
             out,
             "{} messages: {} delivered, {} refused, {} failed; {} attempts ({})",
-            self.world.requests.len(),
-            f.delivered,
-            f.refused,
-            f.failed,
-            f.attempts,
-            OUTCOMES
+            self.environment.requests.len(),
+            figures.delivered,
+            figures.rejected,
+            figures.failed,
+            figures.attempts,
+            OUTCOME_NAMES
                 .iter()
-                .zip(f.outcomes)
+                .zip(figures.outcomes)
                 .filter(|o| o.1 > 0)
-                .map(|(n, c)| format!("{c} {n}"))
+                .map(|(name, count)| format!("{count} {name}"))
                 .collect::<Vec<_>>()
                 .join(", ")
         );
@@ -37,73 +38,74 @@
     }
 
     fn write_table(&self, out: &mut String) {
-        let f = self.figures;
+        let figures = self.figures;
         let _ = writeln!(
             out,
             "\n{:<24} {:>8} {:>10} {:>7} {:>8} {:>8} {:>8}",
             "", "messages", "delivered", "worth", "p50 ms", "p99 ms", "p99.9"
         );
-        for (name, t) in self.world.names.tenants.iter().zip(&f.by_channel) {
-            write_row(out, name, t);
+        for (name, stats) in self.environment.names.tenants.iter().zip(&figures.by_tenant) {
+            write_row(out, name, stats);
         }
         out.push('\n');
-        let mut destinations: Vec<_> = self.world.destination_names.iter().zip(&f.by_destination).collect();
-        if destinations.len() > SUMMARY_ROWS {
+        let mut destinations: Vec<_> =
+            self.environment.destination_names.iter().zip(&figures.by_destination).collect();
+        if destinations.len() > MAX_DESTINATIONS {
             destinations.sort_by(|a, b| a.1.value.share().total_cmp(&b.1.value.share()));
         }
-        for (name, t) in destinations.iter().take(SUMMARY_ROWS) {
-            write_row(out, name, t);
+        for (name, stats) in destinations.iter().take(MAX_DESTINATIONS) {
+            write_row(out, name, stats);
         }
-        if destinations.len() > SUMMARY_ROWS {
-            let _ = writeln!(out, "... and {} more that fared better", destinations.len() - SUMMARY_ROWS);
+        if destinations.len() > MAX_DESTINATIONS {
+            let _ = writeln!(out, "... and {} more that fared better", destinations.len() - MAX_DESTINATIONS);
         }
     }
 
     fn write_upgrades(&self, out: &mut String) {
-        let f = self.figures;
-        if f.upgrades.is_empty() {
+        let figures = self.figures;
+        if figures.upgrades.is_empty() {
             return;
         }
-        let of = |what: fn(&Upgrade) -> u64| {
-            let mut all: Vec<u64> = f.upgrades.iter().map(what).collect();
-            all.sort_unstable();
-            (all[all.len() / 2] as f64 / 1e3, all[all.len() - 1] as f64 / 1e3)
+        let median_and_max = |time: fn(&Upgrade) -> u64| {
+            let mut times: Vec<u64> = figures.upgrades.iter().map(time).collect();
+            times.sort_unstable();
+            (times[times.len() / 2] as f64 / 1e3, times[times.len() - 1] as f64 / 1e3)
         };
-        let (ready, left) = (of(|u| u.ready), of(|u| u.left));
-        let door: usize = f.upgrades.iter().map(|u| u.rejected_during_upgrade).sum();
+        let (ready, exit) = (median_and_max(|u| u.ready_time), median_and_max(|u| u.exit_time));
+        let rejected: usize = figures.upgrades.iter().map(|u| u.rejected_during_upgrade).sum();
         let _ = writeln!(
             out,
             "\n{} processes replaced: the new one took clients after {:.0} ms at the median, {:.0} ms at most; the old \
-             one left after {:.0} ms, {:.0} ms at most; {door} hand-ins ended at the door",
-            f.upgrades.len(),
+             one left after {:.0} ms, {:.0} ms at most; {rejected} hand-ins ended at the door",
+            figures.upgrades.len(),
             ready.0,
             ready.1,
-            left.0,
-            left.1
+            exit.0,
+            exit.1
         );
     }
 
     fn write_violations(&self, out: &mut String) {
-        for b in self.violations.iter().take(SUMMARY_VIOLATIONS) {
-            let _ = writeln!(out, "BROKEN {b}");
+        for violation in self.violations.iter().take(MAX_VIOLATIONS) {
+            let _ = writeln!(out, "BROKEN {violation}");
         }
-        if self.violations.len() > SUMMARY_VIOLATIONS {
-            let _ = writeln!(out, "... and {} more", self.violations.len() - SUMMARY_VIOLATIONS);
+        if self.violations.len() > MAX_VIOLATIONS {
+            let _ = writeln!(out, "... and {} more", self.violations.len() - MAX_VIOLATIONS);
         }
     }
 }
 
-/// A line of the summary's table.
-fn write_row(out: &mut String, name: &str, t: &Tally) {
+/// Writes a line of the table: a tenant or a destination with its figures.
+fn write_row(out: &mut String, name: &str, stats: &DeliveryStats) {
     let _ = writeln!(
         out,
         "{:<24} {:>8} {:>10} {:>7.3} {:>8} {:>8} {:>8}",
         name,
-        t.messages,
-        t.delivered,
-        t.value.share(),
-        t.time(0.5),
-        t.time(0.99),
-        t.time(0.999)
+        stats.messages,
+        stats.delivered,
+        stats.value.share(),
+        stats.delivery_time(0.5),
+        stats.delivery_time(0.99),
+        stats.delivery_time(0.999)
     );
 }
--- a/crates/rehearsal/tests/table.rs
+++ b/crates/rehearsal/tests/table.rs
@@ -1,13 +1,13 @@
-//! The table of the terminal views.
+//! The table in the terminal views.
 
 use cedarbridge_rehearsal::table::{DestinationRow, SortOrder, Table};
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 use serde_json::json;
 
-/// Guards against a view that loses a destination, or sorts the failing one out of sight.
+/// Guards against a view that omits a destination, or does not sort a failing one to the top.
 #[test]
-fn partners_of_all_forwarders_are_drawn_with_the_worst_first() {
+fn destinations_of_all_forwarders_are_drawn_with_the_worst_first() {
     let one = json!({"partners": [{"destination": 0, "breaker": "closed", "held": 1, "out": 2, "answer_ms": 120.0,
         "wait_ms": 0.0, "cold": false}, {"destination": 1, "breaker": "half", "held": 3, "out": 0, "cold": true}],
         "channels": [{"name": "a", "handed_in": 30}, {"name": "b", "handed_in": 10}]});
@@ -15,18 +15,21 @@
         "channels": [{"name": "a", "handed_in": 0}]});
     let names = ["elva".to_owned(), "tartu".to_owned()];
     let mut table = Table::new("a rehearsal", "keys");
-    table.rows = DestinationRow::of(&[&one, &two], Some(&names));
-    table.channels = DestinationRow::channels(&[&one, &two]);
-    assert_eq!((table.rows[1].held, table.rows[1].breaker, table.rows[1].slow_start), (7, 2, true));
-    assert_eq!(table.channels, [("a".to_owned(), 30, 0.75), ("b".to_owned(), 10, 0.25)]);
-    table.sorted = SortOrder::Worst;
-    assert_eq!(table.chosen(), Some(1));
-    table.down();
-    assert_eq!(table.chosen(), Some(0));
+    table.rows = DestinationRow::from_reports(&[&one, &two], Some(&names));
+    table.tenants = DestinationRow::tenants(&[&one, &two]);
+    assert_eq!(
+        (table.rows[1].open_messages, table.rows[1].breaker, table.rows[1].in_slow_start),
+        (7, 2, true)
+    );
+    assert_eq!(table.tenants, [("a".to_owned(), 30, 0.75), ("b".to_owned(), 10, 0.25)]);
+    table.sort_order = SortOrder::Worst;
+    assert_eq!(table.selected(), Some(1));
+    table.select_next();
+    assert_eq!(table.selected(), Some(0));
     let mut terminal = Terminal::new(TestBackend::new(100, 16)).expect("a terminal");
     terminal.draw(|f| table.draw(f)).expect("drawn");
     let drawn = terminal.backend().to_string();
-    let place = |what: &str| drawn.find(what).unwrap_or_else(|| panic!("no {what} in {drawn}"));
-    assert!(place("tartu") < place("elva") && place("open, cold") < place("closed"), "{drawn}");
+    let position = |text: &str| drawn.find(text).unwrap_or_else(|| panic!("no {text} in {drawn}"));
+    assert!(position("tartu") < position("elva") && position("open, cold") < position("closed"), "{drawn}");
     assert!(drawn.contains("75.0%"), "{drawn}");
 }
