--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -143,7 +143,7 @@
     deadline: Micros,
     /// The number of attempts in flight.
     in_flight: u32,
-    /// When a second attempt was sent while one was in flight; `None` again once the first has ended.
+    /// When a second attempt was sent while one was in flight; reset to `None` when an attempt ends.
     overlap_since: Option<Micros>,
     /// When the first attempt was sent that the destination may have processed.
     may_have_run_at: Option<Micros>,
--- a/crates/rehearsal/src/environment.rs
+++ b/crates/rehearsal/src/environment.rs
@@ -52,7 +52,7 @@
 pub struct PlannedStop {
     /// The forwarder's index.
     pub forwarder: usize,
-    /// When it begins.
+    /// When the stop begins.
     pub at: Micros,
     /// What is done to the process.
     pub signal: Signal,
--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -2,7 +2,7 @@
 
 use super::{clients, LiveError, LiveRun};
 use crate::audit::MessageEnd;
-use crate::forwarder_config::entry;
+use crate::forwarder_config::endpoint_entry_json;
 use async_io::{Async, Timer};
 use cedarbridge::net::http::HttpConnection;
 use cedarbridge::{Lifecycle, Micros};
@@ -86,7 +86,7 @@
     let lifecycles = run.lifecycles.borrow();
     let present = lifecycles.iter().enumerate().filter(|(_, l)| **l != Lifecycle::Removed);
     let entries: Vec<Value> =
-        present.map(|(e, l)| entry(&run.environment, e, *l, addresses[forwarder][e])).collect();
+        present.map(|(e, l)| endpoint_entry_json(&run.environment, e, *l, addresses[forwarder][e])).collect();
     json!({"generation": run.list_version.get(), "reset": true, "instances": entries})
 }
 
@@ -109,8 +109,9 @@
         } else {
             let addresses = run.endpoint_addresses.borrow();
             let changes = (0..current.len()).filter(|e| current[*e] != known[*e]);
-            let changes: Vec<Value> =
-                changes.map(|e| entry(&run.environment, e, current[e], addresses[forwarder][e])).collect();
+            let changes: Vec<Value> = changes
+                .map(|e| endpoint_entry_json(&run.environment, e, current[e], addresses[forwarder][e]))
+                .collect();
             json!({"generation": run.list_version.get(), "reset": false, "instances": changes})
         };
         write_chunk(connection, &format!("{line}\n")).await?;
--- a/crates/rehearsal/src/live/forwarder_process.rs
+++ b/crates/rehearsal/src/live/forwarder_process.rs
@@ -5,7 +5,7 @@
 
 use super::{LiveError, LiveRun, SHUTDOWN_LIMIT};
 use crate::figures::Upgrade;
-use crate::forwarder_config::{config, ForwarderAddresses};
+use crate::forwarder_config::{configuration_json, ForwarderAddresses};
 use crate::scenario;
 use async_io::{Async, Timer};
 use cedarbridge::net::http::HttpConnection;
@@ -108,7 +108,8 @@
     /// Writes the configuration file with the current addresses.
     fn configure(&self, run: &LiveRun, forwarder: usize) -> Result<(), LiveError> {
         let text =
-            config(&run.environment, forwarder, self.addresses, &self.folder.join("state")).to_string();
+            configuration_json(&run.environment, forwarder, self.addresses, &self.folder.join("state"))
+                .to_string();
         std::fs::write(self.folder.join("config.json"), text)
             .map_err(system_error("cannot write a forwarder's configuration"))
     }
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Checks that a time is defined and that what begins then ends within the run.
+    /// Checks that a time is defined, and that something of this duration that starts then ends within the run. An error is
+    /// reported at the position of `owner`, if the time has none.
     fn check_time(
         &self,
         time: &RelativeTime,
--- a/crates/rehearsal/src/scenario/error.rs
+++ b/crates/rehearsal/src/scenario/error.rs
@@ -6,9 +6,9 @@
 /// An error in a scenario file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScenarioError {
-    /// The line, from 1; 0 if the error concerns the whole file.
+    /// The line, from 1; 0 if the file cannot be read.
     pub line: u64,
-    /// The column, from 1; 0 if the error concerns the whole file.
+    /// The column, from 1; 0 if the file cannot be read.
     pub column: u64,
     /// What is wrong, and which values are accepted.
     pub reason: String,
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -19,7 +19,7 @@
     /// The attempt's number for this message, from 0.
     pub(super) attempt: u32,
     pub(super) timeout_at: Micros,
-    /// The last attempt that the policy allows for the message.
+    /// Whether its timeout is also the end of the message, which is not sent again.
     pub(super) final_attempt: bool,
     /// Whether the attempt has no outcome yet.
     pub(super) pending: bool,
--- a/crates/rehearsal/src/simulation/forwarders.rs
+++ b/crates/rehearsal/src/simulation/forwarders.rs
@@ -112,11 +112,11 @@
     pub(super) fn stall(&mut self, forwarder: usize, duration: Micros) {
         let until = self.now + duration;
         self.audit.excuse_late_answers(forwarder, self.now, until + 1_500 * MS);
-        let f = &mut self.forwarders[forwarder];
-        if f.is_up {
+        let process = &mut self.forwarders[forwarder];
+        if process.is_up {
             // Any step that is scheduled earlier moves to the end of the pause.
-            f.last_step = until.saturating_sub(self.environment.settings.min_step_interval);
-            f.due = None;
+            process.last_step = until.saturating_sub(self.environment.settings.min_step_interval);
+            process.due = None;
             self.schedule_step(forwarder, until);
         }
     }
@@ -133,9 +133,9 @@
     /// Ends a forwarder's process. Its calls break; its open messages wait for the restart, or move to other forwarders if
     /// it is not restarted.
     pub(super) fn stop_process(&mut self, forwarder: usize, restart_delay: Micros) {
-        let f = &mut self.forwarders[forwarder];
-        (f.is_up, f.accepts_requests, f.due) = (false, false, None);
-        f.events.clear();
+        let process = &mut self.forwarders[forwarder];
+        (process.is_up, process.accepts_requests, process.due) = (false, false, None);
+        process.events.clear();
         self.audit.forwarder_stopped(self.now, forwarder);
         let ready = self.now.saturating_add(restart_delay).saturating_add(STARTUP_TIME);
         self.audit.excuse_late_answers(forwarder, self.now, ready.saturating_add(1_500 * MS));
@@ -171,11 +171,11 @@
 
     /// Starts a forwarder's process, which restores the open messages of its journal.
     pub(super) fn start(&mut self, forwarder: usize) {
-        let f = &mut self.forwarders[forwarder];
-        f.restarts += 1;
-        f.policy = new_policy(self.environment, &self.settings, self.seed, forwarder, f.restarts);
-        (f.is_up, f.accepts_requests) = (true, true);
-        for (endpoint, lifecycle) in f.known_lifecycles.clone().into_iter().enumerate() {
+        let process = &mut self.forwarders[forwarder];
+        process.restarts += 1;
+        process.policy = new_policy(self.environment, &self.settings, self.seed, forwarder, process.restarts);
+        (process.is_up, process.accepts_requests) = (true, true);
+        for (endpoint, lifecycle) in process.known_lifecycles.clone().into_iter().enumerate() {
             self.audit.lifecycle_received(self.now, forwarder, endpoint, lifecycle);
         }
         self.push_complete_list(forwarder);
--- a/crates/rehearsal/src/simulation/mod.rs
+++ b/crates/rehearsal/src/simulation/mod.rs
@@ -25,7 +25,7 @@
 
 const CLASS: ClassId = ClassId(0);
 const MS: Micros = 1_000;
-/// The shortest time from a change of the endpoint list until a forwarder learns it; each takes up to twice this time.
+/// The shortest time from a change of the endpoint list until a forwarder learns it. The longest time is twice as long.
 const LIST_DELAY: Micros = 1_000_000;
 /// The time from the start of a forwarder's process until it is ready.
 pub const STARTUP_TIME: Micros = 60 * MS;
--- a/crates/rehearsal/src/simulation/policy_step.rs
+++ b/crates/rehearsal/src/simulation/policy_step.rs
@@ -28,18 +28,18 @@
 
     /// Schedules a forwarder's step at a time, but no sooner than the minimum step interval after its last step.
     pub(super) fn schedule_step(&mut self, forwarder: usize, at: Micros) {
-        let f = &mut self.forwarders[forwarder];
-        if !f.is_up {
+        let process = &mut self.forwarders[forwarder];
+        if !process.is_up {
             return;
         }
-        let at = at.max(f.last_step + self.environment.settings.min_step_interval);
+        let at = at.max(process.last_step + self.environment.settings.min_step_interval);
         let at = if self.common_steps {
             at.next_multiple_of(self.environment.settings.min_step_interval.max(1))
         } else {
             at
         };
-        if f.due.is_none_or(|due| at < due) {
-            f.due = Some(at);
+        if process.due.is_none_or(|due| at < due) {
+            process.due = Some(at);
             self.schedule(at, SimulationEvent::PolicyStep(forwarder));
         }
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Takes the steps of all forwarders that are due now in parallel. Their actions are applied after the last of the steps.
+    /// Takes the steps of all forwarders that are due now in parallel. Their actions are applied once all steps are done.
     pub(super) fn step_together(&mut self, first: usize) {
         let now = self.now;
         let mut due = vec![first];
@@ -74,14 +74,14 @@
     /// Takes a forwarder's policy and pending events for a step, if one is due now.
     pub(super) fn take_due_step(&mut self, forwarder: usize) -> Option<PolicyStep> {
         let now = self.now;
-        let f = &mut self.forwarders[forwarder];
+        let process = &mut self.forwarders[forwarder];
         // A step that was scheduled for an earlier time replaces this one.
-        if f.due != Some(now) {
+        if process.due != Some(now) {
             return None;
         }
-        f.due = None;
-        f.last_step = now;
-        let mut events = std::mem::take(&mut f.events);
+        process.due = None;
+        process.last_step = now;
+        let mut events = std::mem::take(&mut process.events);
         for event in &mut events {
             // A message's time left counts from the step that reads the message.
             if let Event::Message(message) = event {
@@ -91,7 +91,12 @@
                 message.time_left = deadline.saturating_sub(now);
             }
         }
-        Some(PolicyStep { forwarder, policy: std::mem::take(&mut f.policy), events, actions: Vec::new() })
+        Some(PolicyStep {
+            forwarder,
+            policy: std::mem::take(&mut process.policy),
+            events,
+            actions: Vec::new(),
+        })
     }
 
     /// Carries out the actions of a step, in order.
