--- a/crates/registry-standin/src/applications.rs
+++ b/crates/registry-standin/src/applications.rs
@@ -5,58 +5,63 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Changes stay in the delta for so long, as at real servers.
+/// Changes stay in the delta for this time, as in real servers.
 const DELTA_RETENTION: Duration = Duration::from_secs(180);
 
-/// An instance of an answer, with its action if the answer is a delta.
+/// An instance in a response, with its action if the response is a delta.
 pub(crate) type Entry<'a> = (&'a Instance, Option<&'static str>);
 
+/// A change of an instance that a delta reports.
 struct Change {
     at: Instant,
     instance: Instance,
     action: &'static str,
 }
 
-/// The instances of all applications, with their latest changes.
+/// The instances of all applications, with their recent changes.
 #[derive(Default)]
 pub(crate) struct Applications {
-    /// By application and id.
+    /// The instances, by application and id.
     pub(crate) instances: BTreeMap<(String, String), Instance>,
-    /// The latest change of each instance that changed lately, oldest first.
-    recent: VecDeque<Change>,
+    /// The latest change of each instance that has changed recently, oldest first.
+    recent_changes: VecDeque<Change>,
     version: u64,
-    /// Counts the changes, also over a restart.
-    changes: u64,
+    /// The number of changes so far; a restart does not reset it.
+    change_count: u64,
 }
 
 impl Applications {
-    fn stamp(&mut self) -> u64 {
-        self.changes += 1;
-        1_700_000_000_000 + self.changes
+    /// The timestamp of the next change: each is 1 ms later than the one before.
+    fn next_timestamp(&mut self) -> u64 {
+        self.change_count += 1;
+        1_700_000_000_000 + self.change_count
     }
 
+    /// Adds a change of an instance to the delta.
     fn record_change(&mut self, instance: Instance, action: &'static str) {
         self.version += 1;
-        // A delta has each instance once, as it is now.
-        self.recent
+        // A delta has each instance once, in its current state.
+        self.recent_changes
             .retain(|change| (&change.instance.app, &change.instance.id) != (&instance.app, &instance.id));
-        self.recent.push_back(Change { at: Instant::now(), instance, action });
-        while self.recent.front().is_some_and(|change| change.at.elapsed() > DELTA_RETENTION) {
-            self.recent.pop_front();
+        self.recent_changes.push_back(Change { at: Instant::now(), instance, action });
+        while self.recent_changes.front().is_some_and(|change| change.at.elapsed() > DELTA_RETENTION) {
+            self.recent_changes.pop_front();
         }
     }
 
+    /// Adds or replaces an instance.
     pub(crate) fn put(&mut self, mut instance: Instance) {
-        instance.stamp = self.stamp();
+        instance.timestamp = self.next_timestamp();
         let key = (instance.app.clone(), instance.id.clone());
         let action = if self.instances.contains_key(&key) { "MODIFIED" } else { "ADDED" };
         self.instances.insert(key, instance.clone());
         self.record_change(instance, action);
     }
 
+    /// Removes an instance. Returns false if it does not exist.
     pub(crate) fn delete(&mut self, app: &str, id: &str) -> bool {
-        let Some(gone) = self.instances.remove(&(app.to_owned(), id.to_owned())) else { return false };
-        self.record_change(gone, "DELETED");
+        let Some(removed) = self.instances.remove(&(app.to_owned(), id.to_owned())) else { return false };
+        self.record_change(removed, "DELETED");
         true
     }
 
@@ -70,37 +75,37 @@
         }
     }
 
-    /// Forgets everything, as a registry does that restarts.
+    /// Forgets all instances and changes, as a registry does when it restarts.
     pub(crate) fn clear(&mut self) {
-        *self = Applications { changes: self.changes, ..Applications::default() };
+        *self = Applications { change_count: self.change_count, ..Applications::default() };
     }
 
     /// Forgets the changes that a delta would report.
     pub(crate) fn clear_deltas(&mut self) {
-        self.recent.clear();
+        self.recent_changes.clear();
     }
 
-    /// The count of instances by status, as the protocol's hash of the list.
+    /// The protocol's hash of the list: the number of instances by status.
     fn hash(&self) -> String {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         self.instances.values().for_each(|i| *counts.entry(&i.status).or_default() += 1);
-        counts.iter().map(|(s, n)| format!("{s}_{n}_")).collect()
+        counts.iter().map(|(status, count)| format!("{status}_{count}_")).collect()
     }
 
-    /// The answer to a question for all instances.
+    /// The body of a response with all instances.
     pub(crate) fn full(&self, xml: bool) -> String {
         let all: Vec<Entry> = self.instances.values().map(|i| (i, None)).collect();
-        self.answer(xml, &all)
+        self.response_body(xml, &all)
     }
 
-    /// The answer to a question for the changes.
+    /// The body of a response with the recent changes.
     pub(crate) fn delta(&self, xml: bool) -> String {
-        let changed: Vec<Entry> = self.recent.iter().map(|c| (&c.instance, Some(c.action))).collect();
-        self.answer(xml, &changed)
+        let changed: Vec<Entry> = self.recent_changes.iter().map(|c| (&c.instance, Some(c.action))).collect();
+        self.response_body(xml, &changed)
     }
 
-    /// These instances with their actions, by application.
-    pub(crate) fn answer(&self, xml: bool, entries: &[Entry]) -> String {
+    /// The body of a response with these instances and their actions, by application.
+    pub(crate) fn response_body(&self, xml: bool, entries: &[Entry]) -> String {
         let mut by_app: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
         entries.iter().for_each(|entry| by_app.entry(&entry.0.app).or_default().push(*entry));
         if xml {
@@ -125,7 +130,7 @@
     }
 
     fn json(&self, by_app: &BTreeMap<&str, Vec<Entry>>) -> String {
-        // A list of one is written as its one element, as some servers do.
+        // A list with one element is written as the element, as some servers do.
         let list = |mut all: Vec<Value>| if all.len() == 1 { all.remove(0) } else { all.into() };
         let application = |(name, entries): (&&str, &Vec<Entry>)| {
             let instances = entries.iter().map(|(i, action)| i.json(*action)).collect();
--- a/crates/registry-standin/src/lib.rs
+++ b/crates/registry-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a Eureka registry on loopback: it keeps applications, leases, changes and hashes as the published
-//! REST operations say, and goes wrong on command. It is for tests and shows, and serves each connection in a thread.
+//! A fake Eureka registry on loopback, for tests and demonstrations. It implements the published REST operations with
+//! applications, leases, deltas and hashes, and can be told to misbehave. It serves each connection in its own thread.
 
 mod applications;
 mod http;
@@ -15,37 +15,39 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 
-/// Where its paths begin.
+/// The prefix of the registry's paths.
 pub const PREFIX: &str = "/eureka/v2";
 
-/// How a replica goes wrong.
+/// How a server of the registry misbehaves, and the format of its responses.
 #[derive(Clone, Debug, Default)]
 pub struct FaultMode {
-    /// It takes questions and answers none.
+    /// The server reads requests and sends no responses.
     pub silent: bool,
-    /// It writes half of each answer and closes.
+    /// The server writes half of each response and closes the connection.
     pub truncate_responses: bool,
-    /// It packs its answers.
+    /// The server compresses its responses.
     pub gzip: bool,
-    /// It answers in XML.
+    /// The server responds in XML rather than in JSON.
     pub xml: bool,
-    /// It answers this in place of any list.
+    /// The body that the server sends in place of every list; `None` for the list itself.
     pub body_override: Option<Vec<u8>>,
 }
 
+/// The state of one server of the registry.
 #[derive(Default)]
-struct Replica {
+struct Server {
     mode: FaultMode,
-    /// What it knows while it lags: the whole, and what changed.
+    /// The responses with the complete list and with the delta that it sends while it is frozen.
     frozen: Option<(String, String)>,
+    /// The method and path of each request, in order.
     received_requests: Vec<String>,
 }
 
-/// A registry that listens, or a replica of it.
+/// A running server of a fake registry. Replicas share the registry's instances.
 #[derive(Clone)]
 pub struct FakeRegistry {
     apps: Arc<Mutex<Applications>>,
-    replica: Arc<Mutex<Replica>>,
+    server: Arc<Mutex<Server>>,
     address: SocketAddr,
 }
 
@@ -54,40 +56,46 @@
 }
 
 impl FakeRegistry {
-    /// Starts a registry that is empty, on a port that the system picks.
+    /// Starts an empty registry on a port that the system picks.
+    ///
+    /// # Errors
+    /// No port can be bound.
     pub fn start() -> std::io::Result<FakeRegistry> {
         FakeRegistry::listen(Arc::default())
     }
 
     /// Starts another server of the same registry.
+    ///
+    /// # Errors
+    /// No port can be bound.
     pub fn replica(&self) -> std::io::Result<FakeRegistry> {
         FakeRegistry::listen(self.apps.clone())
     }
 
     fn listen(apps: Arc<Mutex<Applications>>) -> std::io::Result<FakeRegistry> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let it = FakeRegistry { apps, replica: Arc::default(), address: listener.local_addr()? };
-        let serving = it.clone();
+        let registry = FakeRegistry { apps, server: Arc::default(), address: listener.local_addr()? };
+        let serving = registry.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let serving = serving.clone();
                 thread::spawn(move || serving.serve(stream));
             }
         });
-        Ok(it)
+        Ok(registry)
     }
 
-    /// As a site file names it.
+    /// The URL of the server, as a site file has it.
     pub fn url(&self) -> String {
         format!("http://{}{PREFIX}", self.address)
     }
 
-    /// Adds an instance or changes it.
+    /// Adds an instance, or replaces the instance with the same application and id.
     pub fn put(&self, instance: Instance) {
         lock(&self.apps).put(instance);
     }
 
-    /// Gives an instance another status.
+    /// Changes the status of an instance; does nothing if no instance has the id.
     pub fn set_status(&self, id: &str, status: &str) {
         let mut apps = lock(&self.apps);
         let found = apps.instances.values().find(|i| i.id == id).cloned();
@@ -96,7 +104,7 @@
         }
     }
 
-    /// Cancels an instance.
+    /// Removes an instance; does nothing if no instance has the id.
     pub fn delete(&self, id: &str) {
         let mut apps = lock(&self.apps);
         let found = apps.instances.values().find(|i| i.id == id).map(|i| i.app.clone());
@@ -105,54 +113,55 @@
         }
     }
 
-    /// Forgets everything, as a registry does that restarts.
+    /// Forgets all instances and changes, as a registry does when it restarts.
     pub fn restart_empty(&self) {
         lock(&self.apps).clear();
     }
 
-    /// Loses the changes that a delta would tell.
+    /// Forgets the changes that a delta would report.
     pub fn clear_deltas(&self) {
         lock(&self.apps).clear_deltas();
     }
 
-    /// From now on it answers what it knows now, or again what is true.
+    /// Freezes the server's list and delta in their current state, or lets it report the actual state again.
     pub fn freeze(&self, frozen: bool) {
         let apps = lock(&self.apps);
-        let mut replica = lock(&self.replica);
-        let xml = replica.mode.xml;
-        replica.frozen = frozen.then(|| (apps.full(xml), apps.delta(xml)));
+        let mut server = lock(&self.server);
+        let xml = server.mode.xml;
+        server.frozen = frozen.then(|| (apps.full(xml), apps.delta(xml)));
     }
 
-    /// Changes how it goes wrong.
+    /// Changes how the server misbehaves.
     pub fn update_fault_mode(&self, change: impl FnOnce(&mut FaultMode)) {
-        change(&mut lock(&self.replica).mode);
+        change(&mut lock(&self.server).mode);
     }
 
-    /// What it was asked: method and path, in order.
+    /// The method and path of each request that the server has received, in order.
     pub fn received_requests(&self) -> Vec<String> {
-        lock(&self.replica).received_requests.clone()
+        lock(&self.server).received_requests.clone()
     }
 
-    /// The statuses of an application's instances, by id.
+    /// The statuses of an application's instances, by id, without expired ones.
     pub fn statuses(&self, app: &str) -> BTreeMap<String, String> {
         let mut apps = lock(&self.apps);
         apps.evict();
-        let of = apps.instances.values().filter(|i| i.app == app);
-        of.map(|i| (i.id.clone(), i.status.clone())).collect()
+        let matching = apps.instances.values().filter(|i| i.app == app);
+        matching.map(|i| (i.id.clone(), i.status.clone())).collect()
     }
 
+    /// Answers the requests on a connection until it ends.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let Ok(handle) = stream.try_clone() else { return };
         let (mut reader, mut stream) = (BufReader::new(handle), stream);
         while let Some((method, path, body)) = read_request(&mut reader) {
             let mode = {
-                let mut replica = lock(&self.replica);
-                replica.received_requests.push(format!("{method} {path}"));
-                replica.mode.clone()
+                let mut server = lock(&self.server);
+                server.received_requests.push(format!("{method} {path}"));
+                server.mode.clone()
             };
             if mode.silent {
-                // Up to the end of the other side's patience.
+                // Keeps the connection open until the client closes it.
                 let _ = reader.read(&mut [0; 1]);
                 return;
             }
@@ -163,6 +172,7 @@
         }
     }
 
+    /// The status and body of the response to a request.
     fn answer(&self, method: &str, path: &str, body: &[u8], mode: &FaultMode) -> (u16, Vec<u8>) {
         let path = path.strip_prefix(PREFIX).unwrap_or(path);
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
@@ -184,15 +194,16 @@
         (status, Vec::new())
     }
 
+    /// The status and body of the response to a GET request.
     fn query(&self, apps: &Applications, parts: &[&str], mode: &FaultMode) -> (u16, Vec<u8>) {
         if let Some(body) = &mode.body_override {
             return (200, body.clone());
         }
         let matching = |keep: &dyn Fn(&Instance) -> bool| {
             let entries: Vec<_> = apps.instances.values().filter(|i| keep(i)).map(|i| (i, None)).collect();
-            (!entries.is_empty()).then(|| apps.answer(mode.xml, &entries))
+            (!entries.is_empty()).then(|| apps.response_body(mode.xml, &entries))
         };
-        let frozen = lock(&self.replica).frozen.clone();
+        let frozen = lock(&self.server).frozen.clone();
         let answer = match (parts, frozen) {
             (["apps"], Some((full, _))) => Some(full),
             (["apps", "delta"], Some((_, delta))) => Some(delta),
@@ -206,12 +217,14 @@
     }
 }
 
+/// Adds the instance of a registration's body.
 fn register(apps: &mut Applications, app: &str, body: &[u8]) -> u16 {
     let Some(instance) = Instance::from_registration(app, body) else { return 400 };
     apps.put(instance);
     204
 }
 
+/// Renews the lease of an instance.
 fn renew(apps: &mut Applications, app: &str, id: &str) -> u16 {
     let Some(instance) = apps.instances.get_mut(&(app.to_owned(), id.to_owned())) else { return 404 };
     if let Some(lease) = &mut instance.lease {
@@ -220,6 +233,7 @@
     200
 }
 
+/// Changes the status of an instance.
 fn set_status(apps: &mut Applications, app: &str, id: &str, status: &str) -> u16 {
     let found = apps.instances.get(&(app.to_owned(), id.to_owned())).cloned();
     let Some(instance) = found else { return 404 };
--- a/crates/registry-standin/src/show/changes.rs
+++ b/crates/registry-standin/src/show/changes.rs
@@ -1,38 +1,40 @@
-//! Changes of the registry's entries: out of service and back, or replaced by another id at the same address.
+//! Changes of the registry's entries: an endpoint goes out of service and back, or gets another id at the same address.
 
 use cedarbridge_registry_standin::{FakeRegistry, Instance};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Endpoints are taken in steps of so many, so that neighbours do not change together.
+/// The step from one changed endpoint to the next, so that the two endpoints of a destination do not change together.
 const STRIDE: usize = 7;
-/// One change in so many replaces an endpoint.
-const REPLACEMENT_INTERVAL: u64 = 5;
+/// One in this number of changes replaces an endpoint.
+const CHANGES_PER_REPLACEMENT: u64 = 5;
 
+/// An endpoint in the registry.
 struct Endpoint {
     address: SocketAddr,
+    /// The number of times that it was replaced.
     generation: u64,
     is_out_of_service: bool,
 }
 
-/// The endpoints in the registry.
+/// Changes the endpoints in the registry.
 pub struct EndpointChanges<'a> {
     registry: &'a FakeRegistry,
     endpoints: Vec<Endpoint>,
 }
 
 impl<'a> EndpointChanges<'a> {
-    /// Registers an endpoint at each address, two for each partner.
+    /// Registers an endpoint at each address, two for each destination.
     pub fn new(registry: &'a FakeRegistry, addresses: &[SocketAddr]) -> Self {
         let new =
             |address: &SocketAddr| Endpoint { address: *address, generation: 0, is_out_of_service: false };
-        let it = EndpointChanges { registry, endpoints: addresses.iter().map(new).collect() };
-        (0..addresses.len()).for_each(|number| it.register(number));
-        it
+        let changes = EndpointChanges { registry, endpoints: addresses.iter().map(new).collect() };
+        (0..addresses.len()).for_each(|number| changes.register(number));
+        changes
     }
 
-    /// Makes so many changes at an even rate, then brings all endpoints back.
+    /// Makes `count` changes at an even rate, then brings all endpoints back into service.
     pub fn run(&mut self, count: u64, per_second: f64) {
         let started = Instant::now();
         for change in 0..count {
@@ -47,13 +49,14 @@
         }
     }
 
+    /// Makes the change with this number.
     fn change(&mut self, change: u64) {
         let number = (change as usize * STRIDE) % self.endpoints.len();
         let id = self.id(number);
         if self.endpoints[number].is_out_of_service {
             self.registry.set_status(&id, "UP");
             self.endpoints[number].is_out_of_service = false;
-        } else if change % REPLACEMENT_INTERVAL == REPLACEMENT_INTERVAL - 1 {
+        } else if change % CHANGES_PER_REPLACEMENT == CHANGES_PER_REPLACEMENT - 1 {
             self.registry.delete(&id);
             self.endpoints[number].generation += 1;
             self.register(number);
@@ -64,11 +67,12 @@
     }
 
     fn register(&self, number: usize) {
-        let partner = number as u64 / 2;
+        let destination = number as u64 / 2;
         let address = self.endpoints[number].address;
-        self.registry.put(Instance::partner(&self.id(number), address, partner, "plain", "room", 1000.0));
+        self.registry.put(Instance::partner(&self.id(number), address, destination, "plain", "room", 1000.0));
     }
 
+    /// The current id of an endpoint.
     fn id(&self, number: usize) -> String {
         format!("e{number}-{}", self.endpoints[number].generation)
     }
--- a/crates/registry-standin/src/show/config_files.rs
+++ b/crates/registry-standin/src/show/config_files.rs
@@ -1,11 +1,11 @@
-//! The forwarder's configuration and site file.
+//! The forwarder's configuration file and site file.
 
 use cedarbridge_registry_standin::FakeRegistry;
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Writes both files, and makes the folder for the forwarder's state.
+/// Writes both files, and creates the folder for the forwarder's state.
 pub fn write(folder: &Path, discovery: SocketAddr, registry: &FakeRegistry) -> std::io::Result<()> {
     let class = json!({"name": "notice", "semantics": "token", "promise": 2500.0, "deadline": 28000.0, "gain": 1.0,
         "late-worth": 0.3, "memory-span": 30000.0, "dedup-scope": "all"});
--- a/crates/registry-standin/src/show/load.rs
+++ b/crates/registry-standin/src/show/load.rs
@@ -1,4 +1,4 @@
-//! The load: messages at an even rate from several threads.
+//! The load: sends messages at an even rate from several threads.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,12 +9,12 @@
 
 const THREADS: u64 = 8;
 
-/// How the forwarder answered the messages.
+/// The numbers of messages by the forwarder's response.
 #[derive(Clone, Copy, Default)]
 pub struct LoadCounts {
-    /// With 202.
+    /// Messages with the status 202.
     pub accepted: u64,
-    /// With any other status.
+    /// Messages with another status.
     pub rejected: u64,
 }
 
@@ -25,18 +25,18 @@
 }
 
 impl Load {
-    /// Starts sending `rate` messages a second, to so many partners in turn.
-    pub fn start(forwarder: SocketAddr, rate: f64, partners: u64) -> Self {
+    /// Starts to send `rate` messages a second, to the destinations with the ids below `destinations` in turn.
+    pub fn start(forwarder: SocketAddr, rate: f64, destinations: u64) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let start_one = |first| {
             let stop = stop.clone();
-            thread::spawn(move || send_messages(forwarder, first, rate, partners, &stop))
+            thread::spawn(move || send_messages(forwarder, first, rate, destinations, &stop))
         };
         let threads = (0..THREADS).map(start_one).collect();
         Load { stop, threads }
     }
 
-    /// Stops it; the counts of all threads.
+    /// Stops the load, and returns the counts of all threads.
     pub fn stop(self) -> LoadCounts {
         self.stop.store(true, Ordering::SeqCst);
         let counts = self.threads.into_iter().map(|thread| thread.join().unwrap_or_default());
@@ -47,8 +47,14 @@
     }
 }
 
-/// Sends every eighth message from the first on, until told to stop.
-fn send_messages(to: SocketAddr, first: u64, rate: f64, partners: u64, stop: &AtomicBool) -> LoadCounts {
+/// Sends every eighth message from the first one on, until `stop` is set.
+fn send_messages(
+    forwarder: SocketAddr,
+    first: u64,
+    rate: f64,
+    destinations: u64,
+    stop: &AtomicBool,
+) -> LoadCounts {
     let mut counts = LoadCounts::default();
     let mut number = first;
     let started = Instant::now();
@@ -56,10 +62,10 @@
     while !stop.load(Ordering::SeqCst) {
         let due = Duration::from_secs_f64(number as f64 / rate);
         thread::sleep(due.saturating_sub(started.elapsed()));
-        let message = message(number, number % partners);
+        let message = request_text(number, number % destinations);
         number += THREADS;
         let Some(open) = &mut connection else {
-            connection = Connection::open(to).ok();
+            connection = Connection::open(forwarder).ok();
             continue;
         };
         match open.send(&message).as_deref() {
@@ -71,10 +77,11 @@
     counts
 }
 
-fn message(number: u64, partner: u64) -> String {
+/// The HTTP request of a message.
+fn request_text(number: u64, destination: u64) -> String {
     format!(
         "POST /api HTTP/1.1\r\nX-Request-Id: m{number}\r\nX-Class: notice\r\nX-Tenant: acme\r\nX-Deadline: 28000m\r\n\
-         Idempotency-Key: m{number}\r\nX-Addressing: dest={partner}\r\nContent-Length: 5\r\n\r\nhello"
+         Idempotency-Key: m{number}\r\nX-Addressing: dest={destination}\r\nContent-Length: 5\r\n\r\nhello"
     )
 }
 
@@ -84,13 +91,13 @@
 }
 
 impl Connection {
-    fn open(to: SocketAddr) -> std::io::Result<Self> {
-        let writer = TcpStream::connect(to)?;
+    fn open(forwarder: SocketAddr) -> std::io::Result<Self> {
+        let writer = TcpStream::connect(forwarder)?;
         writer.set_nodelay(true)?;
         Ok(Connection { reader: BufReader::new(writer.try_clone()?), writer })
     }
 
-    /// Sends a message; the status of the answer, unless the connection ended.
+    /// Sends a message and returns the status of the response; `None` if the connection has ended.
     fn send(&mut self, message: &str) -> Option<String> {
         self.writer.write_all(message.as_bytes()).ok()?;
         let status = self.read_line()?.split(' ').nth(1)?.to_owned();
--- a/crates/registry-standin/src/show/peers.rs
+++ b/crates/registry-standin/src/show/peers.rs
@@ -1,4 +1,4 @@
-//! The forwarder's peers: partners' endpoints that answer every call, and the platform's agent.
+//! The forwarder's peers: endpoints that accept every call, and the platform's agent.
 
 use cedarbridge_registry_standin::read_request;
 use std::io::{BufReader, Write};
@@ -8,21 +8,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// Work of a few milliseconds, so that calls are in flight at each change.
+/// The service time of a call. It is long enough that calls are in flight at each change.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const NO_CONTENT: &[u8] = b"HTTP/1.1 204 No\r\nContent-Length: 0\r\n\r\n";
 
-/// The endpoints, with one count of their calls.
+/// The endpoints, with one counter for the calls of all.
 pub struct Endpoints {
-    /// Where each listens.
+    /// The address of each endpoint.
     pub addresses: Vec<SocketAddr>,
     calls: Arc<AtomicU64>,
 }
 
 impl Endpoints {
-    /// Starts them.
+    /// Starts `count` endpoints.
+    ///
+    /// # Errors
+    /// A port cannot be bound.
     pub fn start(count: usize) -> std::io::Result<Self> {
         let calls = Arc::new(AtomicU64::new(0));
         let start_one = |_| {
@@ -33,21 +36,24 @@
         Ok(Endpoints { addresses, calls })
     }
 
-    /// The calls that all of them have had.
+    /// The number of calls that all endpoints have received.
     pub fn calls(&self) -> u64 {
         self.calls.load(Ordering::SeqCst)
     }
 }
 
-/// The platform's agent; its endpoint list is empty.
+/// The platform's agent, whose endpoint list is empty.
 pub struct PlatformAgent {
-    /// Where it listens.
+    /// The agent's address.
     pub address: SocketAddr,
     reports: Arc<AtomicU64>,
 }
 
 impl PlatformAgent {
-    /// Starts it.
+    /// Starts the agent.
+    ///
+    /// # Errors
+    /// No port can be bound.
     pub fn start() -> std::io::Result<Self> {
         let reports = Arc::new(AtomicU64::new(0));
         let counted = reports.clone();
@@ -55,27 +61,29 @@
         Ok(PlatformAgent { address, reports })
     }
 
-    /// The delivery reports that it has received.
+    /// The number of delivery reports that it has received.
     pub fn reports(&self) -> u64 {
         self.reports.load(Ordering::SeqCst)
     }
 }
 
-fn serve(each: impl Fn(TcpStream) + Send + Sync + 'static) -> std::io::Result<SocketAddr> {
+/// Listens on a free port, and handles each connection in its own thread.
+fn serve(handle_connection: impl Fn(TcpStream) + Send + Sync + 'static) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    let each = Arc::new(each);
+    let handle_connection = Arc::new(handle_connection);
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let each = each.clone();
-            thread::spawn(move || each(stream));
+            let handle_connection = handle_connection.clone();
+            thread::spawn(move || handle_connection(stream));
         }
     });
     Ok(address)
 }
 
+/// Accepts each call on a connection after the service time.
 fn answer_calls(mut stream: TcpStream, calls: &AtomicU64) {
-    // Without it calls are slower, and nothing else.
+    // Without TCP_NODELAY calls are only slower.
     let _ = stream.set_nodelay(true);
     let Ok(handle) = stream.try_clone() else { return };
     let mut reader = BufReader::new(handle);
@@ -88,6 +96,7 @@
     }
 }
 
+/// Counts the delivery reports on a connection, or serves the endpoint list on it.
 fn serve_agent(stream: &TcpStream, reports: &AtomicU64) {
     let Ok(mut writer) = stream.try_clone() else { return };
     let Ok(handle) = stream.try_clone() else { return };
--- a/crates/registry-standin/src/show/summary.rs
+++ b/crates/registry-standin/src/show/summary.rs
@@ -1,33 +1,35 @@
-//! What the show prints at its end.
+//! The summary that the demonstration prints at its end.
 
 use crate::load::LoadCounts;
-use crate::Failure;
+use crate::BoxedError;
 use hdrhistogram::Histogram;
 use serde_json::Value;
 
-/// One of the forwarder's counters, or 0.
+/// The value of a counter; 0 if the forwarder has no such counter.
 pub fn counter(counters: &Value, key: &str) -> u64 {
     counters[key].as_u64().unwrap_or(0)
 }
 
-/// Prints each endpoint that left, and how long the module and the last call took to follow.
-pub fn print_drains(drained: &[Value], brief: bool) -> Result<(), Failure> {
+/// Prints each endpoint that left, unless `brief`, and the quantiles of two times: from the forwarder's receipt of the change
+/// until its delivery policy knew it, and until the first byte of the last call to the endpoint.
+pub fn print_drains(records: &[Value], brief: bool) -> Result<(), BoxedError> {
     let mut observed = Histogram::<u64>::new(3)?;
     let mut last_byte = Histogram::<u64>::new(3)?;
-    for drain in drained {
+    for record in records {
         if !brief {
-            println!("{}", row(drain));
+            println!("{}", row(record));
         }
-        observed.record(micros(drain, "observed_ms"))?;
-        last_byte.record(micros(drain, "last_byte_ms"))?;
+        observed.record(micros(record, "observed_ms"))?;
+        last_byte.record(micros(record, "last_byte_ms"))?;
     }
     print_quantiles("learnt to told", &observed);
     print_quantiles("learnt to last first byte", &last_byte);
     Ok(())
 }
 
-fn row(drain: &Value) -> String {
-    let text = |key: &str| drain[key].as_str().map_or_else(|| drain[key].to_string(), str::to_owned);
+/// The line of a log record of an endpoint that left.
+fn row(record: &Value) -> String {
+    let text = |key: &str| record[key].as_str().map_or_else(|| record[key].to_string(), str::to_owned);
     format!(
         "{:<10} {:<9} received at {:>12} µs   told to the module {:>8} ms later   last first byte {:>10} ms later",
         text("id"),
@@ -38,15 +40,16 @@
     )
 }
 
-fn micros(drain: &Value, key: &str) -> u64 {
-    (drain[key].as_f64().unwrap_or(0.0).max(0.0) * 1000.0) as u64
+/// A time of a log record, in microseconds.
+fn micros(record: &Value, key: &str) -> u64 {
+    (record[key].as_f64().unwrap_or(0.0).max(0.0) * 1000.0) as u64
 }
 
-fn print_quantiles(what: &str, histogram: &Histogram<u64>) {
+fn print_quantiles(name: &str, histogram: &Histogram<u64>) {
     let ms = |micros: u64| micros as f64 / 1000.0;
     let quantile = |q| ms(histogram.value_at_quantile(q));
     println!(
-        "{what}: {} changes, p50 {} ms, p99 {} ms, largest {} ms",
+        "{name}: {} changes, p50 {} ms, p99 {} ms, largest {} ms",
         histogram.len(),
         quantile(0.5),
         quantile(0.99),
