--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -65,7 +65,7 @@
     Draining,
     /// A destination that recovers is not overloaded again.
     RecoveryOverload,
-    /// At most [`MAX_REJECTED_IN_UPGRADE`] requests are rejected or left unanswered while a process is upgraded.
+    /// At most two requests are rejected or left unanswered while a process is upgraded.
     UpgradeRejections,
     /// A forwarder sends only messages that clients sent, and only to their own destination.
     StrayMessages,
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -27,7 +27,7 @@
 /// Changes the seed, so that the fleet's random draws are independent of the environment's.
 const SEED_MASK: u64 = 0xf1ee7;
 
-/// How forwarders get their turns to probe a destination that recovers.
+/// How forwarders get their turns to send to a destination that recovers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnOrder {
     /// By their indexes in the fleet.
