--- a/crates/registry-standin/src/lib.rs
+++ b/crates/registry-standin/src/lib.rs
@@ -1,5 +1,5 @@
 //! A fake Eureka registry on loopback, for tests and demonstrations. It implements the published REST operations with
-//! applications, leases, deltas and hashes, and can be told to misbehave. It serves each connection in its own thread.
+//! applications, leases, deltas and hashes, and can be made to misbehave. It serves each connection in its own thread.
 
 mod applications;
 mod http;
--- a/crates/registry-standin/src/show/summary.rs
+++ b/crates/registry-standin/src/show/summary.rs
@@ -10,8 +10,8 @@
     counters[key].as_u64().unwrap_or(0)
 }
 
-/// Prints each endpoint that left, unless `brief`, and the quantiles of two times: from the forwarder's receipt of the change
-/// until its delivery policy knew it, and until the first byte of the last call to the endpoint.
+/// Prints each endpoint that left, unless `brief`, and the quantiles of two times from the forwarder's receipt of the
+/// change: until its delivery policy knew it, and until the first byte of the last call to the endpoint.
 pub fn print_drains(records: &[Value], brief: bool) -> Result<(), BoxedError> {
     let mut observed = Histogram::<u64>::new(3)?;
     let mut last_byte = Histogram::<u64>::new(3)?;
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -22,7 +22,7 @@
 pub fn start(run: &Rc<LiveRun>) -> Result<(), LiveError> {
     for forwarder in 0..run.environment.fleet.len() {
         for endpoint in 0..run.environment.endpoints.len() {
-            // Each listener has its own address, so that no other program takes its port while it refuses connections.
+            // No other program uses these addresses, so that none takes an endpoint's port while it refuses connections.
             let ip = [127, 100 + (forwarder % 100) as u8, (endpoint >> 8) as u8, 1 + (endpoint & 0xfe) as u8];
             let listener = listen(SocketAddr::from((ip, 0)), BACKLOG)
                 .map_err(|e| LiveError::System("cannot bind an address for an endpoint".into(), e))?;
--- a/crates/rehearsal/src/live/forwarder_process.rs
+++ b/crates/rehearsal/src/live/forwarder_process.rs
@@ -41,7 +41,7 @@
 /// A forwarder with its process, and its predecessor's process during an upgrade.
 pub struct LiveForwarder {
     folder: PathBuf,
-    /// Its own loopback address, so that no other program takes its ports while it is down.
+    /// Its own loopback address, so that no other program takes its ports while the forwarder is down.
     ip: [u8; 4],
     addresses: ForwarderAddresses,
     current: Option<Process>,
--- a/crates/rehearsal/src/live/load.rs
+++ b/crates/rehearsal/src/live/load.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     /// The address of the forwarder.
-    pub to: SocketAddr,
+    pub forwarder_address: SocketAddr,
     /// Messages a second.
     pub rate: f64,
     /// How long messages are sent.
@@ -88,7 +88,7 @@
         let (due_sender, due_messages) = async_channel::unbounded::<(u64, Duration)>();
         let mut connections = Vec::new();
         for _ in 0..load.connections {
-            connections.push(HttpConnection::new(Async::<TcpStream>::connect(load.to).await?));
+            connections.push(HttpConnection::new(Async::<TcpStream>::connect(load.forwarder_address).await?));
         }
         let total = match &load.captured {
             Some(captured) => captured.messages.len() as u64,
@@ -177,7 +177,7 @@
             }
         }
         if !status.is_some_and(|s| s.1) {
-            if let Ok(stream) = Async::<TcpStream>::connect(run_state.load.to).await {
+            if let Ok(stream) = Async::<TcpStream>::connect(run_state.load.forwarder_address).await {
                 connection = HttpConnection::new(stream);
             }
         }
--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -36,7 +36,7 @@
     /// Drops every notice
     #[value(name = "keep-notices")]
     DropNotices,
-    /// Sends each notice also with the opposite end
+    /// Sends each notice a second time with the opposite end
     #[value(name = "both-ends")]
     ContradictNotices,
 }
@@ -60,7 +60,7 @@
 pub(crate) fn start_call_proxy(
     run: &Rc<LiveRun>,
     endpoint: usize,
-    real: SocketAddr,
+    upstream: SocketAddr,
     fault: ProxyFault,
 ) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
@@ -69,10 +69,10 @@
         let (call_count, last_call) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
             ProxyFault::SendAfterDrain => {
-                run.spawn(send_after_drain(run.clone(), endpoint, real, last_call.clone()))
+                run.spawn(send_after_drain(run.clone(), endpoint, upstream, last_call.clone()))
             }
             ProxyFault::FloodOnRecovery => {
-                run.spawn(flood_on_recovery(run.clone(), endpoint, real, last_call.clone()))
+                run.spawn(flood_on_recovery(run.clone(), endpoint, upstream, last_call.clone()))
             }
             _ => {}
         }
@@ -80,8 +80,9 @@
             let (call_count, last_call, run) = (call_count.clone(), last_call.clone(), run.clone());
             run.clone().spawn(async move {
                 // The end of a connection is not an error of the proxy.
-                let _ = relay_calls(&run, HttpConnection::new(stream), real, fault, &call_count, &last_call)
-                    .await;
+                let _ =
+                    relay_calls(&run, HttpConnection::new(stream), upstream, fault, &call_count, &last_call)
+                        .await;
             });
         }
     });
@@ -110,8 +111,8 @@
 }
 
 /// Sends a call and returns its response; `None` if the connection fails.
-async fn send(real: SocketAddr, bytes: &[u8]) -> Option<RelayedResponse> {
-    let mut connection = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
+async fn send(upstream: SocketAddr, bytes: &[u8]) -> Option<RelayedResponse> {
+    let mut connection = HttpConnection::new(Async::<TcpStream>::connect(upstream).await.ok()?);
     connection.write(bytes).await.ok()?;
     let head = connection.read_response().await.ok()?;
     let body = connection.response_body(&head, 1 << 20).await.ok()?;
@@ -131,7 +132,7 @@
 async fn relay_calls(
     run: &Rc<LiveRun>,
     mut client: HttpConnection,
-    real: SocketAddr,
+    upstream: SocketAddr,
     fault: ProxyFault,
     call_count: &Cell<u32>,
     last_call: &Cell<Option<Vec<u8>>>,
@@ -146,11 +147,11 @@
         if fault == ProxyFault::DuplicateCall && is_tenth {
             let bytes = bytes.clone();
             run.spawn(async move {
-                send(real, &bytes).await;
+                send(upstream, &bytes).await;
             });
         }
         // If the forwarder closes the connection after its timeout, the proxy ends, too.
-        let responded = async { send(real, &bytes).await };
+        let responded = async { send(upstream, &bytes).await };
         let closed = async {
             // A forwarder sends nothing before the response, so the connection has ended.
             let _ = client.fill().await;
@@ -163,13 +164,13 @@
             (ProxyFault::IgnoreRetryAfter, Some(retry_after)) if retry_after > 250.0 => {
                 run.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
-                    send(real, &bytes).await;
+                    send(upstream, &bytes).await;
                 });
             }
             (ProxyFault::ExceedAttempts, _) if is_tenth && status == 200 => {
                 run.spawn(async move {
                     for _ in 0..13 {
-                        send(real, &bytes).await;
+                        send(upstream, &bytes).await;
                     }
                 });
             }
@@ -182,7 +183,7 @@
 async fn send_after_drain(
     run: Rc<LiveRun>,
     endpoint: usize,
-    real: SocketAddr,
+    upstream: SocketAddr,
     last_call: Rc<Cell<Option<Vec<u8>>>>,
 ) {
     while run.lifecycles.borrow()[endpoint] != Lifecycle::Draining {
@@ -190,7 +191,7 @@
     }
     Timer::after(Duration::from_millis(400)).await;
     if let Some(bytes) = last_call.take() {
-        send(real, &bytes).await;
+        send(upstream, &bytes).await;
     }
 }
 
@@ -198,7 +199,7 @@
 async fn flood_on_recovery(
     run: Rc<LiveRun>,
     endpoint: usize,
-    real: SocketAddr,
+    upstream: SocketAddr,
     last_call: Rc<Cell<Option<Vec<u8>>>>,
 ) {
     let destination = run.environment.endpoints[endpoint].destination;
@@ -212,7 +213,7 @@
             for _ in 0..400 {
                 let bytes = bytes.clone();
                 run.spawn(async move {
-                    send(real, &bytes).await;
+                    send(upstream, &bytes).await;
                 });
                 Timer::after(Duration::from_millis(2)).await;
             }
@@ -226,7 +227,7 @@
 /// Starts a proxy in front of an agent, and returns its address.
 pub(crate) fn start_agent_proxy(
     run: &Rc<LiveRun>,
-    real: SocketAddr,
+    upstream: SocketAddr,
     fault: ProxyFault,
 ) -> Result<SocketAddr, LiveError> {
     let (listener, address) = listen()?;
@@ -235,7 +236,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             run.spawn(async move {
                 // The end of a connection is not an error of the proxy.
-                let _ = relay_notices(stream, real, fault).await;
+                let _ = relay_notices(stream, upstream, fault).await;
             });
         }
     });
@@ -243,13 +244,13 @@
 }
 
 /// Relays the requests on a forwarder's connection to its agent, and adds the fault to notices.
-async fn relay_notices(stream: Async<TcpStream>, real: SocketAddr, fault: ProxyFault) -> Option<()> {
+async fn relay_notices(stream: Async<TcpStream>, upstream: SocketAddr, fault: ProxyFault) -> Option<()> {
     let mut client = HttpConnection::new(stream);
     loop {
         let head = client.read_request().await.ok()?;
         if head.method == "GET" {
             // The endpoint list is relayed unchanged.
-            let agent = Async::<TcpStream>::connect(real).await.ok()?;
+            let agent = Async::<TcpStream>::connect(upstream).await.ok()?;
             let text = format!("GET {} HTTP/1.1\r\nHost: agent\r\n\r\n", head.target);
             io::AsyncWriteExt::write_all(&mut (&agent), text.as_bytes()).await.ok()?;
             let socket = client.socket().try_clone().ok()?;
@@ -266,7 +267,7 @@
             };
             let both: Vec<String> = text.lines().flat_map(|line| [line.to_owned(), opposite(line)]).collect();
             body = both.join("\n").into_bytes();
-            let mut agent = HttpConnection::new(Async::<TcpStream>::connect(real).await.ok()?);
+            let mut agent = HttpConnection::new(Async::<TcpStream>::connect(upstream).await.ok()?);
             let head =
                 format!("POST /reports HTTP/1.1\r\nHost: agent\r\nContent-Length: {}\r\n\r\n", body.len());
             agent.write(head.as_bytes()).await.ok()?;
--- a/crates/rehearsal/src/load_command.rs
+++ b/crates/rehearsal/src/load_command.rs
@@ -60,7 +60,7 @@
             None => load::start_sink().map_err(system_error)?,
         };
         let load = Load {
-            to,
+            forwarder_address: to,
             rate: self.rate,
             duration: Duration::from_secs(self.seconds),
             connections: self.connections,
--- a/crates/rehearsal/src/view.rs
+++ b/crates/rehearsal/src/view.rs
@@ -10,7 +10,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The time between two progress lines.
+/// The shortest time between two progress lines.
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// How long the view waits for a key before it draws again.
 const KEY_POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -44,7 +44,7 @@
     }
 }
 
-/// Starts a view of a run: an interactive one on a terminal, or else, and with `plain`, progress lines.
+/// Starts a view of a run: an interactive one on a terminal, or progress lines if `plain` is set or there is no terminal.
 pub fn start(title: &str, destinations: &[String], plain: bool) -> View {
     let (update_sender, updates) = async_channel::bounded(4);
     let (command_sender, commands) = async_channel::unbounded();
@@ -84,7 +84,7 @@
     )
 }
 
-/// Prints a progress line at most every [`LINE_INTERVAL`] until the run ends.
+/// Prints a progress line at most once every [`LINE_INTERVAL`] until the run ends.
 fn print_progress_lines(updates: &Receiver<ViewUpdate>) {
     let mut last: Option<Instant> = None;
     while let Ok(ViewUpdate::Progress(progress)) = updates.recv_blocking() {
--- a/crates/rehearsal/tests/fleet.rs
+++ b/crates/rehearsal/tests/fleet.rs
@@ -109,7 +109,7 @@
 
 #[test]
 fn the_forwarder_count_or_an_index_is_wrong() {
-    // With a count of a quarter of the actual one, the fleet sends several times the limits, so many calls are rejected.
+    // A count of a quarter of the actual one costs most: half of the calls are rejected, and the fleet holds back no more.
     let cases = [
         ("told: 0.25", [0.92, 0.76, 0.67, 0.62], 0.65),
         ("told: 4.0", [0.90, 0.78, 0.77, 0.79], 0.05),
