--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -372,7 +372,8 @@
         }
     }
 
-    /// When an answer that is due at `end` is overdue: later if an excused span covers that time.
+    /// The time from which an answer that is due at `end` is overdue: the end of an excused span that covers `end`, or else
+    /// `end` itself.
     fn due(&self, forwarder: usize, end: Micros) -> Micros {
         let within = |e: &&(Micros, Micros)| e.0 <= end + self.tolerances.answer && end < e.1;
         self.excused_spans[forwarder].iter().filter(within).map(|e| e.1).max().unwrap_or(end).max(end)
--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -42,7 +42,7 @@
 }
 
 impl ProxyFault {
-    /// Whether the proxy is between the forwarder and the endpoints, or else between the forwarder and its agent.
+    /// Whether the proxy is between the forwarder and the endpoints. If not, it is between the forwarder and its agent.
     pub fn is_call_fault(self) -> bool {
         !matches!(self, ProxyFault::DropNotices | ProxyFault::ContradictNotices)
     }
