--- a/tests/registry.rs
+++ b/tests/registry.rs
@@ -3,7 +3,7 @@
 
 mod scenario;
 
-use cedarbridge_registry_standin::{Instance, StandIn};
+use cedarbridge_registry_standin::{FakeRegistry, Instance};
 use scenario::process::forwarder_command;
 use scenario::run_scenario;
 use std::process::Output;
@@ -333,7 +333,7 @@
 
 #[test]
 fn the_commands_show_which_instances_would_be_listed_and_why() {
-    let registry = StandIn::start().expect("a port");
+    let registry = FakeRegistry::start().expect("a port");
     let replica = registry.replica().expect("a port");
     let put = |id: &str, port: u16, partner, kind| {
         let address = ([127, 0, 0, 1], port).into();
@@ -377,9 +377,9 @@
     let (code, diff) = registry_command("diff", &[]);
     assert_eq!((code, diff.lines().count()), (Some(0), 2), "{diff}");
     assert!(diff.lines().all(|line| line.starts_with("PARTNERS/a  127.0.0.1:")), "{diff}");
-    registry.set(|mode| mode.half = true);
+    registry.update_fault_mode(|mode| mode.truncate_responses = true);
     assert_eq!(registry_command("diff", &[]).0, Some(1));
-    replica.set(|mode| mode.half = true);
+    replica.update_fault_mode(|mode| mode.truncate_responses = true);
     assert_eq!(registry_command("list", &[]).0, Some(1));
     std::fs::remove_dir_all(folder).expect("removed");
 }
--- a/tests/scenario/registry.rs
+++ b/tests/scenario/registry.rs
@@ -2,20 +2,20 @@
 
 use super::endpoint::Endpoint;
 use super::sockets::poll_until;
-use cedarbridge_registry_standin::{Instance, Mode, StandIn};
+use cedarbridge_registry_standin::{FakeRegistry, FaultMode, Instance};
 use serde_json::json;
 use std::collections::BTreeMap;
 
 /// A registry and a replica of it.
 pub struct Registry {
-    primary: StandIn,
-    replica: StandIn,
+    primary: FakeRegistry,
+    replica: FakeRegistry,
 }
 
 impl Registry {
     /// Starts both, without instances.
     pub fn start() -> Self {
-        let primary = StandIn::start().expect("a port");
+        let primary = FakeRegistry::start().expect("a port");
         let replica = primary.replica().expect("a port");
         Registry { primary, replica }
     }
@@ -42,23 +42,28 @@
                 registry.put(instance(new_id, &endpoints[*name]));
             }
             ["restarts-empty"] => registry.restart_empty(),
-            ["loses-deltas"] => registry.lose_deltas(),
-            ["silent"] => registry.set(|mode| mode.silent = true),
-            ["answers-normally"] => registry.set(|mode| *mode = Mode::default()),
-            ["sends-truncated-answers"] => registry.set(|mode| mode.half = true),
-            ["xml"] => registry.set(|mode| mode.xml = true),
-            ["gzip"] => registry.set(|mode| mode.gzip = true),
+            ["loses-deltas"] => registry.clear_deltas(),
+            ["silent"] => registry.update_fault_mode(|mode| mode.silent = true),
+            ["answers-normally"] => registry.update_fault_mode(|mode| *mode = FaultMode::default()),
+            ["sends-truncated-answers"] => registry.update_fault_mode(|mode| mode.truncate_responses = true),
+            ["xml"] => registry.update_fault_mode(|mode| mode.xml = true),
+            ["gzip"] => registry.update_fault_mode(|mode| mode.gzip = true),
             ["freezes-replica"] => self.replica.freeze(true),
-            ["sends-huge-answers"] => registry.set(|mode| mode.instead = Some(vec![b' '; 100_000_000])),
-            ["sends-gzip-bombs"] => {
-                registry.set(|mode| (mode.gzip, mode.instead) = (true, Some(vec![b' '; 3_000_000])))
+            ["sends-huge-answers"] => {
+                registry.update_fault_mode(|mode| mode.body_override = Some(vec![b' '; 100_000_000]))
+            }
+            ["sends-gzip-bombs"] => registry.update_fault_mode(|mode| {
+                (mode.gzip, mode.body_override) = (true, Some(vec![b' '; 3_000_000]))
+            }),
+            ["sends-deep-nesting"] => {
+                registry.update_fault_mode(|mode| mode.body_override = Some(vec![b'['; 1_000_000]))
             }
-            ["sends-deep-nesting"] => registry.set(|mode| mode.instead = Some(vec![b'['; 1_000_000])),
             ["sends-a-long-name"] => {
                 let name = "x".repeat(500_000);
                 let app = json!({"name": "A", "instance": [{"instanceId": name, "status": "UP"}]});
                 let response = json!({"applications": {"application": [app]}});
-                registry.set(|mode| mode.instead = Some(response.to_string().into_bytes()));
+                registry
+                    .update_fault_mode(|mode| mode.body_override = Some(response.to_string().into_bytes()));
             }
             ["holds", expected] => {
                 let (id, status) = expected.split_once('=').expect("id=status");
@@ -67,8 +72,9 @@
                 poll_until(expected, || is_held().then_some(()));
             }
             ["asked", ..] => {
-                let was_asked =
-                    |server: &StandIn| server.asked().iter().any(|a| a.replace("/eureka/v2", "") == rest);
+                let was_asked = |server: &FakeRegistry| {
+                    server.received_requests().iter().any(|a| a.replace("/eureka/v2", "") == rest)
+                };
                 poll_until(rest, || (was_asked(registry) || was_asked(&self.replica)).then_some(()));
             }
             _ => panic!("no such step of a registry"),
