--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -99,7 +99,7 @@
             time_left: deadline.saturating_sub(self.now),
             destination: DestinationId(request.destination as u64),
             failed_over,
-            first_attempt: None,
+            first_possible_effect: None,
             client_retry,
             // Only a message from a predecessor's journal has attempts or is failed over.
             restored: failed_over || m.attempts > 0,
--- a/src/api.rs
+++ b/src/api.rs
@@ -114,7 +114,7 @@
     /// It was taken over from a forwarder that died and may have sent it.
     pub failed_over: bool,
     /// The send time and the zone of the first attempt that may have taken effect; `None` if that is unknown.
-    pub first_attempt: Option<(Micros, ZoneId)>,
+    pub first_possible_effect: Option<(Micros, ZoneId)>,
     /// Its client marked it as a retry. See [`Settings::clients_mark_retries`].
     pub client_retry: bool,
     /// It was received by an earlier process of this forwarder, which acknowledged it, so it has to be
@@ -230,7 +230,7 @@
     /// none.
     pub retry_after: Micros,
     /// Whether it is in slow start.
-    pub warming_up: bool,
+    pub in_slow_start: bool,
     /// The average latency of its answers in microseconds; `None` before the first answer.
     pub mean_latency_us: Option<f64>,
     /// Its reported rate limit, with the last remaining share and the average rate; `None` before the first
--- a/src/bin/cedarbridge-simhost/wire/events.rs
+++ b/src/bin/cedarbridge-simhost/wire/events.rs
@@ -85,7 +85,7 @@
         time_left: fields.micros(5, "time-left")?,
         destination: DestinationId(fields.unsigned(7, "terminates-at")?),
         failed_over: attributes & FAILED_OVER != 0,
-        first_attempt: None,
+        first_possible_effect: None,
         client_retry: attributes & CLIENT_RETRY != 0,
         restored: false,
         attempts: 0,
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -90,7 +90,7 @@
         let attempts =
             worst_case(&timing, timeout, max_attempts).into_iter().filter(|attempt| attempt.starts_at < end);
         attempts
-            .map(|attempt| WorstCaseAttempt { abandoned_at: attempt.abandoned_at.min(end), ..attempt })
+            .map(|attempt| WorstCaseAttempt { times_out_at: attempt.times_out_at.min(end), ..attempt })
             .collect()
     }
 
@@ -150,7 +150,7 @@
         );
         let _ = write!(text, "\n  worst case   attempt    begins       cut");
         for attempt in self.worst_case_attempts() {
-            let (start, end) = (format_duration(attempt.starts_at), format_duration(attempt.abandoned_at));
+            let (start, end) = (format_duration(attempt.starts_at), format_duration(attempt.times_out_at));
             let _ = write!(text, "\n               {:>7} {start:>9} {end:>9}", attempt.number);
         }
         text + "\n"
@@ -163,7 +163,7 @@
         let matching = self.matching();
         let also_matching: Vec<_> =
             matching.iter().skip(1).map(|route| json!({"name": route.name, "line": route.line})).collect();
-        let attempt_json = |attempt: &WorstCaseAttempt| json!({"attempt": attempt.number, "begins_ms": ms(attempt.starts_at), "cut_ms": ms(attempt.abandoned_at)});
+        let attempt_json = |attempt: &WorstCaseAttempt| json!({"attempt": attempt.number, "begins_ms": ms(attempt.starts_at), "cut_ms": ms(attempt.times_out_at)});
         json!({
             "destination": self.destination, "kind": self.platform.names.kinds[self.kind.0],
             "class": self.platform.names.classes[self.class.0],
--- a/src/invariants/ledger.rs
+++ b/src/invariants/ledger.rs
@@ -35,7 +35,7 @@
     /// The number of attempts that were made for it.
     pub attempts: u32,
     /// The first attempt that may have run, other than the one in flight; `None` if there is none.
-    pub first_attempt: Option<TrackedAttempt>,
+    pub first_possible_effect: Option<TrackedAttempt>,
     /// The number of the attempt in flight; `None` if none is.
     pub in_flight: Option<u32>,
 }
@@ -136,7 +136,7 @@
             Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotJournaled
         );
         if !never_ran {
-            entry.message.first_attempt = entry.message.first_attempt.or(ended);
+            entry.message.first_possible_effect = entry.message.first_possible_effect.or(ended);
         }
     }
 
@@ -148,7 +148,7 @@
             return Some(Violation::CompletedTwice);
         }
         let message = &entry.message;
-        let may_have_run = message.first_attempt.is_some() || message.in_flight.is_some();
+        let may_have_run = message.first_possible_effect.is_some() || message.in_flight.is_some();
         let must_not_run_twice = match message.repeat_policy.idempotency {
             Idempotency::Idempotent => false,
             Idempotency::WithKey => message.repeat_policy.dedup_scope != DedupScope::All,
@@ -185,11 +185,11 @@
         if self.message.attempts >= self.message.repeat_policy.max_attempts {
             return Some(Violation::TooManyAttempts);
         }
-        let first_attempt = self.message.first_attempt?;
+        let first_possible_effect = self.message.first_possible_effect?;
         match self.message.repeat_policy.idempotency {
             Idempotency::Idempotent => None,
             Idempotency::NonIdempotent => Some(Violation::RepeatForbidden),
-            Idempotency::WithKey => self.check_keyed_repeat(&first_attempt, now, zone),
+            Idempotency::WithKey => self.check_keyed_repeat(&first_possible_effect, now, zone),
         }
     }
 
--- a/src/invariants/send.rs
+++ b/src/invariants/send.rs
@@ -28,7 +28,7 @@
     /// Whether the journal can record messages and attempts.
     pub journal_writable: bool,
     /// The earliest time at which one of its attempts is abandoned.
-    pub abandon_at: Micros,
+    pub times_out_at: Micros,
     /// The time before which its first byte must be written. Later, a repeat might run twice or have no time left to run.
     pub send_by: Micros,
     /// How long work may be sent to a draining endpoint.
@@ -47,7 +47,7 @@
     /// The journal cannot record its attempts.
     JournalFailing,
     /// One of its attempts is abandoned.
-    Abandoned,
+    TimedOut,
     /// The latest time for its first byte has passed.
     TooLate,
     /// The endpoint list no longer contains its endpoint.
@@ -65,7 +65,7 @@
             SendRefusal::MessageComplete => "over",
             SendRefusal::HandedOver => "handed-over",
             SendRefusal::JournalFailing => "journal",
-            SendRefusal::Abandoned => "cut",
+            SendRefusal::TimedOut => "cut",
             SendRefusal::TooLate => "too-late",
             SendRefusal::UnknownEndpoint => "unknown-endpoint",
             SendRefusal::Draining => "leaving",
@@ -99,8 +99,8 @@
     if !facts.journal_writable {
         return Err(SendRefusal::JournalFailing);
     }
-    if facts.now >= facts.abandon_at {
-        return Err(SendRefusal::Abandoned);
+    if facts.now >= facts.times_out_at {
+        return Err(SendRefusal::TimedOut);
     }
     if facts.now >= facts.send_by {
         return Err(SendRefusal::TooLate);
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -105,7 +105,7 @@
         let tracked = TrackedMessage {
             repeat_policy,
             attempts: message.attempts(),
-            first_attempt: message
+            first_possible_effect: message
                 .first_attempt
                 .map(|(started_at, zone)| TrackedAttempt { started_at, zone: Some(zone) }),
             in_flight: attempt.as_ref().map(|attempt| attempt.number),
--- a/src/net/delivery/status.rs
+++ b/src/net/delivery/status.rs
@@ -25,7 +25,7 @@
         "held": status.waiting,
         "out": status.in_flight,
         "wait_ms": micros_to_ms(status.retry_after),
-        "cold": status.warming_up,
+        "cold": status.in_slow_start,
         "answer_ms": status.mean_latency_us.map(to_ms),
         "limit_per_s": status.rate_limit.map(|limit| limit.rate),
         "limit_left": status.rate_limit.map(|limit| limit.remaining_share),
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -111,7 +111,7 @@
         message_complete: call.attempts.iter().any(|attempt| attempt.message.is_ended()),
         handed_over: context.journal.is_paused(),
         journal_writable: context.journal.is_writable(),
-        abandon_at: call.first_timeout(&vec![true; call.attempts.len()]),
+        times_out_at: call.first_timeout(&vec![true; call.attempts.len()]),
         send_by: call.send_by(),
         drain_grace: context.endpoint_table.drain_grace(),
         endpoint: context.endpoint_table.endpoint_facts(call.endpoint),
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -98,7 +98,7 @@
             time_left: self.request.deadline.saturating_sub(now),
             destination: self.request.destination,
             failed_over: self.request.failed_over,
-            first_attempt: self.first_attempt,
+            first_possible_effect: self.first_attempt,
             client_retry: self.request.client_retry,
             restored: self.restored,
             attempts: self.attempts.get(),
--- a/src/policy/enqueue.rs
+++ b/src/policy/enqueue.rs
@@ -19,7 +19,8 @@
         // sent when it was first received, unless that forwarder's journal shows when it was.
         let may_have_been_sent = new.failed_over && class.idempotency == Idempotency::WithKey;
         let assumed = may_have_been_sent.then_some(PossibleEffect { sent_at: received_at, zone: None });
-        let journaled = new.first_attempt.map(|(sent_at, zone)| PossibleEffect { sent_at, zone: Some(zone) });
+        let journaled =
+            new.first_possible_effect.map(|(sent_at, zone)| PossibleEffect { sent_at, zone: Some(zone) });
         let order_key = new.order_key.filter(|_| class.ordered);
         if let Some(key) = order_key {
             self.order_keys.entry(key).or_default().queue.push_back(new.id);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -150,7 +150,7 @@
             waiting: destination.waiting.len(),
             in_flight: self.calls.values().filter(|c| c.destination == id).count(),
             retry_after: worst.pacer.paused_until.saturating_sub(now),
-            warming_up: worst.slow_start.is_active(),
+            in_slow_start: worst.slow_start.is_active(),
             mean_latency_us: worst.mean_latency_us,
             rate_limit: worst.pacer.limit.current,
         }
--- a/src/routes/check_timing.rs
+++ b/src/routes/check_timing.rs
@@ -127,7 +127,7 @@
     /// The end of the worst case of the given number of attempts, counted from the receipt of the message.
     fn worst_end_of(&self, attempts: u32) -> Micros {
         let worst_case = worst_case(self.timing, self.attempt_timeout(), attempts);
-        worst_case.last().map_or(0, |attempt| attempt.abandoned_at)
+        worst_case.last().map_or(0, |attempt| attempt.times_out_at)
     }
 
     fn worst_end(&self) -> Micros {
--- a/src/routes/timeline.rs
+++ b/src/routes/timeline.rs
@@ -11,7 +11,7 @@
     /// The latest start, if only the earlier attempts delay it.
     pub starts_at: Micros,
     /// The latest time at which the attempt is abandoned.
-    pub abandoned_at: Micros,
+    pub times_out_at: Micros,
 }
 
 /// Computes the worst case of the given number of attempts with the given timeout. An attempt that times out may be followed
@@ -23,9 +23,9 @@
             let step = WorstCaseAttempt {
                 number: attempt,
                 starts_at: start,
-                abandoned_at: start.saturating_add(timeout),
+                times_out_at: start.saturating_add(timeout),
             };
-            let after_pause = step.abandoned_at.saturating_add(timing.pause_after(attempt));
+            let after_pause = step.times_out_at.saturating_add(timing.pause_after(attempt));
             let hedge_start = timing.hedge_after.map_or(0, |after| start.saturating_add(after));
             start = after_pause.max(hedge_start);
             step
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -131,7 +131,7 @@
             time_left: 20 * SECOND,
             destination: DestinationId(destination),
             failed_over: false,
-            first_attempt: None,
+            first_possible_effect: None,
             client_retry: false,
             restored: false,
             attempts: 0,
--- a/tests/endpoint_table.rs
+++ b/tests/endpoint_table.rs
@@ -37,7 +37,7 @@
             message_complete: false,
             handed_over: false,
             journal_writable: true,
-            abandon_at: u64::MAX,
+            times_out_at: u64::MAX,
             send_by: u64::MAX,
             drain_grace: table.drain_grace(),
             endpoint: table.endpoint_facts(endpoint),
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -15,7 +15,7 @@
         message_complete: false,
         handed_over: false,
         journal_writable: true,
-        abandon_at: 1_000_001,
+        times_out_at: 1_000_001,
         send_by: 1_000_001,
         drain_grace: 250_000,
         endpoint: Some(EndpointFacts::default()),
@@ -32,7 +32,7 @@
         (SendFacts { message_complete: true, ..sendable() }, SendRefusal::MessageComplete),
         (SendFacts { handed_over: true, ..sendable() }, SendRefusal::HandedOver),
         (SendFacts { journal_writable: false, ..sendable() }, SendRefusal::JournalFailing),
-        (SendFacts { abandon_at: 1_000_000, ..sendable() }, SendRefusal::Abandoned),
+        (SendFacts { times_out_at: 1_000_000, ..sendable() }, SendRefusal::TimedOut),
         (SendFacts { send_by: 1_000_000, ..sendable() }, SendRefusal::TooLate),
         (SendFacts { endpoint: None, ..sendable() }, SendRefusal::UnknownEndpoint),
         (SendFacts { endpoint: draining(920_000), ..sendable() }, SendRefusal::Draining),
@@ -96,7 +96,10 @@
     let repeat_policy =
         RepeatPolicy { idempotency, dedup_scope: DedupScope::Zone, dedup_window: 1_000, max_attempts: 3 };
     let mut ledger = Ledger::default();
-    ledger.track(ID, TrackedMessage { repeat_policy, attempts: 0, first_attempt: None, in_flight: None });
+    ledger.track(
+        ID,
+        TrackedMessage { repeat_policy, attempts: 0, first_possible_effect: None, in_flight: None },
+    );
     ledger
 }
 
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -495,8 +495,8 @@
         let steps = worst_case(&timing, values.timeout * MS, values.attempts as u32);
         prop_assert_eq!(steps.len() as u64, values.attempts);
         for pair in steps.windows(2) {
-            prop_assert!(pair[1].starts_at >= pair[0].abandoned_at, "one attempt at a time");
+            prop_assert!(pair[1].starts_at >= pair[0].times_out_at, "one attempt at a time");
         }
-        prop_assert!(steps[steps.len() - 1].abandoned_at <= 20 * SECOND);
+        prop_assert!(steps[steps.len() - 1].times_out_at <= 20 * SECOND);
     }
 }
--- a/tests/stuck_calls.rs
+++ b/tests/stuck_calls.rs
@@ -95,7 +95,7 @@
         harness.step_after(50 * MS, vec![attempt_ended(stuck, 1, endpoint, Outcome::Ok)]);
     }
     let status = harness.policy.status(harness.now).next().expect("a destination");
-    assert_eq!((status.breaker, status.warming_up), (BreakerState::Closed, false));
+    assert_eq!((status.breaker, status.in_slow_start), (BreakerState::Closed, false));
 }
 
 #[test]
