--- a/src/policy/circuit_breaker.rs
+++ b/src/policy/circuit_breaker.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// The last call failed or an outage is assumed, and no call has succeeded since.
-    pub(super) fn is_suspect(&self) -> bool {
+    /// Whether a call failed or an outage is assumed, and no call has succeeded since.
+    pub(super) fn has_recent_failures(&self) -> bool {
         self.failure_count > 0 || self.in_outage
     }
 
--- a/src/policy/connection_reuse.rs
+++ b/src/policy/connection_reuse.rs
@@ -39,7 +39,8 @@
 pub(super) struct ConnectionScarcity {
     /// Moving average of the share of calls for which no connection could be made.
     connect_failure_share: f64,
-    /// Set to 1 by a failed connection attempt that counts; decays with each further call.
+    /// Set to 1 by a failed connection attempt if the expected cost of failed attempts exceeds the cost of
+    /// new connections, or if connections are scarce already. Decays with each other call.
     scarcity: f64,
 }
 stored_as_array!(ConnectionScarcity { connect_failure_share: f64, scarcity: f64 });
--- a/src/policy/constants.rs
+++ b/src/policy/constants.rs
@@ -67,8 +67,8 @@
 /// A call may be cancelled to free its slot once its age is this multiple of the time after which it counts
 /// as stuck.
 pub(super) const CANCEL_TO_FREE_SLOT_MULTIPLE: f64 = 1.2;
-/// A call is cancelled once its age is this multiple of the time after which it counts as stuck, if its
-/// endpoint has answered a call that was sent later.
+/// A call is cancelled once its age is this multiple of the time after which it counts as stuck, if a later
+/// call to its endpoint has succeeded.
 pub(super) const CANCEL_ISOLATED_MULTIPLE: f64 = 1.5;
 
 /// An attempt times out after this multiple of the mean latency, within the two limits below.
@@ -86,7 +86,8 @@
 /// Each response on a new connection multiplies the share of unanswered calls on reused connections by this
 /// factor. Without it, connections that are no longer reused would be taken for stale forever.
 pub(super) const REUSED_LOSS_DECAY: f64 = 0.995;
-/// Each call after a failed connection attempt multiplies the scarcity of connections by this factor.
+/// Each call after a failed connection attempt multiplies the scarcity of connections by this factor, unless
+/// it confirms the scarcity.
 pub(super) const SCARCITY_DECAY: f64 = 0.95;
 /// Connections count as scarce while the scarcity is above this value.
 pub(super) const SCARCITY_THRESHOLD: f64 = 0.2;
@@ -107,8 +108,8 @@
 pub(super) const MIN_RANKING_HORIZON: Micros = 300 * MS;
 /// The longest queueing time that is assumed when the messages of a destination are ranked.
 pub(super) const MAX_RANKING_HORIZON: Micros = 30 * SECOND;
-/// Message values and costs are compared as integers in units of one part in this, so that no decision
-/// depends on floating-point rounding.
+/// Message values and costs are multiplied by this and compared as integers, so that no decision depends on
+/// floating-point rounding.
 pub(super) const VALUE_SCALE: f64 = 1e9;
 /// The weight of a message's present value in its rank. It decides between messages that lose the same value
 /// by waiting.
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -82,7 +82,7 @@
         let is_unused = |d: &Destination| {
             d.endpoints.is_empty()
                 && d.waiting.is_empty()
-                && !d.admission.circuit.is_suspect()
+                && !d.admission.circuit.has_recent_failures()
                 && !d.admission.slow_start.is_active()
         };
         self.destinations.retain(|_, d| !is_unused(d));
--- a/src/policy/enqueue.rs
+++ b/src/policy/enqueue.rs
@@ -15,8 +15,8 @@
         let received_at = self.first_received_at(now, deadline, new);
         let priority_weight = self.weight_within_quota(now, new);
         let class = &self.settings.classes[new.class.0];
-        // A message with an idempotency key that was taken over from a dead forwarder is assumed to have been
-        // sent when it was first received, unless that forwarder's journal shows when it was.
+        // A message with an idempotency key that its client first sent to a forwarder that died is assumed to
+        // have been sent when it was first received, unless a journal shows when it was.
         let may_have_been_sent = new.failed_over && class.idempotency == Idempotency::WithKey;
         let assumed = may_have_been_sent.then_some(PossibleEffect { sent_at: received_at, zone: None });
         let journaled =
--- a/src/policy/expiry.rs
+++ b/src/policy/expiry.rs
@@ -6,8 +6,8 @@
 use crate::api::*;
 
 impl DeliveryPolicy {
-    /// When a message expires. Once its last attempt is in flight, which may take until then, new settings
-    /// cannot postpone this time.
+    /// When a message expires. Once its last attempt is in flight, new settings cannot postpone this time, as
+    /// that attempt may take until then.
     pub(super) fn expiry_of(&self, message: &Message) -> Micros {
         let end = self.timing(message).ends_at(message.received_at, message.deadline);
         message.final_deadline.map_or(end, |fixed| end.min(fixed))
@@ -51,8 +51,8 @@
         self.complete(id);
     }
 
-    /// Abandons the messages that can no longer be delivered, and requests a step for the time at which this
-    /// may change for one of the others.
+    /// Abandons the messages that can no longer be delivered, and requests a step for the earliest time at
+    /// which one of the others may be sent or can no longer be delivered.
     pub(super) fn abandon_undeliverable(&mut self, now: Micros) {
         self.order_keys.retain(|_, key| !key.queue.is_empty() || now < key.paused_until);
         let mut undeliverable = Vec::new();
@@ -82,8 +82,8 @@
         (blocked_until >= latest_send).then_some(AbandonReason::DestinationUnavailable)
     }
 
-    /// The end of a waiting message's pause, or the time from which it may no longer be sent, whichever is
-    /// first.
+    /// The end of a waiting message's pause, or the time from which it may no longer be sent, whichever comes
+    /// first. Without a pause it is the latter.
     fn next_change_of(&self, now: Micros, message: &Message) -> Micros {
         let key = message.order_key.and_then(|k| self.order_keys.get(&k));
         let paused_until = key.map_or(0, |k| k.paused_until).max(message.retry_at);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,24 @@
 //! The delivery policy: decides where, when and whether a message is sent. Its types and events are defined
 //! in `src/api.rs`.
 //!
-//! In the ordinary case each destination (or each endpoint, where its kind says so) has a circuit breaker,
-//! and a free call slot goes to the waiting destination that was dispatched to least recently.
-//! `docs/design.md` describes the exceptions. The policy does no I/O; the time and the random seed are passed
-//! in.
+//! In the ordinary case each destination (or each endpoint, where its kind says so) has a circuit breaker. A
+//! free call slot, one of [`Settings::max_concurrent_calls`], goes to the waiting destination that was
+//! dispatched to least recently. `docs/design.md` describes the exceptions. The policy does no I/O; the time
+//! and the random seed are passed in.
+//!
+//! Comments and `tests/rules.rs` refer to the rules of delivery by these numbers:
+//!
+//! 1. Each message has exactly one final result, in time. After it, nothing more is sent for the message.
+//! 2. No side effect happens twice. Once a non-idempotent message may have taken effect, it is not sent
+//!    again. A message with an idempotency key is then sent again only within its deduplication window, and
+//!    only to endpoints that drop the repeat.
+//! 3. Nothing is sent to a draining or removed endpoint.
+//! 4. A destination in slow start is not overloaded.
+//! 5. Messages with the same order key are delivered in order, one at a time.
+//! 6. A retry-after is obeyed.
+//!
+//! An attempt has taken effect if the endpoint has processed the message. It may still run if the endpoint
+//! may process the message later.
 
 mod admission;
 mod call_rate;
@@ -52,7 +66,7 @@
     /// The number of messages that are not complete.
     #[serde(rename = "open")]
     open_messages: usize,
-    /// Average latency of the calls to all endpoints, in microseconds.
+    /// Mean time from the decision on a call to its success, over all endpoints, in microseconds.
     #[serde(rename = "latency")]
     mean_latency_us: f64,
     /// Indexed by [`ClassId`]: the average duration of a call, as a multiple of the mean latency of its
@@ -75,7 +89,8 @@
     /// When the pending timer fires; `None` if no timer is pending.
     #[serde(rename = "armed")]
     timer_at: Option<Micros>,
-    /// When the next step is due if no event arrives before, as far as the current step has found.
+    /// The earliest time for which the current step has requested another step; [`NEVER`] if it has requested
+    /// none.
     #[serde(rename = "wake")]
     next_wake: Micros,
     #[serde(rename = "turns")]
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -42,7 +42,7 @@
 
     /// Applies the retry-after of an endpoint that has been removed to its destination, unless each endpoint
     /// has its own circuit breaker.
-    pub(super) fn observe_retry_after_of_removed(
+    pub(super) fn observe_retry_after_of_removed_endpoint(
         &mut self,
         now: Micros,
         id: DestinationId,
@@ -86,7 +86,7 @@
         }
         self.actions.extend(transition.map(Action::Log));
         if call.outcome == Outcome::Ok {
-            self.mean_latency_us += LATENCY_SMOOTHING / 4.0 * (call.duration_us - overall_latency_us);
+            self.mean_latency_us += LATENCY_SMOOTHING / 4.0 * (call.elapsed_us - overall_latency_us);
         }
     }
 
--- a/src/policy/pacing.rs
+++ b/src/policy/pacing.rs
@@ -34,7 +34,7 @@
 pub(super) struct Pacer {
     /// The rate of successful calls, counted over the time in which the destination was healthy.
     pub(super) delivered: DecayingRate,
-    /// The rate of messages received for it.
+    /// The rate at which messages are received for the destination or the endpoint.
     #[serde(rename = "asked")]
     pub(super) demand: DecayingRate,
     /// The calls per second that the endpoint list gives for all forwarders; 0 if it gives none.
@@ -81,10 +81,11 @@
         self.rate_factor = (self.rate_factor * RATE_FACTOR_GAIN).min(RATE_FACTOR_MAX);
     }
 
-    /// Lowers the rate after a rejection. `rejection_weight` is the number of rejections for which it counts.
-    pub(super) fn cut_rate(&mut self, rejection_weight: f64) {
-        let reduced_factor = self.rate_factor * RATE_FACTOR_CUT.powf(rejection_weight);
-        self.rate_factor = reduced_factor.max(RATE_FACTOR_MIN.powf(rejection_weight));
+    /// Lowers the rate after a rejection. `counted_rejections` is the number of rejections for which it
+    /// counts.
+    pub(super) fn cut_rate(&mut self, counted_rejections: f64) {
+        let reduced_factor = self.rate_factor * RATE_FACTOR_CUT.powf(counted_rejections);
+        self.rate_factor = reduced_factor.max(RATE_FACTOR_MIN.powf(counted_rejections));
     }
 
     /// The calls per second that all forwarders together may send; `None` if that is unknown.
--- a/src/policy/records.rs
+++ b/src/policy/records.rs
@@ -82,11 +82,12 @@
     /// It has its final result, or was withdrawn by its client.
     #[serde(rename = "over")]
     pub(super) complete: bool,
-    /// The next attempt is not sent before this time, by the pause or hedging delay of its route.
+    /// The next attempt is not sent before this time, because of the pauses of its route or the delay that
+    /// the route sets after a timeout.
     #[serde(rename = "rest_until")]
     pub(super) retry_at: Micros,
-    /// The endpoint at which an attempt timed out, if the next one is a hedged request, which must go
-    /// elsewhere.
+    /// The endpoint of the last attempt, if that timed out or was cancelled and the route sends the retry to
+    /// another endpoint; otherwise `None`.
     #[serde(rename = "avoid")]
     pub(super) avoid_endpoint: Option<EndpointId>,
     /// When it expires, fixed while its last attempt is in flight; that attempt may take until then.
@@ -161,7 +162,7 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct KeyQueue {
     pub(super) queue: VecDeque<MessageId>,
-    /// The next message waits until this time, because the last attempt may still be running.
+    /// The next message waits until this time, because the last attempt may still run.
     #[serde(rename = "rest_until")]
     pub(super) paused_until: Micros,
 }
@@ -176,7 +177,7 @@
 stored_as_array!(QuotaBucket { tokens: f64, refilled_at: Micros });
 
 impl QuotaBucket {
-    /// Creates a full bucket. The first refill reduces the tokens to the capacity.
+    /// Creates a full bucket. The first refill reduces the number of tokens to the capacity.
     pub(super) fn full() -> Self {
         QuotaBucket { tokens: f64::MAX, refilled_at: 0 }
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -15,13 +15,14 @@
     pub(super) id: MessageId,
     pub(super) attempt: u32,
     pub(super) outcome: Outcome,
-    /// Time since the attempt was sent.
+    /// The time from the policy's decision on the attempt to its end, in microseconds.
     pub(super) elapsed: Micros,
     /// The message is complete with this attempt.
     pub(super) completes_message: bool,
 }
 
-/// When and where an attempt was sent. The endpoint is `None` if the call of the attempt is unknown.
+/// When the policy decided on an attempt, and for which endpoint. If the call of the attempt is unknown,
+/// `sent_at` is the present time and `endpoint` is `None`.
 struct SentAttempt {
     sent_at: Micros,
     endpoint: Option<EndpointId>,
@@ -41,7 +42,10 @@
         message.attempts - message.uncounted_attempts >= max_attempts
     }
 
-    /// The time before which a message has to be sent. It is 0 if the message must not be sent again.
+    /// The time before which the next attempt must be sent, early enough before its expiry for the delivery
+    /// (`MIN_DELIVERY_TIME`) and two steps of the policy. A message with an idempotency key that may have
+    /// taken effect must also be sent within its deduplication window. 0 if the message must not be sent
+    /// again.
     pub(super) fn latest_send(&self, message: &Message) -> Micros {
         let class = &self.settings.classes[message.class.0];
         let min_step = self.settings.min_step_interval;
@@ -55,19 +59,20 @@
         }
     }
 
-    /// Whether a message may be sent to an endpoint now. Every send is checked here against rules 1 (nothing
-    /// is sent for a complete message), 2 (no second effect), 3 (drains), 5 (order) and 6 (retry-after).
+    /// Whether a message may be sent to an endpoint now. Every send is checked here against rules 1, 2, 3, 5
+    /// and 6 of the documentation of `policy`; the pacer enforces rule 4.
     pub(super) fn may_send(&self, now: Micros, id: MessageId, endpoint: EndpointId) -> bool {
         let Some(message) = self.messages.get(&id) else { return false };
         message.is_waiting()
             && !self.has_exhausted_attempts(message)
             && now < self.latest_send(message)
             && now >= message.retry_at
-            && self.is_first_of_its_key(now, id, message)
+            && self.is_first_of_order_key(now, id, message)
             && self.may_use(now, message, endpoint)
     }
 
-    fn is_first_of_its_key(&self, now: Micros, id: MessageId, message: &Message) -> bool {
+    fn is_first_of_order_key(&self, now: Micros, id: MessageId, message: &Message) -> bool {
+        // The pause holds back the next message of the key, not a retry of the message at the front.
         let is_first = |key: &KeyQueue| {
             key.queue.front() == Some(&id) && (now >= key.paused_until || message.attempts > 0)
         };
@@ -75,7 +80,7 @@
     }
 
     /// Whether a message may be sent to an endpoint, by the state of the endpoint and its destination, the
-    /// avoided endpoint of a hedged request and the scope of deduplication.
+    /// endpoint to avoid after a timeout and the scope of deduplication.
     fn may_use(&self, now: Micros, message: &Message, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let Some(destination) = self.destinations.get(&message.destination) else { return false };
@@ -89,7 +94,7 @@
         {
             return false;
         }
-        // A hedged request goes to another endpoint if one is healthy.
+        // A retry after a timeout goes to another endpoint if one is healthy and the route asks for it.
         let is_healthy = |other: &EndpointId| {
             self.endpoints.get(other).is_some_and(|e| {
                 e.entry.lifecycle == Lifecycle::Listed && e.admission.circuit.state == BreakerState::Closed
@@ -147,7 +152,7 @@
         let outcome = result.outcome;
         let finished = FinishedCall {
             sent_at: call.sent_at,
-            duration_us: result.elapsed as f64,
+            elapsed_us: result.elapsed as f64,
             is_trial: call.is_trial,
             outcome,
         };
@@ -156,7 +161,7 @@
         }
         if let Outcome::Rejected(Some(retry_after)) = outcome {
             if !self.endpoints.contains_key(&endpoint) {
-                self.observe_retry_after_of_removed(now, destination, retry_after);
+                self.observe_retry_after_of_removed_endpoint(now, destination, retry_after);
             }
         }
         if is_first {
@@ -168,7 +173,7 @@
     }
 
     /// Records the first attempt that may have taken effect, and pauses the message's order key if the
-    /// attempt may still be running.
+    /// attempt may still run. After an error response the attempt may have taken effect, but no longer runs.
     fn record_possible_effect(&mut self, now: Micros, result: &AttemptResult, sent_at: Micros) {
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         let may_run = may_still_run(result.outcome);
@@ -186,13 +191,15 @@
         let timing = self.timing(&self.messages[&result.id]);
         let Some(message) = self.messages.get_mut(&result.id) else { return };
         let outcome = result.outcome;
+        // After a timeout a fixed expiry stays, so that new settings cannot postpone it.
         message.final_deadline = message.final_deadline.filter(|_| outcome == Outcome::TimedOut);
         message.uncounted_attempts += u32::from(outcome == Outcome::NotJournaled);
+        // An attempt that was not sent needs no pause before the next one.
         if !matches!(outcome, Outcome::NotSent | Outcome::NotJournaled) {
             let was_cut_short = matches!(outcome, Outcome::TimedOut | Outcome::Cancelled);
             message.retry_at = timing.next_attempt(message.attempts, sent.sent_at, now, was_cut_short);
-            let hedges = was_cut_short && timing.hedge_after.is_some();
-            message.avoid_endpoint = sent.endpoint.filter(|_| hedges);
+            let avoids_endpoint = was_cut_short && timing.hedge_after.is_some();
+            message.avoid_endpoint = sent.endpoint.filter(|_| avoids_endpoint);
         }
         get_or_create_destination(&mut self.destinations, now, message.destination).waiting.push(result.id);
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,6 +1,6 @@
-//! Selection of the next call. A free call slot goes to the waiting destination that was dispatched to least
-//! recently. The call is sent to the endpoint with the lowest cost and load, and the first message that it
-//! carries is the one that gains most by being sent now.
+//! Selection of the next call. A free call slot, one of [`Settings::max_concurrent_calls`], goes to the
+//! waiting destination that was dispatched to least recently. The call is sent to the endpoint with the
+//! lowest cost and load, and the first message that it carries is the one that gains most by being sent now.
 
 use super::circuit_breaker::Admission;
 use super::constants::*;
@@ -25,24 +25,25 @@
 struct DestinationAdmission {
     /// The call is the trial call of the destination's own breaker, which may go to any of its endpoints.
     is_trial: bool,
-    is_suspect: bool,
+    has_recent_failures: bool,
     per_endpoint_breaker: bool,
 }
 
 /// An endpoint to which the next call of a destination may go.
 struct Candidate {
     endpoint: EndpointId,
-    /// The cost of its zone in units of one part in [`VALUE_SCALE`].
+    /// The cost of its zone, multiplied by [`VALUE_SCALE`].
     zone_cost: i64,
     load: usize,
     last_used_at: Micros,
     is_trial: bool,
-    /// The call is likely to fail, so it carries the message whose loss costs least.
+    /// The call is likely to fail, so it carries a message that can safely be sent again if there is one.
     is_risky: bool,
 }
 
 impl DeliveryPolicy {
-    /// Sends calls while messages may be sent and call slots are free.
+    /// Sends calls while messages may be sent and call slots are free. If a call could be sent but all slots
+    /// are taken, one overdue call may be cancelled.
     pub(super) fn dispatch(&mut self, now: Micros) {
         let waiting = self.messages.values().filter(|m| m.is_waiting()).map(|m| m.destination);
         let mut order: BTreeSet<_> = waiting.map(|d| (self.destinations[&d].last_dispatch, d)).collect();
@@ -63,6 +64,7 @@
     }
 
     /// The next call to a destination, or `None` if its circuit breaker, pacer or endpoints allow none now.
+    /// Of endpoints with the same cost and load, the one used last comes first.
     fn select_call(&mut self, now: Micros, id: DestinationId) -> Option<NextCall> {
         let admission = self.admit_destination(now, id)?;
         let endpoints = self.destinations.get(&id)?.endpoints.clone();
@@ -81,7 +83,11 @@
         let destination = self.destinations.get_mut(&id)?;
         if destination.per_endpoint_breaker {
             let per_endpoint_breaker = true;
-            return Some(DestinationAdmission { is_trial: false, is_suspect: false, per_endpoint_breaker });
+            return Some(DestinationAdmission {
+                is_trial: false,
+                has_recent_failures: false,
+                per_endpoint_breaker,
+            });
         }
         let is_trial = match destination.admission.check(now, &self.settings) {
             Admission::Admitted => false,
@@ -91,12 +97,12 @@
                 return None;
             }
         };
-        let is_suspect = destination.admission.circuit.is_suspect();
+        let has_recent_failures = destination.admission.circuit.has_recent_failures();
         // A destination with recent failures gets one call at a time.
-        if !is_trial && is_suspect && self.calls.values().any(|c| c.destination == id) {
+        if !is_trial && has_recent_failures && self.calls.values().any(|c| c.destination == id) {
             return None;
         }
-        Some(DestinationAdmission { is_trial, is_suspect, per_endpoint_breaker: false })
+        Some(DestinationAdmission { is_trial, has_recent_failures, per_endpoint_breaker: false })
     }
 
     /// Returns an endpoint as a candidate if it is listed and its circuit breaker and pacer allow a call. A
@@ -117,8 +123,8 @@
         let decision = if is_paced {
             admission.check(now, &self.settings)
         } else {
-            // Calls that were sent while the endpoint was not paced leave no debt of tokens, which would slow
-            // it down after an outage.
+            // While an endpoint is not paced, its calls still take tokens. The number of tokens is kept at 0
+            // or more, so that these calls do not lower the rate after an outage.
             admission.pacer.bucket.tokens = admission.pacer.bucket.tokens.max(0.0);
             admission.check_circuit(now)
         };
@@ -129,11 +135,11 @@
             }
             decision => destination.is_trial || decision == Admission::Trial,
         };
-        let is_suspect = admission.circuit.is_suspect();
-        if !destination.is_trial && (is_stalled || is_suspect && !is_trial && in_flight > 0) {
+        let has_recent_failures = admission.circuit.has_recent_failures();
+        if !destination.is_trial && (is_stalled || has_recent_failures && !is_trial && in_flight > 0) {
             return None;
         }
-        let is_risky = is_trial || destination.is_suspect || is_suspect;
+        let is_risky = is_trial || destination.has_recent_failures || has_recent_failures;
         let endpoint = &self.endpoints[&id];
         Some(Candidate {
             endpoint: id,
@@ -145,31 +151,34 @@
         })
     }
 
-    /// The cost of an endpoint's zone in units of one part in [`VALUE_SCALE`].
+    /// The cost of an endpoint's zone, multiplied by [`VALUE_SCALE`].
     fn zone_cost(&self, endpoint: &Endpoint) -> i64 {
         let cost = self.settings.zone_costs.get(endpoint.entry.zone.0);
         cost.map_or(0, |cost| (cost * VALUE_SCALE) as i64)
     }
 
-    /// The load by which endpoints are compared: a sum in which each recent failure counts as two calls in
-    /// flight, and a location in another zone counts as half a call if crossing zones has a cost.
+    /// The load by which endpoints are compared, in units of half a call: 4 for each consecutive failure, of
+    /// which at most 9 count, 2 for each call in flight, and 1 if the endpoint is in another zone and
+    /// crossing zones has a cost.
     fn load(&self, endpoint: &Endpoint, in_flight: usize) -> usize {
         let failures = endpoint.admission.circuit.failure_count.min(9) as usize;
         let crosses_zones = self.settings.cross_zone_cost > 0.0 && endpoint.entry.zone != self.settings.zone;
         4 * failures + 2 * in_flight + usize::from(crosses_zones)
     }
 
-    /// The waiting message that gains most by being sent now, which is the value that it would lose in the
-    /// time that the queue takes. For a risky call it is the message whose loss costs least. All messages of
-    /// a call have the same timeout, so `same_timeout_as` restricts the choice for the second and later
-    /// messages.
+    /// The waiting message that gains most by being sent now: see [`DeliveryPolicy::gain_of_sending_now`].
+    /// The time that the queue takes is the horizon. For a call that is likely to fail, messages that can
+    /// safely be sent again come first: idempotent ones, then those with an idempotency key.
+    ///
+    /// All messages of a call have the same route timeout, so `required_timing` restricts the choice for the
+    /// second and later messages. A message near its deadline may still time out earlier than the others.
     pub(super) fn select_message(
         &self,
         now: Micros,
         id: DestinationId,
         endpoint: EndpointId,
         is_risky: bool,
-        same_timeout_as: Option<RouteTiming>,
+        required_timing: Option<RouteTiming>,
     ) -> Option<MessageId> {
         let destination = &self.destinations[&id];
         let horizon = self.drain_time(now, destination).clamp(MIN_RANKING_HORIZON, MAX_RANKING_HORIZON);
@@ -180,15 +189,16 @@
             (risk, Reverse(self.gain_of_sending_now(now, horizon, message)), message.deadline, **id)
         };
         let fits = |id: &MessageId| {
-            same_timeout_as.is_none_or(|timing| self.timing(&self.messages[id]).timeout == timing.timeout)
+            required_timing.is_none_or(|timing| self.timing(&self.messages[id]).timeout == timing.timeout)
         };
         let candidates =
             destination.waiting.iter().filter(|id| fits(id) && self.may_send(now, **id, endpoint));
         candidates.min_by_key(rank).copied()
     }
 
-    /// The value that a message gains by being sent now instead of at the end of the horizon, in units of one
-    /// part in [`VALUE_SCALE`].
+    /// The value that a message gains by being sent now instead of at the end of the horizon, plus a small
+    /// share of its present value, which decides between messages that gain the same. Multiplied by
+    /// [`VALUE_SCALE`].
     fn gain_of_sending_now(&self, now: Micros, horizon: Micros, message: &Message) -> i64 {
         let value = self.value_at(message, now);
         let value_later = self.value_at(message, now + horizon);
--- a/src/policy/stuck_calls.rs
+++ b/src/policy/stuck_calls.rs
@@ -7,16 +7,16 @@
 use crate::api::*;
 
 impl DeliveryPolicy {
-    /// Frees a slot when all call slots are taken and an admitted call waits: cancels the one call that is
-    /// most overdue, at an endpoint that has answered no later call.
+    /// Cancels the call that is most overdue, to free a call slot while all are taken and another call could
+    /// be sent. Only a call at an endpoint at which no later call has succeeded is cancelled here, and only
+    /// one at a time.
     pub(super) fn cancel_to_free_slot(&mut self, now: Micros) {
         if !self.settings.may_cancel || self.calls.values().any(|c| c.cancelled) {
             return;
         }
         let overdue = |call: &Call| {
             let multiple = self.overdue_ratio(now, call)?;
-            (multiple > CANCEL_TO_FREE_SLOT_MULTIPLE && !self.has_answered_later_call(call))
-                .then_some(multiple)
+            (multiple > CANCEL_TO_FREE_SLOT_MULTIPLE && !self.later_call_succeeded(call)).then_some(multiple)
         };
         let candidates = self.calls.iter().filter_map(|(number, call)| Some((overdue(call)?, *number)));
         match candidates.max_by(|a, b| a.0.total_cmp(&b.0)) {
@@ -26,15 +26,15 @@
         }
     }
 
-    /// Cancels calls that are long overdue at an endpoint that has answered a later call. Such a call is
-    /// stuck on its own connection, and would hold a slot and its messages until its timeout.
+    /// Cancels calls that are long overdue although a later call to their endpoint has succeeded. Such a call
+    /// is stuck on its own connection, and would hold a slot and its messages until its timeout.
     pub(super) fn cancel_isolated_calls(&mut self, now: Micros) {
         if !self.settings.may_cancel {
             return;
         }
         let isolated = |call: &Call| {
             let multiple = self.overdue_ratio(now, call)?;
-            self.has_answered_later_call(call).then_some(multiple)
+            self.later_call_succeeded(call).then_some(multiple)
         };
         let isolated: Vec<_> =
             self.calls.iter().filter_map(|(number, call)| Some((isolated(call)?, *number))).collect();
@@ -55,8 +55,8 @@
         self.actions.extend(call.attempts.iter().map(cancel));
     }
 
-    /// Whether the endpoint has answered a call that was sent after this one.
-    fn has_answered_later_call(&self, call: &Call) -> bool {
+    /// Whether a call that was sent to the endpoint after this one has succeeded.
+    fn later_call_succeeded(&self, call: &Call) -> bool {
         let endpoint = self.endpoints.get(&call.endpoint);
         endpoint.is_some_and(|e| call.sent_at < e.admission.circuit.last_success_sent_at)
     }
@@ -75,8 +75,8 @@
         Some((now - call.sent_at) as f64 / (self.stuck_threshold(endpoint) as f64 * threshold_multiple))
     }
 
-    /// Whether two calls to an endpoint are stuck and no later call was answered. Such an endpoint gets no
-    /// more calls until they end, so that the slots remain free for other endpoints.
+    /// Whether two calls or more to an endpoint are stuck and no later call has succeeded. Such an endpoint
+    /// gets no more calls until they end, so that the slots remain free for other endpoints.
     pub(super) fn is_stalled(&self, now: Micros, id: EndpointId) -> bool {
         let Some(endpoint) = self.endpoints.get(&id) else { return false };
         let stuck_threshold = self.stuck_threshold(endpoint);
