--- a/src/api.rs
+++ b/src/api.rs
@@ -14,9 +14,9 @@
 /// The state of an endpoint in the endpoint list. It says nothing about the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Lifecycle {
-    /// In service.
+    /// Listed: calls may be sent to it.
     Listed,
-    /// In service, but no new call may be sent to it.
+    /// Draining: still listed, but no new call may be sent to it.
     Draining,
     /// Removed from the list.
     #[serde(rename = "Gone")]
@@ -34,7 +34,7 @@
     pub zone: ZoneId,
     /// The kind of its destination.
     pub kind: KindId,
-    /// Whether it is in service, draining or removed.
+    /// Whether it is listed, draining or removed.
     pub lifecycle: Lifecycle,
     /// The calls per second that it takes from all forwarders; [`WeightSource`] says how exact this is. 0 if
     /// unknown.
@@ -59,19 +59,20 @@
 pub enum Outcome {
     /// The message was delivered.
     Ok,
-    /// The endpoint answered with an error. The attempt may have taken effect.
+    /// The endpoint responded with an error. The attempt may have taken effect.
     Error,
     /// The endpoint rejected the message for lack of capacity, with a retry-after in microseconds if it gave
     /// one. The attempt had no effect.
     #[serde(rename = "Full")]
     Rejected(Option<Micros>),
-    /// No answer arrived within the timeout. The attempt may have taken effect, or still take effect.
+    /// No response arrived within the timeout. The attempt may have taken effect, or still take effect.
     TimedOut,
     /// No connection could be made. The attempt had no effect.
     ConnectFailed,
     /// The connection broke. The attempt may have taken effect.
     Reset,
-    /// A reused connection broke before any part of an answer arrived. The attempt may have taken effect.
+    /// A reused connection broke shortly after the request was written, before any byte of a response
+    /// arrived. It was probably dead before, but the attempt may have taken effect.
     #[serde(rename = "Stale")]
     StaleConnection,
     /// The attempt was cancelled. It may have taken effect.
@@ -85,7 +86,7 @@
     NotJournaled,
 }
 
-/// The rate limit of an endpoint as an answer reports it.
+/// The rate limit of an endpoint as a response reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The share of the quota that is left, from 0 to 1.
@@ -111,7 +112,7 @@
     pub time_left: Micros,
     /// The destination to which it is addressed.
     pub destination: DestinationId,
-    /// It was taken over from a forwarder that died and may have sent it.
+    /// Its client first sent it to another forwarder, which died and may have sent it to an endpoint.
     pub failed_over: bool,
     /// The send time and the zone of the first attempt that may have taken effect; `None` if that is unknown.
     pub first_possible_effect: Option<(Micros, ZoneId)>,
@@ -134,7 +135,7 @@
     Settings(Box<Settings>),
     /// A message was received.
     Message(NewMessage),
-    /// An answer has begun to arrive, so the timeout of the attempt no longer applies.
+    /// A response has begun to arrive, so the timeout of the attempt no longer applies.
     ResponseStarted {
         /// The message.
         id: MessageId,
@@ -149,11 +150,11 @@
         endpoint: EndpointId,
         /// The outcome of the attempt.
         outcome: Outcome,
-        /// The time since the attempt was sent.
+        /// The time from the policy's decision on the attempt, [`Action::Send`], to its end.
         elapsed: Micros,
         /// The message is complete and is not to be sent again.
         completes_message: bool,
-        /// The rate limit that the answer reports; `None` if it reports none.
+        /// The rate limit that the response reports; `None` if it reports none.
         report: Option<LoadReport>,
     },
     /// A health check ended.
@@ -164,10 +165,10 @@
         outcome: Outcome,
         /// The duration of the health check.
         elapsed: Micros,
-        /// The rate limit that the answer reports; `None` if it reports none.
+        /// The rate limit that the response reports; `None` if it reports none.
         report: Option<LoadReport>,
     },
-    /// An answer that rejected no message carried a retry-after.
+    /// A response that rejected no message carried a retry-after.
     RetryAfter {
         /// The endpoint.
         endpoint: EndpointId,
@@ -231,14 +232,15 @@
     pub retry_after: Micros,
     /// Whether it is in slow start.
     pub in_slow_start: bool,
-    /// The average latency of its answers in microseconds; `None` before the first answer.
+    /// The mean time from the decision on a call to its success, in microseconds; `None` before the first
+    /// sample.
     pub mean_latency_us: Option<f64>,
     /// Its reported rate limit, with the last remaining share and the average rate; `None` before the first
     /// report.
     pub rate_limit: Option<LoadReport>,
 }
 
-/// The reason why a message is abandoned.
+/// The reason why a message is abandoned: it ends without delivery, as rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum AbandonReason {
     /// Its deadline, or the time in which it may be retried, has passed.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -154,7 +154,8 @@
     /// Whether rejections of messages may carry a retry-after.
     #[serde(rename = "retry_after")]
     pub may_send_retry_after: bool,
-    /// Whether the platform allows two attempts of a message in flight at once (hedged requests). Not used.
+    /// Whether the platform allows two attempts of a message in flight at once (hedged requests). The
+    /// forwarder never sends one; only an error text of the routes' check depends on this setting.
     #[serde(rename = "second_copies")]
     pub may_hedge: bool,
     /// The longest retry-after that clients obey, in microseconds.
@@ -178,10 +179,10 @@
     /// The time in which a recovering destination reaches its full capacity, in microseconds.
     #[serde(rename = "cold")]
     pub slow_start_duration: Micros,
-    /// The share of its capacity that a recovering destination has at first, above 0 and up to 1.
+    /// The share of its capacity that a recovering destination has at first, above 0 and at most 1.
     #[serde(rename = "cold_from")]
     pub slow_start_floor: f64,
-    /// The time for which an order key pauses after an attempt that may still be running, in microseconds.
+    /// The time for which an order key pauses after an attempt that may still run, in microseconds.
     #[serde(rename = "key_rest")]
     pub order_key_pause: Micros,
     /// The timeouts and attempts of each route, from the routes file. `None` leaves them to the policy's own
--- a/src/invariants/ledger.rs
+++ b/src/invariants/ledger.rs
@@ -1,6 +1,6 @@
-//! The run-time check of the rules: a ledger of what was actually done for each message. Each event is compared with
-//! the rules as it is recorded, independently of the policy and without influence on it. The caller counts and logs
-//! violations.
+//! The run-time check of the rules of delivery, which [`crate::policy`] lists: a ledger of what was actually done for
+//! each message. Each event is compared with the rules as it is recorded, independently of the policy and without
+//! influence on it. The caller counts and logs violations.
 
 use crate::{DedupScope, Idempotency, MessageId, Micros, Outcome, ZoneId};
 use std::collections::BTreeMap;
@@ -10,7 +10,8 @@
 pub struct RepeatPolicy {
     /// Whether a message may run more than once.
     pub idempotency: Idempotency,
-    /// Which endpoints drop repeats: all of the destination, or those in the zone of the first attempt.
+    /// Which endpoints drop repeats: all of the destination, or those in the zone of the first attempt that may have
+    /// run.
     pub dedup_scope: DedupScope,
     /// How long repeats are dropped, from the start of the first attempt that may have run.
     pub dedup_window: Micros,
@@ -61,14 +62,15 @@
     CompletedTwice,
     /// A message was returned to its client although it may have run and must not run twice.
     ReturnedAlthoughItMayHaveRun,
-    /// The first byte of a call was written to an endpoint that had been draining for longer than the grace.
+    /// The first byte of a call was written to an endpoint that had been draining for longer than the drain grace of
+    /// the settings.
     SentToDraining,
     /// The first byte of a call was written before the time that a Retry-After had asked for.
     SentWithinRetryAfter,
 }
 
 impl Violation {
-    /// The name of the rule in logs and counters.
+    /// The name of the violation in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             Violation::UnknownMessage => "unknown_message",
@@ -90,7 +92,7 @@
 struct LedgerEntry {
     message: TrackedMessage,
     /// The start of the attempt in flight; `None` if none is, or if it started before the message was tracked.
-    last_attempt: Option<TrackedAttempt>,
+    attempt_in_flight: Option<TrackedAttempt>,
     completed: bool,
 }
 
@@ -103,7 +105,7 @@
 impl Ledger {
     /// Starts to track a message. `message` holds the attempts made before.
     pub fn track(&mut self, id: MessageId, message: TrackedMessage) {
-        self.entries.insert(id, LedgerEntry { message, last_attempt: None, completed: false });
+        self.entries.insert(id, LedgerEntry { message, attempt_in_flight: None, completed: false });
     }
 
     /// Records an attempt whose first byte is about to be written. Returns the rule that it violates, if any.
@@ -118,19 +120,18 @@
         let violation = entry.check_attempt(now, zone);
         entry.message.attempts += 1;
         entry.message.in_flight = Some(number);
-        entry.last_attempt = Some(TrackedAttempt { started_at: now, zone: Some(zone) });
+        entry.attempt_in_flight = Some(TrackedAttempt { started_at: now, zone: Some(zone) });
         violation
     }
 
-    /// Records that an attempt has ended or that its connection was closed. Has no effect unless the attempt is the one in
-    /// flight.
+    /// Records the outcome of an attempt. Has no effect unless the attempt is the one in flight.
     pub fn attempt_ended(&mut self, id: MessageId, number: u32, outcome: Outcome) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if entry.message.in_flight != Some(number) {
             return;
         }
         entry.message.in_flight = None;
-        let ended = entry.last_attempt.take();
+        let ended = entry.attempt_in_flight.take();
         let never_ran = matches!(
             outcome,
             Outcome::Rejected(_) | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotJournaled
@@ -151,6 +152,7 @@
         let may_have_run = message.first_possible_effect.is_some() || message.in_flight.is_some();
         let must_not_run_twice = match message.repeat_policy.idempotency {
             Idempotency::Idempotent => false,
+            // Another forwarder might send a returned message to a zone in which the repeat is not dropped.
             Idempotency::WithKey => message.repeat_policy.dedup_scope != DedupScope::All,
             Idempotency::NonIdempotent => true,
         };
@@ -163,7 +165,7 @@
         self.entries.remove(&id);
     }
 
-    /// The number of tracked messages. Only messages that the program holds are tracked.
+    /// The number of tracked messages. A message is tracked from its acceptance until it is forgotten.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/src/invariants/mod.rs
+++ b/src/invariants/mod.rs
@@ -4,6 +4,10 @@
 //! Each check is a function without I/O that takes the relevant facts and returns `Ok` or a typed reason. The socket
 //! code cannot write a call without a [`SendPermit`]. The [`Ledger`] is independent of these checks and of the policy:
 //! it records what was actually done and reports each violation of a rule. It never stops the program.
+//!
+//! The rules are numbered in the documentation of [`crate::policy`]. In this module, a message has run if an endpoint
+//! has processed it, and a repeat is an attempt of a message that may have run before. Endpoints drop repeats with the
+//! same idempotency key.
 
 pub mod admission;
 pub mod connection;
--- a/src/invariants/send.rs
+++ b/src/invariants/send.rs
@@ -27,9 +27,9 @@
     pub handed_over: bool,
     /// Whether the journal can record messages and attempts.
     pub journal_writable: bool,
-    /// The earliest time at which one of its attempts is abandoned.
+    /// The earliest time at which one of its attempts times out.
     pub times_out_at: Micros,
-    /// The time before which its first byte must be written. Later, a repeat might run twice or have no time left to run.
+    /// The time before which its first byte must be written. After that, a message might run twice, or too late.
     pub send_by: Micros,
     /// How long work may be sent to a draining endpoint.
     pub drain_grace: Micros,
@@ -46,7 +46,7 @@
     HandedOver,
     /// The journal cannot record its attempts.
     JournalFailing,
-    /// One of its attempts is abandoned.
+    /// One of its attempts has timed out.
     TimedOut,
     /// The latest time for its first byte has passed.
     TooLate,
--- a/src/rates.rs
+++ b/src/rates.rs
@@ -21,8 +21,8 @@
 }
 
 impl DecayingRate {
-    /// Records events, and the time that has passed since the events before. If the window becomes longer
-    /// than `max_window`, it is cut to that length and the count is scaled down in proportion.
+    /// Records events and the time `elapsed` since the events before, in microseconds. If the window becomes
+    /// longer than `max_window`, it is cut to that length and the count is scaled down in proportion.
     pub fn record(&mut self, events: f64, elapsed: Micros, max_window: Micros) {
         self.window += elapsed;
         if self.window > max_window {
@@ -32,8 +32,9 @@
         self.count += events;
     }
 
-    /// The events per second, over the window and the time since. That time counts as `min_window` at least.
-    /// The count is taken as one at least, because one forwarder of a large fleet often has seen no event.
+    /// The events per second, over the window and the time `elapsed` since its end, together at least
+    /// `min_window`. The count is taken as one at least, because a forwarder of a large fleet has often seen
+    /// no event.
     pub fn per_second(&self, elapsed: Micros, min_window: Micros) -> f64 {
         self.count.max(1.0) * MICROS_PER_SECOND / (self.window + elapsed).max(min_window) as f64
     }
--- a/src/time_slots/mod.rs
+++ b/src/time_slots/mod.rs
@@ -6,8 +6,9 @@
 //! The offset of a forwarder's slot within a period is the fractional part of its index times the golden
 //! ratio, shifted for each destination by a hash of the destination's number. The slots of any range of
 //! successive indexes are then spread evenly: the gaps between neighbours have two or three different
-//! lengths, of which the longest is at most 2.62 times the shortest. The number of forwarders is not used, so
-//! a wrong number moves no slot, and adding or removing a forwarder moves none of the others.
+//! lengths, of which the longest is at most 2.62 times the shortest. The offset does not depend on the number
+//! of forwarders, so a wrong number does not change it, and adding or removing a forwarder moves none of the
+//! others within a period.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -16,15 +17,15 @@
 /// No other value keeps them as far apart (Weyl's sequence, three-gap theorem of Steinhaus).
 const GOLDEN_RATIO_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Periods are rounded up to one of this many lengths per octave (a factor of two). Forwarders compute
-/// slightly different periods, as each has its own reading of a limit. Without the rounding they would soon
-/// be in different periods, and their slots would be in random order.
+/// slightly different periods, as each computes its own from the rate limit that was last reported to it.
+/// Without the rounding they would soon be in different periods, and their slots would be in random order.
 const PERIODS_PER_OCTAVE: f64 = 4.0;
 /// The shortest period, one millisecond, in microseconds.
 const MIN_PERIOD_US: f64 = 1e3;
 /// The longest period, one hour, in microseconds. It prevents overflows.
 const MAX_PERIOD_US: f64 = 3.6e9;
-/// A period that exceeds a rounded one by no more than this part of a rounding step is rounded down to it,
-/// because rounded periods are whole microseconds and must remain the same when they are rounded again.
+/// A period that exceeds a rounded one by no more than this part of a rounding step is rounded down to it, so
+/// that a rounded period, which is a whole number of microseconds, is rounded to itself.
 const ROUNDING_TOLERANCE: f64 = 0.01;
 
 /// Allocates time slots to one forwarder: fixed ones by its index in the fleet, or random ones if it has no
@@ -36,11 +37,12 @@
     random_state: u64,
 }
 
-/// A forwarder's slots for calls to one destination, as seen at one moment.
+/// A forwarder's slots for calls to one destination, from which the delay to the next slot is computed.
 #[derive(Clone, Copy, Debug)]
 pub struct SlotSchedule {
-    /// The time of the wall clock, which all forwarders share, in microseconds.
-    now: Micros,
+    /// The wall-clock time from which delays are counted, in microseconds. All forwarders share the wall
+    /// clock.
+    computed_at: Micros,
     offset: SlotOffset,
 }
 
@@ -87,7 +89,7 @@
             }
             None => SlotOffset::Random((splitmix64(self.random_state) >> 11) as f64 / (1u64 << 53) as f64),
         };
-        SlotSchedule { now, offset }
+        SlotSchedule { computed_at: now, offset }
     }
 }
 
@@ -96,21 +98,21 @@
     pub fn delay_to_slot(&self, period_us: f64) -> Micros {
         match self.offset {
             SlotOffset::Random(fraction) => (period_us.clamp(0.0, MAX_PERIOD_US) * fraction) as Micros,
-            SlotOffset::Fixed(offset) => delay_to_offset(self.now, offset, rounded_period(period_us)),
+            SlotOffset::Fixed(offset) => delay_to_offset(self.computed_at, offset, rounded_period(period_us)),
         }
     }
 
     /// The time in microseconds until the forwarder's first slot that is at least `min_delay` away, for calls
-    /// that every forwarder repeats once a period. A random delay is drawn from twice the rest of the period,
-    /// so that the calls are one period apart on average.
+    /// that every forwarder repeats once a period. A random delay is `min_delay` plus a random time of up to
+    /// twice the period without `min_delay`, so that the calls are one period apart on average.
     pub fn delay_to_slot_after(&self, period_us: f64, min_delay: Micros) -> Micros {
         match self.offset {
             SlotOffset::Random(fraction) => {
-                let rest_us = (period_us.clamp(0.0, MAX_PERIOD_US) - min_delay as f64).max(0.0);
-                min_delay + (2.0 * rest_us * fraction) as Micros
+                let remaining_period_us = (period_us.clamp(0.0, MAX_PERIOD_US) - min_delay as f64).max(0.0);
+                min_delay + (2.0 * remaining_period_us * fraction) as Micros
             }
             SlotOffset::Fixed(offset) => {
-                let earliest = self.now.saturating_add(min_delay);
+                let earliest = self.computed_at.saturating_add(min_delay);
                 min_delay + delay_to_offset(earliest, offset, rounded_period(period_us))
             }
         }
