--- a/src/routes/check_timing.rs
+++ b/src/routes/check_timing.rs
@@ -7,8 +7,8 @@
 use crate::policy::max_attempt_timeout;
 use crate::{Class, Idempotency, Micros};
 
-/// Checks the timing of a route. If several matching classes have the same error, only the one with the least slack is
-/// reported.
+/// Checks the timing of a route. If several matching classes have the same error, only that of the most restrictive one
+/// is reported.
 pub(super) fn check_timing(
     route: &ParsedRoute,
     criteria: MatchCriteria,
@@ -18,7 +18,7 @@
 ) {
     let attempts_are_allowed = check_attempts(route, platform, errors);
     let classes = matching_classes(route, criteria, timing, platform);
-    check_hedge(route, timing, &classes, platform.settings.may_hedge, errors);
+    check_second_copy(route, timing, &classes, platform.settings.may_hedge, errors);
     if let Some(earliest) = classes.iter().min_by_key(|checked| checked.class.deadline) {
         earliest.check_abandon_after(errors);
     }
@@ -29,8 +29,9 @@
     if let Some(tightest) = classes.iter().min_by_key(slack) {
         tightest.check_end(errors);
     }
-    let keyed = classes.iter().filter(|checked| checked.class.idempotency == Idempotency::WithKey);
-    if let Some(shortest) = keyed.min_by_key(|checked| checked.class.deduplication_window) {
+    let with_idempotency_key =
+        classes.iter().filter(|checked| checked.class.idempotency == Idempotency::WithKey);
+    if let Some(shortest) = with_idempotency_key.min_by_key(|checked| checked.class.deduplication_window) {
         shortest.check_deduplication_window(errors);
     }
 }
@@ -66,11 +67,11 @@
     matching.map(|(_, (class, name))| ClassCheck { route, timing, class, name, min_step_interval }).collect()
 }
 
-fn check_hedge(
+fn check_second_copy(
     route: &ParsedRoute,
     timing: &RouteTiming,
     classes: &[ClassCheck<'_>],
-    settings_allow_hedging: bool,
+    settings_allow_second_copies: bool,
     errors: &mut Vec<ConfigError>,
 ) {
     let Some(after) = route.hedge_after else { return };
@@ -84,8 +85,9 @@
         if timing.timeout.is_none() {
             reason += ", or a `timeout` must be set";
         }
-        if settings_allow_hedging {
-            reason += " (even if the settings allow hedging, a message never has two attempts in flight)";
+        if settings_allow_second_copies {
+            reason +=
+                " (although the settings allow `second-copies`, a message never has two attempts in flight)";
         }
         errors.push(ConfigError::new(after.at, ErrorCode::HedgedRequest, reason));
     }
@@ -117,10 +119,12 @@
         self.timing.attempt_timeout(max_attempt_timeout(self.class.idempotency))
     }
 
-    /// The number of attempts that the route determines. Other attempts are left to the policy, which ends them in time.
+    /// The number of attempts to check: the route's `attempts`, or else those whose timing the route sets, which are
+    /// the first if it has a `timeout` and one more if it has a `second-copy`. The policy times other attempts so that
+    /// they end in time.
     fn attempts(&self) -> u32 {
-        let with_hedge = 1 + u32::from(self.timing.hedge_after.is_some());
-        let default = if self.timing.timeout.is_some() { with_hedge } else { with_hedge - 1 };
+        let with_second_copy = 1 + u32::from(self.timing.hedge_after.is_some());
+        let default = if self.timing.timeout.is_some() { with_second_copy } else { with_second_copy - 1 };
         self.timing.attempts.unwrap_or(default)
     }
 
@@ -145,19 +149,19 @@
     fn describe_worst_case(&self) -> String {
         let timeout = format_duration(self.attempt_timeout());
         let is_set = self.timing.timeout.is_some();
-        let origin = if is_set { "" } else { ", the longest timeout of the policy," };
+        let origin = if is_set { "" } else { " (the longest default, as the route sets no `timeout`)" };
         let has_pauses = self.timing.pause.is_some() || self.timing.hedge_after.is_some();
-        let pauses = if has_pauses { " with the pauses between them" } else { "" };
+        let pauses = if has_pauses { ", with the pauses between them," } else { "" };
         let end = format_duration(self.worst_end());
-        format!("{} attempts of {timeout}{origin}{pauses} may take {end}", self.attempts())
+        format!("{} attempts of {timeout} each{origin}{pauses} may take {end}", self.attempts())
     }
 
     /// Describes how many attempts would end before the limit.
     fn describe_fitting(&self, limit: Micros) -> String {
         let fits = |attempts: &u32| self.worst_end_of(*attempts) + self.min_step_interval <= limit;
         match (1..self.attempts()).rev().find(fits) {
-            Some(1) => "1 attempt would fit".into(),
-            Some(count) => format!("{count} attempts would fit"),
+            Some(1) => "only 1 attempt fits".into(),
+            Some(count) => format!("only {count} attempts fit"),
             None => format!("a `timeout` under {} is needed", format_duration(limit)),
         }
     }
@@ -207,7 +211,7 @@
         };
         let reason = format!(
             "attempt {} could start {} after the first that may have run, but duplicates of class `{}` are dropped \
-             only for {}; at most {} are allowed",
+             only for {}; the route may allow at most {} attempts",
             late.number,
             format_duration(late.starts_at),
             self.name,
--- a/src/routes/mod.rs
+++ b/src/routes/mod.rs
@@ -1,6 +1,7 @@
-//! Timeouts, retry limits, pauses and abandonment times per route. A route matches messages by their destination, its kind
-//! and the message's class. The delivery policy looks up the timing here; health, rate and the choice of the endpoint are
-//! decided elsewhere. This module does no I/O and takes time as an argument.
+//! Timeouts, limits of attempts, pauses and the times after which messages are abandoned, per route. A route matches
+//! messages by their destination, its kind and the message's class. The delivery policy looks up the timing here;
+//! health, rate and the choice of the endpoint are decided elsewhere. This module does no I/O and takes time as an
+//! argument.
 //!
 //! `docs/routes.md` compares the design alternatives; `docs/operating-routes.md` is the guide for operators.
 
@@ -57,7 +58,8 @@
     pub attempts: Option<Located<u64>>,
     /// The pauses between attempts.
     pub pause: Option<ParsedPause>,
-    /// Time from the start of an attempt that timed out to the start of the hedged request to another endpoint.
+    /// Time from the start of an attempt that was cut short to its retry at another endpoint: see
+    /// [`RouteTiming::hedge_after`].
     pub hedge_after: Option<Located<Micros>>,
     /// Time from the receipt of a message to its abandonment.
     pub abandon_after: Option<Located<Micros>>,
@@ -92,7 +94,9 @@
     pub attempts: Option<u32>,
     /// The pauses between attempts.
     pub pause: Option<RetryPause>,
-    /// Time from the start of an attempt that timed out to the start of the hedged request to another endpoint.
+    /// Time from the start of an attempt that timed out or was cancelled to the start of its retry, which goes to another
+    /// endpoint if one is healthy. Unlike a hedged request in the usual sense, the retry never starts while that attempt is
+    /// in flight. `None`: the retry follows after the pause, to any endpoint.
     pub hedge_after: Option<Micros>,
     /// Time from the receipt of a message to its abandonment.
     pub abandon_after: Option<Micros>,
@@ -121,12 +125,12 @@
         pause.first.saturating_mul(factor).min(pause.max)
     }
 
-    /// The earliest time of the next attempt, from the number of attempts so far and from when the last one was sent and
-    /// ended. If the last one timed out and the route has a hedged request, that request follows a fixed time after the last
-    /// attempt was sent. It is never sent while that attempt is in flight, because this method is only called after the
-    /// attempt has ended.
-    pub fn next_attempt(&self, attempts: u32, sent_at: Micros, ended_at: Micros, timed_out: bool) -> Micros {
-        match self.hedge_after.filter(|_| timed_out) {
+    /// The earliest time of the next attempt, from the number of attempts so far and from when the last one was sent
+    /// and ended. If the last one was cut short (it timed out or was cancelled) and the route sets
+    /// [`RouteTiming::hedge_after`], the retry follows that time after the last attempt was sent. It is never sent
+    /// while that attempt is in flight, because this method is only called after the attempt has ended.
+    pub fn next_attempt(&self, attempts: u32, sent_at: Micros, ended_at: Micros, cut_short: bool) -> Micros {
+        match self.hedge_after.filter(|_| cut_short) {
             Some(after) => sent_at.saturating_add(after),
             None => ended_at.saturating_add(self.pause_after(attempts)),
         }
--- a/src/routes/timeline.rs
+++ b/src/routes/timeline.rs
@@ -10,12 +10,13 @@
     pub number: u32,
     /// The latest start, if only the earlier attempts delay it.
     pub starts_at: Micros,
-    /// The latest time at which the attempt is abandoned.
+    /// The latest time at which the attempt times out.
     pub times_out_at: Micros,
 }
 
-/// Computes the worst case of the given number of attempts with the given timeout. An attempt that times out may be followed
-/// by a hedged request, and one that ends just before its timeout by a pause; the later of the two counts.
+/// Computes the worst case of the given number of attempts with the given timeout. The retry of an attempt that times
+/// out may start at the time that [`RouteTiming::hedge_after`] sets, and that of an attempt that ends just before its
+/// timeout after a pause; the later of the two counts.
 pub fn worst_case(timing: &RouteTiming, timeout: Micros, attempts: u32) -> Vec<WorstCaseAttempt> {
     let mut start: Micros = 0;
     (1..=attempts)
@@ -26,8 +27,8 @@
                 times_out_at: start.saturating_add(timeout),
             };
             let after_pause = step.times_out_at.saturating_add(timing.pause_after(attempt));
-            let hedge_start = timing.hedge_after.map_or(0, |after| start.saturating_add(after));
-            start = after_pause.max(hedge_start);
+            let retry_start = timing.hedge_after.map_or(0, |after| start.saturating_add(after));
+            start = after_pause.max(retry_start);
             step
         })
         .collect()
