--- a/tests/pacing.rs
+++ b/tests/pacing.rs
@@ -4,10 +4,10 @@
 use cedarbridge::*;
 use common::*;
 
-/// Guards against a debt of tokens: calls sent while the endpoint was not paced would lower the slow-start
-/// rate after an outage.
+/// Guards against a negative number of tokens: calls sent while the endpoint was not paced took tokens, which
+/// would lower the slow-start rate after an outage.
 #[test]
-fn calls_before_an_outage_take_no_tokens_from_the_rate_after_it() {
+fn calls_before_an_outage_do_not_lower_the_rate_after_it() {
     let mut harness = one_destination();
     for _ in 0..400 {
         let (id, endpoint) = harness.send_one(IDEMPOTENT, 1);
@@ -23,13 +23,14 @@
         events =
             new_sends.iter().map(|(id, endpoint)| attempt_ended(*id, 0, *endpoint, Outcome::Ok)).collect();
     }
-    // The trial call is sent after two seconds. Then follow three seconds at 0.38 and more of 20 calls per
-    // second.
-    assert!(sent >= 20, "{sent} sent");
+    // The trial call is sent after two seconds. Then follow three seconds at 0.38 (the slow-start floor of
+    // 0.2, times the overload multiple of 2, times the utilization of 0.95) and more of the weight of 20
+    // calls per second.
+    assert!(sent >= 20, "{sent} messages sent");
 }
 
-/// Guards against a slow start that is slowed down by rejections long before it, although the limit is
-/// reported.
+/// Guards against rejections before an outage that lower the rate of the slow start below the even share of a
+/// reported limit.
 #[test]
 fn after_an_outage_earlier_rejections_do_not_lower_the_even_share_of_a_reported_limit() {
     let mut harness = PolicyHarness::new(Settings { forwarders: 2, ..settings() }, vec![entry(7, 1, 0)]);
@@ -63,8 +64,9 @@
         events =
             new_sends.iter().map(|(id, endpoint)| attempt_ended(*id, 0, *endpoint, Outcome::Ok)).collect();
     }
-    // Half of 20 calls per second, times 0.38 and more, for three seconds.
-    assert!((15..=30).contains(&sent), "{sent} sent");
+    // The even share is half of the reported 20 calls per second. Of it, 0.38 (the slow-start floor of 0.2,
+    // times the overload multiple of 2, times the utilization of 0.95) and more is used for three seconds.
+    assert!((15..=30).contains(&sent), "{sent} messages sent");
 }
 
 /// Guards against a burst at the end of each backoff. Where rejected calls use up the limit, the whole burst
@@ -81,16 +83,16 @@
         (0..60).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
     events.push(attempt_ended(id, 0, endpoint, Outcome::Rejected(None)));
     let mut calls_after_backoff = sends(&harness.step(events)).len();
-    assert_eq!(calls_after_backoff, 0, "a backoff");
+    assert_eq!(calls_after_backoff, 0, "no call during the backoff");
     while calls_after_backoff == 0 {
         calls_after_backoff = sends(&harness.step_after(10 * MS, vec![])).len();
     }
-    assert_eq!(calls_after_backoff, 1, "calls at its end");
+    assert_eq!(calls_after_backoff, 1, "exactly one call at the end of the backoff");
 }
 
 /// Guards against limiting a forwarder to its even share before any rejection: it follows the demand.
 #[test]
-fn uneven_messages_of_one_forwarder_go_within_a_second_until_a_rejection() {
+fn before_any_rejection_a_burst_above_the_even_share_is_sent_within_a_second() {
     let mut harness = PolicyHarness::new(large_fleet(), vec![entry_with_weight(5.0)]);
     let messages: Vec<Event> = (0..3).map(|_| Event::Message(harness.new_message(IDEMPOTENT, 1))).collect();
     harness.step_after(SECOND, vec![]);
@@ -98,7 +100,7 @@
     for _ in 0..10 {
         sent += sends(&harness.step_after(100 * MS, vec![])).len();
     }
-    assert_eq!(sent, 3, "far above the even share of one in 50 s");
+    assert_eq!(sent, 3, "all messages are sent, although the even share is one call in 50 s");
 }
 
 /// The number of calls in each second after a rejection. All later calls succeed. `messages` gives the number
@@ -151,7 +153,7 @@
     let calls = calls_after_rejection(medium_fleet, report, |tick| u64::from(tick % 3 == 0));
     assert!(
         calls[8..].iter().sum::<usize>() >= 6,
-        "{calls:?} of three a second, an even share is one in two"
+        "{calls:?} calls per second; 3.3 messages per second arrive, and the even share is 0.5 calls per second"
     );
 }
 
@@ -167,7 +169,7 @@
         let (total, even_share) = (calls[4..].iter().sum::<usize>() as f64, 14.0 * rate / forwarders as f64);
         assert!(
             (even_share * 0.8 - 1.0..=even_share * 1.2).contains(&total),
-            "{calls:?} of an even share of {even_share}"
+            "{calls:?} calls per second, {total} in the last 14 s; the even share is {even_share}"
         );
     }
 }
@@ -188,7 +190,11 @@
         let mut harness = PolicyHarness::new(fleet_settings, vec![entry_with_weight(25.0)]);
         let (id, endpoint) = harness.send_one(IDEMPOTENT, 1);
         harness.step_after(10 * MS, vec![attempt_ended(id, 0, endpoint, Outcome::Rejected(Some(500 * MS)))]);
-        assert_eq!(!sends(&harness.step_after(510 * MS, vec![])).is_empty(), at_once, "{forwarders}");
+        assert_eq!(
+            !sends(&harness.step_after(510 * MS, vec![])).is_empty(),
+            at_once,
+            "{forwarders} forwarders"
+        );
     }
 }
 
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -65,7 +65,7 @@
         (one("timeout: 100ms, attempts: ^11"), "attempts"),
         (one("timeout: 100ms, attempts: ^13"), "attempts"),
         (one("timeout: 3s, second-copy: {after: ^2s}"), "second-copy"),
-        // Without a timeout in the entry, an attempt may be in flight for the policy's longest timeout.
+        // Without a timeout in the entry, an attempt may be in flight for the longest default timeout.
         (one("second-copy: {after: ^2s}"), "second-copy"),
         (all(&["name: a, match: {class: once}, timeout: 2s, second-copy: {after: ^2s}"]), "side-effect"),
         (one("timeout: 3s, attempts: ^6, pause: {first: 50ms, longest: 50ms}"), "memory-span"),
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn a_hedged_request_goes_elsewhere_only_once_the_first_timed_out() {
+fn a_second_copy_goes_elsewhere_only_once_the_first_attempt_timed_out() {
     let route = "name: a, match: {class: notice}, timeout: 500ms, second-copy: {after: 800ms}";
     let mut harness =
         PolicyHarness::new(settings_with_routes(&[route]), vec![entry(7, 1, 0), entry(8, 1, 0)]);
@@ -252,9 +252,9 @@
     assert!(sends(&harness.step_after(500 * MS, vec![])).is_empty(), "nothing while the first is in flight");
     assert!(sends(&harness.step_after(MS, vec![attempt_ended(id, 0, first, Outcome::TimedOut)])).is_empty());
     assert!(sends(&harness.step_after(298 * MS, vec![])).is_empty(), "not before its time");
-    let hedged = sends(&harness.step_after(2 * MS, vec![]));
-    assert_eq!(hedged.len(), 1);
-    assert_ne!(hedged[0], (id, first), "to another endpoint");
+    let retries = sends(&harness.step_after(2 * MS, vec![]));
+    assert_eq!(retries.len(), 1);
+    assert_ne!(retries[0], (id, first), "to another endpoint");
     // If there is no other endpoint, it goes to the same one.
     let mut harness = PolicyHarness::new(settings_with_routes(&[route]), vec![entry(7, 1, 0)]);
     let (id, endpoint) = harness.send_one(WITH_KEY, 1);
@@ -268,6 +268,7 @@
     let entries =
         ["name: a, match: {class: notice}, timeout: 900ms", "name: b, match: {class: free}, timeout: 4s"];
     let mut harness = PolicyHarness::new(settings_with_routes(&entries), vec![entry(7, 1, 2)]);
+    // A retry-after holds the messages back until all of them wait.
     let waits = (0..2).map(|_| Event::RetryAfter { endpoint: EndpointId(7), retry_after: SECOND }).collect();
     harness.step(waits);
     let classes = [WITH_KEY, IDEMPOTENT, WITH_KEY, IDEMPOTENT, WITH_KEY];
@@ -279,7 +280,8 @@
     let timeouts: Vec<Micros> =
         sends(&actions).iter().map(|send| attempt_timeout(&actions, send.0).expect("sent").0).collect();
     assert!(!timeouts.is_empty());
-    // After a Retry-After, one step sends the endpoint one call with up to three messages.
+    // A call carries up to three messages. All messages of the class that is sent first are among the first
+    // three, so the first call carries only that class.
     let first = class_of[&sends(&actions)[0].0];
     let same_class = sends(&actions).iter().take(3).filter(|send| class_of[&send.0] == first).count();
     assert_eq!(
@@ -322,7 +324,7 @@
 /// Guards against a second attempt beside one in flight: a message whose time is over is reported as ended while its shared
 /// call goes on for other messages. A longer `give-up` must not make that message pending again.
 #[test]
-fn a_longer_give_up_does_not_revive_a_message_whose_last_attempt_is_in_flight() {
+fn a_longer_give_up_does_not_reopen_a_message_whose_last_attempt_is_in_flight() {
     let settings = |give_up: &str| {
         settings_with_routes(&[&format!("name: a, match: {{}}, timeout: 1500ms, give-up: {give_up}")])
     };
@@ -334,6 +336,7 @@
     while sends(&actions).is_empty() {
         actions = harness.step_after(10 * MS, vec![]);
     }
+    // The last attempt times out one step (`min_step_interval`, 5 ms) before the message expires.
     assert_eq!(attempt_timeout(&actions, id), Some((end - 5 * MS, true)));
     harness.step_after(10 * MS, vec![Event::Settings(Box::new(settings("9s")))]);
     let remaining = end - 5 * MS - harness.now;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,9 +1,13 @@
-//! Tests of the six rules of delivery, one for each way in which a rule could be broken.
+//! Tests of the six rules of delivery, one for each way in which a rule could be broken. The documentation of
+//! `src/policy/mod.rs` lists the rules.
 
 mod common;
 use cedarbridge::*;
 use common::*;
 
+/// A policy with one destination, 1, which has one endpoint, 7. The kinds are those of [`settings`]: the destinations of
+/// kind 0 have one circuit breaker and one message per call, each endpoint of kind 1 has its own circuit breaker, and
+/// calls to kind 2 carry up to three messages.
 fn one_endpoint(kind: usize) -> PolicyHarness {
     PolicyHarness::new(settings(), vec![entry(7, 1, kind)])
 }
@@ -11,7 +15,7 @@
 // Rule 1: each message has exactly one final result, in time.
 
 #[test]
-fn a_message_whose_destination_never_returns_is_answered_in_time() {
+fn a_message_whose_destination_never_returns_is_rejected_once_and_in_time() {
     let mut harness = PolicyHarness::new(settings(), vec![]);
     let message = harness.new_message(NON_IDEMPOTENT, 1);
     let id = message.id;
@@ -137,7 +141,7 @@
 }
 
 #[test]
-fn a_message_taken_over_from_a_dead_forwarder_counts_as_sent_when_it_was_first_received() {
+fn a_message_first_sent_to_a_dead_forwarder_counts_as_sent_when_it_was_first_received() {
     let mut harness = one_endpoint(0);
     let message =
         NewMessage { failed_over: true, time_left: 15 * SECOND, ..harness.new_message(WITH_KEY, 1) };
@@ -158,6 +162,7 @@
         EndpointListUpdate::Complete(vec![]),
     ] {
         let mut harness = one_endpoint(0);
+        // Only the retry-after of this unknown message counts: it keeps the next message waiting.
         harness.step_after(
             SECOND,
             vec![attempt_ended(MessageId(99), 0, EndpointId(7), Outcome::Rejected(Some(SECOND)))],
@@ -194,10 +199,12 @@
         events =
             new_sends.iter().map(|(id, endpoint)| attempt_ended(*id, 0, *endpoint, Outcome::Ok)).collect();
     }
-    // The weight allows 2 x 20/s x 2 s x 0.28 = 22 calls and two trial calls. The initial burst at the
-    // slow-start rate comes on top, since the weight is a limit and the capacity is higher.
-    assert!(sent >= 4, "{sent} sent");
-    assert!(sent <= 30, "{sent} sent");
+    // The limit is the overload multiple of 2, times the weight of 20 calls/s, times 2 s, times the mean
+    // share of the capacity in these two seconds of slow start, 0.28 (it rises from 0.2 to 0.36): 22 calls.
+    // Two trial calls come on top, and the initial burst at the slow-start rate, since the weight is a limit
+    // and the capacity is higher.
+    assert!(sent >= 4, "{sent} messages sent");
+    assert!(sent <= 30, "{sent} messages sent");
 }
 
 /// Guards against sending a whole backlog to an endpoint that was restarted while it was draining. No call
@@ -226,9 +233,9 @@
         sent
     };
     let sent_alone = sent_in_two_seconds(vec![entry(7, 1, 0)]);
-    assert!((4..=30).contains(&sent_alone), "{sent_alone} sent");
+    assert!((4..=30).contains(&sent_alone), "{sent_alone} messages sent");
     let sent_beside_another = sent_in_two_seconds(vec![entry(7, 1, 0), entry(8, 1, 0)]);
-    assert!((1..=20).contains(&sent_beside_another), "{sent_beside_another} sent");
+    assert!((1..=20).contains(&sent_beside_another), "{sent_beside_another} messages sent");
 }
 
 // Rule 5: messages with the same order key are delivered in order.
@@ -312,8 +319,9 @@
     assert!(!sends(&harness.step_after(10 * MS, vec![])).is_empty());
 }
 
-/// Guards against ignoring a retry-after because the endpoint that sent it was removed. The message then used
-/// up its attempts without being sent.
+/// Guards against ignoring a retry-after because the endpoint that sent it was removed. The policy then sent
+/// the message to the replacement of that endpoint at once. The check before each send refused it because of
+/// the retry-after, and the message used up its attempts without being sent.
 #[test]
 fn a_retry_after_of_a_removed_endpoint_holds_for_its_destination() {
     let mut harness = one_endpoint(0);
