--- a/src/api.rs
+++ b/src/api.rs
@@ -287,7 +287,7 @@
         /// The latest time for writing its first byte. After that it could take effect twice, or arrive too
         /// late.
         send_by: Micros,
-        /// This is the last attempt of the message, as the timeout is the time at which the message expires.
+        /// This is the last attempt of the message, as it may take until the message expires.
         #[serde(rename = "last")]
         final_attempt: bool,
     },
@@ -296,7 +296,7 @@
     Reject {
         /// The message.
         id: MessageId,
-        /// The time after which the client should retry; `None` if it gets no such advice.
+        /// The time, from now on, after which the client should retry; `None` if it gets no such advice.
         retry_after: Option<Micros>,
         /// The reason.
         reason: AbandonReason,
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -25,7 +25,7 @@
 pub enum DedupScope {
     /// All endpoints of the destination.
     All,
-    /// Only the endpoints in the zone of the first attempt.
+    /// Only the endpoints in the zone of the first attempt that may have taken effect.
     Zone,
 }
 
--- a/src/policy/records.rs
+++ b/src/policy/records.rs
@@ -31,9 +31,10 @@
     pub(super) entry: EndpointEntry,
     #[serde(rename = "breaker")]
     pub(super) admission: AdmissionControl,
+    /// When a call was last sent to it; 0 if none was.
     #[serde(rename = "last_used")]
     pub(super) last_used_at: Micros,
-    /// The last call was answered, so there should be an idle connection to reuse.
+    /// The last call that ended got a response, so there should be an idle connection to reuse.
     #[serde(rename = "reusable")]
     pub(super) has_idle_connection: bool,
 }
@@ -51,6 +52,7 @@
     pub(super) endpoints: Vec<EndpointId>,
     #[serde(rename = "breaker")]
     pub(super) admission: AdmissionControl,
+    /// The messages that wait to be sent to it.
     pub(super) waiting: Vec<MessageId>,
     /// The number of its last dispatch. The destination with the lowest number is served first.
     #[serde(rename = "last_slot")]
@@ -131,6 +133,7 @@
 pub(super) struct Call {
     pub(super) endpoint: EndpointId,
     pub(super) destination: DestinationId,
+    /// When the policy decided on it.
     #[serde(rename = "sent")]
     pub(super) sent_at: Micros,
     /// It is the trial call of a half-open breaker.
