--- a/src/settings_json/mod.rs
+++ b/src/settings_json/mod.rs
@@ -77,22 +77,22 @@
         zone_costs,
         cross_zone_cost: or_default(fees, "cross-zone", number)?,
         connection_cost: or_default(fees, "handshake", number)?,
-        classes: categories.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: realms.iter().map(tenant).collect::<Result<_, _>>()?,
+        classes: categories.iter().map(decode_class).collect::<Result<_, _>>()?,
+        tenants: realms.iter().map(decode_tenant).collect::<Result<_, _>>()?,
         over_quota_weight: or_default(root, "over-share-worth", number)?,
         kinds: kind_settings,
-        decay: required(specifics, "late", decay)?,
-        weights: required(root, "weight-source", weight_source)?,
+        decay: required(specifics, "late", decode_decay)?,
+        weights: required(root, "weight-source", decode_weight_source)?,
         max_concurrent_calls: required(specifics, "call-slots", unsigned)? as usize,
         max_open_messages: required(permissions, "max-open", unsigned)? as usize,
         max_attempts: u32::try_from(required(permissions, "max-attempts", unsigned)?).unwrap_or(u32::MAX),
         may_cancel: or_default(permissions, "cancel", boolean)?,
-        clients_mark_retries: clients_mark_retries(root)?,
+        clients_mark_retries: decode_clients_mark_retries(root)?,
         may_health_check: or_default(permissions, "probing", boolean)?,
         may_send_retry_after: or_default(permissions, "retry-after", boolean)?,
         may_hedge: or_default(permissions, "second-copies", boolean)?,
         max_retry_after: or_default(permissions, "max-retry-after", micros_from_ms)?,
-        poll_endpoint_list: required(root, "discovery", polls_endpoint_list)?,
+        poll_endpoint_list: required(root, "discovery", decode_poll_endpoint_list)?,
         max_poll_interval: or_default(rules, "must-ask-in", micros_from_ms)?,
         min_step_interval: required(root, "granularity", micros_from_ms)?,
         overload_multiple: required(rules, "fall-multiple", number)?,
@@ -139,9 +139,9 @@
     Ok((0..kinds).map(kind).collect())
 }
 
-fn class(json: &Value) -> Result<Class, DecodeError> {
-    let idempotency = required(json, "semantics", idempotency)?;
-    let dedup_scope = optional(json, "dedup-scope", dedup_scope)?.unwrap_or(DedupScope::All);
+fn decode_class(json: &Value) -> Result<Class, DecodeError> {
+    let idempotency = required(json, "semantics", decode_idempotency)?;
+    let dedup_scope = optional(json, "dedup-scope", decode_dedup_scope)?.unwrap_or(DedupScope::All);
     let deduplication_window = match idempotency {
         Idempotency::WithKey => required(json, "memory-span", micros_from_ms)?,
         Idempotency::Idempotent | Idempotency::NonIdempotent => 0,
@@ -158,15 +158,15 @@
     })
 }
 
-fn tenant(json: &Value) -> Result<Tenant, DecodeError> {
+fn decode_tenant(json: &Value) -> Result<Tenant, DecodeError> {
     Ok(Tenant { quota_per_s: required(json, "quota-per-s", number)? })
 }
 
-fn clients_mark_retries(settings: &Value) -> Result<bool, DecodeError> {
+fn decode_clients_mark_retries(settings: &Value) -> Result<bool, DecodeError> {
     settings.get("callers").map_or(Ok(false), |callers| or_default(callers, "marks-retry", boolean))
 }
 
-fn idempotency(json: &Value) -> Result<Idempotency, DecodeError> {
+fn decode_idempotency(json: &Value) -> Result<Idempotency, DecodeError> {
     match string(json)?.as_str() {
         "pure" => Ok(Idempotency::Idempotent),
         "token" => Ok(Idempotency::WithKey),
@@ -175,7 +175,7 @@
     }
 }
 
-fn dedup_scope(json: &Value) -> Result<DedupScope, DecodeError> {
+fn decode_dedup_scope(json: &Value) -> Result<DedupScope, DecodeError> {
     match string(json)?.as_str() {
         // The platform calls a destination a cell, so all of its endpoints drop repeats.
         "" | "all" | "cell" => Ok(DedupScope::All),
@@ -184,7 +184,7 @@
     }
 }
 
-fn decay(json: &Value) -> Result<Decay, DecodeError> {
+fn decode_decay(json: &Value) -> Result<Decay, DecodeError> {
     match string(json)?.as_str() {
         "linear" => Ok(Decay::Linear),
         "halving" => Ok(Decay::Halving),
@@ -192,7 +192,7 @@
     }
 }
 
-fn weight_source(json: &Value) -> Result<WeightSource, DecodeError> {
+fn decode_weight_source(json: &Value) -> Result<WeightSource, DecodeError> {
     match string(json)?.as_str() {
         "off" => Ok(WeightSource::Off),
         "nominal" => Ok(WeightSource::Nominal),
@@ -201,7 +201,7 @@
     }
 }
 
-fn polls_endpoint_list(json: &Value) -> Result<bool, DecodeError> {
+fn decode_poll_endpoint_list(json: &Value) -> Result<bool, DecodeError> {
     match string(json)?.as_str() {
         "pushed" => Ok(false),
         "on_request" => Ok(true),
@@ -209,7 +209,7 @@
     }
 }
 
-fn lifecycle(json: &Value) -> Result<Lifecycle, DecodeError> {
+fn decode_lifecycle(json: &Value) -> Result<Lifecycle, DecodeError> {
     match string(json)?.as_str() {
         "IN" => Ok(Lifecycle::Listed),
         "LAME" => Ok(Lifecycle::Draining),
@@ -233,7 +233,7 @@
         destination: DestinationId(unsigned(value(3))?),
         zone: ZoneId(index_of(&names.zones, &string(value(1))?, "zone")?),
         kind: KindId(index_of(&names.kinds, &string(value(2))?, "kind")?),
-        lifecycle: lifecycle(value(4))?,
+        lifecycle: decode_lifecycle(value(4))?,
         weight: number(value(5))?,
     })
 }
