--- a/tests/circuit_breaker.rs
+++ b/tests/circuit_breaker.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_trial_call_carries_the_message_that_is_cheapest_to_lose() {
+fn a_trial_call_carries_the_message_that_can_most_safely_be_sent_again() {
     let mut harness = one_destination();
     harness.open_breaker(1);
     let (non_idempotent, with_key, idempotent) = (
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn rejections_open_the_breaker_only_after_two_seconds_of_nothing_else() {
+fn rejections_open_the_breaker_only_after_two_seconds_without_a_success() {
     let mut harness = one_destination();
     let mut opened_after = None;
     let start = harness.now;
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_dead_endpoint_gets_no_calls_although_other_endpoints_of_its_destination_answer() {
+fn a_dead_endpoint_gets_few_calls_although_other_endpoints_of_its_destination_respond() {
     let mut harness = PolicyHarness::new(settings(), vec![entry(7, 1, 0), entry(8, 1, 0)]);
     let (mut dead_calls, mut live_calls) = (0, 0);
     let mut events: Vec<Event> = Vec::new();
--- a/tests/rates.rs
+++ b/tests/rates.rs
@@ -3,7 +3,7 @@
 use cedarbridge::rates::RateLimitEstimate;
 use cedarbridge::LoadReport;
 
-/// The estimated rate after reports of these rates and an answer without a report.
+/// The estimated rate after reports of these rates and a response without a report.
 fn estimate_after(rates: &[f64]) -> f64 {
     let mut estimate = RateLimitEstimate::default();
     for rate in rates {
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -36,10 +36,10 @@
     })
 }
 
-/// A file with these entries, one on each line from line 3 on.
-fn routes(entries: &[&str]) -> String {
+/// A site file with these routes, one on each line from line 3 on.
+fn routes(texts: &[&str]) -> String {
     let mut text = String::from("version: 1\nroutes:\n");
-    entries.iter().for_each(|entry| text += &format!("- {{{entry}}}\n"));
+    texts.iter().for_each(|route| text += &format!("- {{{route}}}\n"));
     text
 }
 
@@ -59,13 +59,13 @@
 fn every_error_is_reported_with_its_own_code_and_position() {
     let named = |rest: &str| format!("name: a, match: {{class: notice}}, {rest}");
     let one = |rest: &str| vec![named(rest)];
-    let all = |entries: &[&str]| entries.iter().map(|entry| entry.to_string()).collect::<Vec<_>>();
+    let all = |texts: &[&str]| texts.iter().map(|route| route.to_string()).collect::<Vec<_>>();
     let cases: Vec<(Vec<String>, &str)> = vec![
         (one("attempts: ^0"), "attempts"),
         (one("timeout: 100ms, attempts: ^11"), "attempts"),
         (one("timeout: 100ms, attempts: ^13"), "attempts"),
         (one("timeout: 3s, second-copy: {after: ^2s}"), "second-copy"),
-        // Without a timeout in the entry, an attempt may be in flight for the longest default timeout.
+        // Without a timeout in the route, an attempt may be in flight for the longest default timeout.
         (one("second-copy: {after: ^2s}"), "second-copy"),
         (all(&["name: a, match: {class: once}, timeout: 2s, second-copy: {after: ^2s}"]), "side-effect"),
         (one("timeout: 3s, attempts: ^6, pause: {first: 50ms, longest: 50ms}"), "memory-span"),
@@ -128,7 +128,7 @@
     ];
     let cases = cases
         .iter()
-        .map(|(entries, codes)| (routes(&entries.iter().map(String::as_str).collect::<Vec<_>>()), *codes));
+        .map(|(texts, codes)| (routes(&texts.iter().map(String::as_str).collect::<Vec<_>>()), *codes));
     let file_cases = files.chain(more_files).map(|(text, code)| (text.to_owned(), code));
     for (text, codes) in cases.chain(file_cases) {
         let (text, positions) = without_marks(&text);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn the_more_specific_entry_wins() {
+fn the_more_specific_route_wins() {
     let matches = [
         "",
         "class: notice",
@@ -178,11 +178,11 @@
         "destination: 5, kind: small",
         "destination: 5, kind: small, class: notice",
     ];
-    // Each entry is read together with all less specific ones: the last one wins.
+    // Each route is read together with all less specific ones: the last one wins.
     for last in 0..matches.len() {
-        let entries: Vec<String> =
+        let texts: Vec<String> =
             (0..=last).map(|index| format!("name: e{index}, match: {{{}}}", matches[index])).collect();
-        let text = routes(&entries.iter().map(String::as_str).collect::<Vec<_>>());
+        let text = routes(&texts.iter().map(String::as_str).collect::<Vec<_>>());
         let table = read(&text).expect(&text).routes;
         let winner = table.find(DestinationId(5), Some(KindId(0)), ClassId(WITH_KEY)).expect("one wins");
         assert_eq!(table.routes()[winner.0 as usize].name, format!("e{last}"));
@@ -194,9 +194,9 @@
     }
 }
 
-fn settings_with_routes(entries: &[&str]) -> Settings {
+fn settings_with_routes(texts: &[&str]) -> Settings {
     let mut settings = settings_and_names().0;
-    settings.routes = Some(Arc::new(read(&routes(entries)).expect("accepted").routes));
+    settings.routes = Some(Arc::new(read(&routes(texts)).expect("accepted").routes));
     settings
 }
 
@@ -265,9 +265,9 @@
 /// Guards against a call that ends for all its messages when the shortest timeout among them is over.
 #[test]
 fn messages_with_different_timeouts_do_not_share_a_call() {
-    let entries =
+    let texts =
         ["name: a, match: {class: notice}, timeout: 900ms", "name: b, match: {class: free}, timeout: 4s"];
-    let mut harness = PolicyHarness::new(settings_with_routes(&entries), vec![entry(7, 1, 2)]);
+    let mut harness = PolicyHarness::new(settings_with_routes(&texts), vec![entry(7, 1, 2)]);
     // A retry-after holds the messages back until all of them wait.
     let waits = (0..2).map(|_| Event::RetryAfter { endpoint: EndpointId(7), retry_after: SECOND }).collect();
     harness.step(waits);
@@ -344,9 +344,9 @@
     assert!(is_rejected(&actions, id) && sends(&actions).is_empty());
 }
 
-/// The values of a generated entry; times are in milliseconds.
+/// The values of a generated route; times are in milliseconds.
 #[derive(Clone, Debug)]
-struct EntryValues {
+struct RouteValues {
     class: usize,
     timeout: u64,
     attempts: u64,
@@ -356,7 +356,7 @@
     give_up: Option<u64>,
 }
 
-impl EntryValues {
+impl RouteValues {
     fn text(&self) -> String {
         let class = ["free", "notice", "once"][self.class];
         let mut text = format!(
@@ -373,13 +373,13 @@
 }
 
 /// Values that pass most checks: the worst case may still exceed a limit, which the tests filter out.
-fn mostly_valid() -> impl Strategy<Value = EntryValues> {
+fn mostly_valid() -> impl Strategy<Value = RouteValues> {
     let pause = proptest::option::of((20u64..400, 0u64..900));
     (0usize..3, 50u64..1500, 1u64..9, pause, proptest::option::of(0u64..300), any::<bool>()).prop_map(
         |(class, timeout, attempts, pause, hedge_after, gives_up)| {
             let pause = pause.map(|(first, more)| (first, first + more));
             let hedge_after = hedge_after.filter(|_| class != NON_IDEMPOTENT).map(|more| timeout + more);
-            EntryValues { class, timeout, attempts, pause, hedge_after, give_up: gives_up.then_some(19_900) }
+            RouteValues { class, timeout, attempts, pause, hedge_after, give_up: gives_up.then_some(19_900) }
         },
     )
 }
--- a/tests/stuck_calls.rs
+++ b/tests/stuck_calls.rs
@@ -30,7 +30,7 @@
         for (class, elapsed) in [(IDEMPOTENT, 100 * MS), (WITH_KEY, 500 * MS)] {
             let (id, endpoint) = harness.send_one(class, 1);
             let (outcome, report) = (Outcome::Ok, None);
-            let answer = Event::AttemptEnded {
+            let response = Event::AttemptEnded {
                 id,
                 attempt: 0,
                 endpoint,
@@ -39,7 +39,7 @@
                 completes_message: true,
                 report,
             };
-            harness.step_after(elapsed, vec![answer]);
+            harness.step_after(elapsed, vec![response]);
         }
     }
     // The mean latency is 0.3 s, so a call counts as stuck after 1.2 s. For the class with long calls that
