--- a/src/policy/records.rs
+++ b/src/policy/records.rs
@@ -31,9 +31,10 @@
     pub(super) entry: EndpointEntry,
     #[serde(rename = "breaker")]
     pub(super) admission: AdmissionControl,
+    /// When a call was last sent to it; 0 if none was.
     #[serde(rename = "last_used")]
     pub(super) last_used_at: Micros,
-    /// The last call was answered, so there should be an idle connection to reuse.
+    /// The last call that ended got a response, so there should be an idle connection to reuse.
     #[serde(rename = "reusable")]
     pub(super) has_idle_connection: bool,
 }
@@ -51,6 +52,7 @@
     pub(super) endpoints: Vec<EndpointId>,
     #[serde(rename = "breaker")]
     pub(super) admission: AdmissionControl,
+    /// The messages that wait to be sent to it.
     pub(super) waiting: Vec<MessageId>,
     /// The number of its last dispatch. The destination with the lowest number is served first.
     #[serde(rename = "last_slot")]
@@ -82,11 +84,12 @@
     /// It has its final result, or was withdrawn by its client.
     #[serde(rename = "over")]
     pub(super) complete: bool,
-    /// The next attempt is not sent before this time, by the pause or hedging delay of its route.
+    /// The next attempt is not sent before this time, because of the pauses of its route or the delay that
+    /// the route sets after a timeout.
     #[serde(rename = "rest_until")]
     pub(super) retry_at: Micros,
-    /// The endpoint at which an attempt timed out, if the next one is a hedged request, which must go
-    /// elsewhere.
+    /// The endpoint of the last attempt, if that timed out or was cancelled and the route sends the retry to
+    /// another endpoint; otherwise `None`.
     #[serde(rename = "avoid")]
     pub(super) avoid_endpoint: Option<EndpointId>,
     /// When it expires, fixed while its last attempt is in flight; that attempt may take until then.
@@ -130,6 +133,7 @@
 pub(super) struct Call {
     pub(super) endpoint: EndpointId,
     pub(super) destination: DestinationId,
+    /// When the policy decided on it.
     #[serde(rename = "sent")]
     pub(super) sent_at: Micros,
     /// It is the trial call of a half-open breaker.
@@ -161,7 +165,7 @@
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct KeyQueue {
     pub(super) queue: VecDeque<MessageId>,
-    /// The next message waits until this time, because the last attempt may still be running.
+    /// The next message waits until this time, because the last attempt may still run.
     #[serde(rename = "rest_until")]
     pub(super) paused_until: Micros,
 }
@@ -176,7 +180,7 @@
 stored_as_array!(QuotaBucket { tokens: f64, refilled_at: Micros });
 
 impl QuotaBucket {
-    /// Creates a full bucket. The first refill reduces the tokens to the capacity.
+    /// Creates a full bucket. The first refill reduces the number of tokens to the capacity.
     pub(super) fn full() -> Self {
         QuotaBucket { tokens: f64::MAX, refilled_at: 0 }
     }
