--- a/src/net/runtime/start.rs
+++ b/src/net/runtime/start.rs
@@ -261,7 +261,7 @@
     claim
         .start_serving(context, Owner { operator: address, token }, endpoint_list)
         .map_err(|error| StartError::Folder(context.config().state_folder.clone(), error))?;
-    info!(context.log, "operators may call"; "operator" => %address);
+    info!(context.log, "listening for admin requests"; "operator" => %address);
     let serving = operator::serve(context.clone(), endpoint_list.clone(), listener);
     context.executor.spawn(serving).detach();
     Ok(())
--- a/tests/scenario/world.rs
+++ b/tests/scenario/world.rs
@@ -360,7 +360,8 @@
 
     fn until_serving(&mut self) {
         if self.options.operator {
-            self.process.operator = Some(self.process.logged_address("operators may call", "operator: "));
+            self.process.operator =
+                Some(self.process.logged_address("listening for admin requests", "operator: "));
         }
         self.until_healthy();
         // Until it has the list from the watch, not only a cached one: what is sent from here on is a change.
@@ -429,7 +430,7 @@
 
 /// An admin request to a process; `crowd 20 TEXT` opens so many connections that stay open.
 fn admin_step(process: &Process, idle_connections: &mut Vec<TcpStream>, words: &[&str], rest: &str) {
-    let operator = process.operator.expect("operators may call");
+    let operator = process.operator.expect("the process listens for admin requests");
     match words {
         ["crowd", count, ..] => {
             let text = unescape(text_behind(rest, count));
