--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -175,7 +175,9 @@
         let (head, body) = match self.read_before(due).await {
             Some(Ok(request)) => request,
             Some(Err(error)) => return Err(self.reject_unreadable(error).await),
-            None if self.context.lifecycle.is_stopped() => return Err(self.reject_as_closing().await),
+            None if self.context.lifecycle.is_delivery_stopped() => {
+                return Err(self.reject_as_closing().await)
+            }
             None => {
                 let reason = CloseReason::SlowRequest;
                 return Err(self.reject(408, "the request took too long", reason).await);
@@ -213,7 +215,7 @@
             None
         };
         let ended = async {
-            future::or(registration.evicted(), self.context.lifecycle.until_stopped()).await;
+            future::or(registration.evicted(), self.context.lifecycle.until_delivery_stopped()).await;
             None
         };
         let read = async { Some(read_request(&mut self.connection).await) };
@@ -225,8 +227,9 @@
     async fn respond(&mut self, request: ReceivedRequest) -> Result<(), ConnectionEnd> {
         let request_keeps_alive = request.head.keep_alive;
         let response = self.answer(request).await?;
-        let is_closing = self.context.lifecycle.is_closing();
-        let keep_alive = request_keeps_alive && !is_closing && !self.context.closes_after_response();
+        let is_shutting_down = self.context.lifecycle.is_shutting_down();
+        let keep_alive =
+            request_keeps_alive && !is_shutting_down && !self.context.closes_connections_after_response();
         if self.send(&response, keep_alive).await.is_err() {
             if let Some(id) = response.accepted {
                 self.withdraw(id).await;
@@ -237,9 +240,9 @@
             return Ok(());
         }
         // Checked again, because the shutdown may have begun while the response was written.
-        let reason = if self.context.lifecycle.is_closing() {
+        let reason = if self.context.lifecycle.is_shutting_down() {
             CloseReason::Closing
-        } else if self.context.closes_after_response() {
+        } else if self.context.closes_connections_after_response() {
             CloseReason::Quiesced
         } else {
             CloseReason::Answered
@@ -378,7 +381,7 @@
 
 /// Returns once the shutdown has begun and a connection between requests has had its grace to begin another.
 async fn until_closing_grace_ends(lifecycle: &Lifecycle, is_new: bool) {
-    lifecycle.until_closing().await;
+    lifecycle.until_shutdown().await;
     if lifecycle.is_handed_over() {
         // Clients can reconnect to the successor: a response within this time tells them to close the connection.
         Timer::after(HANDED_OVER_GRACE).await;
@@ -388,7 +391,7 @@
         let grace_ended = async {
             Timer::after(FIRST_REQUEST_GRACE).await;
         };
-        future::or(lifecycle.until_stopped(), grace_ended).await;
+        future::or(lifecycle.until_delivery_stopped(), grace_ended).await;
     }
 }
 
--- a/src/net/context.rs
+++ b/src/net/context.rs
@@ -125,7 +125,7 @@
 
     /// Whether this process has an endpoint list and is not shutting down.
     pub fn is_ready(&self) -> bool {
-        self.endpoint_list.is_known() && !self.lifecycle.is_closing()
+        self.endpoint_list.is_known() && !self.lifecycle.is_shutting_down()
     }
 
     /// Whether clients may connect. After a hand-over, messages of clients that still connect here are forwarded to
@@ -135,7 +135,7 @@
     }
 
     /// Whether client connections are closed after their next response.
-    pub fn closes_after_response(&self) -> bool {
+    pub fn closes_connections_after_response(&self) -> bool {
         self.lifecycle.is_quiesced() || self.lifecycle.is_handed_over()
     }
 
--- a/src/net/operator/handover.rs
+++ b/src/net/operator/handover.rs
@@ -40,7 +40,10 @@
             return Err(Response::text(415, format!("this process speaks form {FORMAT_VERSION}\n")));
         }
         let lifecycle = &self.context.lifecycle;
-        if lifecycle.is_handing_over() || lifecycle.is_closing() || !self.context.endpoint_list.is_known() {
+        if lifecycle.is_handing_over()
+            || lifecycle.is_shutting_down()
+            || !self.context.endpoint_list.is_known()
+        {
             return Err(Response::text(409, "not now\n"));
         }
         lifecycle.enter_hand_over(HandOverPhase::HandingOver);
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -116,7 +116,7 @@
         clients: clients(&settings),
         address: 0,
     };
-    future::or(entry.keep_registered(&context), context.lifecycle.until_closing()).await;
+    future::or(entry.keep_registered(&context), context.lifecycle.until_shutdown()).await;
     // The renewal may have been cancelled in the middle of a request, so its connection cannot be reused.
     entry.clients = clients(&settings);
     let path = entry.path();
--- a/src/net/runtime/lifecycle.rs
+++ b/src/net/runtime/lifecycle.rs
@@ -48,12 +48,12 @@
     }
 
     /// Whether the shutdown has begun.
-    pub fn is_closing(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.shutdown.get() >= ShutdownPhase::Closing
     }
 
     /// Returns once the shutdown has begun.
-    pub async fn until_closing(&self) {
+    pub async fn until_shutdown(&self) {
         self.shutdown.until_entered(ShutdownPhase::Closing).await;
     }
 
@@ -65,12 +65,12 @@
     }
 
     /// Whether the shutdown has come so far that no more decisions are made.
-    pub fn is_stopped(&self) -> bool {
+    pub fn is_delivery_stopped(&self) -> bool {
         self.shutdown.get() >= ShutdownPhase::DecisionsStopped
     }
 
     /// Returns once the shutdown has come so far that no more decisions are made.
-    pub async fn until_stopped(&self) {
+    pub async fn until_delivery_stopped(&self) {
         self.shutdown.until_entered(ShutdownPhase::DecisionsStopped).await;
     }
 
