--- a/src/net/call.rs
+++ b/src/net/call.rs
@@ -29,18 +29,18 @@
     }
 }
 
-/// An attempt to deliver a message, as part of a call.
+/// An attempt to deliver a message, as part of a call. Its times are in microseconds of the monotonic clock.
 #[derive(Clone)]
 pub struct Attempt {
     /// The message that is delivered.
     pub message: Rc<InFlightMessage>,
     /// The number of the attempt, counted from 0 for each message.
     pub number: u32,
-    /// When the attempt is abandoned.
+    /// When the attempt times out.
     pub timeout_at: Micros,
     /// The first byte of the attempt must be written before this time.
     pub send_by: Micros,
-    /// Whether the attempt times out at the message's deadline, so that no other attempt can follow.
+    /// Whether `timeout_at` is the message's deadline, so that no other attempt can follow.
     pub final_attempt: bool,
 }
 
@@ -57,16 +57,16 @@
     pub endpoint: EndpointId,
     /// The attempts that share the call; at least one.
     pub attempts: Vec<Attempt>,
-    /// When the policy decided on the call.
+    /// When the policy decided on the call, in microseconds of the monotonic clock.
     pub decided_at: Micros,
     /// This channel is closed to cancel the call.
     pub cancelled: Receiver<()>,
 }
 
 impl Call {
-    /// Creates a call. The attempt with the latest timeout comes first, as the endpoint takes the first deadline for
-    /// that of the whole call. With a shorter one, endpoints that hung responded after it and reported messages as
-    /// delivered that were not.
+    /// Creates a call. The attempt with the latest timeout comes first, because the endpoint takes the first deadline
+    /// for that of the whole call. When an earlier deadline came first, endpoints that hung responded after that
+    /// deadline and reported messages as delivered that were not.
     pub fn new(
         endpoint: EndpointId,
         mut attempts: Vec<Attempt>,
@@ -77,33 +77,35 @@
         Call { endpoint, attempts, decided_at, cancelled }
     }
 
-    /// The earliest timeout of the open attempts. `open_attempts` tells for each attempt, in order, whether it is
-    /// still open.
-    pub fn first_timeout(&self, open_attempts: &[bool]) -> Micros {
-        let open = self.attempts.iter().zip(open_attempts).filter(|(_, open)| **open);
-        open.map(|(attempt, _)| attempt.timeout_at).min().unwrap_or(0)
+    /// The earliest timeout of the attempts whose result is still to be reported, in microseconds of the monotonic
+    /// clock; 0 if there is none. `unreported_attempts` tells for each attempt, in order, whether it is one of them.
+    pub fn first_timeout(&self, unreported_attempts: &[bool]) -> Micros {
+        let unreported = self.attempts.iter().zip(unreported_attempts).filter(|(_, unreported)| **unreported);
+        unreported.map(|(attempt, _)| attempt.timeout_at).min().unwrap_or(0)
     }
 
-    /// The time before which the first byte must be written: the earliest `send_by` of all attempts.
+    /// The time before which the first byte must be written: the earliest `send_by` of all attempts, in microseconds
+    /// of the monotonic clock.
     pub fn send_by(&self) -> Micros {
         self.attempts.iter().map(|attempt| attempt.send_by).min().unwrap_or(0)
     }
 
-    /// The latest timeout of all attempts.
+    /// The latest timeout of all attempts, in microseconds of the monotonic clock.
     pub fn last_timeout(&self) -> Micros {
         self.attempts.iter().map(|attempt| attempt.timeout_at).max().unwrap_or(0)
     }
 
-    /// The indices of the open attempts that can be abandoned now while the call continues for the others. `None` if
-    /// the whole call must end: all open attempts have timed out, or one of those that have may be sent again, which
-    /// is not allowed while this call is in flight. Without this, one message at its deadline would abandon the call
-    /// for all others, again and again.
-    pub fn expired_attempts(&self, now: Micros, open_attempts: &[bool]) -> Option<Vec<usize>> {
-        let open_indices: Vec<usize> =
-            (0..self.attempts.len()).filter(|index| open_attempts[*index]).collect();
+    /// The indices of the unreported attempts that have timed out and can be reported now, while the call continues
+    /// for the others. `None` if the whole call must end: either all unreported attempts have timed out, or one that
+    /// has is not its message's final attempt, and the message must not be sent again while this call is in flight.
+    /// If a call always ended at its first timeout, one message at its deadline would end the attempts of all others,
+    /// again and again.
+    pub fn expired_attempts(&self, now: Micros, unreported_attempts: &[bool]) -> Option<Vec<usize>> {
+        let unreported_indices: Vec<usize> =
+            (0..self.attempts.len()).filter(|index| unreported_attempts[*index]).collect();
         let is_due = |index: &usize| self.attempts[*index].timeout_at <= now;
-        let due_indices: Vec<usize> = open_indices.iter().copied().filter(is_due).collect();
-        let others_remain = !due_indices.is_empty() && due_indices.len() < open_indices.len();
+        let due_indices: Vec<usize> = unreported_indices.iter().copied().filter(is_due).collect();
+        let others_remain = !due_indices.is_empty() && due_indices.len() < unreported_indices.len();
         let all_final = due_indices.iter().all(|index| self.attempts[*index].final_attempt);
         (others_remain && all_final).then_some(due_indices)
     }
@@ -126,7 +128,7 @@
 pub struct AttemptResult {
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Whether the message is complete, as it was delivered or has expired.
+    /// Whether the message ends with this attempt, because the endpoint has accepted it or reported it as expired.
     #[serde(rename = "ended")]
     pub completes_message: bool,
 }
@@ -158,18 +160,19 @@
     }
 }
 
-/// The completion of a call.
+/// The completion of a call. A predecessor sends it to its successor as well: the monotonic clock shows the same time in
+/// all processes of a machine.
 #[derive(Serialize, Deserialize)]
 pub struct CallCompletion {
     /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// When the policy decided on the call.
+    /// When the policy decided on the call, in microseconds of the monotonic clock.
     #[serde(rename = "sent")]
     pub decided_at: Micros,
     /// The attempts that the call carried.
     #[serde(rename = "parts")]
     pub attempts: Vec<AttemptId>,
-    /// The results of these attempts, and what else the response said.
+    /// The results of these attempts, with the load report and the retry-after of the response.
     #[serde(rename = "ended")]
     pub result: CallResult,
 }
--- a/src/net/delivery/actor.rs
+++ b/src/net/delivery/actor.rs
@@ -53,16 +53,16 @@
     pub(super) timers: BinaryHeap<Reverse<PolicyTimer>>,
     /// The events of the policy's next step.
     pub(super) events: Vec<Event>,
-    /// When the last step was made.
+    /// When the last step was made, in microseconds of the monotonic clock.
     pub(super) last_step_at: Micros,
     /// Whether the journal is writable, as the policy was last told.
     pub(super) journal_writable: bool,
     /// No more steps are made: the process is shutting down, or a successor makes the decisions.
     pub(super) stopped: bool,
-    /// A process that has asked to take over; the hand-over starts after the next step.
+    /// A process that has asked to take over. The hand-over to it starts after the next step; `None` while there is none.
     pub(super) successor: Option<Successor>,
-    /// The attempts in flight at the predecessor, including those of ended messages: the policy expects the end of
-    /// each.
+    /// The attempts in flight at the predecessor and their endpoints. They include attempts of ended messages, because
+    /// the policy expects an [`Event::AttemptEnded`] for each.
     pub(super) predecessor_attempts: BTreeMap<AttemptId, EndpointId>,
     /// Messages received from each tenant, including rejected ones; a hand-over passes the counts on.
     pub(super) received_by_tenant: Vec<u64>,
@@ -112,15 +112,15 @@
     pub async fn run(mut self, mailbox: Receiver<DeliveryMessage>) {
         loop {
             if self.events.is_empty() {
-                match self.next_message_or_timer(&mailbox).await {
-                    Some(Ok(message)) => self.handle_message(message).await,
+                match self.next_mailbox_item_or_timer(&mailbox).await {
+                    Some(Ok(message)) => self.handle_mailbox_item(message).await,
                     Some(Err(_)) => return,
                     None => {}
                 }
             }
             self.until_step_allowed().await;
             while let Ok(message) = mailbox.try_recv() {
-                self.handle_message(message).await;
+                self.handle_mailbox_item(message).await;
             }
             if self.stopped {
                 self.events.clear();
@@ -128,13 +128,14 @@
             }
             self.step().await;
             if let Some(successor) = self.successor.take() {
+                // Returns only if the successor did not take over.
                 handover::hand_over(&mut self, successor, &mailbox).await;
             }
         }
     }
 
-    /// Waits for the next message in the mailbox. Returns `None` if a timer of the policy is due first.
-    async fn next_message_or_timer(
+    /// Waits for the next item in the mailbox. Returns `None` if a timer of the policy is due first.
+    async fn next_mailbox_item_or_timer(
         &self,
         mailbox: &Receiver<DeliveryMessage>,
     ) -> Option<Result<DeliveryMessage, async_channel::RecvError>> {
@@ -151,8 +152,8 @@
         future::or(async { Some(mailbox.recv().await) }, timer_due).await
     }
 
-    /// Waits until `min_step_interval` has passed since the last step, so that messages arriving meanwhile share a
-    /// step.
+    /// Waits until `min_step_interval` has passed since the last step. Whatever arrives in the mailbox meanwhile is
+    /// processed in the same step.
     async fn until_step_allowed(&self) {
         let clock = self.context.clock;
         let allowed_at = self.last_step_at + self.context.config().min_step_interval;
@@ -161,7 +162,7 @@
         }
     }
 
-    async fn handle_message(&mut self, message: DeliveryMessage) {
+    async fn handle_mailbox_item(&mut self, message: DeliveryMessage) {
         match message {
             DeliveryMessage::Submit { request, reply } => self.submit(request, reply),
             DeliveryMessage::Withdrawn { id } => self.withdraw(id),
@@ -183,15 +184,17 @@
                 };
                 self.context.executor.spawn(perform_command).detach();
             }
+            // The calls in flight at the predecessor have no result any more. They are completed with an outcome that
+            // says that they may have run.
             DeliveryMessage::PredecessorGone => {
                 self.take_lost_calls().into_iter().for_each(|completion| self.call_completed(completion))
             }
-            // Only the relay to a successor uses these lines, and it has ended.
+            // The line is for a successor, and there is none: this process was not replaced.
             DeliveryMessage::ListLine(_) => {}
-            // The message wakes the actor; the next step reads the journal's status.
+            // This only wakes the actor; the next step reads the journal's status.
             DeliveryMessage::JournalWritable => {}
             DeliveryMessage::DescribeStatus { reply } => {
-                // Sending fails if the operator has disconnected; nobody needs the status then.
+                // Sending fails if the client that asked has disconnected; nobody needs the status then.
                 let _ = reply.try_send(self.status());
             }
             DeliveryMessage::Stop => self.stop(),
--- a/src/net/delivery/attempts.rs
+++ b/src/net/delivery/attempts.rs
@@ -11,7 +11,7 @@
 
 /// A call of one step: all attempts to which the policy gave the same call number and endpoint.
 pub(super) struct PlannedCall {
-    /// The policy's number of the call, by which the attempts of one call are recognized.
+    /// The number that the policy gave to the call. Attempts with the same number share the call.
     number: u64,
     endpoint: EndpointId,
     attempts: Vec<Attempt>,
@@ -29,8 +29,8 @@
 
 impl DeliveryActor {
     /// Adds the attempt of an [`Action::Send`] to the calls of this step. Attempts share a call only if the policy
-    /// numbered them so: merging two calls to one endpoint would abandon all attempts at the shorter of the two
-    /// timeouts.
+    /// gave them the same call number. If two calls to one endpoint were merged, all their attempts would end at the
+    /// shorter of the two timeouts.
     pub(super) fn plan_attempt(&self, calls: &mut Vec<PlannedCall>, action: &Action) {
         let Action::Send { id, endpoint, call, timeout_at, send_by, final_attempt } = *action else { return };
         let Some(open) = self.messages.get(&id) else { return };
@@ -53,13 +53,14 @@
             let endpoint = planned.endpoint;
             let call = self.begin_call(now, planned);
             let Some(mailbox) = self.endpoints.mailbox(&self.context, endpoint) else {
-                warn!(self.context.log, "call to an endpoint that is not listed"; "endpoint" => endpoint.0);
+                warn!(self.context.log, "call not sent: its endpoint is not in the endpoint list";
+                    "endpoint" => endpoint.0);
                 self.complete_unsent(call);
                 continue;
             };
             if let Err(error) = mailbox.try_send(EndpointMessage::Call(call)) {
-                warn!(self.context.log, "the endpoint's mailbox does not accept the call"; "endpoint" => endpoint.0,
-                    "error" => %error);
+                warn!(self.context.log, "call not sent: the endpoint's mailbox is full or closed";
+                    "endpoint" => endpoint.0, "error" => %error);
                 if let EndpointMessage::Call(call) = error.into_inner() {
                     self.complete_unsent(call);
                 }
@@ -104,15 +105,15 @@
     pub(super) fn call_completed(&mut self, completion: CallCompletion) {
         let CallCompletion { endpoint, decided_at, attempts, result } = completion;
         let elapsed = self.context.clock.now().saturating_sub(decided_at);
-        let rejected_with_wait =
+        let rejection_has_retry_after =
             result.attempts.iter().any(|attempt| matches!(attempt.outcome, Outcome::Rejected(Some(_))));
         let report = result.report;
         for (id, result) in attempts.into_iter().zip(result.attempts) {
             self.attempt_completed(CompletedAttempt { id, endpoint, elapsed, result, report });
         }
-        // A rejected attempt carries the retry-after in its outcome; a response that rejects nothing needs an event
-        // of its own.
-        if let Some(retry_after) = result.retry_after.filter(|_| !rejected_with_wait) {
+        // The outcome of a rejected attempt already contains the retry-after; without a rejected attempt it needs an
+        // event of its own.
+        if let Some(retry_after) = result.retry_after.filter(|_| !rejection_has_retry_after) {
             self.events.push(Event::RetryAfter { endpoint, retry_after });
         }
     }
@@ -154,7 +155,7 @@
         Some(open.message.clone())
     }
 
-    /// Ends a message whose endpoint has delivered it or has found it expired.
+    /// Ends a message that its endpoint has accepted or reported as expired.
     fn end_by_response(&mut self, id: MessageId, outcome: Outcome, message: Option<&InFlightMessage>) {
         let delivered = outcome == Outcome::Ok;
         let end = if delivered { MessageEnd::Delivered } else { MessageEnd::Expired };
--- a/src/net/delivery/hand_over.rs
+++ b/src/net/delivery/hand_over.rs
@@ -94,9 +94,9 @@
         self.context.counters.inherited.increment();
     }
 
-    /// Returns a completion for each attempt that was in flight at a predecessor that is gone. The outcome says that
-    /// the attempt may have run, but that its connection failed and not its endpoint: the failure must not contribute
-    /// to an ejection.
+    /// Returns a completion for each attempt that was in flight at a predecessor that is gone, and forgets these
+    /// attempts. The outcome says that the attempt may have run. It blames the connection instead of the endpoint,
+    /// because the failure must not contribute to an ejection.
     pub fn take_lost_calls(&mut self) -> Vec<CallCompletion> {
         let decided_at = self.context.clock.now();
         let lost_completion = |(attempt, endpoint): (AttemptId, EndpointId)| {
--- a/src/net/endpoint/call.rs
+++ b/src/net/endpoint/call.rs
@@ -1,5 +1,7 @@
-//! A call in flight: it ends with a response, a failure, a timeout or a cancellation. Its connection is returned to
-//! the pool or closed before the delivery actor receives the completion.
+//! A call in flight: it ends with a response, a failure, a timeout or a cancellation. Before the delivery actor
+//! receives the completion, the call's connection is returned to the pool, closed, or left to
+//! [`late_response`], which only reads from it. Only attempts that expire while the call goes on for the others are
+//! reported earlier.
 
 use super::connection_end::{CallFailure, ConnectionEnd};
 use super::exchange::{exchange, CallEnd, Progress, Stage};
@@ -18,24 +20,27 @@
 use std::pin::pin;
 use std::rc::Rc;
 
-/// Makes a call and sends its completion to the delivery actor. `idle` is a connection to reuse.
+/// Makes a call and sends its completion to the delivery actor. `idle` is a connection to reuse; `None` if a new one
+/// must be made. `return_to` is the mailbox of the endpoint's actor, to which a reusable connection is returned;
+/// `None` if the endpoint was removed, so that the connection is closed instead.
 pub(super) async fn run(
     context: Rc<Context>,
     call: Call,
     idle: Option<HttpConnection>,
-    pool: Option<Sender<EndpointMessage>>,
+    return_to: Option<Sender<EndpointMessage>>,
 ) {
     let _in_flight = context.gauges.calls_in_flight.increment_scoped();
-    let mut open_attempts = vec![true; call.attempts.len()];
-    let mut result = perform_call(&context, &call, idle, pool, &mut open_attempts).await;
+    let mut unreported_attempts = vec![true; call.attempts.len()];
+    let mut result = perform_call(&context, &call, idle, return_to, &mut unreported_attempts).await;
     if let Some(retry_after) = result.retry_after {
         context.endpoint_table.record_retry_after(call.endpoint, retry_after);
     }
-    let unreported: Vec<usize> = (0..call.attempts.len()).filter(|index| open_attempts[*index]).collect();
-    result.attempts = unreported.iter().map(|index| result.attempts[*index]).collect();
-    let call = call.with_attempts(&unreported);
-    // Sent only now that the connection is closed or idle: the endpoint must not see a further attempt while this one
-    // is in flight.
+    let unreported_indices: Vec<usize> =
+        (0..call.attempts.len()).filter(|index| unreported_attempts[*index]).collect();
+    result.attempts = unreported_indices.iter().map(|index| result.attempts[*index]).collect();
+    let call = call.with_attempts(&unreported_indices);
+    // Sent only now that no byte of this call's request can be written any more, because a further attempt of its
+    // messages may start as soon as the completion is received.
     send_completion(&context, &call, result).await;
 }
 
@@ -48,8 +53,8 @@
     context: &Rc<Context>,
     call: &Call,
     idle: Option<HttpConnection>,
-    pool: Option<Sender<EndpointMessage>>,
-    open_attempts: &mut [bool],
+    return_to: Option<Sender<EndpointMessage>>,
+    unreported_attempts: &mut [bool],
 ) -> CallResult {
     let progress = Progress::default();
     let reused = idle.is_some();
@@ -60,14 +65,14 @@
             Err(end) => end,
         }
     };
-    let end = until_end(context, call, exchange, &progress, open_attempts).await;
+    let end = until_end(context, call, exchange, &progress, unreported_attempts).await;
     if reused && matches!(progress.stage.get(), Stage::Writing | Stage::Written) {
         context.counters.connections_reused.increment();
     }
     let ended = EndedCall { context, call, progress, reused };
     let failure = match end {
-        CallEnd::Response(response) => return ended.response_result(&response, connection, pool).await,
-        CallEnd::NotSent(refusal) => return ended.refusal_result(refusal, connection, pool).await,
+        CallEnd::Response(response) => return ended.response_result(&response, connection, return_to).await,
+        CallEnd::NotSent(refusal) => return ended.refusal_result(refusal, connection, return_to).await,
         CallEnd::ConnectionFailed(error) => ended.classify_failure(&error, connection.as_ref()),
         CallEnd::TimedOut if ended.is_written() => CallFailure::TimedOut,
         CallEnd::TimedOut => CallFailure::TimedOutBeforeSent,
@@ -78,19 +83,20 @@
 }
 
 /// Waits for the end of a call. Attempts that time out at their message's deadline, before the others of the call,
-/// are reported meanwhile and marked as closed in `open_attempts`.
+/// are reported to the delivery actor meanwhile. `unreported_attempts` tells for each attempt of the call whether its
+/// result is still to be reported.
 async fn until_end(
     context: &Context,
     call: &Call,
     exchange: impl Future<Output = CallEnd>,
     progress: &Progress,
-    open_attempts: &mut [bool],
+    unreported_attempts: &mut [bool],
 ) -> CallEnd {
     let clock = context.clock;
     let mut exchange = pin!(exchange);
     loop {
         let timeout = async {
-            Timer::at(clock.instant_at(call.first_timeout(open_attempts))).await;
+            Timer::at(clock.instant_at(call.first_timeout(unreported_attempts))).await;
             CallEnd::TimedOut
         };
         let cancellation = async {
@@ -102,8 +108,8 @@
         if !matches!(end, CallEnd::TimedOut) || progress.stage.get() != Stage::Written {
             return end;
         }
-        let Some(expired) = call.expired_attempts(clock.now(), open_attempts) else { return end };
-        expired.iter().for_each(|index| open_attempts[*index] = false);
+        let Some(expired) = call.expired_attempts(clock.now(), unreported_attempts) else { return end };
+        expired.iter().for_each(|index| unreported_attempts[*index] = false);
         let result = CallResult::same_for_all(expired.len(), AttemptResult::from_outcome(Outcome::TimedOut));
         send_completion(context, &call.with_attempts(&expired), result).await;
     }
@@ -124,33 +130,34 @@
         &self,
         response: &Response,
         connection: Option<HttpConnection>,
-        pool: Option<Sender<EndpointMessage>>,
+        return_to: Option<Sender<EndpointMessage>>,
     ) -> CallResult {
         let retry_after = self.progress.retry_after.get();
         let result = response::read_result(&self.context.log, self.call, response, retry_after, self.reused);
-        let connection_refused =
+        let connection_limit_reached =
             result.attempts.iter().any(|attempt| attempt.outcome == Outcome::ConnectFailed);
-        match (connection, pool) {
-            (Some(connection), Some(pool))
+        match (connection, return_to) {
+            (Some(connection), Some(return_to))
                 if response.head.keep_alive && connection.buffer.bytes().is_empty() =>
             {
-                return_to_pool(connection, &pool).await
+                return_to_pool(connection, &return_to).await
             }
-            _ if connection_refused => self.log_closed(ConnectionEnd::ConnectionLimit),
-            _ => self.log_closed(ConnectionEnd::Response),
+            _ if connection_limit_reached => self.log_connection_end(ConnectionEnd::ConnectionLimit),
+            _ => self.log_connection_end(ConnectionEnd::Response),
         }
         result
     }
 
-    /// The result of a call whose first byte was refused. Nothing was written, so the connection can still be reused.
+    /// The result of a call that failed the check before its first byte. Nothing was written, so the connection can
+    /// still be reused.
     async fn refusal_result(
         &self,
         refusal: SendRefusal,
         connection: Option<HttpConnection>,
-        pool: Option<Sender<EndpointMessage>>,
+        return_to: Option<Sender<EndpointMessage>>,
     ) -> CallResult {
-        if let (Some(connection), Some(pool)) = (connection, pool) {
-            return_to_pool(connection, &pool).await;
+        if let (Some(connection), Some(return_to)) = (connection, return_to) {
+            return_to_pool(connection, &return_to).await;
         }
         let outcome = match refusal {
             SendRefusal::JournalFailing => Outcome::NotJournaled,
@@ -166,8 +173,8 @@
         CallFailure::from_connection_error(error, self.unanswered_since_written(connection))
     }
 
-    /// The result of a call without a complete response. Its connection is closed, or kept for a moment to read a
-    /// late response.
+    /// The result of a call without a complete response. Its connection is closed, or kept for at most 500 ms to read
+    /// a late response. In both cases its end is logged now.
     fn failure_result(&self, failure: CallFailure, connection: Option<HttpConnection>) -> CallResult {
         let delivered = self.is_delivered(connection.as_ref());
         let abandoned = matches!(failure, CallFailure::TimedOut | CallFailure::Cancelled);
@@ -175,7 +182,7 @@
         if let Some(connection) = connection.filter(|_| abandoned && unanswered) {
             late_response::read_in_background(self.context, self.call.endpoint, connection);
         }
-        self.log_closed(ConnectionEnd::CallFailed(failure));
+        self.log_connection_end(ConnectionEnd::CallFailed(failure));
         let outcome = if delivered { Outcome::Ok } else { failure.outcome() };
         CallResult {
             retry_after: self.progress.retry_after.get(),
@@ -204,12 +211,12 @@
         (self.reused && unanswered).then(|| self.context.clock.now() - written_at)
     }
 
-    fn log_closed(&self, reason: ConnectionEnd) {
+    fn log_connection_end(&self, reason: ConnectionEnd) {
         reason.log(&self.context.log, self.call.endpoint);
     }
 }
 
-async fn return_to_pool(connection: HttpConnection, pool: &Sender<EndpointMessage>) {
+async fn return_to_pool(connection: HttpConnection, return_to: &Sender<EndpointMessage>) {
     // Sending fails if the endpoint's actor has ended; the connection is then closed.
-    let _ = pool.send(EndpointMessage::ReturnConnection(connection)).await;
+    let _ = return_to.send(EndpointMessage::ReturnConnection(connection)).await;
 }
--- a/src/net/endpoint/connection_end.rs
+++ b/src/net/endpoint/connection_end.rs
@@ -1,12 +1,12 @@
-//! Why a connection to an endpoint was closed, and which outcome that gives to the attempts in flight on it.
+//! Why a connection to an endpoint ended, and the outcome that its end gives to the attempts in flight on it.
 
 use crate::invariants::connection::CloseReason;
 use crate::net::http::HttpError;
 use crate::{EndpointId, Micros, Outcome};
 use slog::{info, Logger};
 
-/// A reused connection that fails within this time after the request was written, in microseconds, is taken to have
-/// been dead before: no endpoint processes a request so fast.
+/// If a reused connection fails within this time after the request was written, in microseconds, the endpoint is
+/// assumed to have closed it before: no endpoint processes a request so fast.
 pub const STALE_CONNECTION_WINDOW: Micros = 50_000;
 
 /// Why a call ended without a response.
@@ -14,7 +14,7 @@
 pub enum CallFailure {
     /// No connection could be made, or it failed before the request was written.
     ConnectFailed,
-    /// The reused connection was dead before the request was written.
+    /// The endpoint had closed the reused connection before the request was written.
     StaleConnection,
     /// The connection failed after the request was written, with this error code.
     Reset(&'static str),
@@ -69,7 +69,7 @@
     }
 }
 
-/// Why a connection to an endpoint was closed.
+/// Why a connection to an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
     /// The process already has the maximum number of idle connections.
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Logs that a connection to an endpoint was closed.
+    /// Logs that a connection to an endpoint was closed, or is kept only to read a late response.
     pub fn log(self, log: &Logger, endpoint: EndpointId) {
         info!(log, "connection ended"; "side" => "endpoint", "endpoint" => endpoint.0, "reason" => self.name());
     }
--- a/src/net/handover/frames.rs
+++ b/src/net/handover/frames.rs
@@ -109,8 +109,9 @@
     /// The predecessor's state; always the first frame. The predecessor sends no later event until the successor owns the
     /// folder.
     State(Box<HandOverState>),
-    /// The successor may take the lock of the state folder.
-    Granted,
+    /// The predecessor has released the lock of the state folder.
+    #[serde(rename = "Granted")]
+    LockReleased,
     /// A client of the predecessor submits a message. The message's body is the frame's body.
     #[serde(rename = "Take")]
     Submit {
@@ -149,8 +150,10 @@
 /// A frame from the successor to its predecessor.
 #[derive(Serialize, Deserialize)]
 pub enum SuccessorFrame {
-    /// The successor has read the state folder and listens, and now takes over.
-    Owns,
+    /// The successor has read the state folder and opened its listeners, and asks for the lock of the folder. The
+    /// predecessor makes no more decisions once it has received this.
+    #[serde(rename = "Owns")]
+    ReadyToOwn,
     /// The answer to [`PredecessorFrame::Submit`].
     Reply {
         /// The number of the request.
--- a/src/net/handover/link.rs
+++ b/src/net/handover/link.rs
@@ -31,8 +31,8 @@
     /// on.
     #[error("the journal cannot be written")]
     JournalNotWritable,
-    /// The successor sent another frame in place of [`SuccessorFrame::Owns`].
-    #[error("the successor did not confirm that it owns the state folder")]
+    /// The successor sent another frame in place of [`SuccessorFrame::ReadyToOwn`].
+    #[error("the successor did not confirm that it is ready to own the state folder")]
     OwnershipNotConfirmed,
     /// The predecessor uses another version of the frames.
     #[error("the predecessor uses another version of the frames")]
--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -16,8 +16,7 @@
 use slog::{info, warn};
 use std::time::{Duration, Instant};
 
-/// How long it may take to send the state and to receive the successor's confirmation that it owns the folder. Clients wait
-/// meanwhile.
+/// The time limit for sending the state and receiving [`SuccessorFrame::ReadyToOwn`]. Clients wait meanwhile.
 const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(1500);
 /// How long a predecessor with nothing left to forward waits for the signal that terminates it before it ends by itself.
 const IDLE_EXIT_DELAY: Duration = Duration::from_secs(10);
@@ -46,7 +45,7 @@
     context.lifecycle.enter_hand_over(HandOverPhase::HandedOver);
     context.folder_ownership.release();
     // Sending fails only if the successor is gone; the relay below then ends at once.
-    let _ = link.frames.send(&PredecessorFrame::Granted).await;
+    let _ = link.frames.send(&PredecessorFrame::LockReleased).await;
     info!(context.log, "handed over"; "ms" => started_at.elapsed().as_millis() as u64,
         "open" => context.gauges.open_messages.get(), "in_flight" => context.gauges.calls_in_flight.get());
     actor.step_down();
@@ -67,7 +66,7 @@
     context.executor.spawn(announce).detach();
 }
 
-/// Pauses the journal, sends the state, and waits until the successor confirms that it owns the state folder.
+/// Pauses the journal, sends the state, and waits until the successor confirms that it is ready to own the state folder.
 async fn send_state(
     actor: &DeliveryActor,
     context: &Context,
@@ -79,7 +78,7 @@
     let state = Box::new(actor.hand_over_state(successor.list));
     link.frames.send(&PredecessorFrame::State(state)).await?;
     match link.read().await?.head {
-        SuccessorFrame::Owns => Ok(link),
+        SuccessorFrame::ReadyToOwn => Ok(link),
         _ => Err(HandOverError::OwnershipNotConfirmed),
     }
 }
--- a/src/net/handover/relay.rs
+++ b/src/net/handover/relay.rs
@@ -126,7 +126,7 @@
                     let _ = reply.try_send(result);
                 }
             }
-            SuccessorFrame::Owns => {}
+            SuccessorFrame::ReadyToOwn => {}
         }
         Ok(())
     }
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -93,7 +93,7 @@
                 self.spawn_command(number, command);
                 Ok(())
             }
-            PredecessorFrame::State(_) | PredecessorFrame::Granted => Ok(()),
+            PredecessorFrame::State(_) | PredecessorFrame::LockReleased => Ok(()),
         }
     }
 
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -27,8 +27,9 @@
 const LOCK_ERROR_TIMEOUT: Duration = Duration::from_secs(20);
 /// The interval between two tries of a lock that another process holds.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// The interval between two tries of the owner's lock once the predecessor has granted it. It is short because clients wait.
-const GRANTED_LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// The interval between two tries of the owner's lock once the predecessor was asked to release it. It is short because
+/// clients wait meanwhile.
+const RELEASED_LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 /// The pause before a failed write of the owner's address is retried.
 const WRITE_OWNER_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
@@ -40,12 +41,14 @@
     pub policy: DeliveryPolicy,
 }
 
-/// A claim to the state folder: this process is the owner or the next owner.
+/// A claim to the state folder: this process is the owner or the next owner. [`claim`] creates it,
+/// [`FolderClaim::take_over`] then acquires the owner's lock, and [`FolderClaim::start_serving`] publishes this process's
+/// address in the folder.
 pub struct FolderClaim {
-    /// The right to be the next owner. It is held until this process is the known owner, so that no third process can take
+    /// The right to be the next owner. It is held until [`FolderClaim::start_serving`], so that no third process can take
     /// the folder in between.
     _next_lock: FolderLock,
-    /// The ownership of the folder; `None` while the predecessor still has it.
+    /// The owner's lock of the folder; `None` while the predecessor still holds it.
     owner_lock: Option<FolderLock>,
     /// The connection to the predecessor, if it hands over.
     link: Option<Link>,
@@ -80,7 +83,8 @@
                     return Ok(FolderClaim { _next_lock: next_lock, owner_lock, link, inherited });
                 }
                 Err(error) => {
-                    info!(log, "hand-over not possible yet"; "reason" => error.code(), "error" => %error);
+                    info!(log, "hand-over from the predecessor failed"; "reason" => error.code(),
+                        "error" => %error);
                     // After a permanent error, another request would fail as well: only wait until the predecessor ends.
                     requests_state = !error.is_permanent();
                 }
@@ -100,7 +104,8 @@
     }
 }
 
-/// Connects to the owner of the folder, requests the hand-over and reads the owner's state.
+/// Connects to the owner of the folder, requests the hand-over and reads the owner's state. A status other than 200 and 415
+/// is treated like a connection that ended too early, so the request is repeated.
 async fn request_state(
     owner: &Owner,
     executor: &LocalExecutor<'static>,
@@ -133,38 +138,39 @@
         self.link.as_ref().map(|link| link.frames.clone())
     }
 
-    /// Takes over the state folder. This process must have read the folder and listen already. Returns `false` if the
-    /// predecessor did not release the lock and so continues to serve: the start must then be begun again.
+    /// Acquires the owner's lock of the state folder. Call it after this process has read the folder and opened its
+    /// listeners. Returns `false` if the predecessor did not release the lock and so continues to serve: the start must then
+    /// be begun again.
     ///
     /// # Errors
     ///
     /// Returns an error if the lock still cannot be used after [`LOCK_ERROR_TIMEOUT`].
     pub async fn take_over(&mut self, config: &Config) -> io::Result<bool> {
         if let Some(link) = &mut self.link {
-            let granted = async {
-                link.frames.send(&SuccessorFrame::Owns).await?;
+            let lock_released = async {
+                link.frames.send(&SuccessorFrame::ReadyToOwn).await?;
                 link.read::<PredecessorFrame>().await
             };
             // The result does not matter: if the predecessor is gone, its lock is free all the same.
-            let _ = within(PREDECESSOR_TIMEOUT, granted).await;
+            let _ = within(PREDECESSOR_TIMEOUT, lock_released).await;
         }
         let started_at = Instant::now();
         while self.owner_lock.is_none() {
             match FolderLock::try_owner(&config.state_folder) {
                 Ok(lock) if lock.is_none() && started_at.elapsed() > PREDECESSOR_TIMEOUT => return Ok(false),
                 Ok(lock) => self.owner_lock = lock,
-                // The predecessor has stepped down already. If a transient error ended this process too, no process would be
-                // left.
+                // Before this, errors are retried: the predecessor no longer serves, so if this process ended as well, no
+                // process would be left.
                 Err(error) if started_at.elapsed() > LOCK_ERROR_TIMEOUT => return Err(error),
                 Err(_) => {}
             }
-            Timer::after(GRANTED_LOCK_RETRY_INTERVAL).await;
+            Timer::after(RELEASED_LOCK_RETRY_INTERVAL).await;
         }
         Ok(true)
     }
 
-    /// Makes this process the known owner: starts to write its address into the state folder and to serve what the
-    /// predecessor forwards, and lets another process become the next owner.
+    /// Starts to write this process's address into the state folder and to serve what the predecessor forwards. Another
+    /// process can become the next owner from here on.
     ///
     /// # Errors
     ///
--- a/tests/hand_over.rs
+++ b/tests/hand_over.rs
@@ -195,8 +195,8 @@
     );
 }
 
-/// Guards against a result that is lost: it arrives while the successor reads the state folder, and must be in the journal
-/// if the successor then dies.
+/// Guards against a journal that is incomplete when the successor takes over and then dies. The next process must find in it
+/// the message that is still in flight, and must not deliver again the message whose result arrived before the hand-over.
 #[test]
 fn a_successor_that_dies_as_the_owner_ends_its_predecessor_and_leaves_a_complete_journal() {
     play(
@@ -234,7 +234,7 @@
          begin-upgrade
          predecessor answers HTTP/1.1 503 No\\r\\nContent-Length: 0\\r\\n\\r\\n
          predecessor answers HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\nnoise without end
-         log hand-over not possible yet, error: too-large
+         log hand-over from the predecessor failed, error: too-large
          predecessor exits
          upgraded
          u1 send m1
@@ -254,7 +254,7 @@
          e1 expect m1
          stop
          begin-upgrade
-         log hand-over not possible yet
+         log hand-over from the predecessor failed
          old kill
          upgraded
          wait restored=1
@@ -342,7 +342,8 @@
 /// be in flight at the predecessor when that dies.
 #[test]
 fn withdrawn_attempts_in_flight_when_the_predecessor_dies_release_their_slots() {
-    // With a connection already open, the attempt is written before the withdrawal is known.
+    // With a connection already open, the attempt is written before the withdrawal is known. `send-raw X` makes the forwarder
+    // withdraw the client's message, because it receives a byte after the request and before the response.
     let opened_connections: String = (1..5)
         .map(|n| format!("u5 send w{n} dest={n}\nu5 expect 202\ne{n} expect w{n}\ne{n} send w{n} 200\n"))
         .collect();
@@ -386,7 +387,7 @@
          predecessor owns
          begin-upgrade
          predecessor answers HTTP/1.1 503 No\\\\r\\\\nContent-Length: 0\\\\r\\\\n\\\\r\\\\n
-         log hand-over not possible yet
+         log hand-over from the predecessor failed
          term
          exit
          predecessor exits
@@ -394,12 +395,12 @@
     );
 }
 
-/// Guards against a successor that gives up the hand-over because it fails to open the folder's lock after it has confirmed
-/// its ownership. Its predecessor ended as well, and the calls in flight there were sent a second time.
+/// Guards against a successor that gives up the hand-over because it fails to open the folder's lock file after it has asked
+/// its predecessor to release the lock. The predecessor ended as well, and the calls in flight there were sent a second time.
 #[test]
-fn a_successor_takes_over_although_opening_files_fails_now_and_then() {
+fn a_successor_takes_over_although_opening_files_fails_at_random() {
     let mut script = String::from("with e1=1 operator=on open=64 faults=on\nstart");
-    // The seed of the faults determines at which step opening a file fails.
+    // Each opening of a file fails with a probability of 0.3. The seed determines which ones fail.
     for round in 1..=12 {
         script += &format!(
             "\nc{round} send m{round}
@@ -420,7 +421,7 @@
 /// Guards against calls to a draining endpoint by a successor whose own watch is slow, when only the predecessor's watch has
 /// received the drain.
 #[test]
-fn a_drain_observed_by_the_predecessor_after_the_hand_over_binds_the_successor() {
+fn a_drain_observed_by_the_predecessor_after_the_hand_over_stops_calls_of_the_successor() {
     play(
         "with e1=1 e2=1:one:hidden operator=on
          start
@@ -443,8 +444,8 @@
 }
 
 /// Guards against a 503 for a message that the successor may have accepted before it died, as the next process delivers it
-/// from the journal. Also guards against frames that a successor of the previous release does not know: here the drain must
-/// not be sent to it as a frame before that of the message.
+/// from the journal. Also guards against `ListLine` frames for a successor of the previous release, which does not know them:
+/// the first frame that it gets must be that of the message, although a drain was received before.
 #[test]
 fn a_client_whose_message_a_lost_successor_may_have_accepted_gets_no_response() {
     play(
@@ -491,10 +492,10 @@
     );
 }
 
-/// Guards against a drain that is missed because it arrives during a hand-over that then fails. The watch was closed with
-/// the line unread, and the next watch was slow.
+/// Guards against a drain that is missed because it arrives during a hand-over that then fails. The predecessor had closed its
+/// watch before it read the line, and its next watch was slow.
 #[test]
-fn a_drain_observed_during_a_hand_over_that_fails_binds_calls() {
+fn a_drain_observed_during_a_hand_over_that_fails_stops_calls() {
     play(
         "with e1=1 e2=1:one:hidden operator=on
          start
@@ -519,9 +520,9 @@
     );
 }
 
-/// Guards against a drain that is lost between the endpoint list and the rest of the state. Different actors send the two,
-/// and the line of the drain arrived at the endpoint list actor before there was a successor to which it could pass the line
-/// on.
+/// Guards against a drain that is received after the endpoint list actor has exported the list and before the delivery actor
+/// has handed over the rest of the state. It was neither in the list nor passed on as a line, because there was no successor
+/// yet.
 #[test]
 fn a_drain_observed_between_the_list_and_the_hand_over_is_passed_on() {
     play(
