--- a/src/net/client/submit.rs
+++ b/src/net/client/submit.rs
@@ -82,7 +82,8 @@
                 Err(_) => WaitEnd::Disconnected,
             }
         };
-        // The connection is polled before the decision: a client that disconnected just then must not count as notified.
+        // The connection is polled before the decision: a client that has just disconnected must not be treated as if it
+        // would receive the reply.
         let end = future::or(interrupted, decided).await;
         WaitOutcome { end, is_pipelined: is_pipelined.get(), has_ended_sending: has_ended_sending.get() }
     }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -55,7 +55,7 @@
     pub max_concurrent_calls: usize,
     /// The number of forwarders that share the traffic, including this one.
     pub forwarders: usize,
-    /// The index of this forwarder among them, or why it cannot be determined.
+    /// The index of this forwarder among all forwarders, or why it cannot be determined.
     pub forwarder_index: Result<u64, DecodeError>,
     /// The kinds of destination.
     pub kinds: Vec<Kind>,
@@ -136,7 +136,7 @@
 ///
 /// # Errors
 ///
-/// If the text is not JSON, or the settings cannot be decoded or are out of range.
+/// Returns an error if the text is not JSON, or the settings cannot be decoded or are out of range.
 pub fn read_platform_settings(json: &str) -> Result<(Settings, Names), ConfigReadError> {
     platform_settings(&serde_json::from_str(json)?)
 }
@@ -188,7 +188,7 @@
     ///
     /// # Errors
     ///
-    /// For the first value that is missing, cannot be decoded or is out of range.
+    /// Returns an error for the first value that is missing, cannot be decoded or is out of range.
     pub fn read(
         json: &str,
         environment_variable: impl Fn(&str) -> Option<String>,
@@ -250,8 +250,8 @@
         Ok(())
     }
 
-    /// Why this configuration cannot replace `other` without a restart; `None` if it can. Open messages depend on the
-    /// names of the other configuration, and the address and the folder are opened only at the start.
+    /// Why this configuration cannot replace `other`, the one in force, without a restart; `None` if it can. Open
+    /// messages depend on the names in `other`, and the address and the folder are opened only at the start.
     pub fn restart_reason(&self, other: &Config) -> Option<RestartReason> {
         let same_process = self.name == other.name
             && self.listen_address == other.listen_address
@@ -284,7 +284,7 @@
         self.max_descriptors / 2
     }
 
-    /// The maximum number of idle connections to endpoints, not counting those that carry calls.
+    /// The maximum number of idle connections to endpoints. Connections with a call in flight do not count.
     pub fn max_idle_connections(&self) -> usize {
         let operator_connections = if self.operator_address.is_some() { MAX_OPERATOR_CONNECTIONS } else { 0 };
         (self.max_descriptors / 2).saturating_sub(self.max_concurrent_calls + 32 + operator_connections)
--- a/src/net/counters.rs
+++ b/src/net/counters.rs
@@ -82,7 +82,7 @@
     attempts_connect_failed = "connect_failed",
     /// Attempts whose connection failed after the request was written.
     attempts_reset = "reset",
-    /// Attempts whose reused connection was already dead when the request was written.
+    /// Attempts whose reused connection the endpoint had closed before the request was written.
     attempts_stale = "stale",
     /// Attempts that were cancelled.
     attempts_cancelled = "cancelled",
@@ -110,7 +110,7 @@
     list_versions_received = "lists",
     /// Reloads of the configuration.
     reloads = "reloads",
-    /// How often the journal became unwritable.
+    /// Times at which the journal stopped being writable.
     journal_failures = "journal_failures",
 }
 
--- a/src/net/dial.rs
+++ b/src/net/dial.rs
@@ -19,7 +19,7 @@
 ///
 /// # Errors
 ///
-/// Any error of the socket, including a temporary lack of resources on this machine.
+/// Returns any error of the socket, including a temporary lack of resources on this machine.
 pub async fn connect(address: SocketAddr) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Any other error of the socket, or [`HttpError::Malformed`] if the connection is not established within the limit.
+/// Returns any other error of the socket, or [`HttpError::Malformed`] if the connection is not established within the limit.
 pub async fn connect_within(address: SocketAddr, limit: Duration) -> Result<Async<TcpStream>, HttpError> {
     let connect_with_retries = async {
         let mut pause = INITIAL_RETRY_PAUSE;
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -17,7 +17,7 @@
 
 /// The largest body of a response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
-/// The longest pause in the body of a response whose status line has already delivered the message.
+/// The longest pause in the body of a response whose status line has already confirmed the delivery.
 const DELIVERED_BODY_STALL_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// How a call ended.
@@ -59,11 +59,11 @@
 #[derive(Default)]
 pub(super) struct Progress {
     pub stage: Cell<Stage>,
-    /// When the request was written completely.
+    /// When the request was written completely, in microseconds of the monotonic clock.
     pub written_at: Cell<Option<Micros>>,
     /// The status code of the response; `None` until its head was read.
     pub status: Cell<Option<u16>>,
-    /// The retry-after in the head of the response.
+    /// The retry-after in the head of the response, in microseconds.
     pub retry_after: Cell<Option<Micros>>,
 }
 
@@ -84,7 +84,7 @@
     check_sendable(context, call, progress)?;
     let zone = context.endpoint_table.get(call.endpoint).map(|state| state.zone);
     journal_attempts(context, call, zone, progress)?;
-    // Checked again, as writing to the journal can take a while.
+    // Checked again, because the facts may have changed while the attempts were written to the journal.
     let permit = check_sendable(context, call, progress)?;
     progress.stage.set(Stage::Writing);
     record_first_byte(context, call, zone.unwrap_or_default());
@@ -146,7 +146,7 @@
     CallEnd::NotSent(refusal)
 }
 
-/// Counts and logs a call whose first byte is about to be written, and reports each invariant that the call violates.
+/// Counts and logs a call whose first byte is about to be written, and counts and logs each invariant that it violates.
 fn record_first_byte(context: &Context, call: &Call, zone: ZoneId) {
     let now = context.clock.now();
     let table = &context.endpoint_table;
@@ -172,7 +172,7 @@
     context.counters.attempts.add(call.attempts.len());
 }
 
-/// Writes a request. No other function writes to an endpoint, so none is written without a [`SendPermit`].
+/// Writes a request. No other function writes to an endpoint, so no request is written without a [`SendPermit`].
 async fn write_request(connection: &mut HttpConnection, _permit: SendPermit, bytes: &[u8]) -> io::Result<()> {
     connection.write(bytes).await
 }
--- a/src/net/endpoint/late_response.rs
+++ b/src/net/endpoint/late_response.rs
@@ -15,14 +15,15 @@
 /// response.
 const LATE_RESPONSE_TIMEOUT: Duration = RESPONSE_STALL_TIMEOUT;
 
-/// Waits in the background for a late response, then closes the connection.
+/// Waits in the background for a late response, then closes the connection. Closes it at once if too many connections wait
+/// for one already.
 pub(super) fn read_in_background(
     context: &Rc<Context>,
     endpoint: EndpointId,
     mut connection: HttpConnection,
 ) {
     let readers = &context.gauges.late_response_readers;
-    // This limit suffices even if all calls of half a second are abandoned.
+    // This limit is enough even if every call made within half a second is abandoned.
     if readers.get() >= context.config().max_concurrent_calls {
         return;
     }
--- a/src/net/endpoint/pool.rs
+++ b/src/net/endpoint/pool.rs
@@ -12,12 +12,13 @@
 use std::rc::Rc;
 use std::task::{self, Poll, Waker};
 
-/// A connection in the pool.
+/// An idle connection in the pool.
 struct IdleConnection {
     connection: HttpConnection,
     /// The remote address, to detect that the endpoint has moved.
     address: Option<SocketAddr>,
-    /// The connection is not reused after this time, since the endpoint may close it soon after.
+    /// The connection is not reused after this time, in microseconds of the monotonic clock, since the endpoint may
+    /// close it soon after.
     reusable_until: Micros,
 }
 
--- a/src/net/endpoint/table.rs
+++ b/src/net/endpoint/table.rs
@@ -15,10 +15,11 @@
 /// How long an endpoint stays in the table after its drain began, in microseconds. No call to it is in flight any
 /// more by then.
 const RETENTION_AFTER_DRAIN: Micros = 120_000_000;
-/// The longest drain in the histogram, in microseconds; longer ones are recorded as this.
-const MAX_RECORDED_DRAIN: u64 = 60_000_000;
+/// The largest value in the histogram of [`EndpointTable::last_send_delays`], in microseconds; a larger one is recorded
+/// as this.
+const MAX_RECORDED_DELAY: u64 = 60_000_000;
 
-/// The current state of an endpoint.
+/// The current state of an endpoint. Its times are in microseconds of the monotonic clock.
 #[derive(Clone, Debug)]
 pub struct EndpointState {
     /// The address on which the endpoint listens.
@@ -70,9 +71,10 @@
     /// How long calls may still be sent to an endpoint after its drain began.
     drain_grace: Cell<Micros>,
     endpoints: RefCell<BTreeMap<EndpointId, EndpointState>>,
-    /// The times until which retry-afters forbid calls.
+    /// The times until which retry-afters forbid calls, in microseconds of the monotonic clock.
     retry_after_until: RefCell<BTreeMap<RetryAfterScope, Micros>>,
-    /// The time from learning of an endpoint's drain to the first byte of the last call sent there, in microseconds.
+    /// For each recorded drain, the time from receiving it to the first byte of the last call that was sent to the
+    /// endpoint, in microseconds.
     last_send_delays: RefCell<Histogram<u32>>,
 }
 
@@ -81,7 +83,7 @@
     /// began, in microseconds; [`may_send`](crate::invariants::may_send) uses only most of it.
     pub fn new(clock: Clock, drain_grace: Micros) -> Self {
         let last_send_delays =
-            Histogram::new_with_bounds(1, MAX_RECORDED_DRAIN, 3).expect("valid histogram bounds");
+            Histogram::new_with_bounds(1, MAX_RECORDED_DELAY, 3).expect("valid histogram bounds");
         EndpointTable {
             clock,
             drain_grace: Cell::new(drain_grace),
@@ -101,8 +103,8 @@
         self.drain_grace.get()
     }
 
-    /// Replaces the state of an endpoint with one received at `received_at`. If the endpoint was draining before, it
-    /// keeps the time at which the drain was first received.
+    /// Replaces the state of an endpoint with one received at `received_at`, in microseconds of the monotonic clock. If
+    /// the endpoint was draining before, it keeps the time at which the drain was first received.
     pub fn update(
         &self,
         endpoint: EndpointId,
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Adds to the drain statistics how long after the start of an endpoint's drain the last call was sent there. To
-    /// be called once no more calls can follow.
+    /// Adds to the drain statistics how long after the start of an endpoint's drain the last call was sent there. Call it
+    /// once no more calls can follow.
     pub fn record_drain(&self, state: &EndpointState) {
         let send_and_drain_times = state.last_first_byte_at.zip(state.draining_since);
         let last_send_delay =
@@ -144,7 +146,8 @@
         self.last_send_delays.borrow_mut().saturating_record(last_send_delay.max(1));
     }
 
-    /// The statistics of the recorded drains: their number, and the median, p99 and maximum in milliseconds.
+    /// The statistics of the recorded drains: their number, and the median, p99 and maximum of the time to the last call,
+    /// in milliseconds.
     pub fn drain_report(&self) -> Value {
         let drains = self.last_send_delays.borrow();
         let quantile_ms = |quantile| drains.value_at_quantile(quantile) as f64 / 1e3;
@@ -193,9 +196,9 @@
         *until = (*until).max(self.clock.now().saturating_add(retry_after));
     }
 
-    /// What decides now whether a call may be sent to an endpoint; `None` if the table does not have it. To be read
-    /// just before the first byte: a drain or retry-after may have been received since the policy's step, above all
-    /// while a connection was opened.
+    /// The facts that decide whether a call may be sent to an endpoint now; `None` if the table does not have it. They
+    /// must be read just before the first byte: a drain or a retry-after may have been received since the policy's
+    /// step, for example while a connection was opened.
     pub fn endpoint_facts(&self, endpoint: EndpointId) -> Option<EndpointFacts> {
         let draining_since = self.get(endpoint)?.draining_since;
         let scope = self.retry_after_scope(endpoint);
@@ -203,7 +206,7 @@
         Some(EndpointFacts { draining_since, retry_after_until })
     }
 
-    /// To which endpoints a retry-after from this endpoint applies.
+    /// The endpoints to which a retry-after from this endpoint applies; `None` if the table does not have the endpoint.
     fn retry_after_scope(&self, endpoint: EndpointId) -> Option<RetryAfterScope> {
         let state = self.get(endpoint)?;
         Some(match state.retry_after_per_endpoint {
--- a/src/net/handover/relay.rs
+++ b/src/net/handover/relay.rs
@@ -13,7 +13,7 @@
     actor: &'a mut DeliveryActor,
     link: Link,
     accepts_list_lines: bool,
-    /// Counts the mailbox messages and frames received so far. A request that is forwarded has the count as its number.
+    /// The number of mailbox messages and frames received so far. A forwarded request gets this count as its number.
     last_number: u64,
     /// Where clients wait for replies, by the number of the forwarded message.
     replies: BTreeMap<u64, Sender<SubmitReply>>,
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -20,7 +20,7 @@
     pub tenant: Option<TenantId>,
     /// The destination to which the message is delivered.
     pub destination: DestinationId,
-    /// The latest time at which the message may be delivered, on the process's clock.
+    /// The latest time at which the message may be delivered, in microseconds of the monotonic clock.
     pub deadline: Micros,
     /// The body of the message. Not serialized: a hand-over sends it after the frame's head.
     #[serde(skip)]
@@ -40,11 +40,13 @@
     pub id: MessageId,
     /// The request as the client sent it.
     pub request: Request,
-    /// When the message was received, on the process's clock; `None` if it was restored from the journal.
+    /// When the message was received, in microseconds of the monotonic clock; `None` if it was restored from the
+    /// journal.
     pub received_at: Option<Micros>,
     /// Whether the message was restored from the journal, as an earlier process had accepted it.
     pub restored: bool,
-    /// When and in which zone the first attempt was sent that may have run, if an earlier process journaled one.
+    /// The first attempt that may have run, if an earlier process journaled one: when it was sent, in microseconds of
+    /// the monotonic clock, and the zone of its endpoint.
     pub first_attempt: Option<(Micros, ZoneId)>,
     /// The counts of the message's route; `None` without a site file.
     pub route_stats: Option<Rc<RouteStats>>,
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Counts a new attempt and returns its number, from 0.
+    /// Increments the number of attempts and returns the number of the new one, counted from 0.
     pub fn begin_attempt(&self) -> u32 {
         self.route_stats.iter().for_each(|stats| stats.attempt_begun());
         self.attempts.replace(self.attempts.get() + 1)
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// If the journal has no space, is failing or is paused.
+    /// Returns an error if the journal has no space, is failing or is paused.
     pub fn record_received(&self, id: MessageId, message: &JournaledMessage) -> Result<(), JournalError> {
         self.with_journal(|journal| journal.record_received(id.0, message))
     }
@@ -67,7 +67,7 @@
     ///
     /// # Errors
     ///
-    /// If the journal is failing or paused.
+    /// Returns an error if the journal is failing or paused.
     pub fn record_attempt(
         &self,
         id: MessageId,
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     ///
-    /// If the journal is failing or paused; nothing is recorded then.
+    /// Returns an error if the journal is failing or paused; nothing is recorded then.
     pub fn try_record_completed(&self, id: MessageId) -> Result<(), JournalError> {
         self.with_journal(|journal| journal.try_record_completed(id.0))
     }
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// If a queued record cannot be written; writing is not paused then.
+    /// Returns an error if a queued record cannot be written; writing is not paused then.
     pub fn pause(&self) -> Result<(), JournalError> {
         self.with_journal(Journal::pause)
     }
@@ -129,7 +129,7 @@
     ///
     /// # Errors
     ///
-    /// If the journal is paused or still failing.
+    /// Returns an error if the journal is paused or still failing.
     pub fn retry(&self) -> Result<(), JournalError> {
         self.with_journal(Journal::retry)
     }
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -50,14 +50,14 @@
     ListLine(ListLine),
     /// The journal can be written again.
     JournalWritable,
-    /// The predecessor has ended.
+    /// The connection to the predecessor has ended, so the calls in flight there will not be completed by it.
     PredecessorGone,
-    /// An operator asks for the status of destinations and tenants.
+    /// A client asks for the status of destinations and tenants, by `GET /_counters?by=partner`.
     DescribeStatus {
         /// Receives the status as JSON.
         reply: Sender<Value>,
     },
-    /// The process is about to end: no more steps are made, but calls that complete are still journaled.
+    /// The process is about to exit: no more steps are made, but the results of calls that complete are still journaled.
     Stop,
 }
 
@@ -111,7 +111,7 @@
     },
     /// The time for which a new process waits for its first list has expired.
     InitialListTimeout,
-    /// A successor takes over the list: this process does not change it any more.
+    /// A successor asks to take over: the actor replies with its list and does not change it any more.
     HandOver {
         /// Receives the list.
         reply: Sender<MembershipSnapshot>,
@@ -135,9 +135,9 @@
     RegistryUpdate {
         /// The update of the list in the answer.
         update: SourceUpdate,
-        /// When the answer was received.
+        /// When the answer was received, in microseconds of the monotonic clock.
         received_at: Micros,
-        /// Receives whether a part of the view is in doubt, so that it needs a complete poll.
+        /// Receives whether a part of the registry's view is uncertain, so that the next poll must be complete.
         in_doubt_reply: Sender<bool>,
     },
 }
@@ -147,7 +147,7 @@
 pub struct ListLine {
     /// The line that was received.
     pub line: Vec<u8>,
-    /// The earliest time at which the line may have been received.
+    /// The earliest time at which the line may have arrived, in microseconds of the monotonic clock.
     pub received_at: Micros,
     /// The address of the agent that sent the line.
     pub address: SocketAddr,
@@ -184,8 +184,8 @@
     pub request_id: String,
     /// How the message ended.
     pub end: ReportedEnd,
-    /// The deadline of the message. Until then a restart that finds the message open in the journal would send it
-    /// again.
+    /// The deadline of the message, in microseconds of the monotonic clock. If the process restarts before it and
+    /// finds the message open in the journal, the message is sent again.
     pub deadline: Micros,
 }
 
--- a/src/net/operator/admin_request.rs
+++ b/src/net/operator/admin_request.rs
@@ -16,13 +16,14 @@
 /// How long a request may take from the accept of its connection until it is complete, and how long writing its response may
 /// take.
 pub(super) const ADMIN_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long after the accept of its connection a request's command may take effect before it is answered with 503.
+/// The time from the accept of a connection after which a command that is not known to be in effect is answered with 503.
+/// The command may still take effect.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
 /// The largest body of a request, in bytes. A body holds only an endpoint's id.
 const MAX_BODY_BYTES: usize = 1024;
 /// The target at which a successor requests the hand-over.
 pub(super) const HAND_OVER_TARGET: &str = "/admin/handover";
-/// The path below which all operations of the API are.
+/// The prefix of the paths of all operations of the API.
 const API_ROOT: &str = "/admin/";
 
 /// A connection from an operator or a successor, and the handles needed to serve its one request.
--- a/src/net/runtime/lifecycle.rs
+++ b/src/net/runtime/lifecycle.rs
@@ -94,12 +94,12 @@
         self.hand_over.until_entered(HandOverPhase::HandedOver).await;
     }
 
-    /// Whether a successor had taken over and its connection has ended since.
+    /// Whether the connection to a successor that had taken over has ended.
     pub fn is_successor_lost(&self) -> bool {
         self.hand_over.get() >= HandOverPhase::SuccessorLost
     }
 
-    /// Returns once a successor had taken over and its connection has ended.
+    /// Returns once the connection to a successor that had taken over has ended.
     pub async fn until_successor_lost(&self) {
         self.hand_over.until_entered(HandOverPhase::SuccessorLost).await;
     }
--- a/src/net/runtime/stall_detector.rs
+++ b/src/net/runtime/stall_detector.rs
@@ -25,8 +25,9 @@
 /// A period in which the process did not run. The process has not yet read everything that arrived in it.
 #[derive(Clone, Copy, Debug)]
 struct Lateness {
-    /// The last heartbeat before the period: what arrived from then on may still be unread.
+    /// The time of the last heartbeat before the period: what arrived from then on may still be unread.
     since: Micros,
+    /// The number of catch-up passes that are still to be made.
     passes_left: u32,
     /// The period was long enough that calls must wait.
     is_stall: bool,
--- a/src/net/storage.rs
+++ b/src/net/storage.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     ///
-    /// If the folder cannot be created.
+    /// Returns an error if the folder cannot be created.
     pub fn open(path: &Path) -> io::Result<FolderStorage> {
         fs::create_dir_all(path)?;
         Ok(FolderStorage { path: path.to_owned(), newest_file: None })
@@ -32,7 +32,7 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.path)? {
             let entry = entry?;
-            // The journal's own file names are ASCII. Other files only count with their size, so a lossy name does no
+            // The journal's own file names are ASCII. Of other files only the size is used, so a lossy name does no
             // harm.
             let name = entry.file_name().to_string_lossy().into_owned();
             files.push((name, entry.metadata()?.len()));
