--- a/src/net/runtime/lifecycle.rs
+++ b/src/net/runtime/lifecycle.rs
@@ -48,12 +48,12 @@
     }
 
     /// Whether the shutdown has begun.
-    pub fn is_closing(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.shutdown.get() >= ShutdownPhase::Closing
     }
 
     /// Returns once the shutdown has begun.
-    pub async fn until_closing(&self) {
+    pub async fn until_shutdown(&self) {
         self.shutdown.until_entered(ShutdownPhase::Closing).await;
     }
 
@@ -64,13 +64,13 @@
         future::or(handed_over, self.shutdown.until_entered(ShutdownPhase::ListenerClosing)).await;
     }
 
-    /// Whether the shutdown has come so far that no more decisions are made.
-    pub fn is_stopped(&self) -> bool {
+    /// Whether the delivery policy makes no more decisions because of the shutdown.
+    pub fn is_delivery_stopped(&self) -> bool {
         self.shutdown.get() >= ShutdownPhase::DecisionsStopped
     }
 
-    /// Returns once the shutdown has come so far that no more decisions are made.
-    pub async fn until_stopped(&self) {
+    /// Returns once the delivery policy makes no more decisions because of the shutdown.
+    pub async fn until_delivery_stopped(&self) {
         self.shutdown.until_entered(ShutdownPhase::DecisionsStopped).await;
     }
 
@@ -94,12 +94,12 @@
         self.hand_over.until_entered(HandOverPhase::HandedOver).await;
     }
 
-    /// Whether a successor had taken over and its connection has ended since.
+    /// Whether the connection to a successor that had taken over has ended.
     pub fn is_successor_lost(&self) -> bool {
         self.hand_over.get() >= HandOverPhase::SuccessorLost
     }
 
-    /// Returns once a successor had taken over and its connection has ended.
+    /// Returns once the connection to a successor that had taken over has ended.
     pub async fn until_successor_lost(&self) {
         self.hand_over.until_entered(HandOverPhase::SuccessorLost).await;
     }
--- a/tests/scenario/environment.rs
+++ b/tests/scenario/environment.rs
@@ -391,7 +391,7 @@
     fn wait_until_serving(&mut self) {
         if self.options.has_admin_listener {
             self.process.admin_address =
-                Some(self.process.wait_for_logged_address("operators may call", "operator: "));
+                Some(self.process.wait_for_logged_address("listening for admin requests", "operator: "));
         }
         self.wait_until_healthy();
         // `lists` counts what the watch has sent, not the cached list. What the platform sends after this is a change.
