--- a/benches/registry.rs
+++ b/benches/registry.rs
@@ -49,7 +49,7 @@
     let policy = || SourcePolicy {
         hold_down: Some(HoldDown { first: 1_000_000, max: 30_000_000, forget_after: 60_000_000 }),
         shrink_guard: Some(ShrinkGuard { max_missing_share: 0.3, confirm_after: 10_000_000 }),
-        by_address: true,
+        identifies_by_address: true,
     };
     let empty = || (RegistryCache::default(), Membership::new(vec![("registry", policy())]));
     let complete = answer(0..APPS * INSTANCES_PER_APP, 1_700_000_000_000, "ADDED");
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -50,7 +50,7 @@
     Failing(#[from] io::Error),
     /// The journal is paused, as another process may be writing to the folder.
     #[error("the journal is paused for a hand-over")]
-    HandedOver,
+    Paused,
 }
 
 /// Whether the journal may be written.
@@ -170,7 +170,7 @@
 
     /// Records how an undelivered message ended. The message stays in the journal until the platform has confirmed its
     /// delivery report.
-    pub fn record_end(&mut self, id: u64, end: ReportedEnd) {
+    pub fn record_undelivered(&mut self, id: u64, end: ReportedEnd) {
         if self.log.contains(id) {
             self.record_event(id, JournalRecord::Progressed(ProgressStep::Ended(end)));
         }
@@ -201,7 +201,7 @@
     }
 
     /// Whether the end of a message is queued and not written yet. A restart would restore the message as open.
-    pub fn has_unwritten_end(&self, id: u64) -> bool {
+    pub fn has_unwritten_outcome(&self, id: u64) -> bool {
         self.unwritten.iter().any(|unwritten| unwritten.message_id == id && unwritten.record.is_end())
     }
 
@@ -224,7 +224,7 @@
     /// If the journal is paused or still fails.
     pub fn retry(&mut self) -> Result<(), JournalError> {
         if self.is_paused() {
-            return Err(JournalError::HandedOver);
+            return Err(JournalError::Paused);
         }
         self.write_unwritten()?;
         if self.is_failing() {
@@ -257,7 +257,7 @@
     /// Writes the queued records, then `record`.
     fn append(&mut self, id: u64, record: &JournalRecord) -> Result<RecordLocation, JournalError> {
         match self.write_state {
-            WriteState::Paused => return Err(JournalError::HandedOver),
+            WriteState::Paused => return Err(JournalError::Paused),
             // Only `retry` tries the storage again; otherwise each new message would try it.
             WriteState::Failing => return Err(io::Error::other("an earlier write failed").into()),
             WriteState::Writable => {}
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -37,7 +37,7 @@
         touched: Vec<TouchedEntry>,
     ) -> Vec<MembershipChange> {
         let mut changes = Vec::new();
-        if self.views[source.0].policy.by_address {
+        if self.views[source.0].policy.identifies_by_address {
             for address in self.move_entries(source, touched) {
                 self.merge_address(now, address, &mut changes);
             }
--- a/src/membership/settings.rs
+++ b/src/membership/settings.rs
@@ -97,7 +97,7 @@
         SourcePolicy {
             hold_down: Some(self.hold_down),
             shrink_guard: Some(self.shrink_guard),
-            by_address: true,
+            identifies_by_address: true,
         }
     }
 }
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -15,7 +15,7 @@
     pub shrink_guard: Option<ShrinkGuard>,
     /// Whether an endpoint is identified by its id and its address together. If so, the same id at another address, or
     /// another id at the same address, is another endpoint. If not, an id is the same endpoint at any address.
-    pub by_address: bool,
+    pub identifies_by_address: bool,
 }
 
 /// How long an entry that returns to service is held down, which means that it is not used although its source lists it.
@@ -283,7 +283,7 @@
             return;
         }
         // A registry repeats a change in its deltas for minutes. Entries that are identified by key are published each time.
-        if self.policy.by_address && known == Some(&listing) {
+        if self.policy.identifies_by_address && known == Some(&listing) {
             self.missing_since.remove(&listing.key);
             return;
         }
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -82,9 +82,9 @@
         self.with_journal(|journal| journal.record_never_ran(id.0, number));
     }
 
-    /// Records how a message ended, which is still to be reported to the platform; see [`Journal::record_end`].
+    /// Records how a message ended, which is still to be reported to the platform; see [`Journal::record_undelivered`].
     pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
-        self.with_journal(|journal| journal.record_end(id.0, end));
+        self.with_journal(|journal| journal.record_undelivered(id.0, end));
     }
 
     /// Records that nothing more is to be done for a message; see [`Journal::record_completed`].
@@ -101,9 +101,9 @@
         self.with_journal(|journal| journal.try_record_completed(id.0))
     }
 
-    /// Whether the end of a message is still to be written; see [`Journal::has_unwritten_end`].
+    /// Whether the end of a message is still to be written; see [`Journal::has_unwritten_outcome`].
     pub fn has_unwritten_end(&self, id: MessageId) -> bool {
-        self.journal.borrow().has_unwritten_end(id.0)
+        self.journal.borrow().has_unwritten_outcome(id.0)
     }
 
     /// Sets the maximum size of the journal, in bytes; see [`Journal::set_limit`].
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -266,5 +266,5 @@
 
 /// The policy of a source whose endpoints are identified by address, without hold-down and shrink guard.
 fn identified_by_address() -> SourcePolicy {
-    SourcePolicy { by_address: true, ..SourcePolicy::default() }
+    SourcePolicy { identifies_by_address: true, ..SourcePolicy::default() }
 }
--- a/src/net/runtime/background.rs
+++ b/src/net/runtime/background.rs
@@ -57,7 +57,7 @@
     loop {
         Timer::after(pause).await;
         match journal.retry() {
-            Ok(()) | Err(JournalError::HandedOver) => return,
+            Ok(()) | Err(JournalError::Paused) => return,
             Err(_) => pause = (2 * pause).min(JOURNAL_RETRY_LONGEST),
         }
     }
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -85,7 +85,7 @@
     // Attempt 1 was not recorded yet, so this must not change attempt 0, which may have run.
     journal.record_never_ran(2, 1);
     journal.record_attempt(2, 1, attempt_start(7, "west")).expect("written");
-    journal.record_end(3, ReportedEnd::Returned(Some(500)));
+    journal.record_undelivered(3, ReportedEnd::Returned(Some(500)));
     journal.record_completed(4);
     assert_eq!(journal.unwritten_records(), 0, "all records are written");
     drop(journal);
--- a/tests/journal_faults.rs
+++ b/tests/journal_faults.rs
@@ -173,7 +173,7 @@
                     acknowledged.insert(id, Acknowledged { attempts, attempt_in_flight: false, report });
                 }
                 3 if report.is_none() => {
-                    journal.record_end(id, ReportedEnd::Failed);
+                    journal.record_undelivered(id, ReportedEnd::Failed);
                     acknowledged.insert(
                         id,
                         Acknowledged { attempts, attempt_in_flight, report: Some(ReportedEnd::Failed) },
@@ -266,7 +266,7 @@
     memory.0.borrow_mut().plan = Some(FaultPlan { from: operations, to: usize::MAX, fault: Fault::Clean });
     journal.record_never_ran(1, 0);
     journal.record_completed(2);
-    journal.record_end(3, ReportedEnd::Failed);
+    journal.record_undelivered(3, ReportedEnd::Failed);
     assert!(journal.is_failing() && journal.record_received(4, &message(4, 10)).is_err());
     assert_eq!(journal.unwritten_records(), 3);
     memory.0.borrow_mut().plan = None;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -14,7 +14,7 @@
     SourcePolicy {
         hold_down: Some(HoldDown { first: SECOND, max: 8 * SECOND, forget_after: 20 * SECOND }),
         shrink_guard: Some(ShrinkGuard { max_missing_share: 0.3, confirm_after: 10 * SECOND }),
-        by_address: true,
+        identifies_by_address: true,
     }
 }
 
