--- a/src/journal/compaction.rs
+++ b/src/journal/compaction.rs
@@ -32,7 +32,7 @@
             self.remove_unneeded_segments();
             let copy_size = self.segments.front().map_or(0, Segment::max_copy_size);
             if self.disk_bytes() + additional_bytes + copy_size + RESERVED_BLOCKS * DISK_BLOCK_BYTES
-                <= self.limit
+                <= self.usable_bytes
             {
                 return Ok(());
             }
@@ -40,7 +40,7 @@
             if remaining_rounds == 0 || must_keep_oldest || self.compact_oldest().is_err() {
                 // Either compacting every segment once freed too little, or the oldest segment cannot be compacted. The
                 // bytes may still fit without the space for the next compaction.
-                let fits = self.disk_bytes() + additional_bytes + DISK_BLOCK_BYTES <= self.limit;
+                let fits = self.disk_bytes() + additional_bytes + DISK_BLOCK_BYTES <= self.usable_bytes;
                 return if fits { Ok(()) } else { Err(io::ErrorKind::StorageFull.into()) };
             }
             remaining_rounds -= 1;
--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -1,12 +1,18 @@
 //! The journal stores each accepted message, its attempts and its completion in segment files of checksummed records.
 //!
-//! The oldest segment is always removed first, after its live records (those of messages that are not completed) were
-//! copied to the newest one. So the record of a completion is never removed before the record of its message. The
-//! journal stays under its size limit at all times, also during compaction.
+//! A message is *accepted* with its receipt record. It is *undelivered* if it has ended without a delivery: no attempt is
+//! sent any more, but the platform has not confirmed its delivery report. It is *completed* when nothing is left to do for
+//! it: it was delivered, its client was told the outcome, or the platform has confirmed the report.
+//!
+//! Only receipt records of messages that are not completed are *live*. The oldest segment is always removed first, after its
+//! live records were copied to the newest one. A copy holds the message's progress so far, so that the records of its
+//! attempts and its undelivered end need not be copied. As the oldest segment goes first, the record of a completion is
+//! never removed before the receipt record of its message. The journal stays under its size limit at all times, also during
+//! compaction.
 //!
 //! After a failed write the journal is *failing*. Then it rejects a record that must be written before something starts
-//! (an accepted message, an attempt). A record of something that has already happened (a completion, a delivery report,
-//! an attempt that never ran) is queued in memory, in order, until it can be written. No record is appended after a
+//! (an accepted message, an attempt). A record of something that has already happened (a completion, an
+//! undelivered end, an attempt that never ran) is queued in memory, in order, until it can be written. No record is appended after a
 //! torn one, of which only a part was written. [`Journal::retry`] finds out whether the journal can be written again.
 //!
 //! | module | content |
@@ -48,7 +54,7 @@
     /// This write or an earlier one failed.
     #[error("the journal cannot be written: {0}")]
     Failing(#[from] io::Error),
-    /// The journal is paused, as another process may be writing to the folder.
+    /// The journal is paused, as another process may be writing to the folder during a hand-over.
     #[error("the journal is paused for a hand-over")]
     Paused,
 }
@@ -74,7 +80,8 @@
 pub struct Journal {
     log: SegmentLog,
     write_state: WriteState,
-    /// The queued records, oldest first: at most three for each message that is not completed.
+    /// The queued records, oldest first. There are at most three for each message, one of each kind: an attempt never ran, the
+    /// message is undelivered, the message is completed.
     unwritten: VecDeque<UnwrittenRecord>,
 }
 
@@ -158,7 +165,7 @@
     }
 
     /// Records that an attempt never ran. Does nothing unless it is the last attempt that was recorded for the message,
-    /// and in flight.
+    /// and in flight. The record is queued if it cannot be written now.
     pub fn record_never_ran(&mut self, id: u64, number: u32) {
         let is_in_flight = self.log.progress(id).is_some_and(|progress| {
             progress.attempt_in_flight && progress.attempts == number.saturating_add(1)
@@ -168,8 +175,9 @@
         }
     }
 
-    /// Records how an undelivered message ended. The message stays in the journal until the platform has confirmed its
-    /// delivery report.
+    /// Records that a message is undelivered, and how it ended. The message stays in the journal until the platform has
+    /// confirmed its delivery report. The record is queued if it cannot be written now. Does nothing for a message that the
+    /// journal does not hold.
     pub fn record_undelivered(&mut self, id: u64, end: ReportedEnd) {
         if self.log.contains(id) {
             self.record_event(id, JournalRecord::Progressed(ProgressStep::Ended(end)));
@@ -200,7 +208,8 @@
         Ok(())
     }
 
-    /// Whether the end of a message is queued and not written yet. A restart would restore the message as open.
+    /// Whether it is queued and not written yet that a message is undelivered or completed. A restart would restore the
+    /// message as open, and could send it again.
     pub fn has_unwritten_outcome(&self, id: u64) -> bool {
         self.unwritten.iter().any(|unwritten| unwritten.message_id == id && unwritten.record.is_end())
     }
--- a/src/journal/segment_log.rs
+++ b/src/journal/segment_log.rs
@@ -1,7 +1,7 @@
 //! All segments as one log: records are appended to the newest segment, and the live records are tracked.
 //!
-//! A record with which a message was received is *live* until the message's completion is written. Only live records
-//! are copied by compaction.
+//! The receipt record of a message, with which it was received, is *live* until the message's completion is written. Only
+//! live records are copied by compaction.
 
 use super::encoding::{self, FRAME_BYTES};
 use super::record::{JournalRecord, Progress, ProgressStep};
@@ -12,8 +12,8 @@
 
 /// The disk block size in bytes. File sizes are rounded up to whole blocks, as the platform does for its disk limit.
 pub(super) const DISK_BLOCK_BYTES: u64 = 512;
-/// The space in bytes that is reserved for the records after a message's first one: a dozen attempts, each with its
-/// zone and a record that it never ran, and the completion.
+/// The space in bytes that is reserved for the records after a message's receipt record: 12 attempts, which is the
+/// most for a message, each with its zone and a record that it never ran, and the completion.
 const LATER_RECORDS_BYTES: u64 = 1024;
 /// The share of the limit in percent that live records may take, with their reserves. The rest keeps compaction rare.
 const LIVE_PERCENT: u64 = 70;
@@ -23,7 +23,7 @@
 /// apart.
 const SALT_STEP: u32 = 0x9E37_79B9;
 
-/// The place of the record with which a message was received.
+/// The place of a message's receipt record.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RecordLocation {
     /// The segment's number.
@@ -65,8 +65,8 @@
     pub(super) read_clocks: Box<dyn Fn() -> ClockReading>,
     /// The salts of all segments are derived from this one.
     salt: u32,
-    /// The size limit of the whole folder, in bytes.
-    pub(super) limit: u64,
+    /// The size limit of the whole folder without the blocks that are left for the folder itself, in bytes.
+    pub(super) usable_bytes: u64,
     /// The size in bytes at which a segment is full.
     segment_size: u64,
     pub(super) segments: VecDeque<Segment>,
@@ -74,8 +74,8 @@
     newest_is_open: bool,
     pub(super) next_number: u64,
     pub(super) live: BTreeMap<u64, LiveMessage>,
-    /// The size of all live records with the space reserved for the records after them, in bytes.
-    live_size: u64,
+    /// The size of all live records with [`LATER_RECORDS_BYTES`] for each, in bytes.
+    live_size_with_reserve: u64,
     /// The size on disk of the files in the folder that are no segments, in bytes.
     pub(super) other_files_size: u64,
 }
@@ -96,13 +96,13 @@
             storage,
             read_clocks,
             salt,
-            limit: 0,
+            usable_bytes: 0,
             segment_size: 0,
             segments: VecDeque::new(),
             newest_is_open: false,
             next_number: 1,
             live: BTreeMap::new(),
-            live_size: 0,
+            live_size_with_reserve: 0,
             other_files_size: 0,
         };
         log.set_limit(limit);
@@ -112,7 +112,7 @@
     /// Sets the size limit of the folder in bytes, and by it the size of new segments.
     pub fn set_limit(&mut self, limit: u64) {
         // Four blocks are left for the folder itself, in case the platform counts it as well.
-        self.limit = limit.saturating_sub(4 * DISK_BLOCK_BYTES);
+        self.usable_bytes = limit.saturating_sub(4 * DISK_BLOCK_BYTES);
         self.segment_size = (limit / SEGMENTS_PER_LIMIT).max(8 * DISK_BLOCK_BYTES);
     }
 
@@ -121,10 +121,10 @@
         self.other_files_size + self.segments.iter().map(|segment| size_on_disk(segment.size)).sum::<u64>()
     }
 
-    /// Whether there is space for a message's first record and the records after it, with enough left for compaction.
+    /// Whether there is space for a message's receipt record and the records after it, with enough left for compaction.
     pub fn has_space_for_message(&self, record_size: u64) -> bool {
-        let available = self.limit.saturating_sub(self.other_files_size) * LIVE_PERCENT / 100;
-        self.live_size + record_size + LATER_RECORDS_BYTES <= available
+        let available = self.usable_bytes.saturating_sub(self.other_files_size) * LIVE_PERCENT / 100;
+        self.live_size_with_reserve + record_size + LATER_RECORDS_BYTES <= available
     }
 
     /// Whether a message is live.
@@ -153,7 +153,7 @@
     pub fn insert_live(&mut self, id: u64, location: RecordLocation, progress: Progress) {
         let completed = self.live.get(&id).is_some_and(|message| message.completed);
         self.remove_live(id);
-        self.live_size += location.size + LATER_RECORDS_BYTES;
+        self.live_size_with_reserve += location.size + LATER_RECORDS_BYTES;
         if let Some(segment) = self.segment_mut(location.segment) {
             segment.live_records += 1;
             segment.live_size += location.size;
@@ -161,10 +161,10 @@
         self.live.insert(id, LiveMessage { location, progress, completed });
     }
 
-    /// Removes a message from the live ones, so that its record is no longer needed.
+    /// Removes a message from the live ones, so that its receipt record is no longer needed.
     pub fn remove_live(&mut self, id: u64) {
         let Some(LiveMessage { location, .. }) = self.live.remove(&id) else { return };
-        self.live_size -= location.size + LATER_RECORDS_BYTES;
+        self.live_size_with_reserve -= location.size + LATER_RECORDS_BYTES;
         if let Some(segment) = self.segment_mut(location.segment) {
             segment.live_records -= 1;
             segment.live_size -= location.size;
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -53,7 +53,7 @@
     pub zone: ZoneId,
     /// The kind of the destination.
     pub kind: KindId,
-    /// The capacity relative to other endpoints; 1.0 if the source gives none.
+    /// The capacity relative to other endpoints. An entry of the pushed list without a weight has 1.0.
     pub weight: f64,
     /// The state according to the source.
     pub state: EntryState,
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -15,8 +15,8 @@
 }
 
 impl Candidate {
-    /// Returns the candidate to publish. If the ids differ, it is the one that changed last. If the same id is in two
-    /// groups, it is the newer entry, and it drains if either of them drains.
+    /// Chooses the entry with the higher stamp, or `self` if the stamps are equal. If both entries have the same id (in two
+    /// groups), the chosen one drains if either drains.
     fn choose_to_publish(self, other: Candidate) -> Candidate {
         let is_newer = other.listing.stamp > self.listing.stamp;
         if self.listing.key.id != other.listing.key.id {
@@ -38,7 +38,7 @@
     ) -> Vec<MembershipChange> {
         let mut changes = Vec::new();
         if self.views[source.0].policy.identifies_by_address {
-            for address in self.move_entries(source, touched) {
+            for address in self.index_by_address(source, touched) {
                 self.merge_address(now, address, &mut changes);
             }
         } else {
@@ -49,14 +49,14 @@
         changes
     }
 
-    /// Updates the address index for entries of a source that identifies by address. Returns the affected addresses, each
-    /// once.
-    fn move_entries(&mut self, source: SourceId, touched: Vec<TouchedEntry>) -> Vec<SocketAddr> {
+    /// Updates the index of entries by address for the touched entries of a source that identifies by address. Returns the
+    /// addresses that an entry has or had, each once.
+    fn index_by_address(&mut self, source: SourceId, touched: Vec<TouchedEntry>) -> Vec<SocketAddr> {
         let mut addresses: Vec<SocketAddr> = Vec::new();
         for TouchedEntry { key, previous_address } in touched {
             let current_address = self.views[source.0].get(&key).map(|listing| listing.address);
             if let Some(left) = previous_address.filter(|previous| Some(*previous) != current_address) {
-                remove_at(&mut self.by_address_entries, left, &(source, key.clone()));
+                remove_from_address(&mut self.by_address_entries, left, &(source, key.clone()));
                 addresses.push(left);
             }
             if let Some(current) = current_address {
@@ -69,7 +69,7 @@
         addresses
     }
 
-    /// Merges an entry of a source that identifies by key.
+    /// Publishes an entry of a source that identifies by key, or its removal, and merges the addresses that it has or had.
     fn merge_keyed(
         &mut self,
         now: Micros,
@@ -84,7 +84,7 @@
         let current_address = current.as_ref().map(|(listing, _)| listing.address);
         let left_address = previous_address.filter(|previous| Some(*previous) != current_address);
         if let Some(left) = left_address {
-            remove_at(&mut self.by_key_entries, left, &(source, key.clone()));
+            remove_from_address(&mut self.by_key_entries, left, &(source, key.clone()));
         }
         match current {
             Some((listing, effective)) => {
@@ -105,7 +105,8 @@
         let best = self.best_candidate(now, address);
         let best_identity =
             best.as_ref().map(|best| EndpointIdentity::ByAddress(address, best.listing.key.id.clone()));
-        let reason = if best.is_some() { "replaced at its address" } else { "missing" };
+        let reason =
+            if best.is_some() { "replaced at its address" } else { "missing or replaced by another source" };
         let published = self.published_at.get(&address).into_iter().flatten();
         let replaced: Vec<EndpointIdentity> = published
             .filter(|identity| matches!(identity, EndpointIdentity::ByAddress(..)))
@@ -117,12 +118,15 @@
             self.publish_removal(now, &identity, source, reason, changes);
         }
         let Some((best, identity)) = best.zip(best_identity) else { return };
-        // An entry that drains and was never in service is not added.
+        // An entry that drains is published only if its endpoint is in the list, so an entry that is draining when it is first
+        // seen adds none.
         if best.effective.lifecycle == Lifecycle::Listed || self.published.contains_key(&identity) {
             self.publish(identity, best, changes);
         }
     }
 
+    /// The entry to publish at an address, from the sources that identify by address. `None` if none of them lists the
+    /// address, or if a source that identifies by key lists it.
     fn best_candidate(&self, now: Micros, address: SocketAddr) -> Option<Candidate> {
         if self.by_key_entries.contains_key(&address) {
             return None;
@@ -136,6 +140,7 @@
         candidates.reduce(Candidate::choose_to_publish)
     }
 
+    /// Publishes a candidate as the endpoint of this identity, and updates the index of published endpoints by address.
     fn publish(
         &mut self,
         identity: EndpointIdentity,
@@ -147,12 +152,12 @@
         let EffectiveState { lifecycle, observed_at, reason } = effective;
         let change = MembershipChange { endpoint, listing, lifecycle, observed_at, source, reason };
         let known = self.published.get(&identity);
-        // A source that identifies by key has every entry published that it sends; the other sources only those that change.
+        // Every entry from a source that identifies by key is published. From other sources only changed ones are.
         let must_publish = matches!(identity, EndpointIdentity::ByKey(..))
             || known.is_none_or(|known| is_changed(known, &change));
         let known_address = known.map(|known| known.listing.address);
         if let Some(left) = known_address.filter(|known| *known != change.listing.address) {
-            remove_at(&mut self.published_at, left, &identity);
+            remove_from_address(&mut self.published_at, left, &identity);
         }
         self.published_at.entry(change.listing.address).or_default().insert(identity.clone());
         if must_publish {
@@ -161,6 +166,7 @@
         }
     }
 
+    /// The number of the endpoint of this identity. A new identity gets the next number.
     fn endpoint_id(&mut self, identity: &EndpointIdentity) -> EndpointId {
         if let Some(id) = self.ids.get(identity) {
             return *id;
@@ -171,6 +177,7 @@
         id
     }
 
+    /// Publishes the removal of the endpoint of this identity. Does nothing if it is not in the list.
     fn publish_removal(
         &mut self,
         now: Micros,
@@ -180,13 +187,13 @@
         changes: &mut Vec<MembershipChange>,
     ) {
         let Some(known) = self.published.remove(identity) else { return };
-        remove_at(&mut self.published_at, known.listing.address, identity);
+        remove_from_address(&mut self.published_at, known.listing.address, identity);
         let lifecycle = Lifecycle::Removed;
         changes.push(MembershipChange { lifecycle, observed_at: now, source, reason, ..known });
     }
 }
 
-/// Whether a change alters anything about the endpoint compared with its last published change.
+/// Whether the lifecycle, destination, zone, kind or weight differs from the endpoint's last published change.
 fn is_changed(known: &MembershipChange, change: &MembershipChange) -> bool {
     let (old, new) = (&known.listing, &change.listing);
     known.lifecycle != change.lifecycle
@@ -197,7 +204,7 @@
 }
 
 /// Removes a value from the set of an address, and drops the set once it is empty.
-fn remove_at<T: Ord>(sets: &mut HashMap<SocketAddr, BTreeSet<T>>, address: SocketAddr, value: &T) {
+fn remove_from_address<T: Ord>(sets: &mut HashMap<SocketAddr, BTreeSet<T>>, address: SocketAddr, value: &T) {
     if let Some(set) = sets.get_mut(&address) {
         set.remove(value);
         if set.is_empty() {
--- a/src/membership/merged_list.rs
+++ b/src/membership/merged_list.rs
@@ -162,13 +162,15 @@
     /// Ends the hold-downs that have expired; returns the resulting changes.
     pub fn tick(&mut self, now: Micros) -> Vec<MembershipChange> {
         let sources = (0..self.views.len()).map(SourceId);
-        let due: Vec<_> = sources.map(|source| (source, self.views[source.0].take_due(now))).collect();
+        let due: Vec<_> =
+            sources.map(|source| (source, self.views[source.0].take_ended_hold_downs(now))).collect();
         due.into_iter().flat_map(|(source, touched)| self.merge(now, source, touched)).collect()
     }
 
-    /// When [`tick`](Self::tick) is due next; `None` if no entry is held down.
+    /// When [`tick`](Self::tick) is due next; `None` if no end of a hold-down is pending. A hold-down that the entry cut
+    /// short by leaving service keeps its end, so a call of `tick` may change nothing.
     pub fn next_tick(&self) -> Option<Micros> {
-        self.views.iter().filter_map(SourceView::next_due).min()
+        self.views.iter().filter_map(SourceView::next_hold_down_end).min()
     }
 
     /// Whether the source must be polled for its complete list, because a part of its last update is in doubt.
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -8,40 +8,45 @@
 /// How updates of a source are checked before they are accepted.
 #[derive(Clone, Debug, Default)]
 pub struct SourcePolicy {
-    /// How long an entry that returns to service is held down; `None` for not at all. An entry that flaps is then not used,
-    /// so that it causes neither late drains nor bursts of calls.
+    /// How long an entry that returns to service is held down; `None` for not at all. Hold-downs keep calls from an entry
+    /// that flaps, as it is about to drain again, and from causing a burst each time that it returns.
     pub hold_down: Option<HoldDown>,
-    /// When a complete update is doubted because it lacks entries; `None` for never.
+    /// When a complete update that lacks entries of the view is doubted; `None` for never. Without a guard, no
+    /// complete update is doubted or ignored, and removals leave no tombstones.
     pub shrink_guard: Option<ShrinkGuard>,
     /// Whether an endpoint is identified by its id and its address together. If so, the same id at another address, or
-    /// another id at the same address, is another endpoint. If not, an id is the same endpoint at any address.
+    /// another id at the same address, is another endpoint. If not, an endpoint is identified by the key of its entry, and
+    /// the same key is the same endpoint at any address.
     pub identifies_by_address: bool,
 }
 
 /// How long an entry that returns to service is held down, which means that it is not used although its source lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldDown {
-    /// The time after the entry left service once; it doubles with each further time.
+    /// The hold-down after the first flap, in microseconds. A flap is a departure from service. Each further flap that is
+    /// still remembered doubles the hold-down.
     pub first: Micros,
-    /// The longest time.
+    /// The longest hold-down, in microseconds.
     pub max: Micros,
-    /// For each period of this length in which the entry does not leave service, one earlier time is forgotten.
+    /// One remembered flap is forgotten for each period of this length without a flap, in microseconds.
     pub forget_after: Micros,
 }
 
-/// When a complete update is doubted because it lacks entries of the view.
+/// When a complete update that lacks entries of the view is doubted, and for how long such doubts last.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShrinkGuard {
     /// The share of the view's entries that an update may lack without being doubted.
     pub max_missing_share: f64,
-    /// An entry that is missing from a doubted update is removed if an update after this time lacks it as well.
+    /// How long a doubt lasts, in microseconds. An entry that is missing from a doubted update is removed by a complete
+    /// update that lacks it at least this long after the first one that did. Lower versions are accepted this long after the
+    /// first one, and a tombstone is kept this long after the removal.
     pub confirm_after: Micros,
 }
 
 /// Counters of a source's updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SourceStats {
-    /// Entries and updates that were ignored because the view had newer ones.
+    /// Entries, removals and complete updates that were ignored because the view had newer ones.
     pub stale_entries: u64,
     /// How often an entry left service.
     pub flaps: u64,
@@ -58,7 +63,7 @@
 pub(super) struct EffectiveState {
     /// Listed or draining; a removed entry has no effective lifecycle.
     pub lifecycle: Lifecycle,
-    /// When the lifecycle began.
+    /// When the entry last changed its state or its address; for an entry whose hold-down has ended, that end.
     pub observed_at: Micros,
     /// Why the entry has this lifecycle.
     pub reason: &'static str,
@@ -84,7 +89,8 @@
 struct Entry {
     listing: Listing,
     observed_at: Micros,
-    /// The entry is up, but is not used before this time.
+    /// The end of the entry's last hold-down, which may have passed; until then the entry is up, but not used. `None` if it
+    /// was not held down when it came up.
     held_down_until: Option<Micros>,
 }
 
@@ -95,7 +101,7 @@
 }
 
 impl FlapHistory {
-    /// The count without the times that are forgotten by now.
+    /// The number of flaps without those that are forgotten by now.
     fn recent_count(&self, now: Micros, hold_down: &HoldDown) -> u32 {
         let forgotten = now.saturating_sub(self.last_at) / hold_down.forget_after.max(1);
         self.count.saturating_sub(u32::try_from(forgotten).unwrap_or(u32::MAX))
@@ -122,7 +128,7 @@
     /// When the versions of updates first became lower than the view's version.
     version_lower_since: Option<Micros>,
     newest_stamp: u64,
-    /// The ends of all hold-downs, earliest first.
+    /// The ends of all hold-downs, earliest first, also of those that the entry cut short by leaving service again.
     hold_down_ends: BTreeSet<(Micros, EntryKey)>,
 }
 
@@ -139,6 +145,7 @@
         self.entries.values().map(|entry| &entry.listing)
     }
 
+    /// Whether an update was doubted and the doubt is not resolved, so that the complete list should be polled.
     pub fn is_in_doubt(&self) -> bool {
         !self.missing_since.is_empty() || self.version_lower_since.is_some()
     }
@@ -150,21 +157,23 @@
             (EntryState::Up, Some(until)) if now < until => {
                 (Lifecycle::Draining, entry.observed_at, "held down")
             }
-            (EntryState::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
+            (EntryState::Up, Some(until)) => (Lifecycle::Listed, until, "hold-down ended"),
             (EntryState::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
-            _ => (Lifecycle::Draining, entry.observed_at, "not in service"),
+            _ => (Lifecycle::Draining, entry.observed_at, "draining at its source"),
         };
         Some(EffectiveState { lifecycle, observed_at, reason })
     }
 
-    pub fn next_due(&self) -> Option<Micros> {
+    /// The earliest end of a hold-down; `None` if there is none.
+    pub fn next_hold_down_end(&self) -> Option<Micros> {
         self.hold_down_ends.first().map(|(at, _)| *at)
     }
 
-    /// Returns the entries whose hold-down has ended, each only once.
-    pub fn take_due(&mut self, now: Micros) -> Vec<TouchedEntry> {
+    /// Removes the ends of hold-downs that have passed, and returns an entry for each. An entry that was held down again
+    /// meanwhile is returned for each of its ends, and may still be held down.
+    pub fn take_ended_hold_downs(&mut self, now: Micros) -> Vec<TouchedEntry> {
         let mut touched = Vec::new();
-        while self.next_due().is_some_and(|at| at <= now) {
+        while self.next_hold_down_end().is_some_and(|at| at <= now) {
             let Some((_, key)) = self.hold_down_ends.pop_first() else { break };
             let previous_address = self.get(&key).map(|listing| listing.address);
             touched.push(TouchedEntry { key, previous_address });
@@ -203,6 +212,7 @@
         touched
     }
 
+    /// How long a doubt lasts; 0 without a shrink guard. See [`ShrinkGuard::confirm_after`].
     fn confirm_after(&self) -> Micros {
         self.policy.shrink_guard.map_or(0, |guard| guard.confirm_after)
     }
@@ -217,8 +227,9 @@
         }
     }
 
-    /// Whether a complete update of this version is accepted. A lower version than before comes from a replica that lags. If
-    /// versions stay lower for the confirmation time, the registry has restarted and its versions are accepted.
+    /// Whether a complete update of this version is accepted. A lower version than before is taken for that of a replica
+    /// that lags. If versions stay lower for the confirmation time, the registry is assumed to have restarted, and its
+    /// versions are accepted.
     fn accept_version(&mut self, now: Micros, version: Option<u64>) -> bool {
         let is_lower = version.zip(self.version).is_some_and(|(version, known)| version < known);
         if is_lower {
@@ -282,7 +293,8 @@
         if known.is_none() && listing.state == EntryState::Removed {
             return;
         }
-        // A registry repeats a change in its deltas for minutes. Entries that are identified by key are published each time.
+        // An unchanged entry is skipped, because a registry repeats each change in its deltas for minutes. Sources that
+        // identify by key have each of their entries published again.
         if self.policy.identifies_by_address && known == Some(&listing) {
             self.missing_since.remove(&listing.key);
             return;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -123,7 +123,8 @@
         membership.apply(8 * SECOND, REGISTRY, complete(all())).is_empty()
             && !membership.needs_complete_poll(REGISTRY)
     );
-    // The registry stays empty: the entries are removed by an answer after the confirmation time, not by the time alone.
+    // The registry stays empty: the entries are removed by an update that comes after the confirmation time, not by the
+    // passing of time.
     membership.apply(20 * SECOND, REGISTRY, complete(vec![]));
     assert!(membership.tick(40 * SECOND).is_empty());
     assert_eq!(membership.apply(41 * SECOND, REGISTRY, complete(vec![])).len(), 10);
@@ -256,8 +257,8 @@
         ["i Listed", "j Listed"]
     );
     assert!(membership.stats(REGISTRY).last_update_at.is_none());
-    let answer = complete(vec![listing("A", "i", 1, EntryState::Draining, 3), up("j", 2, 4)]);
-    assert_eq!(summary(&membership.apply(SECOND, REGISTRY, answer)), ["i Draining"]);
+    let update = complete(vec![listing("A", "i", 1, EntryState::Draining, 3), up("j", 2, 4)]);
+    assert_eq!(summary(&membership.apply(SECOND, REGISTRY, update)), ["i Draining"]);
 }
 
 fn settings(addresses: usize) -> RegistrySettings {
@@ -295,7 +296,8 @@
     assert_eq!(next(&mut schedule), (0, 0, PollKind::Complete));
     schedule.succeeded(0, PollKind::Complete, true, false);
     assert_eq!(next(&mut schedule), (SECOND, 0, PollKind::Delta));
-    // After a delta with a hash mismatch, the complete list is polled at once.
+    // After a delta with a hash mismatch, the complete list is polled at once. The flags of `succeeded` say whether the hash
+    // matches and whether the view is in doubt.
     schedule.succeeded(SECOND, PollKind::Delta, false, false);
     assert_eq!(next(&mut schedule), (SECOND, 0, PollKind::Complete));
     schedule.failed(SECOND, 0.0);
@@ -304,7 +306,7 @@
         (SECOND, 1, PollKind::Complete),
         "the next one at once, for the complete list"
     );
-    // After all addresses have failed, there is a pause, which grows up to the longest.
+    // After each round in which all addresses have failed, there is a pause that doubles up to `backoff.max`.
     let mut pauses = Vec::new();
     let mut now = SECOND;
     for _ in 0..10 {
@@ -333,8 +335,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// After any sequence of updates, the list equals the registry's contents once all updates have been correct for 30 s. A
-    /// drain that was received is never undone by an older update.
+    /// After any sequence of updates, the list equals the registry's contents once only complete and current updates have
+    /// arrived for 30 s. A drain that was received is never undone by an older update.
+    ///
+    /// A step consists of an action, the number of the instance, how many changes the replica lags behind (in a delta: how many
+    /// changes before the last one it contains), and whether changes are lost. Actions 0 and 3 register the instance or update
+    /// its entry, 1 lets it drain, 2 removes it, 4 moves it to another port, 5 and 6 send a complete list, 7 and 8 send a delta,
+    /// and 9 lets only time pass.
     #[test]
     fn the_list_converges_to_what_the_registry_holds(
         steps in proptest::collection::vec((0u8..10, 0usize..6, 0usize..4, any::<bool>()), 1..120),
@@ -377,7 +384,7 @@
                     }
                     membership.apply(now, REGISTRY, complete(replica.into_values().collect()));
                 }
-                // The registry sends a delta, of which some changes may be lost.
+                // The registry sends a delta from which some changes may be missing.
                 7 | 8 => {
                     let from = changes.len().saturating_sub(1 + lag);
                     let mut listings = Vec::new();
@@ -406,7 +413,7 @@
                 );
             }
         }
-        // From here on all updates are correct. Confirmation takes 10 s, the longest hold-down 8 s.
+        // From here on all updates are complete and current. Confirmation takes 10 s, the longest hold-down 8 s.
         for _ in 0..30 {
             now += SECOND;
             membership.tick(now);
