--- a/src/journal/mod.rs
+++ b/src/journal/mod.rs
@@ -1,8 +1,9 @@
 //! The journal stores each accepted message, its attempts and its completion in segment files of checksummed records.
 //!
-//! A message is *accepted* with its receipt record. It is *undelivered* if it has ended without a delivery: no attempt is
-//! sent any more, but the platform has not confirmed its delivery report. It is *completed* when nothing is left to do for
-//! it: it was delivered, its client was told the outcome, or the platform has confirmed the report.
+//! The *receipt record* of a message is written before the message is accepted, and holds the whole message. A message is
+//! *undelivered* if it has ended without a delivery: no attempt is sent any more, but the platform has not confirmed its
+//! delivery report. It is *completed* when nothing is left to do for it: it was delivered, its client was told the outcome,
+//! or the platform has confirmed the report.
 //!
 //! Only receipt records of messages that are not completed are *live*. The oldest segment is always removed first, after its
 //! live records were copied to the newest one. A copy holds the message's progress so far, so that the records of its
@@ -10,10 +11,10 @@
 //! never removed before the receipt record of its message. The journal stays under its size limit at all times, also during
 //! compaction.
 //!
-//! After a failed write the journal is *failing*. Then it rejects a record that must be written before something starts
-//! (an accepted message, an attempt). A record of something that has already happened (a completion, an
-//! undelivered end, an attempt that never ran) is queued in memory, in order, until it can be written. No record is appended after a
-//! torn one, of which only a part was written. [`Journal::retry`] finds out whether the journal can be written again.
+//! After a failed write the journal is *failing*. Then it rejects a record that must be written before something starts (an
+//! accepted message, an attempt). A record of something that has already happened (a completion, an undelivered end, an
+//! attempt that never ran) is queued in memory, in order, until it can be written. No record is appended after a torn one,
+//! of which only a part was written. [`Journal::retry`] finds out whether the journal can be written again.
 //!
 //! | module | content |
 //! |---|---|
@@ -80,8 +81,8 @@
 pub struct Journal {
     log: SegmentLog,
     write_state: WriteState,
-    /// The queued records, oldest first. There are at most three for each message, one of each kind: an attempt never ran, the
-    /// message is undelivered, the message is completed.
+    /// The queued records, oldest first. There are at most three for each message, one of each kind: an attempt never ran,
+    /// the message is undelivered, the message is completed.
     unwritten: VecDeque<UnwrittenRecord>,
 }
 
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -118,8 +118,8 @@
             self.publish_removal(now, &identity, source, reason, changes);
         }
         let Some((best, identity)) = best.zip(best_identity) else { return };
-        // An entry that drains is published only if its endpoint is in the list, so an entry that is draining when it is first
-        // seen adds none.
+        // An entry that drains is published only if its endpoint is in the list, so an entry that is draining when it is
+        // first seen adds none.
         if best.effective.lifecycle == Lifecycle::Listed || self.published.contains_key(&identity) {
             self.publish(identity, best, changes);
         }
--- a/src/net/endpoint/exchange.rs
+++ b/src/net/endpoint/exchange.rs
@@ -79,7 +79,7 @@
         None => connection_slot.insert(connect(context, call.endpoint).await?),
     };
     connection.stall_timeout = Some(RESPONSE_STALL_TIMEOUT);
-    context.endpoint_list.until_received().await;
+    context.endpoint_list.until_calls_allowed().await;
     context.stall_detector.until_calls_allowed(&context.clock).await;
     check_sendable(context, call, progress)?;
     let zone = context.endpoint_table.get(call.endpoint).map(|state| state.zone);
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -36,10 +36,10 @@
 /// A removal that happened before this process started counts as received this long before the start.
 const RECEIVED_BEFORE_START_US: Micros = 60_000_000;
 
-/// The platform's watch as a source of the list.
-const PUSHED: SourceId = SourceId(0);
-/// The registry as a source of the list.
-const REGISTRY: SourceId = SourceId(1);
+/// The pushed list of the platform's agent, as a source of the merged list.
+const PUSHED_SOURCE: SourceId = SourceId(0);
+/// The registry, as a source of the merged list.
+const REGISTRY_SOURCE: SourceId = SourceId(1);
 
 /// The actor that maintains the endpoint list of this process.
 pub struct EndpointListActor {
@@ -53,9 +53,10 @@
     /// of the next watch may have existed ever since, so it counts as received at this time.
     last_line_at: Micros,
     watch_backoff: WatchBackoff,
-    /// The generation of the last version of the pushed list; `None` before the first.
+    /// The number of the last version of the pushed list that the current watch received, or of the list in the
+    /// configuration; `None` before the first.
     generation: Option<u64>,
-    /// The agent that numbered that generation; `None` if it came from the configuration.
+    /// The agent that numbered that version; `None` if there is none, or if it came from the configuration.
     generation_source: Option<SocketAddr>,
     registry: Option<RegistrySource>,
     drain_log: DrainLog,
@@ -95,7 +96,7 @@
             Ok(version) => {
                 self.generation = Some(version.generation);
                 let now = self.context.clock.now();
-                let changes = self.membership.restore(now, PUSHED, version.listings);
+                let changes = self.membership.restore(now, PUSHED_SOURCE, version.listings);
                 self.publish(UpdateKind::Cached, changes).await;
             }
             Err(error) => warn!(self.context.log, "configured endpoint list malformed"; "error" => %error),
@@ -105,11 +106,11 @@
     /// Takes over the list of the predecessor with the same endpoint ids.
     pub async fn restore_inherited_list(&mut self, inherited: MembershipSnapshot) {
         self.membership.adopt_ids(&inherited);
-        self.context.endpoint_list.set_received();
+        self.context.endpoint_list.allow_calls();
         let now = self.context.clock.now();
         for (source, listings) in inherited.views.into_iter().enumerate() {
             let source = SourceId(source);
-            let kind = if source == PUSHED { UpdateKind::Cached } else { UpdateKind::Patch };
+            let kind = if source == PUSHED_SOURCE { UpdateKind::Cached } else { UpdateKind::Patch };
             let changes = self.membership.restore(now, source, listings);
             self.publish(kind, changes).await;
         }
@@ -197,7 +198,7 @@
         let line = match message {
             EndpointListMessage::WatchLine { watch, line } if !is_heartbeat(line) => {
                 let Some(address) = self.watches.address_of(*watch) else { return };
-                ListLine { line: line.clone(), received_at: self.earliest_arrival(*watch), address }
+                ListLine { line: line.clone(), received_at: self.line_available_since(*watch), address }
             }
             EndpointListMessage::PredecessorLine(line) => line.clone(),
             _ => return,
@@ -251,11 +252,11 @@
     }
 
     fn handle_initial_list_timeout(&self) {
-        if self.context.endpoint_list.is_received() {
+        if self.context.endpoint_list.are_calls_allowed() {
             return;
         }
         warn!(self.context.log, "no endpoint list yet, using the cached one"; "reason" => "initial-list-timeout");
-        self.context.endpoint_list.set_received();
+        self.context.endpoint_list.allow_calls();
     }
 }
 
--- a/src/net/platform/endpoint_list/registry.rs
+++ b/src/net/platform/endpoint_list/registry.rs
@@ -1,7 +1,7 @@
 //! The registry as a source of the list: its poller, and its last view, which is persisted on disk.
 
 use super::publish::UpdateKind;
-use super::{identified_by_address, EndpointListActor, REGISTRY};
+use super::{identified_by_address, EndpointListActor, REGISTRY_SOURCE};
 use crate::membership::{RegistrySettings, SourceUpdate};
 use crate::net::platform::eureka::{self, snapshot::RegistrySnapshot};
 use crate::net::runtime::clock::wall_clock_now;
@@ -67,9 +67,9 @@
     }
 
     fn start_registry(&mut self, settings: Arc<RegistrySettings>) {
-        self.membership.set_policy(REGISTRY, settings.source_policy());
+        self.membership.set_policy(REGISTRY_SOURCE, settings.source_policy());
         let poller = eureka::run(self.context.clone(), settings.clone(), self.own_mailbox.clone());
-        let view = match self.membership.stats(REGISTRY).last_update_at {
+        let view = match self.membership.stats(REGISTRY_SOURCE).last_update_at {
             Some(_) => ServedView::Live,
             None => ServedView::Awaited {
                 read_snapshot_at: self.context.clock.now() + settings.use_snapshot_after,
@@ -86,9 +86,9 @@
     }
 
     async fn remove_registry(&mut self) {
-        self.membership.set_policy(REGISTRY, identified_by_address());
+        self.membership.set_policy(REGISTRY_SOURCE, identified_by_address());
         let empty_list = SourceUpdate::Complete { version: None, listings: Vec::new() };
-        let changes = self.membership.apply(self.context.clock.now(), REGISTRY, empty_list);
+        let changes = self.membership.apply(self.context.clock.now(), REGISTRY_SOURCE, empty_list);
         self.publish(UpdateKind::Patch, changes).await;
         self.registry = None;
         self.context.endpoint_list.set_registry_view(None);
@@ -101,7 +101,7 @@
         received_at: Micros,
         in_doubt_reply: &Sender<bool>,
     ) {
-        let changes = self.membership.apply(received_at, REGISTRY, update);
+        let changes = self.membership.apply(received_at, REGISTRY_SOURCE, update);
         if let Some(source) = &mut self.registry {
             if !changes.is_empty() {
                 source.persist_at.get_or_insert(received_at + PERSIST_INTERVAL_US);
@@ -114,7 +114,7 @@
             self.publish(UpdateKind::Patch, changes).await;
         }
         // The receiver is gone if a reload has replaced the poller meanwhile.
-        let _ = in_doubt_reply.try_send(self.membership.needs_complete_poll(REGISTRY));
+        let _ = in_doubt_reply.try_send(self.membership.needs_complete_poll(REGISTRY_SOURCE));
         self.update_registry_status();
     }
 
@@ -149,7 +149,7 @@
         let age_ms = wall_clock_now().saturating_sub(saved.written_at) / 1000;
         warn!(self.context.log, "the registry does not answer, using the persisted view";
             "entries" => saved.listings.len(), "age_ms" => age_ms);
-        let changes = self.membership.restore(now, REGISTRY, saved.listings);
+        let changes = self.membership.restore(now, REGISTRY_SOURCE, saved.listings);
         self.publish(UpdateKind::Patch, changes).await;
         self.update_registry_status();
     }
@@ -157,8 +157,11 @@
     fn persist_registry_view(&self) {
         let Some(source) = &self.registry else { return };
         let folder_limit = self.context.config().max_disk_bytes;
-        match source.snapshot.write(wall_clock_now(), self.membership.source_listings(REGISTRY), folder_limit)
-        {
+        match source.snapshot.write(
+            wall_clock_now(),
+            self.membership.source_listings(REGISTRY_SOURCE),
+            folder_limit,
+        ) {
             Ok(Some(_)) => {}
             Ok(None) => warn!(self.context.log, "the registry's view is too large to be persisted"),
             Err(error) => warn!(self.context.log, "the registry's view is not persisted"; "error" => %error),
@@ -167,11 +170,12 @@
 
     /// Updates the report of the registry's part of the list, which operators see in the counters.
     fn update_registry_status(&self) {
-        let stats = self.membership.stats(REGISTRY);
+        let stats = self.membership.stats(REGISTRY_SOURCE);
         let uses_persisted =
             self.registry.as_ref().is_some_and(|source| matches!(source.view, ServedView::Persisted));
         let view = json!({
-            "entries": self.membership.source_listings(REGISTRY).count(), "stale_entries": stats.stale_entries, "flaps": stats.flaps,
+            "entries": self.membership.source_listings(REGISTRY_SOURCE).count(),
+            "stale_entries": stats.stale_entries, "flaps": stats.flaps,
             "held_down": stats.held_down, "shrinks_not_believed": stats.doubted_updates, "heard": stats.last_update_at,
             "serves_kept_view": uses_persisted,
         });
--- a/src/net/platform/list_status.rs
+++ b/src/net/platform/list_status.rs
@@ -8,7 +8,8 @@
 #[derive(Default)]
 pub struct EndpointListStatus {
     known: Cell<bool>,
-    received: Latch,
+    /// Set once calls may be sent.
+    calls_allowed: Latch,
     cordoned: RefCell<Vec<String>>,
     registry_view: RefCell<Option<Value>>,
 }
@@ -24,19 +25,19 @@
         self.known.set(true);
     }
 
-    /// Whether calls may be sent: this process has received a list from the platform, or has waited long enough for one.
-    pub fn is_received(&self) -> bool {
-        self.received.is_set()
+    /// Whether calls may be sent: this process has a current list, or waits for one no longer.
+    pub fn are_calls_allowed(&self) -> bool {
+        self.calls_allowed.is_set()
     }
 
-    /// Allows calls to be sent.
-    pub fn set_received(&self) {
-        self.received.set();
+    /// Allows calls to be sent from now on.
+    pub fn allow_calls(&self) {
+        self.calls_allowed.set();
     }
 
-    /// Returns once [`is_received`](Self::is_received) is true.
-    pub async fn until_received(&self) {
-        self.received.wait().await;
+    /// Returns once [`are_calls_allowed`](Self::are_calls_allowed) is true.
+    pub async fn until_calls_allowed(&self) {
+        self.calls_allowed.wait().await;
     }
 
     /// The ids of the endpoints that operators have cordoned.
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -338,10 +338,10 @@
     /// After any sequence of updates, the list equals the registry's contents once only complete and current updates have
     /// arrived for 30 s. A drain that was received is never undone by an older update.
     ///
-    /// A step consists of an action, the number of the instance, how many changes the replica lags behind (in a delta: how many
-    /// changes before the last one it contains), and whether changes are lost. Actions 0 and 3 register the instance or update
-    /// its entry, 1 lets it drain, 2 removes it, 4 moves it to another port, 5 and 6 send a complete list, 7 and 8 send a delta,
-    /// and 9 lets only time pass.
+    /// A step consists of an action, the number of the instance, how many changes the replica lags behind (in a delta: how
+    /// many changes before the last one it contains), and whether a delta lacks the changes of instances with an even
+    /// number. Actions 0 and 3 register the instance or update its entry, 1 lets it drain, 2 removes it, 4 moves it to
+    /// another port, 5 and 6 send a complete list, 7 and 8 send a delta, and 9 lets only time pass.
     #[test]
     fn the_list_converges_to_what_the_registry_holds(
         steps in proptest::collection::vec((0u8..10, 0usize..6, 0usize..4, any::<bool>()), 1..120),
