--- a/src/bin/cedarbridge-simhost/wire/events.rs
+++ b/src/bin/cedarbridge-simhost/wire/events.rs
@@ -98,6 +98,7 @@
     key.map(OrderKey).map_err(|_| EventError::KeyNotHexadecimal(value.clone()))
 }
 
+/// Parses the start of a response. The policy has no use for the other fields, but they must be valid.
 fn parse_started(fields: Fields, instance: &mut Instance) -> Result<Event, EventError> {
     fields.micros(2, "elapsed")?;
     fields.unsigned(3, "endpoint")?;
--- a/src/config_error.rs
+++ b/src/config_error.rs
@@ -61,7 +61,7 @@
     Pause = "pause",
     /// There are no attempts, or more than allowed.
     Attempts = "attempts",
-    /// A hedged request could be sent while the attempt before it is in flight.
+    /// A hedged request, which is meant to follow an attempt that timed out, could be sent while that attempt is in flight.
     HedgedRequest = "second-copy",
     /// More than one attempt may have run in a class that allows one.
     NonIdempotent = "side-effect",
--- a/src/membership/listing.rs
+++ b/src/membership/listing.rs
@@ -98,6 +98,6 @@
     pub observed_at: Micros,
     /// The source of the entry.
     pub source: SourceId,
-    /// Why the endpoint has this lifecycle; for logs and operators.
+    /// Why the endpoint has this lifecycle. It is logged, and the `registry` commands print it as `why`.
     pub reason: &'static str,
 }
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -105,8 +105,8 @@
         let best = self.best_candidate(now, address);
         let best_identity =
             best.as_ref().map(|best| EndpointIdentity::ByAddress(address, best.listing.key.id.clone()));
-        let reason =
-            if best.is_some() { "replaced at its address" } else { "missing or replaced by another source" };
+        // Without a candidate the reason is "missing", also if an entry of a source that identifies by key is the cause.
+        let reason = if best.is_some() { "replaced at its address" } else { "missing" };
         let published = self.published_at.get(&address).into_iter().flatten();
         let replaced: Vec<EndpointIdentity> = published
             .filter(|identity| matches!(identity, EndpointIdentity::ByAddress(..)))
--- a/src/membership/merged_list.rs
+++ b/src/membership/merged_list.rs
@@ -35,7 +35,9 @@
     pub(super) by_address_entries: HashMap<SocketAddr, BTreeSet<(SourceId, EntryKey)>>,
     /// The entries at each address that come from sources that identify by key.
     pub(super) by_key_entries: HashMap<SocketAddr, BTreeSet<(SourceId, EntryKey)>>,
+    /// The number of each endpoint, also of a removed one until [`retain_ids`](Self::retain_ids) forgets it.
     pub(super) ids: HashMap<EndpointIdentity, EndpointId>,
+    /// The highest number that was given to an endpoint.
     pub(super) last_id: u32,
     /// The last published change of each endpoint that is not removed, before cordons are applied.
     pub(super) published: BTreeMap<EndpointIdentity, MembershipChange>,
@@ -91,7 +93,8 @@
         self.cordons.keys().map(String::as_str)
     }
 
-    /// Marks ids as cordoned without publishing changes; used for cordons that an earlier process persisted.
+    /// Marks ids as cordoned without publishing changes. Used for the cordons that an earlier process persisted, and to undo
+    /// an uncordon that could not be persisted.
     pub fn restore_cordons(&mut self, now: Micros, ids: impl IntoIterator<Item = String>) {
         self.cordons.extend(ids.into_iter().map(|id| (id, now)));
     }
--- a/src/membership/poll.rs
+++ b/src/membership/poll.rs
@@ -28,16 +28,22 @@
 /// Schedules polls by the outcomes of the earlier ones.
 #[derive(Clone, Debug)]
 pub struct PollSchedule {
+    /// The number of addresses.
     addresses: usize,
     poll_interval: Micros,
     backoff: PollBackoff,
     preferred_retry_after: Micros,
+    /// Whether deltas are polled; only a poll of the whole registry has them.
     uses_deltas: bool,
+    /// The index of the address that is polled next. The preferred address has the index 0.
     current_address: usize,
     /// Consecutive failed polls, counted over all addresses.
     failures: u32,
+    /// When the preferred address last failed; `None` if it has not failed, or has answered since.
     preferred_failed_at: Option<Micros>,
+    /// Whether the next poll must ask for the complete list.
     needs_complete: bool,
+    /// When the next poll is due.
     next_at: Micros,
 }
 
@@ -58,7 +64,7 @@
         }
     }
 
-    /// Returns the next poll. Goes back to the preferred address once that is due for a retry.
+    /// Returns the next poll. Goes back to the preferred address if, at the time of the poll, that is due for a retry.
     pub fn next_request(&mut self) -> PollRequest {
         let preferred_is_due = self
             .preferred_failed_at
--- a/src/membership/source_view.rs
+++ b/src/membership/source_view.rs
@@ -65,12 +65,12 @@
     pub lifecycle: Lifecycle,
     /// When the entry last changed its state or its address; for an entry whose hold-down has ended, that end.
     pub observed_at: Micros,
-    /// Why the entry has this lifecycle.
+    /// Why the entry has this lifecycle. The text "held down before" says that its hold-down has ended.
     pub reason: &'static str,
 }
 
 impl EffectiveState {
-    /// Returns the draining one of the two if only one drains, otherwise `self`.
+    /// Returns the state that drains if only one of the two does, otherwise `self`.
     pub fn most_restrictive(self, other: EffectiveState) -> EffectiveState {
         match (self.lifecycle, other.lifecycle) {
             (Lifecycle::Listed, Lifecycle::Draining) => other,
@@ -86,8 +86,10 @@
     pub previous_address: Option<SocketAddr>,
 }
 
+/// An accepted entry.
 struct Entry {
     listing: Listing,
+    /// When the entry last changed its state or its address.
     observed_at: Micros,
     /// The end of the entry's last hold-down, which may have passed; until then the entry is up, but not used. `None` if it
     /// was not held down when it came up.
@@ -124,9 +126,11 @@
     tombstones: HashMap<EntryKey, Tombstone>,
     /// When each entry was first missing from a doubted update.
     missing_since: HashMap<EntryKey, Micros>,
+    /// The version of the last accepted complete update that had one; `None` if none had.
     version: Option<u64>,
     /// When the versions of updates first became lower than the view's version.
     version_lower_since: Option<Micros>,
+    /// The highest stamp of any entry that was accepted.
     newest_stamp: u64,
     /// The ends of all hold-downs, earliest first, also of those that the entry cut short by leaving service again.
     hold_down_ends: BTreeSet<(Micros, EntryKey)>,
@@ -157,9 +161,9 @@
             (EntryState::Up, Some(until)) if now < until => {
                 (Lifecycle::Draining, entry.observed_at, "held down")
             }
-            (EntryState::Up, Some(until)) => (Lifecycle::Listed, until, "hold-down ended"),
+            (EntryState::Up, Some(until)) => (Lifecycle::Listed, until, "held down before"),
             (EntryState::Up, None) => (Lifecycle::Listed, entry.observed_at, "up"),
-            _ => (Lifecycle::Draining, entry.observed_at, "draining at its source"),
+            _ => (Lifecycle::Draining, entry.observed_at, "not in service"),
         };
         Some(EffectiveState { lifecycle, observed_at, reason })
     }
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -29,6 +29,7 @@
 const MAX_BATCH: usize = 100;
 
 impl DeliveryReport {
+    /// The report as a line of JSON, without the line break.
     fn line(&self) -> String {
         match self.end {
             ReportedEnd::Failed => json!({"id": self.request_id, "state": "failed"}),
@@ -63,17 +64,23 @@
     withheld: Vec<DeliveryReport>,
     /// Reports that are to be sent, or have been sent without a confirmation.
     pending: VecDeque<DeliveryReport>,
+    /// A connection that can be reused; `None` if there is none, or while a request is in flight.
     connection: Option<PlatformConnection>,
+    /// The most reports in the next request: [`MAX_BATCH`], or 1 after a rejection until a report is confirmed.
     batch_limit: usize,
     /// The pause after the next attempt without a response.
     silent_pause: Duration,
+    /// The requests whose responses are late.
     late: LatePosts,
 }
 
 /// An event that the reporter waits for.
 enum Input {
+    /// A new report has arrived in the mailbox.
     Report(DeliveryReport),
+    /// A late request has ended, with or without a response.
     Late(LateResponse),
+    /// The given time has come.
     TimerExpired,
 }
 
@@ -186,6 +193,7 @@
         }
     }
 
+    /// Returns the pause after an attempt without a response, and doubles the next one up to [`MAX_SILENT_PAUSE`].
     fn next_silent_pause(&mut self) -> Duration {
         let pause = self.silent_pause;
         self.silent_pause = (2 * pause).min(MAX_SILENT_PAUSE);
--- a/src/net/platform/endpoint_list/publish.rs
+++ b/src/net/platform/endpoint_list/publish.rs
@@ -64,11 +64,12 @@
         }
     }
 
-    /// Replaces the contents of the endpoint table by the changes and the unchanged rest of the list.
+    /// Replaces the contents of the endpoint table by the changes and the unchanged rest of the list. Returns the entries of
+    /// all endpoints for the delivery actor.
     fn replace_table(&self, changes: &[MembershipChange]) -> Vec<EndpointEntry> {
         // Removed endpoints are left out, as a complete update removes every endpoint that it does not contain.
-        let listed = changes.iter().filter(|change| change.lifecycle != Lifecycle::Removed);
-        let mut entries: Vec<EndpointEntry> = listed.map(|change| self.write_to_table(change)).collect();
+        let not_removed = changes.iter().filter(|change| change.lifecycle != Lifecycle::Removed);
+        let mut entries: Vec<EndpointEntry> = not_removed.map(|change| self.write_to_table(change)).collect();
         let changed: HashSet<EndpointId> = changes.iter().map(|change| change.endpoint).collect();
         let unchanged = self.membership.endpoints().filter(|change| !changed.contains(&change.endpoint));
         entries.extend(unchanged.map(|change| self.write_to_table(&change)));
@@ -77,6 +78,7 @@
         entries
     }
 
+    /// Removes the endpoints from the table that drained long ago, and forgets their numbers.
     fn prune_table(&mut self) {
         let now = self.context.clock.now();
         if now < self.pruned_at + PRUNE_INTERVAL_US {
--- a/src/net/platform/eureka/cache.rs
+++ b/src/net/platform/eureka/cache.rs
@@ -112,6 +112,7 @@
         self.reported_unusable.len()
     }
 
+    /// Updates the cached status of an instance. In a complete answer an instance is kept whatever its action.
     fn set_status(&mut self, key: &EntryKey, instance: &Instance, complete: bool) {
         if instance.action == Action::Delete && !complete {
             self.statuses.remove(key);
--- a/src/net/platform/eureka/register.rs
+++ b/src/net/platform/eureka/register.rs
@@ -20,6 +20,7 @@
 /// Time limit for the request that cancels the lease at the end of the process.
 pub const CANCEL_TIMEOUT: Duration = Duration::from_millis(150);
 
+/// This forwarder's own entry in the registry.
 struct OwnEntry<'a> {
     registration: &'a Registration,
     /// The name of this forwarder, which is its instance id.
@@ -40,6 +41,7 @@
         format!("{}/{}", self.app_path(), percent_encode(&self.name))
     }
 
+    /// The JSON document with which the entry is registered.
     fn registration_document(&self, status: &str) -> String {
         let registration = self.registration;
         let ip = self.listen.ip().to_string();
--- a/src/net/platform/eureka/snapshot.rs
+++ b/src/net/platform/eureka/snapshot.rs
@@ -14,13 +14,14 @@
 const NEXT_FILE_NAME: &str = "registry.next";
 /// The version of the file format.
 const VERSION: u32 = 1;
-/// The length of the checksum before the compressed view.
+/// The length of the checksum before the compressed view, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 /// The most bytes that are decompressed.
 const MAX_DECOMPRESSED_BYTES: u64 = 64 * 1024 * 1024;
 /// The view and its replacement may each use the state folder's limit divided by this.
 const FOLDER_DIVISOR: u64 = 16;
 
+/// An entry as the file stores it. An entry that is not up is restored as draining.
 #[derive(Serialize, Deserialize)]
 struct StoredEntry {
     app: String,
@@ -33,6 +34,7 @@
     up: bool,
 }
 
+/// The content of the file, before compression.
 #[derive(Serialize, Deserialize)]
 struct StoredView {
     version: u32,
