--- a/src/bin/cedarbridge-simhost/wire/instance.rs
+++ b/src/bin/cedarbridge-simhost/wire/instance.rs
@@ -7,10 +7,12 @@
 
 /// A forwarder instance. The simulator names messages by strings, the policy by numeric ids; an instance converts them.
 pub struct Instance {
+    /// The names in the instance's settings, which events refer to.
     pub names: Names,
     policy: DeliveryPolicy,
     ids: BTreeMap<String, MessageId>,
     messages: BTreeMap<MessageId, NamedMessage>,
+    /// The highest id that was given to a message.
     last_id: u64,
 }
 
--- a/src/cli/explain.rs
+++ b/src/cli/explain.rs
@@ -76,7 +76,7 @@
     }
 
     /// The latest time at which an undelivered message ends, in microseconds since it was received.
-    fn end(&self) -> Micros {
+    fn latest_end(&self) -> Micros {
         self.timing().ends_at(0, self.class().deadline)
     }
 
@@ -86,7 +86,7 @@
         let timeout = timing.attempt_timeout(max_attempt_timeout(self.class().idempotency));
         let max_attempts =
             timing.max_attempts(self.platform.settings.max_attempts.min(MAX_ATTEMPTS_PER_MESSAGE));
-        let end = self.end();
+        let end = self.latest_end();
         let attempts =
             worst_case(&timing, timeout, max_attempts).into_iter().filter(|attempt| attempt.starts_at < end);
         attempts
@@ -146,7 +146,7 @@
         let _ = write!(
             text,
             "\n  ends         {} after it was handed in, at the latest",
-            format_duration(self.end())
+            format_duration(self.latest_end())
         );
         let _ = write!(text, "\n  worst case   attempt    begins       cut");
         for attempt in self.worst_case_attempts() {
@@ -171,7 +171,7 @@
             "why": self.reason(), "also_matching": also_matching,
             "timeout_ms": timing.timeout.map(ms), "attempts": timing.attempts,
             "pause_ms": timing.pause.map(|pause| [ms(pause.first), ms(pause.max)]),
-            "second_copy_ms": timing.hedge_after.map(ms), "ends_ms": ms(self.end()),
+            "second_copy_ms": timing.hedge_after.map(ms), "ends_ms": ms(self.latest_end()),
             "worst_case": self.worst_case_attempts().iter().map(attempt_json).collect::<Vec<_>>(),
         })
     }
--- a/src/journal/recovery.rs
+++ b/src/journal/recovery.rs
@@ -90,6 +90,7 @@
         }
     }
 
+    /// Applies a record of a segment to the live messages and the result of the recovery.
     fn replay_record(&mut self, segment: u64, decoded: DecodedRecord, recovery: &mut Recovery) {
         let id = decoded.message_id;
         recovery.highest_id = recovery.highest_id.max(id);
--- a/src/journal/segment_log.rs
+++ b/src/journal/segment_log.rs
@@ -12,10 +12,12 @@
 
 /// The disk block size in bytes. File sizes are rounded up to whole blocks, as the platform does for its disk limit.
 pub(super) const DISK_BLOCK_BYTES: u64 = 512;
-/// The space in bytes that is reserved for the records after a message's receipt record: 12 attempts, which is the
-/// most for a message, each with its zone and a record that it never ran, and the completion.
+/// The space in bytes that is reserved for the records after a message's receipt record: the completion, and 12 attempts
+/// (see [`MAX_ATTEMPTS_PER_MESSAGE`](crate::routes::MAX_ATTEMPTS_PER_MESSAGE)), each with its zone and a record that it
+/// never ran.
 const LATER_RECORDS_BYTES: u64 = 1024;
-/// The share of the limit in percent that live records may take, with their reserves. The rest keeps compaction rare.
+/// The share of the usable bytes in percent that live records may take with their reserves. With less space for other
+/// records, compaction would run more often.
 const LIVE_PERCENT: u64 = 70;
 /// A segment is a twelfth of the limit, small enough that compaction can copy one within the space that is kept free.
 const SEGMENTS_PER_LIMIT: u64 = 12;
@@ -38,6 +40,7 @@
 pub(super) struct LiveMessage {
     pub location: RecordLocation,
     pub progress: Progress,
+    /// Whether the message is completed and the record of it is queued.
     completed: bool,
 }
 
@@ -45,7 +48,7 @@
 #[derive(Default)]
 pub(super) struct Segment {
     pub number: u64,
-    /// An upper bound of the file's size, in bytes.
+    /// The size of the file in bytes, or an upper bound after a failed write.
     pub size: u64,
     /// The number of live records in it.
     pub live_records: usize,
@@ -216,6 +219,7 @@
         })
     }
 
+    /// Creates a segment file under the next number; records are appended to it from then on.
     fn create_segment(&mut self) -> io::Result<()> {
         self.newest_is_open = false;
         let number = self.next_number;
--- a/src/net/platform/endpoint_list/cordon.rs
+++ b/src/net/platform/endpoint_list/cordon.rs
@@ -15,8 +15,8 @@
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 impl EndpointListActor {
-    /// Cordons an endpoint or ends its cordon. Replies once the cordon is persisted and written to the endpoint table, which
-    /// is checked before the first byte of each call.
+    /// Cordons an endpoint if `cordon` is true, otherwise ends its cordon. Replies once the cordon is persisted and written
+    /// to the endpoint table, which is checked before the first byte of each call.
     pub(super) async fn cordon(&mut self, id: &str, cordon: bool, reply: &Sender<Result<(), AdminError>>) {
         let now = self.context.clock.now();
         let was_cordoned = self.membership.cordoned().any(|cordoned| cordoned == id);
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -33,7 +33,8 @@
 /// responds at once unless it is down, and because its list counts as observed from the start of the process. A longer wait
 /// on a slow platform would make a whole fleet send its first calls at the same moment.
 const INITIAL_LIST_TIMEOUT: Duration = Duration::from_millis(300);
-/// A removal that happened before this process started counts as received this long before the start.
+/// The first list of a new process counts as received this long before the process started, because its drains and removals
+/// may have happened before the start.
 const RECEIVED_BEFORE_START_US: Micros = 60_000_000;
 
 /// The pushed list of the platform's agent, as a source of the merged list.
