--- a/src/membership/merged_list.rs
+++ b/src/membership/merged_list.rs
@@ -35,7 +35,9 @@
     pub(super) by_address_entries: HashMap<SocketAddr, BTreeSet<(SourceId, EntryKey)>>,
     /// The entries at each address that come from sources that identify by key.
     pub(super) by_key_entries: HashMap<SocketAddr, BTreeSet<(SourceId, EntryKey)>>,
+    /// The number of each endpoint, also of a removed one until [`retain_ids`](Self::retain_ids) forgets it.
     pub(super) ids: HashMap<EndpointIdentity, EndpointId>,
+    /// The highest number that was given to an endpoint.
     pub(super) last_id: u32,
     /// The last published change of each endpoint that is not removed, before cordons are applied.
     pub(super) published: BTreeMap<EndpointIdentity, MembershipChange>,
@@ -91,7 +93,8 @@
         self.cordons.keys().map(String::as_str)
     }
 
-    /// Marks ids as cordoned without publishing changes; used for cordons that an earlier process persisted.
+    /// Marks ids as cordoned without publishing changes. Used for the cordons that an earlier process persisted, and to undo
+    /// an uncordon that could not be persisted.
     pub fn restore_cordons(&mut self, now: Micros, ids: impl IntoIterator<Item = String>) {
         self.cordons.extend(ids.into_iter().map(|id| (id, now)));
     }
@@ -162,13 +165,15 @@
     /// Ends the hold-downs that have expired; returns the resulting changes.
     pub fn tick(&mut self, now: Micros) -> Vec<MembershipChange> {
         let sources = (0..self.views.len()).map(SourceId);
-        let due: Vec<_> = sources.map(|source| (source, self.views[source.0].take_due(now))).collect();
+        let due: Vec<_> =
+            sources.map(|source| (source, self.views[source.0].take_ended_hold_downs(now))).collect();
         due.into_iter().flat_map(|(source, touched)| self.merge(now, source, touched)).collect()
     }
 
-    /// When [`tick`](Self::tick) is due next; `None` if no entry is held down.
+    /// When [`tick`](Self::tick) is due next; `None` if no end of a hold-down is pending. A hold-down that the entry cut
+    /// short by leaving service keeps its end, so a call of `tick` may change nothing.
     pub fn next_tick(&self) -> Option<Micros> {
-        self.views.iter().filter_map(SourceView::next_due).min()
+        self.views.iter().filter_map(SourceView::next_hold_down_end).min()
     }
 
     /// Whether the source must be polled for its complete list, because a part of its last update is in doubt.
