--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -16,35 +16,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum ProxyFault {
     /// Sends every tenth call a second time, while the first is in flight
-    #[value(name = "twice")]
-    DuplicateCall,
+    Twice,
     /// Sends every tenth call thirteen more times, one after the other
-    #[value(name = "thirteen")]
-    ExceedAttempts,
+    Thirteen,
     /// Sends a rejected call again within the `retry_after` of the response
-    #[value(name = "in-wait")]
-    IgnoreRetryAfter,
+    InWait,
     /// Sends its last call again 400 ms after its endpoint began to drain
-    #[value(name = "after-drain")]
-    SendAfterDrain,
+    AfterDrain,
     /// Sends calls with a message id that no client sent
-    #[value(name = "other-id")]
-    ChangeId,
+    OtherId,
     /// Floods a destination that has just recovered
-    #[value(name = "push")]
-    FloodOnRecovery,
+    Push,
     /// Drops every notice
-    #[value(name = "keep-notices")]
-    DropNotices,
+    KeepNotices,
     /// Sends each notice a second time with the opposite end
-    #[value(name = "both-ends")]
-    ContradictNotices,
+    BothEnds,
 }
 
 impl ProxyFault {
     /// Whether the proxy is between the forwarder and the endpoints. If not, it is between the forwarder and its agent.
     pub fn is_call_fault(self) -> bool {
-        !matches!(self, ProxyFault::DropNotices | ProxyFault::ContradictNotices)
+        !matches!(self, ProxyFault::KeepNotices | ProxyFault::BothEnds)
     }
 }
 
@@ -68,10 +60,10 @@
     run.clone().spawn(async move {
         let (call_count, last_call) = (Rc::new(Cell::new(0u32)), Rc::new(Cell::new(None::<Vec<u8>>)));
         match fault {
-            ProxyFault::SendAfterDrain => {
+            ProxyFault::AfterDrain => {
                 run.spawn(send_after_drain(run.clone(), endpoint, upstream, last_call.clone()))
             }
-            ProxyFault::FloodOnRecovery => {
+            ProxyFault::Push => {
                 run.spawn(flood_on_recovery(run.clone(), endpoint, upstream, last_call.clone()))
             }
             _ => {}
@@ -94,7 +86,7 @@
     let mut text = format!("POST {} HTTP/1.1\r\nHost: endpoint\r\n", head.target);
     for name in ["X-Request-Id", "Idempotency-Key", "X-Deadline"] {
         if let Some(value) = head.headers.get(name) {
-            let suffix = if fault == ProxyFault::ChangeId && name == "X-Request-Id" { "-other" } else { "" };
+            let suffix = if fault == ProxyFault::OtherId && name == "X-Request-Id" { "-other" } else { "" };
             text += &format!("{name}: {value}{suffix}\r\n");
         }
     }
@@ -144,7 +136,7 @@
         call_count.set(call_count.get() + 1);
         last_call.set(Some(bytes.clone()));
         let is_tenth = call_count.get() % 10 == 1;
-        if fault == ProxyFault::DuplicateCall && is_tenth {
+        if fault == ProxyFault::Twice && is_tenth {
             let bytes = bytes.clone();
             run.spawn(async move {
                 send(upstream, &bytes).await;
@@ -161,13 +153,13 @@
             future::or(responded, closed).await?;
         client.write(&response).await.ok()?;
         match (fault, retry_after_ms) {
-            (ProxyFault::IgnoreRetryAfter, Some(retry_after)) if retry_after > 250.0 => {
+            (ProxyFault::InWait, Some(retry_after)) if retry_after > 250.0 => {
                 run.spawn(async move {
                     Timer::after(Duration::from_millis(150)).await;
                     send(upstream, &bytes).await;
                 });
             }
-            (ProxyFault::ExceedAttempts, _) if is_tenth && status == 200 => {
+            (ProxyFault::Thirteen, _) if is_tenth && status == 200 => {
                 run.spawn(async move {
                     for _ in 0..13 {
                         send(upstream, &bytes).await;
@@ -259,7 +251,7 @@
             return None;
         }
         let mut body = client.request_body(&head, 1 << 22).await.ok()?;
-        if fault == ProxyFault::ContradictNotices {
+        if fault == ProxyFault::BothEnds {
             let text = String::from_utf8_lossy(&body).into_owned();
             let opposite = |line: &str| match line.contains("\"failed\"") {
                 true => line.replace("\"failed\"", "\"returned\""),
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -101,8 +101,8 @@
             let valid = match (spec.kind.value, spec.size) {
                 (FaultKind::Slow, Some(factor)) => factor > 1.0 && factor.is_finite(),
                 (FaultKind::FailCalls, Some(share)) => share > 0.0 && share <= 1.0,
-                (FaultKind::ReducedLimit, Some(share)) => share > 0.0 && share < 1.0,
-                (FaultKind::Slow | FaultKind::FailCalls | FaultKind::ReducedLimit, None) => false,
+                (FaultKind::Lowered, Some(share)) => share > 0.0 && share < 1.0,
+                (FaultKind::Slow | FaultKind::FailCalls | FaultKind::Lowered, None) => false,
                 (_, size) => size.is_none(),
             };
             if !valid {
--- a/crates/rehearsal/src/scenario/destinations.rs
+++ b/crates/rehearsal/src/scenario/destinations.rs
@@ -23,7 +23,7 @@
     /// The destination's name; with a `count` above 1, each name gets a number from 1 as its suffix.
     pub name: SpannedName,
     /// The number of destinations in the group.
-    #[serde(default = "super::default_count")]
+    #[serde(default = "super::single")]
     pub count: usize,
     /// The destinations' kind.
     pub kind: DestinationKind,
@@ -42,7 +42,7 @@
     #[serde(default = "default_capacity_factor", rename = "spare")]
     pub capacity_factor: f64,
     /// The number of endpoints of each destination.
-    #[serde(default = "super::default_count")]
+    #[serde(default = "super::single")]
     pub endpoints: usize,
     /// Calls that may queue at an endpoint; by default 0.7 s of its capacity.
     #[serde(rename = "queue")]
@@ -54,8 +54,7 @@
     #[serde(rename = "tells-wait")]
     pub retry_after: Option<ConfigDuration>,
     /// Whether rejected calls count against the rate limit; by default only at small partners.
-    #[serde(rename = "refused-count")]
-    pub rejections_use_limit: Option<bool>,
+    pub refused_count: Option<bool>,
     /// The share of calls that fail while the destination has no fault, from 0 to 1.
     #[serde(default, rename = "errors")]
     pub error_rate: f64,
@@ -110,8 +109,7 @@
     #[serde(rename = "half-open")]
     HalfOpenConnections,
     /// Reduces the rate limit to a share of it.
-    #[serde(rename = "lowered")]
-    ReducedLimit,
+    Lowered,
 }
 
 impl FaultKind {
@@ -126,7 +124,7 @@
             FaultKind::Silent => Fault::Silent,
             FaultKind::ResetConnections => Fault::ResetConnections,
             FaultKind::HalfOpenConnections => Fault::HalfOpenConnections,
-            FaultKind::ReducedLimit => Fault::ReducedLimit(size),
+            FaultKind::Lowered => Fault::ReducedLimit(size),
         }
     }
 }
--- a/crates/rehearsal/src/scenario/forwarders.rs
+++ b/crates/rehearsal/src/scenario/forwarders.rs
@@ -84,7 +84,7 @@
     /// The number of forwarders in each fleet.
     pub counts: Vec<Spanned<usize>>,
     /// The number of runs for each fleet; their seeds count up from the scenario's seed.
-    #[serde(default = "super::default_count")]
+    #[serde(default = "super::single")]
     pub seeds: usize,
     /// How unevenly messages are spread over the forwarders: the exponent of Zipf's law, 0 for evenly.
     #[serde(default, rename = "uneven")]
--- a/crates/rehearsal/src/scenario/mod.rs
+++ b/crates/rehearsal/src/scenario/mod.rs
@@ -183,7 +183,7 @@
     }
 }
 
-fn default_count() -> usize {
+fn single() -> usize {
     1
 }
 
--- a/crates/rehearsal/src/scenario_environment.rs
+++ b/crates/rehearsal/src/scenario_environment.rs
@@ -249,7 +249,7 @@
         service_time_variation: group.service_time_variation,
         capacity,
         limit: is_limited.then_some(limit),
-        rejections_use_limit: group.rejections_use_limit.unwrap_or(is_small_partner),
+        rejections_use_limit: group.refused_count.unwrap_or(is_small_partner),
         retry_after: group.retry_after.map(|s| s.0),
         queue_length: group
             .queue_length
