--- a/crates/rehearsal/src/live/sampling.rs
+++ b/crates/rehearsal/src/live/sampling.rs
@@ -80,10 +80,7 @@
                 open_messages: total_open,
                 in_flight: run.calls_in_flight.get(),
             });
-            worst_states
-                .into_iter()
-                .enumerate()
-                .for_each(|(d, state)| figures.breaker_changed(now, d, state));
+            worst_states.into_iter().enumerate().for_each(|(d, s)| figures.breaker_changed(now, d, s));
         }
         if let Some(updates) = &updates {
             let environment = &run.environment;
--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -193,10 +193,8 @@
                 Idempotency::WithKey { window, by_zone } => {
                     if first_byte > first_attempt.started_at + window + WRITE_DELAY + SOCKET_SLACK {
                         let after = first_byte - first_attempt.started_at;
-                        violations.push((
-                            "repeats",
-                            format!("{id}: attempted again after {after:?}, window {window:?}"),
-                        ));
+                        violations
+                            .push(("repeats", format!("{id}: repeated after {after:?}, window {window:?}")));
                     }
                     if by_zone && first_attempt.zone != zone {
                         violations.push(("repeats", format!("{id}: attempted again in another zone")));
