--- a/src/net/handover/predecessor.rs
+++ b/src/net/handover/predecessor.rs
@@ -102,7 +102,7 @@
 }
 
 /// Returns once this process has handed over and has nothing left to do: it had no clients and no calls in flight for
-/// [`IDLE_EXIT_DELAY`], or the successor is gone.
+/// 10 seconds, or the successor is gone.
 pub async fn until_hand_over_finished(context: &Context) {
     context.lifecycle.until_handed_over().await;
     let idle = async {
--- a/src/net/handover/successor.rs
+++ b/src/net/handover/successor.rs
@@ -138,7 +138,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the lock still cannot be used after [`LOCK_ERROR_TIMEOUT`].
+    /// Returns an error if the lock still cannot be used after 20 seconds.
     pub async fn take_over(&mut self, config: &Config) -> io::Result<bool> {
         if let Some(link) = &mut self.link {
             let granted = async {
