--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -21,7 +21,7 @@
 /// Tolerances for the differences between what a forwarder and its peers observe at a time.
 #[derive(Clone, Copy, Debug)]
 pub struct Tolerances {
-    /// The time from a rejection until its `retry_after` binds; attempts that are sent meanwhile are allowed.
+    /// The time from a rejection until its `retry_after` applies; attempts that are sent meanwhile are allowed.
     pub retry_after: Micros,
     /// How late a final answer may be.
     pub answer: Micros,
@@ -186,7 +186,7 @@
     class: Class,
     tolerances: Tolerances,
     messages: Vec<MessageRecord>,
-    /// For each forwarder and destination, the `retry_after` that binds last.
+    /// For each forwarder and destination, the `retry_after` that applies last.
     retry_afters: Vec<Vec<RetryAfter>>,
     /// For each forwarder and endpoint, the time since which the forwarder knows that the endpoint is draining or removed.
     draining_since: Vec<Vec<Option<Micros>>>,
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -175,13 +175,13 @@
 /// Simulates one run of a fleet.
 pub fn simulate_fleet_run(
     scenario: &Scenario,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     count: usize,
     turn_order: TurnOrder,
     seed: u64,
 ) -> FleetRunResult {
     let environment = build_fleet_environment(scenario, count, turn_order, seed);
-    let (figures, violations) = simulate(&environment, plan, seed);
+    let (figures, violations) = simulate(&environment, route_table, seed);
     let penalties = scenario.fleet.as_ref().map(|f| f.value.penalties).unwrap_or_default();
     FleetRunResult {
         violations: violations.iter().map(ToString::to_string).collect(),
--- a/crates/rehearsal/src/live/call.rs
+++ b/crates/rehearsal/src/live/call.rs
@@ -155,13 +155,13 @@
 impl ReceivedCall<'_> {
     /// Processes the call and responds. Returns the outcome if it ends the connection, or else `None`.
     async fn process(&self, connection: &mut HttpConnection) -> Option<Outcome> {
-        let (fate, ended_calls_version) = self.start();
-        if let Err(outcome) = self.wait_until_due(&fate, ended_calls_version, connection).await {
+        let (result, ended_calls_version) = self.start();
+        if let Err(outcome) = self.wait_until_due(&result, ended_calls_version, connection).await {
             self.end_attempts(outcome);
             return Some(outcome);
         }
-        let answer = fate.answer.expect("an answer was due").answer;
-        let Some((text, outcome)) = response_text(&fate, answer, self.carried, self.is_batch) else {
+        let answer = result.answer.expect("an answer was due").answer;
+        let Some((text, outcome)) = response_text(&result, answer, self.carried, self.is_batch) else {
             self.end_attempts(Outcome::Reset);
             return Some(Outcome::Reset);
         };
@@ -184,7 +184,7 @@
         let mut destinations = self.run.destinations.borrow_mut();
         let state = &mut destinations[self.destination];
         let is_half_open = state.half_open_since.is_some_and(|since| self.opened_at < since);
-        let fate = if is_half_open && state.model.visible_fault() == Some(Fault::HalfOpenConnections) {
+        let result = if is_half_open && state.model.visible_fault() == Some(Fault::HalfOpenConnections) {
             CallResult { answer: None, report: None, unconnected: false }
         } else {
             state.model.call(
@@ -193,7 +193,7 @@
                 self.carried.len(),
             )
         };
-        (fate, state.ended_calls_version)
+        (result, state.ended_calls_version)
     }
 
     /// Records the outcome of all attempts of the call.
@@ -214,11 +214,11 @@
     /// Waits until the answer is due. Returns an outcome if the forwarder closes the connection or a fault resets it first.
     async fn wait_until_due(
         &self,
-        fate: &CallResult,
+        result: &CallResult,
         ended_calls_version: u32,
         connection: &mut HttpConnection,
     ) -> Result<(), Outcome> {
-        let mut due = fate.answer.map(|a| a.at);
+        let mut due = result.answer.map(|a| a.at);
         loop {
             let fault_change: Receiver<()> =
                 self.run.destinations.borrow()[self.destination].fault_change.1.clone();
@@ -261,12 +261,12 @@
 
 /// The HTTP response to a call and its outcome; `None` if the connection breaks in place of a response.
 fn response_text(
-    fate: &CallResult,
+    result: &CallResult,
     answer: Answer,
     carried: &[CarriedMessage],
     is_batch: bool,
 ) -> Option<(String, Outcome)> {
-    let load = fate
+    let load = result
         .report
         .map_or(String::new(), |r| format!("X-Load: x0={:.4},x1={:.4}\r\n", r.remaining_share, r.rate));
     let (status, extra, outcome) = match answer {
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -154,7 +154,7 @@
 /// The state of a live run, shared by its tasks.
 pub(crate) struct LiveRun {
     environment: Rc<Environment>,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     options: Options,
     executor: Rc<LocalExecutor<'static>>,
     /// When the run started; `None` until all forwarders are ready.
@@ -214,7 +214,7 @@
         let destination = self.environment.requests[request].destination;
         let (id, kind) =
             (DestinationId(destination as u64), KindId(self.environment.destination_kinds[destination]));
-        self.plan.as_ref().map_or(RouteTiming::default(), |p| p.timing(id, Some(kind), ClassId(0)))
+        self.route_table.as_ref().map_or(RouteTiming::default(), |p| p.timing(id, Some(kind), ClassId(0)))
     }
 
     /// Counts a request that got no connection, was disconnected or was left unanswered, if the forwarder is being upgraded.
@@ -309,19 +309,19 @@
 /// The machine lacks file descriptors, a forwarder does not start, a system call fails, or the run is interrupted.
 pub fn rehearse(
     environment: Environment,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     seed: u64,
     options: Options,
     view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
 ) -> (Rc<Environment>, Result<LiveResult, LiveError>) {
     let environment = Rc::new(environment);
-    let result = run(environment.clone(), plan, seed, options, view);
+    let result = run(environment.clone(), route_table, seed, options, view);
     (environment, result)
 }
 
 fn run(
     environment: Rc<Environment>,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     seed: u64,
     options: Options,
     view: Option<(Sender<ViewUpdate>, Receiver<ViewCommand>)>,
@@ -329,7 +329,7 @@
     check_descriptors(&environment)?;
     let executor = Rc::new(LocalExecutor::new());
     let time_limit = options.time_limit;
-    let run = Rc::new(LiveRun::new(environment, plan, seed, options, executor.clone()));
+    let run = Rc::new(LiveRun::new(environment, route_table, seed, options, executor.clone()));
     let until_over = async {
         let timed_out = async {
             Timer::after(time_limit).await;
@@ -357,7 +357,7 @@
 impl LiveRun {
     fn new(
         environment: Rc<Environment>,
-        plan: Option<Arc<RouteTable>>,
+        route_table: Option<Arc<RouteTable>>,
         seed: u64,
         options: Options,
         executor: Rc<LocalExecutor<'static>>,
@@ -401,7 +401,7 @@
             started: Cell::new(None),
             executor,
             environment,
-            plan,
+            route_table,
             options,
         }
     }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -166,7 +166,7 @@
 /// An experiment with the routes of each of its variants.
 struct LoadedExperiment {
     experiment: Experiment,
-    plans: Vec<Option<Arc<RouteTable>>>,
+    route_tables: Vec<Option<Arc<RouteTable>>>,
 }
 
 impl LoadedExperiment {
@@ -175,9 +175,9 @@
         change(&mut experiment);
         let folder = path.parent().unwrap_or(Path::new("."));
         let platform = platform_defaults();
-        let plans = experiment.variants.iter().map(|v| experiment.plan(v, folder, &platform));
-        let plans = plans.collect::<Result<Vec<_>, _>>()?;
-        Ok(LoadedExperiment { experiment, plans })
+        let route_tables = experiment.variants.iter().map(|v| experiment.plan(v, folder, &platform));
+        let route_tables = route_tables.collect::<Result<Vec<_>, _>>()?;
+        Ok(LoadedExperiment { experiment, route_tables })
     }
 
     /// Runs each variant at each load with each seed, and prints the table. Returns whether no rule was violated.
@@ -196,9 +196,9 @@
             }));
             for seed in options.first_seed..options.first_seed + experiment.seeds {
                 let environment = Environment::generate(experiment, *load, seed);
-                for (row, plan) in rows[from..].iter_mut().zip(&self.plans) {
+                for (row, route_table) in rows[from..].iter_mut().zip(&self.route_tables) {
                     messages += environment.requests.len();
-                    let (figures, violations) = simulate(&environment, plan.clone(), seed);
+                    let (figures, violations) = simulate(&environment, route_table.clone(), seed);
                     row.runs.push(figures);
                     row.violations.extend(violations.into_iter().map(|v| format!("seed {seed}, {v}")));
                 }
@@ -340,7 +340,7 @@
         return Ok(true);
     }
     let loaded = LoadedExperiment::read(file, |_| {})?;
-    let (variants, loads) = (loaded.plans.len(), loaded.experiment.loads.len());
+    let (variants, loads) = (loaded.route_tables.len(), loaded.experiment.loads.len());
     println!("{}: {variants} variants, {loads} loads, nothing against it", file.display());
     Ok(true)
 }
--- a/crates/rehearsal/src/scenario_commands.rs
+++ b/crates/rehearsal/src/scenario_commands.rs
@@ -129,8 +129,8 @@
         };
         let seed = options.seed.unwrap_or(self.scenario.seed);
         let environment = build_environment(&self.scenario, seed, captured.as_ref());
-        let plan = self.plan(&environment)?;
-        Ok(PreparedRun { environment, seed, plan })
+        let route_table = self.plan(&environment)?;
+        Ok(PreparedRun { environment, seed, route_table })
     }
 }
 
@@ -141,7 +141,7 @@
     /// The seed of the run.
     pub seed: u64,
     /// The routes of the site file; `None` without a site file.
-    pub plan: Option<Arc<RouteTable>>,
+    pub route_table: Option<Arc<RouteTable>>,
 }
 
 /// The options of a live rehearsal only.
@@ -201,7 +201,7 @@
 /// The scenario has errors, the run cannot be made, or an output file cannot be written.
 pub fn rehearse(path: &Path, options: &RunOptions, live: &LiveOptions) -> Result<Verdict, InputError> {
     let loaded = LoadedScenario::read(path)?;
-    let PreparedRun { environment, seed, plan } = loaded.prepare_run(options)?;
+    let PreparedRun { environment, seed, route_table } = loaded.prepare_run(options)?;
     let folder = match &live.kept_folder {
         Some(folder) => RunFolder::kept(folder)?,
         None => RunFolder::temporary()?,
@@ -210,7 +210,7 @@
     let started = Instant::now();
     let view = view::start(&loaded.scenario.title, &environment.destination_names, live.plain);
     let channels = Some(view.channels());
-    let (environment, result) = live::rehearse(environment, plan, seed, live_options, channels);
+    let (environment, result) = live::rehearse(environment, route_table, seed, live_options, channels);
     drop(view);
     let result = result.map_err(|e| InputError::InvalidValues(path.into(), e.to_string()))?;
     let run = RunReport {
@@ -254,11 +254,11 @@
 /// The scenario has errors, or a report cannot be written.
 pub fn simulate(path: &Path, options: &RunOptions) -> Result<bool, InputError> {
     let loaded = LoadedScenario::read(path)?;
-    let PreparedRun { environment, seed, plan } = loaded.prepare_run(options)?;
+    let PreparedRun { environment, seed, route_table } = loaded.prepare_run(options)?;
     let started = Instant::now();
     let (start, length) = (RUN_START, environment.end - RUN_START);
     let mut last = started;
-    let (figures, violations) = simulate_with_progress(&environment, plan, seed, &mut |now| {
+    let (figures, violations) = simulate_with_progress(&environment, route_table, seed, &mut |now| {
         if last.elapsed() >= PROGRESS_INTERVAL {
             last = Instant::now();
             let share = (now - start) as f64 / length as f64;
@@ -340,8 +340,8 @@
             let options = RunOptions { seed: Some(seed), ..RunOptions::default() };
             let (figures, run_violations) = match &side {
                 ComparedSide::Virtual(loaded) => {
-                    let PreparedRun { environment, seed, plan } = loaded.prepare_run(&options)?;
-                    simulation::simulate(&environment, plan, seed)
+                    let PreparedRun { environment, seed, route_table } = loaded.prepare_run(&options)?;
+                    simulation::simulate(&environment, route_table, seed)
                 }
                 ComparedSide::Program(program) => run_live(scenario, &options, program)?,
             };
@@ -376,11 +376,11 @@
     program: &Path,
 ) -> Result<(Figures, Vec<RuleViolation>), InputError> {
     let loaded = LoadedScenario::read(scenario)?;
-    let PreparedRun { environment, seed, plan } = loaded.prepare_run(options)?;
+    let PreparedRun { environment, seed, route_table } = loaded.prepare_run(options)?;
     let folder = RunFolder::temporary()?;
     let view = view::start(&loaded.scenario.title, &environment.destination_names, true);
     let options = loaded.options(&folder, Some(program), None, "warning")?;
-    let result = live::rehearse(environment, plan, seed, options, Some(view.channels())).1;
+    let result = live::rehearse(environment, route_table, seed, options, Some(view.channels())).1;
     drop(view);
     let result = result.map_err(|e| InputError::InvalidValues(scenario.into(), e.to_string()))?;
     Ok((result.figures, result.violations))
@@ -430,9 +430,9 @@
         }
         let mut rows = Vec::new();
         for seed in seeds.first..seeds.first + seeds.count.max(1) {
-            let PreparedRun { environment, seed, plan } =
+            let PreparedRun { environment, seed, route_table } =
                 loaded.prepare_run(&RunOptions { seed: Some(seed), ..RunOptions::default() })?;
-            let (figures, run_violations) = simulation::simulate(&environment, plan, seed);
+            let (figures, run_violations) = simulation::simulate(&environment, route_table, seed);
             violations += run_violations.len();
             rows.push(COLUMNS.map(|c| c.1(&figures)));
         }
--- a/crates/rehearsal/src/simulation/mod.rs
+++ b/crates/rehearsal/src/simulation/mod.rs
@@ -43,7 +43,7 @@
 /// The state of a simulated run.
 struct Simulation<'a> {
     environment: &'a Environment,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     settings: cedarbridge::Settings,
     seed: u64,
     destinations: Vec<DestinationModel>,
@@ -74,20 +74,20 @@
 /// models and the policies.
 pub fn simulate(
     environment: &Environment,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     seed: u64,
 ) -> (Figures, Vec<RuleViolation>) {
-    simulate_with_progress(environment, plan, seed, &mut |_| {})
+    simulate_with_progress(environment, route_table, seed, &mut |_| {})
 }
 
 /// Like [`simulate`], and calls `report_progress` with the virtual time every 500 ms of it.
 pub fn simulate_with_progress(
     environment: &Environment,
-    plan: Option<Arc<RouteTable>>,
+    route_table: Option<Arc<RouteTable>>,
     seed: u64,
     report_progress: &mut dyn FnMut(Micros),
 ) -> (Figures, Vec<RuleViolation>) {
-    let mut simulation = Simulation::new(environment, plan, seed);
+    let mut simulation = Simulation::new(environment, route_table, seed);
     simulation.schedule_plan();
     simulation.run(report_progress);
     let overloaded: Vec<_> = simulation
@@ -101,9 +101,9 @@
 }
 
 impl<'a> Simulation<'a> {
-    fn new(environment: &'a Environment, plan: Option<Arc<RouteTable>>, seed: u64) -> Self {
+    fn new(environment: &'a Environment, route_table: Option<Arc<RouteTable>>, seed: u64) -> Self {
         let mut settings = environment.settings.clone();
-        settings.routes = plan.clone();
+        settings.routes = route_table.clone();
         let forwarder_count = environment.fleet.len();
         let active_forwarders = environment
             .fleet_sizes
@@ -138,7 +138,7 @@
             links: vec![EndpointLink::default(); forwarder_count * environment.endpoints.len()],
             active_forwarders,
             environment,
-            plan,
+            route_table,
             settings,
             seed,
             forwarders,
--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -127,7 +127,7 @@
         let destination = self.environment.requests[self.messages[message].request as usize].destination;
         let (id, kind) =
             (DestinationId(destination as u64), KindId(self.environment.destination_kinds[destination]));
-        self.plan.as_ref().map_or(RouteTiming::default(), |p| p.timing(id, Some(kind), CLASS))
+        self.route_table.as_ref().map_or(RouteTiming::default(), |p| p.timing(id, Some(kind), CLASS))
     }
 
     /// Marks a message as ended.
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -261,7 +261,7 @@
         while let Ok(None) = predecessor.try_wait() {
             if waiting_since.elapsed() > EXIT_TIMEOUT {
                 let description = self.describe(
-                    "the predecessor still ran 3.7 s after its successor took over for good or was killed",
+                    "the predecessor still ran 3.7 s after it got SIGTERM or its successor was killed",
                 );
                 environment.checker.borrow_mut().record_violation("leaves", description);
                 // An error means that it has just exited.
--- a/tests/scenario/registry.rs
+++ b/tests/scenario/registry.rs
@@ -72,10 +72,10 @@
                 poll_until(expected, || is_held().then_some(()));
             }
             ["asked", ..] => {
-                let was_asked = |server: &FakeRegistry| {
+                let has_received = |server: &FakeRegistry| {
                     server.received_requests().iter().any(|a| a.replace("/eureka/v2", "") == rest)
                 };
-                poll_until(rest, || (was_asked(registry) || was_asked(&self.replica)).then_some(()));
+                poll_until(rest, || (has_received(registry) || has_received(&self.replica)).then_some(()));
             }
             _ => panic!("no such step of a registry"),
         }
