--- a/src/net/delivery/message_end.rs
+++ b/src/net/delivery/message_end.rs
@@ -140,7 +140,7 @@
 
     /// Journals the end of a message and queues its delivery report.
     pub(super) async fn report_end(&mut self, report: DeliveryReport) {
-        self.context.journal.record_end(report.id, report.end);
+        self.context.journal.record_undelivered(report.id, report.end);
         self.queue_report(report).await;
     }
 
--- a/src/net/journal_handle.rs
+++ b/src/net/journal_handle.rs
@@ -83,7 +83,7 @@
     }
 
     /// Records how a message ended, which is still to be reported to the platform; see [`Journal::record_undelivered`].
-    pub fn record_end(&self, id: MessageId, end: ReportedEnd) {
+    pub fn record_undelivered(&self, id: MessageId, end: ReportedEnd) {
         self.with_journal(|journal| journal.record_undelivered(id.0, end));
     }
 
@@ -101,8 +101,8 @@
         self.with_journal(|journal| journal.try_record_completed(id.0))
     }
 
-    /// Whether the end of a message is still to be written; see [`Journal::has_unwritten_outcome`].
-    pub fn has_unwritten_end(&self, id: MessageId) -> bool {
+    /// Whether the record of how a message ended still waits to be written; see [`Journal::has_unwritten_outcome`].
+    pub fn has_unwritten_outcome(&self, id: MessageId) -> bool {
         self.journal.borrow().has_unwritten_outcome(id.0)
     }
 
--- a/src/net/platform/delivery_reports.rs
+++ b/src/net/platform/delivery_reports.rs
@@ -142,7 +142,7 @@
         let now = self.context.clock.now();
         let journal = &self.context.journal;
         let is_safe =
-            |report: &mut DeliveryReport| now >= report.deadline || !journal.has_unwritten_end(report.id);
+            |report: &mut DeliveryReport| now >= report.deadline || !journal.has_unwritten_outcome(report.id);
         let pending_before = self.pending.len();
         self.pending.extend(self.withheld.extract_if(.., is_safe));
         if self.pending.len() > pending_before {
