--- a/src/journal/encoding.rs
+++ b/src/journal/encoding.rs
@@ -20,7 +20,7 @@
 const FLAG_HAS_KEY: u8 = 1 << 2;
 const FLAG_HAS_TENANT: u8 = 1 << 3;
 /// Set for readers in later releases. This release tells by the length of the record whether an attempt's start follows.
-const FLAG_HAS_FIRST_ATTEMPT: u8 = 1 << 4;
+const FLAG_HAS_FIRST_POSSIBLE_EFFECT: u8 = 1 << 4;
 
 const REPORT_NONE: u8 = 0;
 const REPORT_FAILED: u8 = 1;
@@ -95,7 +95,7 @@
         put_bytes(buffer, optional.as_bytes());
     }
     put_bytes(buffer, &message.body);
-    put_attempt_start(buffer, message.progress.first_attempt.as_ref());
+    put_attempt_start(buffer, message.progress.first_possible_effect.as_ref());
 }
 
 fn encode_flags(message: &JournaledMessage) -> u8 {
@@ -105,7 +105,7 @@
         (FLAG_ATTEMPT_IN_FLIGHT, progress.attempt_in_flight),
         (FLAG_HAS_KEY, message.key.is_some()),
         (FLAG_HAS_TENANT, message.tenant.is_some()),
-        (FLAG_HAS_FIRST_ATTEMPT, progress.first_attempt.is_some()),
+        (FLAG_HAS_FIRST_POSSIBLE_EFFECT, progress.first_possible_effect.is_some()),
     ];
     flags.into_iter().filter(|(_, is_set)| *is_set).map(|(flag, _)| flag).sum()
 }
@@ -220,7 +220,7 @@
             attempts,
             earlier_attempt_may_have_run: is_set(FLAG_EARLIER_ATTEMPT_MAY_HAVE_RUN),
             attempt_in_flight: is_set(FLAG_ATTEMPT_IN_FLIGHT),
-            first_attempt: self.attempt_start()?,
+            first_possible_effect: self.attempt_start()?,
             report,
         };
         Some(JournaledMessage { request_id, key, class, tenant, destination, deadline, body, progress })
--- a/src/journal/record.rs
+++ b/src/journal/record.rs
@@ -33,7 +33,7 @@
     pub attempt_in_flight: bool,
     /// The first attempt that may have run. Its zone and its start determine where and for how long repeats are dropped.
     /// `None` if no attempt may have run, or if its start is not known: another forwarder or an older release made it.
-    pub first_attempt: Option<AttemptStart>,
+    pub first_possible_effect: Option<AttemptStart>,
     /// How the message ended, until the platform has confirmed the delivery report. `None` while it is open, and after the
     /// confirmation.
     pub report: Option<ReportedEnd>,
@@ -51,7 +51,7 @@
             ProgressStep::AttemptStarted { number, start } => {
                 self.attempts = self.attempts.max(number.saturating_add(1));
                 if !self.may_have_run() {
-                    self.first_attempt = start.clone();
+                    self.first_possible_effect = start.clone();
                 }
                 // No record says that the attempt in flight until now never ran, so it may have run.
                 self.earlier_attempt_may_have_run |= self.attempt_in_flight;
@@ -60,7 +60,7 @@
             ProgressStep::AttemptNeverRan => {
                 self.attempt_in_flight = false;
                 if !self.earlier_attempt_may_have_run {
-                    self.first_attempt = None;
+                    self.first_possible_effect = None;
                 }
             }
             ProgressStep::Ended(end) => self.report = Some(*end),
@@ -127,7 +127,7 @@
         match self {
             JournalRecord::Received(message) => {
                 shift(&mut message.deadline);
-                if let Some(first) = &mut message.progress.first_attempt {
+                if let Some(first) = &mut message.progress.first_possible_effect {
                     shift(&mut first.started_at);
                 }
             }
--- a/src/net/delivery/admission.rs
+++ b/src/net/delivery/admission.rs
@@ -106,7 +106,7 @@
             repeat_policy,
             attempts: message.attempts(),
             first_possible_effect: message
-                .first_attempt
+                .first_possible_effect
                 .map(|(started_at, zone)| TrackedAttempt { started_at, zone: Some(zone) }),
             in_flight: attempt.as_ref().map(|attempt| attempt.number),
         };
--- a/src/net/delivery/restore.rs
+++ b/src/net/delivery/restore.rs
@@ -47,11 +47,11 @@
     fn restore_message(&mut self, id: MessageId, journaled: JournaledMessage) {
         let class = self.class_of(&journaled).unwrap_or_default();
         let may_have_run = journaled.progress.may_have_run();
-        let Progress { attempts, first_attempt, .. } = journaled.progress.clone();
+        let Progress { attempts, first_possible_effect, .. } = journaled.progress.clone();
         let request = self.rebuild_request(journaled, class, may_have_run);
         let mut message = InFlightMessage::new(id, request, attempts);
         message.restored = true;
-        message.first_attempt = first_attempt.map(|start| {
+        message.first_possible_effect = first_possible_effect.map(|start| {
             // `usize::MAX` stands for a zone that was removed from the settings. It equals no other zone, so a retry
             // that must stay in the removed zone is not sent.
             let zone = self.names.zones.iter().position(|zone| *zone == start.zone).unwrap_or(usize::MAX);
--- a/src/net/in_flight.rs
+++ b/src/net/in_flight.rs
@@ -47,7 +47,7 @@
     pub restored: bool,
     /// The first attempt that may have run, if an earlier process journaled one: when it was sent, in microseconds of
     /// the monotonic clock, and the zone of its endpoint.
-    pub first_attempt: Option<(Micros, ZoneId)>,
+    pub first_possible_effect: Option<(Micros, ZoneId)>,
     /// The counts of the message's route; `None` without a site file.
     pub route_stats: Option<Rc<RouteStats>>,
     attempts: Cell<u32>,
@@ -62,7 +62,7 @@
             request,
             received_at: None,
             restored: false,
-            first_attempt: None,
+            first_possible_effect: None,
             route_stats: None,
             attempts: Cell::new(attempts),
             ended: Cell::new(false),
@@ -100,7 +100,7 @@
             time_left: self.request.deadline.saturating_sub(now),
             destination: self.request.destination,
             failed_over: self.request.failed_over,
-            first_possible_effect: self.first_attempt,
+            first_possible_effect: self.first_possible_effect,
             client_retry: self.request.client_retry,
             restored: self.restored,
             attempts: self.attempts.get(),
--- a/tests/journal.rs
+++ b/tests/journal.rs
@@ -93,7 +93,7 @@
     let found: Vec<_> =
         restored.messages.iter().map(|(id, message)| (*id, message.progress.clone())).collect();
     let report = Some(ReportedEnd::Returned(Some(500)));
-    // The attempt of message 1 never ran and is not its `first_attempt`; attempt 0 of message 2 may have run.
+    // The attempt of message 1 never ran and is not its `first_possible_effect`; attempt 0 of message 2 may have run.
     let expected = [
         (1, Progress { attempts: 1, ..Progress::default() }),
         (
@@ -102,7 +102,7 @@
                 attempts: 2,
                 earlier_attempt_may_have_run: true,
                 attempt_in_flight: true,
-                first_attempt: Some(attempt_start(6, "east")),
+                first_possible_effect: Some(attempt_start(6, "east")),
                 report: None,
             },
         ),
@@ -185,7 +185,7 @@
             .messages;
         (
             messages[0].1.deadline,
-            messages[0].1.progress.first_attempt.as_ref().expect("an attempt").started_at,
+            messages[0].1.progress.first_possible_effect.as_ref().expect("an attempt").started_at,
         )
     };
     let same_boot = (9_000, 1_500);
@@ -210,7 +210,7 @@
     let (mut journal, restored) = folder.open(60_000);
     let (id, restored_message) = &restored.messages[0];
     assert_eq!(
-        (*id, restored_message.deadline, restored_message.progress.first_attempt.clone()),
+        (*id, restored_message.deadline, restored_message.progress.first_possible_effect.clone()),
         (4, 21_000, Some(attempt_start(500, "west")))
     );
     // Compaction copies the message to a segment of the new format, which must not change it.
@@ -279,7 +279,7 @@
         attempts: 2,
         earlier_attempt_may_have_run: true,
         attempt_in_flight: true,
-        first_attempt: Some(attempt_start(11, "north-hall")),
+        first_possible_effect: Some(attempt_start(11, "north-hall")),
         report: None,
     };
     assert_eq!(restored.messages, [(1, JournaledMessage { progress, ..message("stays", 300) })]);
--- a/tests/stored_data.rs
+++ b/tests/stored_data.rs
@@ -70,20 +70,20 @@
     let sent = Progress {
         attempts: 1,
         attempt_in_flight: true,
-        first_attempt: attempt_start(11_000_000 + shift, "east"),
+        first_possible_effect: attempt_start(11_000_000 + shift, "east"),
         ..no_progress()
     };
     let retried = Progress {
         attempts: 2,
         earlier_attempt_may_have_run: true,
-        first_attempt: attempt_start(13_000_000 + shift, "east"),
+        first_possible_effect: attempt_start(13_000_000 + shift, "east"),
         ..no_progress()
     };
     let carried = Progress {
         attempts: 4,
         earlier_attempt_may_have_run: true,
         attempt_in_flight: false,
-        first_attempt: attempt_start(9_000_000 + shift, "west"),
+        first_possible_effect: attempt_start(9_000_000 + shift, "west"),
         report: Some(ReportedEnd::Returned(Some(20))),
     };
     vec![
