--- a/src/net/handover/frames.rs
+++ b/src/net/handover/frames.rs
@@ -132,7 +132,8 @@
     /// successor that accepts [`LIST_LINE_FRAME`].
     ListLine {
         /// The earliest time at which the line may have arrived, in microseconds of the monotonic clock.
-        received_at: Micros,
+        #[serde(rename = "received_at")]
+        available_since: Micros,
         /// The address of the agent that sent it.
         address: SocketAddr,
     },
--- a/src/net/handover/relay.rs
+++ b/src/net/handover/relay.rs
@@ -91,8 +91,8 @@
                 frames.send(&PredecessorFrame::Admin { number, command }).await
             }
             DeliveryMessage::ListLine(line) if self.accepts_list_lines => {
-                let ListLine { line, received_at, address } = line;
-                frames.send_with_body(&PredecessorFrame::ListLine { received_at, address }, &line).await
+                let ListLine { line, available_since, address } = line;
+                frames.send_with_body(&PredecessorFrame::ListLine { available_since, address }, &line).await
             }
             // This process's own predecessor is gone, and with it the calls that were in flight there.
             DeliveryMessage::PredecessorGone => {
--- a/src/net/handover/served_frames.rs
+++ b/src/net/handover/served_frames.rs
@@ -82,8 +82,8 @@
                 }
                 delivery.send(DeliveryMessage::CallCompleted(completion)).await
             }
-            PredecessorFrame::ListLine { received_at, address } => {
-                let line = ListLine { line: body, received_at, address };
+            PredecessorFrame::ListLine { available_since, address } => {
+                let line = ListLine { line: body, available_since, address };
                 let line = EndpointListMessage::PredecessorLine(line);
                 // Sending fails only if the endpoint list actor has ended, and it ends only with the process.
                 let _ = self.endpoint_list.send(line).await;
--- a/src/net/messages.rs
+++ b/src/net/messages.rs
@@ -148,7 +148,7 @@
     /// The line that was received.
     pub line: Vec<u8>,
     /// The earliest time at which the line may have arrived, in microseconds of the monotonic clock.
-    pub received_at: Micros,
+    pub available_since: Micros,
     /// The address of the agent that sent the line.
     pub address: SocketAddr,
 }
--- a/src/net/platform/endpoint_list/mod.rs
+++ b/src/net/platform/endpoint_list/mod.rs
@@ -199,7 +199,7 @@
         let line = match message {
             EndpointListMessage::WatchLine { watch, line } if !is_heartbeat(line) => {
                 let Some(address) = self.watches.address_of(*watch) else { return };
-                ListLine { line: line.clone(), received_at: self.line_available_since(*watch), address }
+                ListLine { line: line.clone(), available_since: self.line_available_since(*watch), address }
             }
             EndpointListMessage::PredecessorLine(line) => line.clone(),
             _ => return,
--- a/src/net/platform/endpoint_list/watches.rs
+++ b/src/net/platform/endpoint_list/watches.rs
@@ -216,7 +216,7 @@
         if self.generation_source.is_some_and(|source| source != line.address) {
             return;
         }
-        if let Some(generation) = self.apply_line_of_other_watch(&line.line, line.received_at).await {
+        if let Some(generation) = self.apply_line_of_other_watch(&line.line, line.available_since).await {
             info!(self.context.log, "endpoint list received from the predecessor";
                 "generation" => generation, "predecessor" => true);
         }
