--- a/src/net/runtime/shutdown.rs
+++ b/src/net/runtime/shutdown.rs
@@ -22,7 +22,7 @@
 /// Shuts the process down phase by phase, and returns once it can exit. `accepting` is the task that accepts clients.
 pub async fn shut_down(context: &Context, accepting: Task<()>) {
     let gauges = &context.gauges;
-    info!(context.log, "ending"; "open" => gauges.open_messages.get());
+    info!(context.log, "shutting down"; "open" => gauges.open_messages.get());
     let started_at = Instant::now();
     context.lifecycle.enter_shutdown(ShutdownPhase::Closing);
     Timer::after(ACCEPT_PERIOD).await;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -155,7 +155,7 @@
          u2 expect 202
          e1 expect m0
          term
-         log ending
+         log shutting down
          u1 send-raw X-Deadline: 9000m\\r\\nX-Addressing: dest=1\\r\\nContent-Length: 0\\r\\n\\r\\n
          u1 expect 202 Connection: close
          u1 send m2
@@ -184,7 +184,7 @@
          u1 send-raw GET /_health HTTP/1.1\\r\\n\\r\\n
          u1 expect 200
          term
-         log ending
+         log shutting down
          u1 expect end
          u1 send m1
          u1 expect end
@@ -205,7 +205,7 @@
          u1 connect
          wait user_agents=2
          term
-         log ending
+         log shutting down
          u1 send m1
          u1 expect 202 Connection: close
          u1 expect end
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -18,7 +18,7 @@
          u4 send-raw POST /api HTTP/1.1\\r\\n
          wait open=2
          term
-         log ending
+         log shutting down
          u1 expect end
          u3 send m3
          u3 expect 202 Connection: close
