--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,13 +1,16 @@
-//! Tests of events that cross each other: a watch event, a signal, a byte or a close that arrives between two steps of the
-//! forwarder. Each script forces the order: a party acts only after an event that the script waits for. They are scenarios
-//! over sockets, in the language of `scenario/mod.rs`.
+//! Tests of races: an event (a watch event, a signal, a byte or a close) reaches the forwarder while it already acts on
+//! another one that the event contradicts. Each script forces the order: a party acts only after an event that the script
+//! waits for. The tests are scenarios over sockets, in the language of `scenario/mod.rs`.
+//!
+//! The forwarder decides in steps: in each decision step the delivery policy receives the events since the previous one and
+//! decides which messages are admitted, sent or abandoned.
 
 mod scenario;
 
 use scenario::run_scenario;
 
-/// Guards against a retry in a zone where the message is not deduplicated. Its class is deduplicated by zone, and the first
-/// attempt was in flight when the process was killed.
+/// Guards against a retry in a zone where the message is not deduplicated: its class is deduplicated by zone, and its first
+/// attempt, which may have run, was in flight when the process was killed.
 #[test]
 fn after_a_kill_a_message_that_may_have_run_is_retried_in_its_zone_only() {
     run_scenario(
@@ -32,8 +35,10 @@
     );
 }
 
-/// Guards against a deduplication window that counts from the receipt of the message. It counts from the first attempt that
-/// may have run, which is later.
+/// Guards against a deduplication window that counts from the receipt of the message instead of its first attempt that may
+/// have run. The journal has the time of that attempt and not that of the receipt: the receipt of a restored message that
+/// may have run is assumed at its deadline minus the deadline of its class. Here this is 11 s (20 s minus 9 s) before the
+/// message was sent, so a window of 2 s would be over, and the message would fail instead of being retried.
 #[test]
 fn after_a_kill_the_deduplication_window_counts_from_the_first_attempt() {
     run_scenario(
@@ -52,8 +57,9 @@
     );
 }
 
-/// Guards against a message that runs twice because its retry is sent after the deduplication window, once the connection is
-/// established. The script knows that the window is over when another message reaches its deadline of 2100 ms.
+/// Guards against a message that runs twice because its retry waits for a connection and is then sent after the
+/// deduplication window. The script waits until the window of 2000 ms is over: it is when the other message, m2, is returned
+/// at its deadline of 2100 ms.
 #[test]
 fn a_retry_that_waits_for_its_connection_is_not_sent_after_its_deduplication_window() {
     run_scenario(
@@ -78,7 +84,8 @@
     );
 }
 
-/// Guards against a call to a draining endpoint, made from the cached endpoint list, in which it does not drain yet.
+/// Guards against a call to a draining endpoint that a new process makes because the endpoint is still active in the cached
+/// endpoint list.
 #[test]
 fn a_new_process_makes_no_call_before_it_has_received_the_endpoint_list() {
     run_scenario(
@@ -99,10 +106,10 @@
     );
 }
 
-/// Guards against a full drain grace for an endpoint that started draining before this process started. Its grace counts as
-/// over.
+/// Guards against starting a new drain grace when the process learns from its first list that an endpoint drains: the drain
+/// may be older than the process, so its grace counts as over, and the call that waits for a connection is not sent.
 #[test]
-fn an_endpoint_that_left_before_the_start_gets_no_call_that_waited_for_its_connection() {
+fn an_endpoint_that_drained_before_the_start_gets_no_call_that_waited_for_its_connection() {
     run_scenario(
         "with e1=1:one:stalled e2=1:one:hidden e3=9:one:leaving grace=60000
          caches-list
@@ -123,7 +130,8 @@
     );
 }
 
-/// Guards against a forwarder that sends nothing because the platform sends no list: it falls back to the cached one.
+/// Guards against a forwarder that sends nothing because the platform sends no list. After a timeout it must use the cached
+/// one.
 #[test]
 fn a_new_process_that_receives_no_endpoint_list_uses_the_cached_one() {
     run_scenario(
@@ -142,8 +150,8 @@
     );
 }
 
-/// Guards against a response that is lost because the connection is reset: closing a connection with unread bytes, here
-/// those behind the last request, resets it.
+/// Guards against a response that is lost because the connection is reset. The system resets a connection that is closed
+/// while bytes on it are unread, here those of a request after the last one that is answered.
 #[test]
 fn bytes_behind_the_last_request_are_discarded_without_a_response() {
     run_scenario(
@@ -170,8 +178,8 @@
     );
 }
 
-/// Guards against a request that is admitted, or answered by a reset, while its idle connection is being closed. Its client
-/// sees an orderly end and may send it again.
+/// Guards against admitting a request that arrives on an idle connection while the forwarder closes it, and against
+/// resetting that connection. The client sees an orderly end and may send the request again.
 #[test]
 fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_admitted() {
     run_scenario(
@@ -217,8 +225,8 @@
     );
 }
 
-/// Guards against a full drain grace for an endpoint whose drain is received late because the watch was silent. The grace
-/// counts from the last event that was received on that watch.
+/// Guards against starting a new drain grace when the process learns late of a drain because its watch was silent. The grace
+/// counts from the last event that was received on that watch, as the endpoint may have drained since.
 #[test]
 fn a_drain_delayed_by_a_silent_watch_applies_to_a_call_that_waits_for_its_connection() {
     run_scenario(
@@ -240,8 +248,8 @@
     );
 }
 
-/// Guards against consuming a single byte on an idle connection unnoticed: the bytes after it would be read as the response
-/// to the next call.
+/// Guards against reading and dropping a single unsolicited byte on an idle connection while the connection stays in use:
+/// the bytes after it would be read as the response to the next call.
 #[test]
 fn one_byte_on_an_idle_connection_closes_it() {
     run_scenario(
@@ -264,7 +272,8 @@
     );
 }
 
-/// Guards against a request that gets no response because its client half-closed right after it: the client may still read.
+/// Guards against a request that gets no response because its client closed its sending side right after it: the client may
+/// still read.
 #[test]
 fn a_client_that_half_closes_with_its_request_gets_503_and_is_not_admitted() {
     run_scenario(
@@ -283,8 +292,9 @@
     );
 }
 
-/// Guards against a delivery report that waits for an answer on a silent connection for too long. It must be sent on another
-/// connection before the next report is due, 400 ms later.
+/// Guards against a delivery report that waits too long for an answer on a silent connection. It must be sent again on
+/// another connection within 400 ms: the script expects m1 to be reported before m2, whose report is due 400 ms after that
+/// of m1.
 #[test]
 fn a_delivery_report_on_a_silent_connection_is_sent_on_another_in_time() {
     run_scenario(
@@ -324,8 +334,9 @@
     );
 }
 
-/// Guards against a drain that is lost because it lies unread on a watch that is replaced after a stall. The list of the new
-/// watch was older, and calls went to the draining endpoint.
+/// Guards against a drain that is lost because it lies unread on a watch that is replaced. The platform moves, and the new
+/// watch waits for its list. While the process is stopped, the new watch gets a list from before the drain, and the drain is
+/// sent only on the old watch. Without the guard, the process would use the new list alone and call the draining endpoint.
 #[test]
 fn a_drain_that_lies_unread_on_a_replaced_watch_applies_to_calls() {
     // The order in which the two watches are read is random, so the scenario runs three times.
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,6 +1,9 @@
-//! Tests of the forwarder while system calls fail as Linux documents them, or while the wall clock is stepped. The library
-//! `crates/faultshim` is preloaded into the program and injects these faults. The tests are scenarios over sockets, in the
-//! language of `scenario/mod.rs`.
+//! Tests of the forwarder while system calls fail with errors that the Linux manual pages list, or while the wall clock is
+//! stepped. The library `crates/faultshim` is preloaded into the program and injects these faults, if the script has
+//! `faults=on`. Three tests need no injected fault: those of the client that half-closes while it waits, of the unused
+//! connection and of the request that lay unread.
+//!
+//! The tests are scenarios over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
@@ -88,8 +91,8 @@
     );
 }
 
-/// Guards against a result that is lost because it cannot be written to the journal: after a kill, the message of a
-/// non-idempotent class was reported as failed although it was delivered.
+/// Guards against a result that is lost because it cannot be written to the journal at first: after a kill, the message,
+/// whose class `once` is not idempotent, was reported as failed although it was delivered.
 #[test]
 fn a_result_that_could_not_be_journaled_is_journaled_later() {
     run_scenario(
@@ -111,10 +114,10 @@
     );
 }
 
-/// Guards against accepting the rest of the listener's backlog at the shutdown only up to the first error: the requests that
-/// waited in it were reset.
+/// Guards against a shutdown that stops accepting connections at the first error of accept: connections still in the
+/// listener's backlog were reset, and with them their requests.
 #[test]
-fn queued_requests_are_answered_after_sigterm_although_accept_fails_now_and_then() {
+fn queued_requests_are_answered_after_sigterm_although_accept_fails_at_first() {
     run_scenario(
         "with e1=1 faults=on
          start
@@ -135,7 +138,7 @@
     );
 }
 
-/// Guards against a shutdown that waits for a listener on which accept never succeeds.
+/// Guards against a shutdown that is delayed because accept keeps failing, so that the listener's backlog is never empty.
 #[test]
 fn a_listener_that_always_fails_does_not_delay_shutdown() {
     run_scenario(
@@ -155,8 +158,8 @@
     );
 }
 
-/// Guards against a start that fails because the state folder cannot be read for a moment: the admitted messages in it must
-/// be delivered.
+/// Guards against a start that fails because the first calls that read the state folder fail. The process must try again and
+/// deliver the admitted messages in the folder.
 #[test]
 fn a_start_waits_for_a_state_folder_that_cannot_be_read_yet() {
     run_scenario(
@@ -189,7 +192,7 @@
     );
 }
 
-/// Guards against treating a short read or write as an error, or as a complete one.
+/// Guards against treating a short read or write as an error, or as if all bytes had been read or written.
 #[test]
 fn short_reads_and_writes_lose_nothing() {
     run_scenario(
@@ -209,8 +212,8 @@
     );
 }
 
-/// Guards against a program that ends because the owner file cannot be written. It must serve, and hand over to a successor
-/// once the file is written.
+/// Guards against a program that ends because it cannot write the file `owner` of the state folder, which contains its admin
+/// address and token for a successor. It must serve, and hand over to a successor once the file is written.
 #[test]
 fn a_full_state_folder_at_the_start_does_not_end_a_process_with_an_admin_listener() {
     run_scenario(
@@ -232,8 +235,9 @@
     );
 }
 
-/// Guards against a connection that is closed without a response because its client half-closed before the decision step
-/// that admits or rejects its message.
+/// Guards against a connection that is closed without a response because its client closed its sending side while its
+/// message waited for the decision step that admits messages, here up to 400 ms. The client may still read: it gets a 503,
+/// and its message, m2, is not sent. m1, whose client has not closed, is accepted.
 #[test]
 fn a_client_that_half_closes_while_it_waits_gets_its_response() {
     run_scenario(
@@ -251,8 +255,9 @@
     );
 }
 
-/// Guards against a request that gets no response because it crosses the close of a connection that was never used. The
-/// client gets a 503 before the close.
+/// Guards against a request that gets no response because the forwarder closes its connection, which was never used, while
+/// the request is on its way. The client gets a 503 before the close, both after the timeout for silent clients (u1) and in
+/// a shutdown (u2).
 #[test]
 fn an_unused_connection_gets_503_before_it_is_closed() {
     run_scenario(
@@ -272,8 +277,8 @@
     );
 }
 
-/// Guards against circuit breakers that open, and attempts that are used up, because this machine is short of ports or file
-/// descriptors for a moment.
+/// Guards against counting a connect that fails because this machine is short of ports or file descriptors as a failure of
+/// the endpoint: its circuit breaker would open, and messages would use up their attempts.
 #[test]
 fn a_local_resource_shortage_is_no_endpoint_failure() {
     run_scenario(
@@ -305,8 +310,9 @@
     );
 }
 
-/// Guards against lost signals. After a short read, an interrupted one left a part of a signal's number unread, so that each
-/// later read returned parts of two numbers, and SIGTERM was never received.
+/// Guards against lost signals. The process once read the numbers of signals, of several bytes each, from a descriptor.
+/// After a short read, an interrupted one left a part of a number unread, so that each later read returned parts of two
+/// numbers, and SIGTERM was never received.
 #[test]
 fn signals_are_received_although_reads_are_short_and_interrupted() {
     let reloads = "reload open=9\n sleep 5\n".repeat(12);
@@ -318,12 +324,12 @@
          exit-within 3700
          faults\n"
     );
-    // Two such faults cancel each other out, so that one round could pass by chance; six are run.
+    // A second pair of such faults can restore the alignment, so that one round may pass by chance; six are run.
     run_scenario(&format!("with e1=1 faults=on\n{}", round.repeat(6)));
 }
 
-/// Guards against a result that comes more than 0.3 s after the deadline. A request that lay unread, because the process was
-/// stopped or accept failed, is late when it is read; its deadline counts from when it was sent.
+/// Guards against a result that comes more than 0.3 s after the deadline. The deadline of a request counts from when it was
+/// sent, also if it lay unread for a while, here because the process was stopped.
 #[test]
 fn a_request_that_lay_unread_ends_within_the_deadline_of_its_client() {
     run_scenario(
@@ -343,9 +349,10 @@
     );
 }
 
-/// Guards against a pause that grows with each failed accept: a request with little time left had to wait for its end.
+/// Guards against pausing after the first failed accepts: with a pause that grew with each failure, a request with little
+/// time left was accepted too late.
 #[test]
-fn a_request_with_little_time_left_is_accepted_although_accept_fails_now_and_then() {
+fn a_request_with_little_time_left_is_accepted_although_accept_fails_at_first() {
     run_scenario(
         "with e1=1 faults=on
          start
@@ -360,10 +367,10 @@
     );
 }
 
-/// Guards against a pause after each connect that fails because this machine is short of ports: the delivery report came
-/// late.
+/// Guards against pausing after each connect that fails because this machine is short of ports: the connect is that of a
+/// delivery report, which came late.
 #[test]
-fn a_delivery_report_comes_in_time_although_connect_fails_now_and_then() {
+fn a_delivery_report_comes_in_time_although_connect_fails_at_first() {
     run_scenario(
         "with e1=1:one:leaving faults=on
          start
@@ -378,10 +385,10 @@
     );
 }
 
-/// Guards against a growing pause between connects of a watch that fail because this machine is short of ports. Four seconds
-/// after SIGHUP, the platform counts the endpoint list at its new address as received by the forwarder.
+/// Guards against a growing pause between connects of a watch that fail because this machine is short of ports. The platform
+/// expects a watch at its new address within four seconds of SIGHUP.
 #[test]
-fn a_moved_watch_is_opened_in_time_although_connect_fails_now_and_then() {
+fn a_moved_watch_is_opened_in_time_although_connect_fails_at_first() {
     run_scenario(
         "with e1=1 faults=on
          start
@@ -396,7 +403,9 @@
     );
 }
 
-/// Guards against a message whose end is reported before it is in the journal: after a kill, the message was sent again.
+/// Guards against a message that is sent again after a kill although its end was reported, because the end was not in the
+/// journal yet. An end that cannot be journaled is reported at the deadline of its message: not before, because a restart
+/// could send the message again, and not later, because the platform must learn of the end in time.
 #[test]
 fn an_end_that_cannot_be_journaled_is_not_reported_while_a_restart_could_send_its_message_again() {
     run_scenario(
@@ -422,8 +431,8 @@
     );
 }
 
-/// Guards against an end that is held back until the journal can be written: it must be reported once the message's deadline
-/// has passed.
+/// Guards against an end that is not reported as long as the journal cannot be written. It must be reported once the
+/// message's deadline has passed; a restart does not send a message after its deadline.
 #[test]
 fn an_end_that_cannot_be_journaled_is_reported_once_the_deadline_of_its_message_has_passed() {
     run_scenario(
@@ -449,7 +458,8 @@
     );
 }
 
-/// Guards against a 503 for a message that is still open in the journal: after a kill, the message was sent.
+/// Guards against a 503 for a message that is still open in the journal because its rejection could not be written: after a
+/// kill, the message was sent. The client must get a 202.
 #[test]
 fn a_message_whose_rejection_cannot_be_journaled_is_accepted() {
     run_scenario(
