--- a/tests/deployment_variants.rs
+++ b/tests/deployment_variants.rs
@@ -1,13 +1,15 @@
 //! Tests of a deployment that differs from the one in the other tests: endpoints accept few connections, some classes have a
 //! short deduplication window and others are idempotent, a call has up to five messages, only some rejections have a
-//! retry-after, and none names a limit. The tests are scenarios over sockets, in the language of `scenario/mod.rs`.
+//! retry-after, and no response states the limit of its endpoint. The tests are scenarios over sockets, in the language of
+//! `scenario/mod.rs`.
 
 mod scenario;
 
 use scenario::run_scenario;
 
-/// Guards against treating an endpoint at its connection limit as one at its capacity. The idle connections that fill its
-/// table were not closed then, and a large fleet had three of five calls rejected.
+/// Guards against treating an endpoint at its connection limit as one at its capacity. The idle connections that used up the
+/// limit were not closed then, and a large fleet had three of five calls rejected. An endpoint at its limit accepts a new
+/// connection, responds with a 503 and closes it.
 #[test]
 fn an_endpoint_at_its_connection_limit_gets_idle_connections_back() {
     run_scenario(
@@ -37,8 +39,9 @@
     );
 }
 
-/// Guards against closing idle connections for an endpoint that is only at its capacity. Such an endpoint keeps the
-/// connection open; if it closes one that it has served before, that is no sign of its connection limit.
+/// Guards against closing idle connections because an endpoint is at its capacity. Such an endpoint responds with a 503 and
+/// keeps the connection open. If it closes a connection on which it has responded before, this is no sign of its connection
+/// limit either.
 #[test]
 fn an_endpoint_at_capacity_keeps_its_connection() {
     run_scenario(
@@ -59,8 +62,8 @@
     );
 }
 
-/// Guards against ignoring a retry-after because the endpoint closes the connection: it has accepted the connection, and is
-/// not at its connection limit.
+/// Guards against ignoring a retry-after because the endpoint closes the connection: a 503 with a retry-after is a rejection
+/// of the message, not a sign of the connection limit.
 #[test]
 fn a_rejection_with_a_retry_after_is_honored_although_it_closes_the_connection() {
     run_scenario(
--- a/tests/each_call.rs
+++ b/tests/each_call.rs
@@ -1,8 +1,9 @@
-//! Tests in which each system call that the forwarder makes fails once: in one run the first call of that name, in the next
-//! run the second, and so on. All accepted messages must be delivered, also after a kill, and the process must shut down in
-//! time. The tests are scenarios over sockets, in the language of `scenario/mod.rs`.
+//! Tests in which one system call of the forwarder fails: in one run the first call of a name, in the next run the second,
+//! and so on. All accepted messages must be delivered, also after a kill, and the process must shut down in time. The tests
+//! are scenarios over sockets, in the language of `scenario/mod.rs`.
 //!
-//! `EACH_CALL_PLACES=60 cargo test --test each_call` fails each of the first 60 calls of a name.
+//! By default only the first few calls of each name fail. With `EACH_CALL_PLACES=60 cargo test --test each_call`, each of
+//! the first 60 does.
 
 mod scenario;
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Defines a test for each system call, so that the tests run in parallel.
+/// Defines a test for each system call with the failures to inject, so that the tests run in parallel.
 macro_rules! each_may_fail_once {
     ($($name:ident: $system_call:literal $failures:expr,)*) => {
         $(
@@ -67,8 +68,8 @@
     unlink_may_fail_once_at_any_call: "unlink" ["EIO"],
 }
 
-/// Cordons are persisted in the only file that is replaced by a rename. A cordon that cannot be persisted is rejected, and
-/// the request may be repeated.
+/// Without a registry, the file of the cordons is the only one that is replaced by a rename. A cordon that cannot be
+/// persisted is rejected, and the request may be repeated.
 #[test]
 fn rename_may_fail_once_and_the_cordon_is_rejected() {
     run_scenario(
--- a/tests/scenario/client.rs
+++ b/tests/scenario/client.rs
@@ -47,7 +47,7 @@
             ["connect"] => {}
             ["send", id, more @ ..] => self.send(id, more).expect("written"),
             ["sends", count, name, more @ ..] => {
-                for number in 1..=count.parse().expect("a number") {
+                for number in 1..=count.parse().expect("`sends` takes a number") {
                     self.send(&format!("{name}{number}"), more).expect("written");
                     self.expect("202", &[]);
                 }
@@ -77,7 +77,7 @@
     fn send(&mut self, id: &str, words: &[&str]) -> io::Result<()> {
         let options: BTreeMap<&str, &str> = words.iter().filter_map(|w| w.split_once('=')).collect();
         let option = |name: &str, default: &'static str| options.get(name).copied().unwrap_or(default);
-        let body = "x".repeat(option("size", "3").parse().expect("a size"));
+        let body = "x".repeat(option("size", "3").parse().expect("`size` is a number of bytes"));
         let (class, deadline) = (option("class", "notice"), option("deadline", "9000m"));
         let (destination, length) = (option("dest", "1"), body.len());
         let request = format!(
@@ -90,7 +90,7 @@
 
     /// Expects a response with the given status whose head contains the given texts.
     fn expect(&mut self, status: &str, texts: &[&str]) {
-        let head = read_message(&mut self.stream).expect("a response").head;
+        let head = read_message(&mut self.stream).expect("a response arrives in time").head;
         assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
         texts.iter().for_each(|text| assert!(head.contains(text), "no {text} in {head}"));
     }
--- a/tests/scenario/endpoint.rs
+++ b/tests/scenario/endpoint.rs
@@ -13,7 +13,7 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
 
-/// The backlog of an endpoint that serves, in connections.
+/// The backlog of an endpoint that accepts connections, in connections.
 const BACKLOG: i32 = 64;
 
 /// The response to a call whose messages are all delivered.
--- a/tests/scenario/environment.rs
+++ b/tests/scenario/environment.rs
@@ -54,7 +54,7 @@
 }
 
 fn parse_milliseconds(text: &str) -> Duration {
-    Duration::from_millis(text.parse().expect("a number of milliseconds"))
+    Duration::from_millis(text.parse().expect("the line takes a number of milliseconds"))
 }
 
 impl TestEnvironment {
@@ -126,14 +126,14 @@
             "start-registry" => self.registry = Some(Registry::start()),
             "reload" => self.reload(words, rest),
             "config" => {
-                let (path, value) = rest.split_once(' ').expect("a path and a value");
-                let value = serde_json::from_str(value).expect("JSON");
+                let (path, value) = rest.split_once(' ').expect("`config` takes a path and a value");
+                let value = serde_json::from_str(value).expect("the value of a `config` line is JSON");
                 self.options.overrides.push((path.to_owned(), value));
             }
             "write-byte-by-byte" => write_byte_by_byte(),
             "faults" => self.write_fault_plan(rest),
             "connect-idle" => {
-                let count: usize = words[0].parse().expect("a number");
+                let count: usize = words[0].parse().expect("`connect-idle` takes a number");
                 let connect =
                     |_| TcpStream::connect(self.listen.expect("started")).expect("the forwarder listens");
                 self.idle_connections.extend((0..count).map(connect));
@@ -193,9 +193,9 @@
         match name {
             "state-at-most" => {
                 let files = fs::read_dir(state).expect("the state folder");
-                let sizes = files.map(|f| f.expect("a file").metadata().expect("a size").len());
+                let sizes = files.map(|f| f.expect("a file").metadata().expect("the file's size").len());
                 let total: u64 = sizes.map(|s| s.div_ceil(DISK_BLOCK_BYTES) * DISK_BLOCK_BYTES).sum();
-                assert!(total <= words[0].parse().expect("a number"), "{total} bytes of state");
+                assert!(total <= words[0].parse().expect("a number of bytes"), "{total} bytes of state");
             }
             "state-contains" => {
                 let path = state.join(words[0]);
@@ -208,7 +208,7 @@
                 bytes[5] ^= 0xff;
                 fs::write(path, bytes).expect("the view is written");
             }
-            "damage" => self.damage_journal(words[0], words[1].parse().expect("a number")),
+            "damage" => self.damage_journal(words[0], words[1].parse().expect("a number of bytes")),
             _ => return false,
         }
         true
@@ -254,12 +254,15 @@
         }
     }
 
-    /// Adds an endpoint such as `2:many:west:hidden:closed`.
+    /// Adds an endpoint. Its description, such as `2:many:west:hidden:closed`, is the number of its destination, followed in
+    /// any order by words that set its kind, zone, state and place in the list; see "Endpoints of a `with` line" in
+    /// `mod.rs`. Unknown words are ignored.
     fn add_endpoint(&mut self, name: &str, description: &str) {
         let words: Vec<&str> = description.split(':').collect();
         let has = |word| words.contains(&word);
         let kind = if has("many") { "many" } else { "one" };
-        let destination = words[0].parse().expect("a destination");
+        let destination =
+            words[0].parse().expect("an endpoint's description starts with the number of its destination");
         let state = words.iter().find(|w| ["closed", "stalled"].contains(w)).unwrap_or(&"open");
         let zone = if has("west") { "west" } else { "east" };
         self.endpoints.insert(name.to_owned(), Endpoint::new(destination, kind, zone, state));
@@ -326,9 +329,9 @@
     /// Runs a line of a client, which connects first if it has not yet.
     fn client_step(&mut self, name: &str, words: &[&str], rest: &str) {
         if words[0] == "close" {
-            return drop(self.clients.remove(name).expect("connected"));
+            return drop(self.clients.remove(name).expect("the client is connected"));
         }
-        let listen = self.listen.expect("started");
+        let listen = self.listen.expect("a line of a client follows `start`");
         if let ["sends-until-accepted", count, name, more @ ..] = words {
             let ids = expand_ids(&[&format!("{name}*{count}")]);
             return self.accepted.extend(ids.iter().map(|id| send_until_accepted(listen, id, more)));
@@ -366,8 +369,9 @@
             command.env("FAULTSHIM_PLAN", self.folder.join("faults"));
             command.env("FAULTSHIM_FOLDER", self.folder.join("state"));
         }
-        // The platform starts the forwarder with this variable. A process keeps its value, also after `platform moves`.
         command.arg(self.folder.join("config.json"));
+        // The platform passes its address in this variable. A running process keeps the address that it was started with,
+        // also after a line `platform moves`.
         command.env("ROUTER_DISCOVERY", self.platform.address.to_string());
         let site = self.folder.join("site.yaml");
         if site.exists() {
@@ -394,7 +398,8 @@
                 Some(self.process.wait_for_logged_address("listening for admin requests", "operator: "));
         }
         self.wait_until_healthy();
-        // `lists` counts what the watch has sent, not the cached list. What the platform sends after this is a change.
+        // The counter `lists` does not count the cached list. Once it is 1, the forwarder has received the complete list, so
+        // that everything the platform sends later is a change to that list.
         self.wait_for_counter("lists>=1");
     }
 
@@ -411,7 +416,8 @@
     }
 
     fn try_get(&self, path: &str) -> io::Result<String> {
-        let mut stream = TcpStream::connect(self.listen.expect("started"))?;
+        let mut stream =
+            TcpStream::connect(self.listen.expect("a line that sends a request follows `start`"))?;
         let request = format!("GET {path} HTTP/1.1\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes())?;
         let mut response = String::new();
@@ -426,7 +432,8 @@
         let expected = expected.parse::<u64>().unwrap_or_else(|_| u64::from(expected == "true"));
         let check = || {
             let response = self.get("/_counters");
-            let counters: Value = serde_json::from_str(response.split("\r\n\r\n").nth(1)?).expect("JSON");
+            let counters: Value =
+                serde_json::from_str(response.split("\r\n\r\n").nth(1)?).expect("the counters are JSON");
             // A counter that is missing counts as 0: a route has no counters before it is used.
             let value = name.trim_end_matches('>').split('/').fold(&counters, |v, key| &v[key]);
             let value = value.as_u64().unwrap_or(u64::from(value == &Value::Bool(true)));
@@ -435,17 +442,22 @@
         poll_until(condition, check);
     }
 
-    /// Truncates the newest journal segment by a number of bytes (`cut`), or inverts the byte at that distance from its end.
+    /// Damages the file of the state folder whose name sorts last, which is the newest journal segment if there is neither
+    /// an admin listener nor a registry: truncates it by a number of bytes (`cut`), or inverts the byte at that distance
+    /// from its end.
     fn damage_journal(&self, damage: &str, distance_from_end: usize) {
         let files = fs::read_dir(self.folder.join("state")).expect("the state folder");
-        let newest = files.map(|f| f.expect("a file").path()).max().expect("a segment");
-        let mut bytes = fs::read(&newest).expect("the segment is read");
+        let newest = files
+            .map(|f| f.expect("an entry of the state folder").path())
+            .max()
+            .expect("a file in the state folder");
+        let mut bytes = fs::read(&newest).expect("the file is read");
         let position = bytes.len() - distance_from_end;
         match damage {
             "cut" => bytes.truncate(position),
             _ => bytes[position] ^= 0xff,
         }
-        fs::write(newest, bytes).expect("the segment is written");
+        fs::write(newest, bytes).expect("the file is written");
     }
 
     /// Writes a fault plan, whose rules are separated by semicolons, and clears the record of the faults that the previous
@@ -465,13 +477,13 @@
 
 /// Runs an `admin` line at a process.
 fn admin_step(process: &Process, idle_connections: &mut Vec<TcpStream>, words: &[&str], rest: &str) {
-    let admin_address = process.admin_address.expect("an admin listener");
+    let admin_address = process.admin_address.expect("the process has an admin listener (`operator=on`)");
     match words {
         ["connect-idle", count, ..] => {
             let text = unescape(text_after(rest, count));
             idle_connections.extend(admin::open_idle_connections(
                 admin_address,
-                count.parse().expect("a number"),
+                count.parse().expect("`connect-idle` takes a number"),
                 &text,
             ));
         }
--- a/tests/scenario/handover.rs
+++ b/tests/scenario/handover.rs
@@ -20,7 +20,7 @@
 }
 
 impl Successor {
-    /// Runs a line of the script; `owner` is the path of the folder's owner file.
+    /// Runs a line of the script; `owner` is the path of the state folder's file `owner`.
     pub fn step(&mut self, words: &[&str], owner: &Path) {
         match words {
             ["asks", status, more @ ..] => self.ask(status, more, owner),
@@ -46,11 +46,12 @@
         self.stream.as_mut().expect("a hand-over was asked for")
     }
 
-    /// Asks for a hand-over as the owner file says, and expects the status.
+    /// Asks for a hand-over at the address and with the token in the file `owner`, and expects the status.
     fn ask(&mut self, status: &str, options: &[&str], owner: &Path) {
-        let owner: Value = serde_json::from_slice(&fs::read(owner).expect("an owner file")).expect("JSON");
+        let owner: Value =
+            serde_json::from_slice(&fs::read(owner).expect("the file `owner` is read")).expect("it is JSON");
         let option = |name: &str| options.iter().find_map(|o| o.strip_prefix(name)?.strip_prefix('='));
-        let token = option("token").unwrap_or(owner["token"].as_str().expect("a token"));
+        let token = option("token").unwrap_or(owner["token"].as_str().expect("the owner has a token"));
         let format = option("format").map_or_else(|| FORMAT_VERSION.to_string(), str::to_owned);
         let admin_address: SocketAddr =
             owner["operator"].as_str().expect("text").parse().expect("an address");
@@ -79,23 +80,23 @@
     fn next_frame(&mut self) -> Value {
         let stream = self.stream();
         let mut sizes = [0; 8];
-        stream.read_exact(&mut sizes).expect("a frame");
+        stream.read_exact(&mut sizes).expect("a frame arrives in time");
         let size = |at: usize| u32::from_le_bytes(sizes[at..at + 4].try_into().expect("four bytes")) as usize;
         let mut bytes = vec![0; size(0) + size(4)];
         stream.read_exact(&mut bytes).expect("a complete frame");
-        serde_json::from_slice(&bytes[..size(0)]).expect("JSON")
+        serde_json::from_slice(&bytes[..size(0)]).expect("the head of a frame is JSON")
     }
 }
 
 /// A process that owns the state folder.
 #[derive(Default)]
 pub struct Predecessor {
-    /// The locked owner file, and the listener for requests of a hand-over; `None` if it does not own the folder.
+    /// The locked file `owner`, and the listener for requests of a hand-over; `None` if it does not own the folder.
     owner: Option<(fs::File, TcpListener)>,
 }
 
 impl Predecessor {
-    /// Runs a line of the script; `owner` is the path of the folder's owner file.
+    /// Runs a line of the script; `owner` is the path of the state folder's file `owner`.
     pub fn step(&mut self, words: &[&str], rest: &str, owner: &Path) {
         match words {
             ["owns"] => {
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -2,15 +2,16 @@
 //!
 //! Each line is one step. Its first word is a command, or the name of the party that acts: an endpoint, a client,
 //! `platform`, `registry`, `admin`, `old`, `successor` or `predecessor`. A step that waits fails the scenario after 15 s.
+//! Blank lines are ignored; scripts use them to set off the setup and the final checks.
+//!
+//! The forwarder decides in steps: in each decision step the delivery policy receives the events since the previous one and
+//! decides which messages are admitted, sent or abandoned. The option `tick` sets the time between two steps.
 //!
 //! # Setup
 //!
 //! | line | effect |
 //! | --- | --- |
-//! | `with e1=1` | endpoint `e1` of destination 1, in zone `east`, on the platform's list |
-//! | `with e2=2:many:west` | an endpoint that takes several messages per call, in zone `west` |
-//! | `with e3=3:hidden`, `with e4=4:leaving` | an endpoint that is not listed yet; one that is listed as draining |
-//! | `with e5=5:closed`, `with e6=6:stalled` | an endpoint that refuses connections; one that leaves them unanswered |
+//! | `with e1=1`, `with e2=9:one:leaving` | adds an endpoint; the next table explains its description |
 //! | `with open=8 disk=1` | limits: open messages, and megabytes of the state folder; the values here are the defaults |
 //! | `with grace=250 tick=5` | the drain grace and the shortest time between two decision steps, in ms; the defaults |
 //! | `with me=0` | the forwarder's index among all forwarders, as JSON; the default |
@@ -22,6 +23,19 @@
 //! | `start-registry` | starts a registry and its replica; a site file names them as `{registry}` and `{replica}` |
 //! | `write-byte-by-byte` | from here on clients, endpoints, admin requests and watches are written byte by byte |
 //!
+//! ## Endpoints of a `with` line
+//!
+//! The description of an endpoint starts with the number of its destination. The other fields are separated by colons, may
+//! be left out, and have any order. `e2=9:one:leaving` is the endpoint e2 of destination 9, of kind `one`, listed as
+//! draining.
+//!
+//! | field | meaning |
+//! | --- | --- |
+//! | `one` (default), `many` | a call has one message; up to three messages, unless `config` changes this |
+//! | `east` (default), `west` | the zone of the endpoint; the forwarder is in `east` |
+//! | `leaving`, `hidden` | the endpoint is listed as draining; it is not listed yet (default: listed as active) |
+//! | `closed`, `stalled` | it refuses connections; it leaves them unanswered (default: it accepts them) |
+//!
 //! # Processes
 //!
 //! | line | effect |
@@ -44,7 +58,7 @@
 //! | --- | --- |
 //! | `u1 send m1 dest=1 class=notice size=3 deadline=9000m` | sends a message; these values are the defaults |
 //! | `u1 sends 20 m class=notice` | sends m1 to m20, and expects a 202 for each |
-//! | `u1 sends-until-accepted 5 m` | sends five messages, each until it gets a 202: the first as m1-1, m1-2 and so on |
+//! | `u1 sends-until-accepted 5 m` | sends m1 to m5, each again with a new id (m1-1, m1-2, …) until it gets a 202 |
 //! | `u1 send-raw TEXT`, `u1 connect` | sends the text as it is; only connects |
 //! | `u1 expect 202 WORD…`, `u1 expect end` | expects a response with these words in its head; the end of the connection |
 //! | `u1 end-sending`, `u1 close` | shuts down the sending side; closes the connection |
@@ -113,9 +127,11 @@
 //! | `upgrade`, `begin-upgrade`, `upgraded` | starts a successor and waits until it serves; only starts it; only waits |
 //! | `old term`, `old exit`, `old log TEXT`, `old admin …` | the same for the predecessor, which keeps its clients |
 //! | `undo-upgrade` | kills the successor if it still runs; further lines are about its predecessor |
-//! | `keep-first`, `first kill` | before a second `upgrade`, keeps the first of then three processes; kills it |
+//! | `keep-first` | before a second `upgrade`: renames `old` to `first`, as `old` becomes the process then replaced |
+//! | `first kill` | kills the process `first` |
 //! | `successor asks 200 [token=X] [format=9] [accepts=list-line]` | asks for a hand-over, expects the status |
-//! | `successor reads-state`, `… owns` | receives the state; confirms its ownership and expects the grant |
+//! | `successor reads-state` | receives the state of the predecessor |
+//! | `successor owns` | declares that it owns the state folder, and expects the confirmation of the predecessor |
 //! | `successor expects Take`, `… accepts`, `… disconnects` | expects a frame; accepts its message; disconnects |
 //! | `predecessor owns`, `… exits` | owns the state folder, before `begin-upgrade`; releases it |
 //! | `predecessor answers TEXT` | receives a request for a hand-over and sends the text in response |
@@ -130,8 +146,44 @@
 //! | `start-timer`, `within 1300` | expects that less than 1300 ms have passed since `start-timer` |
 //! | `state-at-most 50000` | expects that the files of the state folder take at most 50 000 bytes |
 //! | `state-contains FILE`, `state-create-folder NAME` | waits for a file in the state folder; creates a folder in it |
-//! | `damage cut 3`, `damage flip 9` | truncates the newest journal segment by 3 bytes; flips the byte 9 before its end |
+//! | `damage cut 3`, `damage flip 9` | truncates the newest journal segment by 3 bytes; inverts the byte 9 before its end |
 //! | `damage-registry-view` | damages the persisted view of the registry |
+//!
+//! `damage` takes the file of the state folder whose name sorts last. This is the newest journal segment only if there is
+//! neither an admin listener nor a registry.
+//!
+//! # Counters
+//!
+//! `wait` reads the counters of the running process from `/_counters`. They count from its start, except those marked "now",
+//! which are present values. A missing counter counts as 0.
+//!
+//! | counter | what it counts |
+//! | --- | --- |
+//! | `taken` | messages accepted from clients, which got a 202 |
+//! | `restored` | messages restored from the journal at the start, also those of which only the report is due |
+//! | `inherited` | open messages that the predecessor handed over |
+//! | `open` | now: admitted or restored messages that have not ended |
+//! | `delivered`, `failed` | messages that an endpoint has processed; that were not delivered and may have taken effect |
+//! | `returned` | messages that were not delivered and are returned to their clients by a delivery report |
+//! | `withdrawn` | messages that ended because their client disconnected before its response |
+//! | `unavailable`, `bad_requests` | requests answered with a 503; malformed or invalid ones |
+//! | `notices`, `notices_owed` | delivery reports that the platform has confirmed; now: those not confirmed yet |
+//! | `calls`, `attempts` | calls written to endpoints; the attempts in them, one for each message |
+//! | `ok`, `error` | attempts that delivered their message; answered with an error |
+//! | `full` | attempts that the endpoint rejected, such as with a 429 or 503 |
+//! | `timed_out`, `cancelled` | attempts that timed out; were cancelled |
+//! | `connect_failed` | attempts for which no connection could be established |
+//! | `reset` | attempts whose connection failed after the request was written |
+//! | `stale` | attempts whose reused connection the endpoint had closed before the request was written |
+//! | `moot` | attempts that were not sent after a last check, or that the endpoint did not run |
+//! | `unsent` | attempts that were not sent because they could not be journaled |
+//! | `opened`, `reused` | connections to endpoints, once connecting begins; calls on a connection used before |
+//! | `accepted`, `user_agents` | connections accepted from clients; now: open ones, with the one that reads the counters |
+//! | `lists` | versions of the endpoint list received from the watch, complete ones and changes; not the cached list |
+//! | `reloads` | reloads of the configuration |
+//! | `journal_writable` | now: whether the journal can be written |
+//! | `routes/NAME/held` | now: open messages of a route; its other counters are under `routes/NAME` too |
+//! | `registry/entries`, `drains/count` | now: entries in the registry's part of the list; drains recorded since the start |
 
 mod admin;
 mod client;
--- a/tests/scenario/platform.rs
+++ b/tests/scenario/platform.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// If no delivery report arrives in this time, the forwarder has ceased to repeat them.
+/// If no delivery report arrives in this time, the forwarder is taken to have stopped repeating reports.
 const REPORTS_SETTLE_TIME: Duration = Duration::from_millis(500);
 /// The time between two heartbeats on the watches.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
@@ -23,7 +23,8 @@
 /// The state that the platform's threads share with the script.
 #[derive(Default)]
 struct SharedState {
-    /// The number of addresses so far, which numbers the present one; requests at former addresses are not answered.
+    /// How many addresses the platform has had. This is also the number of its present address, from 1; requests at
+    /// addresses with lower numbers get no answer.
     address_number: AtomicU32,
     /// Whether the complete list is held back on new watches.
     delays_list: AtomicBool,
@@ -123,7 +124,8 @@
         let set = |flag: &AtomicBool, value| flag.store(value, Ordering::SeqCst);
         match words {
             ["expect", id, state, more @ ..] => {
-                let report = self.reports.recv_timeout(STEP_TIMEOUT).expect("a report arrives in time");
+                let report =
+                    self.reports.recv_timeout(STEP_TIMEOUT).expect("a delivery report arrives in time");
                 assert!(more.iter().all(|m| report[*m] == true), "{more:?} of {report}");
                 assert_eq!((report["id"].as_str(), report["state"].as_str()), (Some(*id), Some(*state)));
             }
@@ -138,7 +140,7 @@
             ["rejects-reports"] => set(&self.shared.rejects_reports, true),
             ["accepts-reports"] => set(&self.shared.rejects_reports, false),
             ["answers-reports-after", delay] => {
-                let delay = delay.parse().expect("a number");
+                let delay = delay.parse().expect("`answers-reports-after` takes milliseconds");
                 self.shared.report_answer_delay_ms.store(delay, Ordering::SeqCst);
             }
             ["drops-next-report"] => set(&self.shared.drops_next_report, true),
@@ -151,21 +153,21 @@
         }
     }
 
-    /// Expects reports of exactly these messages, in any order and each with this end. A report may be repeated, as the
+    /// Expects reports of exactly these messages, in any order and each with this state. A report may be repeated, as the
     /// forwarder sends it again if its confirmation is late; the repetitions must end.
     fn expect_reports(&self, ids: Vec<String>, state: &str) {
         let (started_at, mut reported) = (Instant::now(), BTreeSet::new());
         loop {
-            let settled = reported.len() == ids.len();
-            let timeout = if settled { REPORTS_SETTLE_TIME } else { STEP_TIMEOUT };
+            let all_reported = reported.len() == ids.len();
+            let timeout = if all_reported { REPORTS_SETTLE_TIME } else { STEP_TIMEOUT };
             match self.reports.recv_timeout(timeout) {
                 Ok(report) => {
-                    let id = report["id"].as_str().expect("an id").to_owned();
+                    let id = report["id"].as_str().expect("a report has an id").to_owned();
                     assert_eq!(report["state"].as_str(), Some(state), "{report}");
                     assert!(ids.contains(&id), "{report} is not one of {ids:?}");
                     reported.insert(id);
                 }
-                Err(_) => return assert!(settled, "only {reported:?} of {ids:?} were reported"),
+                Err(_) => return assert!(all_reported, "only {reported:?} of {ids:?} were reported"),
             }
             assert!(started_at.elapsed() < STEP_TIMEOUT, "reports are repeated without end");
         }
@@ -228,7 +230,7 @@
             let status = self.receive_reports(&request.body, request_sender);
             let delay = self.report_answer_delay_ms.load(Ordering::SeqCst);
             thread::sleep(Duration::from_millis(delay.into()));
-            // The write fails if the forwarder has ended. A script that has to rule that out checks it by a line of its own.
+            // The write fails if the forwarder has ended. A script in which it must not end checks this with a later line.
             let _ = stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").as_bytes());
         }
     }
@@ -252,9 +254,9 @@
         if self.rejects_reports.load(Ordering::SeqCst) {
             return "500 No";
         }
-        let lines: Vec<&str> = std::str::from_utf8(body).expect("text").lines().collect();
+        let lines: Vec<&str> = std::str::from_utf8(body).expect("reports are text").lines().collect();
         for line in &lines {
-            let mut report: Value = serde_json::from_str(line).expect("a report");
+            let mut report: Value = serde_json::from_str(line).expect("a report is JSON");
             trace(format_args!("report {line}"));
             report["alone"] = (lines.len() == 1).into();
             // Sending fails if the scenario has ended.
--- a/tests/scenario/process.rs
+++ b/tests/scenario/process.rs
@@ -58,7 +58,7 @@
     }
 
     fn child(&mut self) -> &mut Child {
-        self.child.as_mut().expect("started")
+        self.child.as_mut().expect("the process was started")
     }
 
     /// Sends a signal by its name without `SIG`.
@@ -70,7 +70,7 @@
 
     /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        let mut child = self.child.take().expect("started");
+        let mut child = self.child.take().expect("the process was started");
         child.kill().and_then(|()| child.wait()).expect("the process ends");
     }
 
--- a/tests/scenario/script.rs
+++ b/tests/scenario/script.rs
@@ -9,7 +9,7 @@
 pub fn expand_ids(ids: &[&str]) -> Vec<String> {
     let expand = |id: &&str| match id.split_once('*') {
         Some((name, count)) => {
-            let count: usize = count.parse().expect("a number");
+            let count: usize = count.parse().expect("a number follows the asterisk");
             (1..=count).map(|n| format!("{name}{n}")).collect()
         }
         None => vec![(*id).to_owned()],
--- a/tests/scenario/settings.rs
+++ b/tests/scenario/settings.rs
@@ -55,14 +55,14 @@
 impl Options {
     /// Sets an option of a `with` line by its name. Returns false if there is no option of that name.
     pub fn set(&mut self, name: &str, value: &str) -> bool {
-        let number = || value.parse().expect("a number");
+        let number = || value.parse().expect("the option is a number");
         match name {
             "window" => self.brief_window_ms = Some(number()),
             "grace" => self.drain_grace_ms = number(),
             "tick" => self.min_step_interval_ms = number(),
             "disk" => self.disk_megabytes = number(),
-            "open" => self.max_open_messages = value.parse().expect("a number"),
-            "me" => self.forwarder_index = serde_json::from_str(value).expect("JSON"),
+            "open" => self.max_open_messages = value.parse().expect("`open` is a number"),
+            "me" => self.forwarder_index = serde_json::from_str(value).expect("`me` is JSON"),
             "operator" => self.has_admin_listener = value == "on",
             _ => return false,
         }
