--- a/tests/calls.rs
+++ b/tests/calls.rs
@@ -1,5 +1,5 @@
-//! Attempts and batches: results, retries, retry-afters, and drains while a connection is being opened. Scenarios
-//! over sockets, in the language of `scenario/mod.rs`.
+//! Tests of attempts and batches: results, retries, retry-afters, and drains while a connection is being opened. Each runs a
+//! scenario over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: reuse, stale connections, malformed responses and unsolicited bytes. Scenarios over
-//! sockets, in the language of `scenario/mod.rs`.
+//! Tests of connections to endpoints: reuse, stale connections, malformed responses and unsolicited bytes. Each runs a
+//! scenario over sockets, in the language of `scenario/mod.rs`.
 
 mod scenario;
 
--- a/tests/delivery_reports.rs
+++ b/tests/delivery_reports.rs
@@ -1,5 +1,5 @@
-//! Delivery reports to the platform, which are sent until the platform confirms them. Scenarios over sockets, in the
-//! language of `scenario/mod.rs`.
+//! Tests of delivery reports, which are sent to the platform until it confirms them. Each runs a scenario over sockets, in
+//! the language of `scenario/mod.rs`.
 
 mod scenario;
 
--- a/tests/scenario/mod.rs
+++ b/tests/scenario/mod.rs
@@ -171,15 +171,17 @@
 //! | `calls`, `attempts` | calls written to endpoints; the attempts in them, one for each message |
 //! | `ok`, `error` | attempts that delivered their message; answered with an error |
 //! | `full` | attempts that the endpoint rejected, such as with a 429 or 503 |
-//! | `timed_out`, `cancelled` | attempts that timed out; were cancelled |
-//! | `connect_failed` | attempts for which no connection could be established |
+//! | `timed_out`, `cancelled` | attempts that timed out, or were cancelled, after the first byte |
+//! | `connect_failed` | attempts for which no connection could be established, in time or at all |
 //! | `reset` | attempts whose connection failed after the request was written |
-//! | `stale` | attempts whose reused connection the endpoint had closed before the request was written |
-//! | `moot` | attempts that were not sent after a last check, or that the endpoint did not run |
+//! | `stale` | attempts whose reused connection failed within 50 ms of the request and without any response |
+//! | `moot` | attempts refused or cancelled before the first byte, or that the endpoint did not run |
 //! | `unsent` | attempts that were not sent because they could not be journaled |
 //! | `opened`, `reused` | connections to endpoints, once connecting begins; calls on a connection used before |
 //! | `accepted`, `user_agents` | connections accepted from clients; now: open ones, with the one that reads the counters |
 //! | `lists` | versions of the endpoint list received from the watch, complete ones and changes; not the cached list |
+//! | `rejected/REASON`, `given_up/REASON` | messages rejected at admission; abandoned by the delivery policy |
+//! | `not_sent/REASON` | attempts that the check before the first byte refused; also counted as `moot` or `unsent` |
 //! | `reloads` | reloads of the configuration |
 //! | `journal_writable` | now: whether the journal can be written |
 //! | `routes/NAME/held` | now: open messages of a route; its other counters are under `routes/NAME` too |
--- a/tests/unread_requests.rs
+++ b/tests/unread_requests.rs
@@ -27,7 +27,8 @@
     );
 }
 
-/// Guards against a message that ends too late, by the time for which its request waited unread, if its endpoint hangs.
+/// Guards against a call to a hanging endpoint that lasts beyond the deadline of its message, because the time for which the
+/// request waited unread was not subtracted from the time left.
 #[test]
 fn a_call_for_a_request_that_waited_unread_ends_by_the_deadline_of_its_client() {
     run_scenario(
