--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -140,8 +140,8 @@
         arguments: Vec<OsString>,
     },
     /// Run a program that the system ends together with its parent
-    #[command(name = "under", hide = true)]
-    EndWithParent {
+    #[command(hide = true)]
+    Under {
         /// The parent's process id
         parent: i32,
         #[arg(trailing_var_arg = true, allow_hyphen_values = true, required = true)]
@@ -270,7 +270,7 @@
         Command::Forwarder { arguments } => {
             Ok(cedarbridge::cli::main(std::iter::once("cedarbridge".into()).chain(arguments)))
         }
-        Command::EndWithParent { parent, program } => exec_with_parent(parent, &program),
+        Command::Under { parent, program } => exec_with_parent(parent, &program),
     }
 }
 
