--- a/crates/endpoint-model/src/model.rs
+++ b/crates/endpoint-model/src/model.rs
@@ -173,7 +173,7 @@
 
     /// The fault that decides how calls are answered at present: the one with the highest rank. A destination that was
     /// overloaded refuses connections.
-    pub fn visible_fault(&self) -> Option<Fault> {
+    pub fn dominant_fault(&self) -> Option<Fault> {
         let overloaded = self.overloaded_at.map(|_| Fault::RefuseConnections);
         self.faults.iter().copied().chain(overloaded).max_by_key(|fault| fault.rank())
     }
@@ -275,7 +275,7 @@
     /// The index of the endpoint is out of range, or a share of failing calls is not between 0 and 1.
     pub fn call(&mut self, now: Micros, endpoint: usize, messages: usize) -> CallResult {
         self.record_arrival(now, messages);
-        let fault = self.visible_fault();
+        let fault = self.dominant_fault();
         if let Some(result) = self.result_of_fault(now, fault) {
             return result;
         }
--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -35,10 +35,10 @@
 }
 
 /// The tolerances in virtual time, where both sides observe all events in order.
-pub const VIRTUAL: Tolerances =
+pub const VIRTUAL_TIME_TOLERANCES: Tolerances =
     Tolerances { retry_after: 1_000, answer: 50_000, drain: 0, overlap: 0, deliveries_seen_early: false };
 /// The tolerances on sockets, from the platform's rules.
-pub const SOCKETS: Tolerances = Tolerances {
+pub const SOCKET_TOLERANCES: Tolerances = Tolerances {
     retry_after: 100_000,
     answer: 300_000,
     drain: 50_000,
@@ -412,7 +412,13 @@
 
     /// Records a notice that a message was rejected or failed. The same notice is allowed again after a restart, when its
     /// acknowledgement may have been lost. A notice of a message that a destination accepted is ignored.
-    pub fn notice_received(&mut self, now: Micros, message: usize, timing: &RouteTiming, end: MessageEnd) {
+    pub fn delivery_report_received(
+        &mut self,
+        now: Micros,
+        message: usize,
+        timing: &RouteTiming,
+        end: MessageEnd,
+    ) {
         let record = self.messages[message];
         let restarted = |since: Micros| {
             self.excused_spans[record.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now)
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -303,7 +303,7 @@
     }
 
     /// Records that a message was rejected, or else failed.
-    pub fn message_given_up(&mut self, rejected: bool) {
+    pub fn message_undelivered(&mut self, rejected: bool) {
         if rejected {
             self.rejected += 1;
         } else {
--- a/crates/rehearsal/src/live/call.rs
+++ b/crates/rehearsal/src/live/call.rs
@@ -76,7 +76,7 @@
             Some(Ok(n)) if n > 0 => {}
             Some(_) => return,
             None if matches!(
-                run.destinations.borrow()[destination].model.visible_fault(),
+                run.destinations.borrow()[destination].model.dominant_fault(),
                 Some(Fault::RefuseConnections)
             ) =>
             {
@@ -184,7 +184,7 @@
         let mut destinations = self.run.destinations.borrow_mut();
         let state = &mut destinations[self.destination];
         let is_half_open = state.half_open_since.is_some_and(|since| self.opened_at < since);
-        let result = if is_half_open && state.model.visible_fault() == Some(Fault::HalfOpenConnections) {
+        let result = if is_half_open && state.model.dominant_fault() == Some(Fault::HalfOpenConnections) {
             CallResult { answer: None, report: None, unconnected: false }
         } else {
             state.model.call(
--- a/crates/rehearsal/src/live/clients.rs
+++ b/crates/rehearsal/src/live/clients.rs
@@ -67,7 +67,7 @@
         let now = run.now();
         if now >= deadline || now > since + CLIENT_PATIENCE {
             // A request whose client finds no forwarder in time counts as rejected.
-            return run.figures.borrow_mut().message_given_up(true);
+            return run.figures.borrow_mut().message_undelivered(true);
         }
         match send_request(&run, forwarder, index, deadline - now, retry_reason).await {
             None => {
--- a/crates/rehearsal/src/live/endpoint.rs
+++ b/crates/rehearsal/src/live/endpoint.rs
@@ -107,7 +107,7 @@
         let (fault, fault_change) = {
             let destinations = run.destinations.borrow();
             (
-                destinations[destination].model.visible_fault(),
+                destinations[destination].model.dominant_fault(),
                 destinations[destination].fault_change.1.clone(),
             )
         };
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -14,7 +14,7 @@
 mod sampling;
 mod schedule;
 
-use crate::audit::{Audit, AuditSizes, MessageEnd, RuleViolation, SOCKETS};
+use crate::audit::{Audit, AuditSizes, MessageEnd, RuleViolation, SOCKET_TOLERANCES};
 use crate::environment::{Environment, RUN_START};
 use crate::figures::Figures;
 use crate::verdict::Lateness;
@@ -246,7 +246,7 @@
         let mut audit = self.audit.borrow_mut();
         let was_open = audit.is_open(message);
         if by_notice {
-            audit.notice_received(now, message, &timing, end);
+            audit.delivery_report_received(now, message, &timing, end);
         } else {
             audit.message_ended(now, message, &timing, end);
         }
@@ -254,8 +254,8 @@
             self.open_messages.set(self.open_messages.get() - 1);
             match end {
                 MessageEnd::Delivered => self.figures.borrow_mut().delivered(now, request),
-                MessageEnd::Rejected => self.figures.borrow_mut().message_given_up(true),
-                MessageEnd::Failed => self.figures.borrow_mut().message_given_up(false),
+                MessageEnd::Rejected => self.figures.borrow_mut().message_undelivered(true),
+                MessageEnd::Failed => self.figures.borrow_mut().message_undelivered(false),
                 MessageEnd::Disconnected => {}
             }
         }
@@ -376,7 +376,11 @@
             .collect();
         let times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid histogram bounds");
         LiveRun {
-            audit: RefCell::new(Audit::new(&environment.settings, AuditSizes::of(&environment), SOCKETS)),
+            audit: RefCell::new(Audit::new(
+                &environment.settings,
+                AuditSizes::of(&environment),
+                SOCKET_TOLERANCES,
+            )),
             figures: RefCell::new(Figures::new(&environment)),
             destinations: RefCell::new(destinations.collect()),
             sent_messages: RefCell::default(),
@@ -416,8 +420,11 @@
             .enumerate()
             .filter_map(|(n, p)| Some((n, p.model.overloaded_at()?)))
             .collect();
-        let mut audit =
-            self.audit.replace(Audit::new(&self.environment.settings, AuditSizes::default(), SOCKETS));
+        let mut audit = self.audit.replace(Audit::new(
+            &self.environment.settings,
+            AuditSizes::default(),
+            SOCKET_TOLERANCES,
+        ));
         audit.close(now, overloaded.into_iter());
         let (loop_times, late_sends, sends) = self.lateness.borrow().clone();
         let lateness = Lateness {
--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -199,7 +199,7 @@
         |fault: Option<Fault>| fault.is_some_and(|f| matches!(f, Fault::Hang | Fault::RefuseConnections));
     let mut was_down = false;
     loop {
-        let fault = run.destinations.borrow()[destination].model.visible_fault();
+        let fault = run.destinations.borrow()[destination].model.dominant_fault();
         if was_down && !is_outage(fault) {
             let Some(bytes) = last_call.take() else { return };
             for _ in 0..400 {
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -166,7 +166,7 @@
         let link = &mut self.links[forwarder * self.environment.endpoints.len() + endpoint];
         if link.half_open > 0 {
             link.half_open -= 1;
-            if self.destinations[destination].visible_fault() == Some(Fault::HalfOpenConnections) {
+            if self.destinations[destination].dominant_fault() == Some(Fault::HalfOpenConnections) {
                 return self.schedule_outcome(number, None, None, false);
             }
         }
--- a/crates/rehearsal/src/simulation/mod.rs
+++ b/crates/rehearsal/src/simulation/mod.rs
@@ -9,7 +9,7 @@
 mod policy_step;
 mod requests;
 
-use crate::audit::{Audit, AuditSizes, RuleViolation, VIRTUAL};
+use crate::audit::{Audit, AuditSizes, RuleViolation, VIRTUAL_TIME_TOLERANCES};
 use crate::environment::{Environment, ListChange, RUN_START};
 use crate::figures::{Figures, Sample};
 use calls::{Call, EndpointLink};
@@ -129,7 +129,7 @@
             .collect();
         let destinations = environment.destinations.iter().zip(0u64..);
         Simulation {
-            audit: Audit::new(&settings, AuditSizes::of(environment), VIRTUAL),
+            audit: Audit::new(&settings, AuditSizes::of(environment), VIRTUAL_TIME_TOLERANCES),
             figures: Figures::new(environment),
             destinations: destinations
                 .map(|(m, n)| DestinationModel::new(m.clone(), seed ^ n << 16))
--- a/crates/rehearsal/src/simulation/requests.rs
+++ b/crates/rehearsal/src/simulation/requests.rs
@@ -52,7 +52,7 @@
                     SimulationEvent::Request { index, retry_of, first_tried },
                 );
             } else {
-                self.figures.message_given_up(true);
+                self.figures.message_undelivered(true);
             }
             return;
         };
@@ -148,7 +148,7 @@
         self.close_message(message);
         let state = &self.messages[message];
         let (index, is_retry) = (state.request as usize, state.is_retry);
-        self.figures.message_given_up(rejection.is_some());
+        self.figures.message_undelivered(rejection.is_some());
         let Some(retry_after) = rejection else { return };
         if let Some(delay) = self.environment.requests[index].retry_delay.filter(|_| !is_retry) {
             let retry_at = self.now + retry_after.unwrap_or(0).max(delay);
--- a/crates/rehearsal/tests/audit.rs
+++ b/crates/rehearsal/tests/audit.rs
@@ -2,7 +2,9 @@
 
 use cedarbridge::routes::RouteTiming;
 use cedarbridge::{Idempotency, Lifecycle, Micros, Outcome};
-use cedarbridge_rehearsal::audit::{Audit, AuditSizes, MessageEnd, Rule, SOCKETS, VIRTUAL};
+use cedarbridge_rehearsal::audit::{
+    Audit, AuditSizes, MessageEnd, Rule, SOCKET_TOLERANCES, VIRTUAL_TIME_TOLERANCES,
+};
 use cedarbridge_rehearsal::environment::platform_defaults;
 
 const ONE_OF_EACH: AuditSizes = AuditSizes { forwarders: 1, destinations: 1, endpoints: 1 };
@@ -11,7 +13,7 @@
 fn audit(idempotency: Idempotency) -> Audit {
     let mut settings = platform_defaults().0;
     settings.classes[0].idempotency = idempotency;
-    let mut audit = Audit::new(&settings, ONE_OF_EACH, VIRTUAL);
+    let mut audit = Audit::new(&settings, ONE_OF_EACH, VIRTUAL_TIME_TOLERANCES);
     audit.message_received(0, 0, 0, 28_000_000);
     audit
 }
@@ -99,14 +101,14 @@
 #[test]
 fn on_sockets_early_deliveries_and_short_overlaps_are_allowed() {
     let settings = platform_defaults().0;
-    let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKETS);
+    let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKET_TOLERANCES);
     a.message_received(0, 0, 0, 28_000_000);
     let t = RouteTiming::default();
     a.attempt_sent(1, 1, (0, 0), 0, &t);
     a.attempt_sent(100, 100, (0, 0), 0, &t);
     a.attempt_ended(200, 0, 0, 1, Outcome::TimedOut);
     a.message_ended(300, 0, &t, MessageEnd::Delivered);
-    a.notice_received(400, 0, &t, MessageEnd::Failed);
+    a.delivery_report_received(400, 0, &t, MessageEnd::Failed);
     assert_eq!(a.violations, [], "a timeout that was observed a little late, and a notice after a delivery");
     a.attempt_ended(100_000, 0, 0, 100, Outcome::Ok);
     a.message_received(0, 0, 0, 28_000_000);
@@ -121,15 +123,15 @@
 #[test]
 fn a_notice_repeated_after_a_restart_is_no_second_answer() {
     let settings = platform_defaults().0;
-    let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKETS);
+    let mut a = Audit::new(&settings, ONE_OF_EACH, SOCKET_TOLERANCES);
     let t = RouteTiming::default();
     (0..2).for_each(|_| a.message_received(0, 0, 0, 28_000_000));
-    a.notice_received(10, 0, &t, MessageEnd::Rejected);
+    a.delivery_report_received(10, 0, &t, MessageEnd::Rejected);
     a.forwarder_stopped(20, 0);
     a.excuse_late_answers(0, 20, 900);
-    a.notice_received(800, 0, &t, MessageEnd::Rejected);
+    a.delivery_report_received(800, 0, &t, MessageEnd::Rejected);
     assert_eq!(a.violations, []);
-    a.notice_received(1000, 1, &t, MessageEnd::Rejected);
-    a.notice_received(1100, 1, &t, MessageEnd::Rejected);
+    a.delivery_report_received(1000, 1, &t, MessageEnd::Rejected);
+    a.delivery_report_received(1100, 1, &t, MessageEnd::Rejected);
     assert_eq!(a.violations[0].rule, Rule::SingleAnswer);
 }
