--- a/crates/endpoint-model/src/model.rs
+++ b/crates/endpoint-model/src/model.rs
@@ -6,11 +6,11 @@
 use rand_distr::{Distribution, LogNormal};
 use std::collections::VecDeque;
 
-/// Burst that a rate limit admits, as the number of seconds in which the limit admits as many calls.
+/// A rate limit admits a burst of as many calls as it allows in this many seconds.
 const BURST_SECONDS: f64 = 0.5;
-/// The shortest time for which answers report the same state of the rate limit.
+/// The shortest time for which answers report the same remaining share of the rate limit.
 const MIN_REPORT_INTERVAL: Micros = 100_000;
-/// The longest time for which answers report the same state of the rate limit.
+/// The longest time for which answers report the same remaining share of the rate limit.
 const MAX_REPORT_INTERVAL: Micros = 500_000;
 /// Allowance for random variation in the budget of a destination that warms up, in calls of one message.
 const OVERLOAD_SLACK: f64 = 4.0;
@@ -56,7 +56,7 @@
     /// The state of the rate limit that the answer reports. `None` if there is no limit, if a fault decided the result, or
     /// if the connection is reset.
     pub report: Option<LimitReport>,
-    /// Whether no connection was established, so that the call was not read.
+    /// True if the connection could not be established; the destination then reads nothing of the call.
     pub unconnected: bool,
 }
 
@@ -86,7 +86,7 @@
     messages: usize,
 }
 
-/// The state of the rate limit that answers report until a certain time.
+/// The remaining share of the rate limit that answers report until `valid_until`.
 struct ReportedLimit {
     valid_until: Micros,
     remaining_share: f64,
@@ -171,8 +171,8 @@
         self.faults = faults;
     }
 
-    /// The fault that decides how calls are answered at present: the one with the highest rank. A destination that was
-    /// overloaded refuses connections.
+    /// The fault with the highest rank, which decides the kind of the answers at present. The slowdowns and lowered limits
+    /// of all faults apply as well. A destination that was overloaded refuses connections.
     pub fn dominant_fault(&self) -> Option<Fault> {
         let overloaded = self.overloaded_at.map(|_| Fault::RefuseConnections);
         self.faults.iter().copied().chain(overloaded).max_by_key(|fault| fault.rank())
@@ -225,8 +225,8 @@
         )
     }
 
-    /// The state of the rate limit that an answer reports. It is refreshed at random intervals, so that it may be out of
-    /// date.
+    /// The state of the rate limit that an answer reports. The remaining share is refreshed at random intervals, so that it
+    /// may be out of date; the rate is always current.
     fn limit_report(&mut self, now: Micros) -> Option<LimitReport> {
         let rate = self.current_limit()?;
         if self.reported_limit.as_ref().is_none_or(|reported| reported.valid_until <= now) {
@@ -238,7 +238,8 @@
         Some(LimitReport { remaining_share, rate })
     }
 
-    /// Takes a token of the rate limit for a call; false if none is left.
+    /// Takes a token of the rate limit for a call and returns whether one was left. If `rejections_use_limit` is set, a
+    /// rejected call uses up a token too.
     fn take_token(&mut self, now: Micros) -> bool {
         let Some(limit) = self.current_limit() else { return true };
         let burst = (limit * BURST_SECONDS).max(1.0);
--- a/crates/faultshim/src/lib.rs
+++ b/crates/faultshim/src/lib.rs
@@ -1,12 +1,13 @@
 //! Fault injection for tests. Preloaded (`LD_PRELOAD`) into the forwarder, this library wraps functions of the C library
-//! and makes chosen calls fail as Linux documents them. A plan says which calls fail; tests may change it while the program
-//! runs.
+//! and makes chosen calls of them fail as Linux documents it. A plan says which calls fail; tests may change it while the
+//! program runs.
 //!
 //! `FAULTSHIM_PLAN` is the path of the plan's file, which must be replaced as a whole by a rename. `FAULTSHIM_FOLDER` is
-//! the path of a folder: rules for `open`, `read`, `write`, `ftruncate`, `fsync`, `unlink`, `rename` and `opendir` apply to
-//! its files only. Rules for `accept`, `socket`, `connect`, `recv` and `send` apply to all sockets, and `wall` shifts the
-//! wall clock. For each injected fault, a line is appended to the file whose path is that of the plan with the suffix
-//! `.struck`.
+//! the path of a folder: rules for `open`, `read`, `write`, `ftruncate`, `fsync`, `unlink`, `rename` and `opendir` apply
+//! only to files whose path begins with it. Rules for `accept`, `socket`, `connect`, `recv` and `send` apply to all
+//! sockets, and `wall` shifts the wall clock. For each call that a rule applies to, a line is appended to the file whose
+//! path is that of the plan with the suffix `.struck`. That includes the effect `short` on functions without a size, which
+//! changes nothing.
 //!
 //! This is the only crate of the project with `unsafe` code, as replacing the C library's functions requires it. It is
 //! never part of the forwarder.
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Appends a line about an injected fault to the file with the suffix `.struck`.
+    /// Appends a line about a call that a rule applies to, to the file with the suffix `.struck`.
     fn log_fault(&self, call: &str, effect: Effect) {
         let mut path = self.path.to_bytes().to_vec();
         path.extend_from_slice(b".struck\0");
@@ -185,8 +186,8 @@
     -1
 }
 
-/// The return value of a call into which a failure is injected; `None` if the call is to be made. For calls without a size,
-/// which cannot be cut short.
+/// The return value of a call that is made to fail; `None` if the call is to be made. Only for functions without a size
+/// argument, on which the effect `short` does nothing.
 fn injected_failure(call: &str) -> Option<c_int> {
     match fault_for(call)? {
         Effect::Fails(error_number) | Effect::Torn(error_number) => Some(set_error(error_number)),
@@ -207,8 +208,8 @@
     }
 }
 
-/// Whether a path begins with that of `FAULTSHIM_FOLDER`.
-fn is_in_folder(path: *const c_char) -> bool {
+/// Whether a path begins with that of `FAULTSHIM_FOLDER`, compared byte by byte: `/x/state-old/f` begins with `/x/state`.
+fn has_folder_prefix(path: *const c_char) -> bool {
     if path.is_null() {
         return false;
     }
@@ -343,7 +344,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let original = original_function!("open64", unsafe extern "C" fn(*const c_char, c_int, c_uint) -> c_int);
-    if !is_in_folder(path) {
+    if !has_folder_prefix(path) {
         return original(path, flags, mode);
     }
     if let Some(failed) = injected_failure("open") {
@@ -398,7 +399,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
     let original = original_function!("unlink", unsafe extern "C" fn(*const c_char) -> c_int);
-    match is_in_folder(path) {
+    match has_folder_prefix(path) {
         true => injected_failure("unlink").unwrap_or_else(|| original(path)),
         false => original(path),
     }
@@ -411,7 +412,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn rename(from: *const c_char, to: *const c_char) -> c_int {
     let original = original_function!("rename", unsafe extern "C" fn(*const c_char, *const c_char) -> c_int);
-    match is_in_folder(to) {
+    match has_folder_prefix(to) {
         true => injected_failure("rename").unwrap_or_else(|| original(from, to)),
         false => original(from, to),
     }
@@ -424,7 +425,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn opendir(path: *const c_char) -> *mut libc::DIR {
     let original = original_function!("opendir", unsafe extern "C" fn(*const c_char) -> *mut libc::DIR);
-    match is_in_folder(path) && injected_failure("opendir").is_some() {
+    match has_folder_prefix(path) && injected_failure("opendir").is_some() {
         true => std::ptr::null_mut(),
         false => original(path),
     }
--- a/crates/faultshim/src/plan.rs
+++ b/crates/faultshim/src/plan.rs
@@ -1,10 +1,10 @@
 //! The fault plan, which says which system calls fail, how and how often. It is text with one rule a line; this module
-//! makes no system call itself.
+//! makes no system call itself. In this crate, a "call" is a call of one of the wrapped functions of the C library.
 //!
 //! ```text
 //! write torn=EIO                 each write to the folder writes half, and the next write on the descriptor fails with EIO
 //! accept ECONNABORTED chance=0.3 each call fails with a probability of 0.3
-//! unlink EIO nth=2 count=1       the second call fails; at most one call fails
+//! unlink EIO nth=2 count=1       calls from the second on fail, but at most one of them: only the second
 //! send stall=150 chance=0.05     the call is delayed by 150 ms with a probability of 0.05
 //! recv short                     each call is made with half of the requested size
 //! wall 3600000000                the wall clock is ahead by so many microseconds, here by an hour
@@ -18,10 +18,10 @@
 pub enum Effect {
     /// The call fails with this error number.
     Fails(c_int),
-    /// The call is made with half of the requested size, rounded up.
+    /// The call is made with half of the requested size, rounded up. No effect on functions without a size.
     Short,
-    /// The call is made with half of the requested size, rounded up, and the next write on the descriptor fails with this
-    /// error number.
+    /// For `write`: the call is made with half of the requested size, rounded up, and the next write on the descriptor fails
+    /// with this error number. Any other function fails at once with this error number.
     Torn(c_int),
     /// The call is delayed by this many milliseconds.
     Stalls(u64),
@@ -33,13 +33,13 @@
     /// The name of the system call.
     pub call: String,
     effect: Effect,
-    /// The first call that may get a fault, counted from 1.
+    /// The first call that may get a fault, counted from 1; later ones may too.
     first_call: u64,
     /// The most calls that get a fault.
     max_faults: u64,
     /// The probability that a call gets a fault.
     probability: f64,
-    /// The number of calls so far.
+    /// The number of calls so far to which no earlier rule of the plan applied.
     calls_seen: u64,
     /// The number of calls so far that got a fault.
     faults_injected: u64,
--- a/crates/registry-standin/src/lib.rs
+++ b/crates/registry-standin/src/lib.rs
@@ -29,7 +29,7 @@
     pub gzip: bool,
     /// The server responds in XML rather than in JSON.
     pub xml: bool,
-    /// The body that the server sends in place of every list; `None` for the list itself.
+    /// The body of the response to every GET request; `None` to respond with what was asked for.
     pub body_override: Option<Vec<u8>>,
 }
 
@@ -43,7 +43,7 @@
     received_requests: Vec<String>,
 }
 
-/// A running server of a fake registry. Replicas share the registry's instances.
+/// One running server of a fake registry. Its replicas are further servers of the same registry and share its instances.
 #[derive(Clone)]
 pub struct FakeRegistry {
     apps: Arc<Mutex<Applications>>,
--- a/crates/rehearsal/src/audit.rs
+++ b/crates/rehearsal/src/audit.rs
@@ -27,7 +27,7 @@
     pub answer: Micros,
     /// Extra time in which new calls may go to a draining endpoint.
     pub drain: Micros,
-    /// How long after the next attempt's start the end of an attempt may be observed.
+    /// An attempt's end may be observed up to this long after the start of the next attempt.
     pub overlap: Micros,
     /// Whether destinations observe a delivery before the forwarder does. The forwarder may then still retry, or report
     /// another outcome.
@@ -118,7 +118,7 @@
     }
 }
 
-/// The end of a message, as its client or a notice reports it.
+/// The end of a message, as its client or a delivery report states it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageEnd {
     /// The destination accepted it.
@@ -145,11 +145,12 @@
     in_flight: u32,
     /// When a second attempt was sent while one was in flight; reset to `None` when an attempt ends.
     overlap_since: Option<Micros>,
-    /// When the first attempt was sent that the destination may have processed.
+    /// When the first attempt was sent that the destination may have processed, or when the forwarder stopped while that
+    /// attempt was in flight. `None` if no attempt may have been processed.
     may_have_run_at: Option<Micros>,
     end: Option<MessageEnd>,
-    /// When a notice first reported the end.
-    first_notice: Option<Micros>,
+    /// When a delivery report first stated the end.
+    first_report_at: Option<Micros>,
 }
 
 /// The numbers of forwarders, destinations and endpoints that an audit tracks.
@@ -232,6 +233,7 @@
     /// meanwhile.
     pub fn forwarder_upgraded(&mut self, at: Micros, forwarder: usize, rejected_during_upgrade: usize) {
         if rejected_during_upgrade > MAX_REJECTED_IN_UPGRADE {
+            // The text: this many requests were rejected or left unanswered during the upgrade.
             let what = format!(
                 "{rejected_during_upgrade} hand-ins ended at the door, {MAX_REJECTED_IN_UPGRADE} allowed"
             );
@@ -273,6 +275,7 @@
             Some(_) => violations.push((Rule::SingleAnswer, "an attempt after its end")),
         }
         if record.in_flight > 0 && self.tolerances.overlap == 0 {
+            // The text: an attempt was sent while another attempt of the message was in flight.
             violations.push((Rule::SingleAttempt, "a second attempt while one is out"));
         }
         if record.attempts >= timing.max_attempts(MAX_ATTEMPTS_PER_MESSAGE) {
@@ -280,9 +283,11 @@
         }
         match (self.class.idempotency, record.may_have_run_at) {
             (Idempotency::NonIdempotent, Some(_)) => {
+                // The text: a message that must not run twice was retried though it may have been processed.
                 violations.push((Rule::RetryPermitted, "a repeat of what may not run twice"))
             }
             (Idempotency::WithKey, Some(run_at)) if now >= run_at + self.class.deduplication_window => {
+                // The text: a retry came after the end of the destination's deduplication window.
                 violations.push((Rule::RetryPermitted, "a repeat after the partner's memory of the first"));
             }
             _ => {}
@@ -291,6 +296,7 @@
         if first_byte > retry_after.received + self.tolerances.retry_after
             && first_byte + RETRY_AFTER_END_TOLERANCE < retry_after.until
         {
+            // The text: an attempt was sent before the end of the destination's `retry_after`.
             violations.push((Rule::RetryAfter, "sent within a told wait"));
         }
         let grace = DRAIN_GRACE + self.tolerances.drain;
@@ -383,7 +389,7 @@
     pub fn message_ended(&mut self, now: Micros, message: usize, timing: &RouteTiming, end: MessageEnd) {
         let record = self.messages[message];
         if record.end.is_some_and(|e| e != MessageEnd::Disconnected) {
-            // On sockets a destination may observe a delivery after its forwarder's timeout.
+            // On sockets a destination may count a call as delivered although its forwarder has timed out.
             if !(self.tolerances.deliveries_seen_early && end == MessageEnd::Delivered) {
                 self.record_violation(Rule::SingleAnswer, now, message, "a second final answer");
             }
@@ -396,10 +402,12 @@
             && record.may_have_run_at.is_some()
             && self.class.idempotency != Idempotency::Idempotent
         {
+            // The text: a message was reported as rejected though a destination may have processed it.
             self.record_violation(Rule::RetryPermitted, now, message, "given back though it may have run");
         }
-        // A reload never shortens the time of an attempt in flight, and no run reloads changed routes, so the timing is
-        // the one at the start. A retry that arrives after its deadline is answered at once.
+        // No run reloads changed routes, and a reload never shortens the time of an attempt in flight, so the timing is the
+        // one at the start. A message that is received after its deadline must be answered at once, so its answer is due
+        // when it is received.
         let due = self.due(
             record.forwarder as usize,
             timing.ends_at(record.requested, record.deadline).max(record.received),
@@ -410,8 +418,8 @@
         self.messages[message].end = Some(end);
     }
 
-    /// Records a notice that a message was rejected or failed. The same notice is allowed again after a restart, when its
-    /// acknowledgement may have been lost. A notice of a message that a destination accepted is ignored.
+    /// Records a delivery report that a message was rejected or failed. The same report is allowed again after a restart, as
+    /// its acknowledgement may have been lost. A report on a message that a destination accepted is ignored.
     pub fn delivery_report_received(
         &mut self,
         now: Micros,
@@ -423,12 +431,12 @@
         let restarted = |since: Micros| {
             self.excused_spans[record.forwarder as usize].iter().any(|e| e.1 >= since && e.0 <= now)
         };
-        match (record.end, record.first_notice) {
+        match (record.end, record.first_report_at) {
             (Some(MessageEnd::Delivered | MessageEnd::Disconnected), _) => {}
             (Some(before), Some(since)) if before == end && restarted(since) => {}
             _ => self.message_ended(now, message, timing, end),
         }
-        self.messages[message].first_notice.get_or_insert(now);
+        self.messages[message].first_report_at.get_or_insert(now);
     }
 
     /// Records that a forwarder receives an endpoint's lifecycle.
@@ -469,6 +477,7 @@
             }
         }
         for (destination, at) in overloaded {
+            // The text: the destination was overloaded while it recovered from an outage.
             let what = format!("partner {} was pushed over on its return", destination + 1);
             let rule = Rule::RecoveryOverload;
             self.violations.push(RuleViolation { rule, at, forwarder: None, message: None, what });
--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -302,7 +302,7 @@
         self.delivered += 1;
     }
 
-    /// Records that a message was rejected, or else failed.
+    /// Records that a message ended without a delivery: `rejected` if its client may retry, or else failed.
     pub fn message_undelivered(&mut self, rejected: bool) {
         if rejected {
             self.rejected += 1;
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -65,18 +65,18 @@
     pub delivered_share: f64,
     /// The delivered share minus the penalties.
     pub penalized_share: f64,
-    /// The share of calls that were rejected.
+    /// The share of attempts that destinations rejected.
     pub rejected_share: f64,
     /// The number of connections made, per message.
     pub connections_per_message: f64,
     /// The longest time from the end of an outage to the destination's first delivery; `None` without an outage.
     pub time_to_first_delivery: Option<Micros>,
-    /// The longest time from the end of an outage until the destination has its rate from before, or else to the end of the
-    /// run; `None` without an outage.
+    /// The longest time from the end of an outage until one second's deliveries reach 90% of the mean before the
+    /// outage, or else to the end of the run; `None` without an outage.
     pub time_to_full_rate: Option<Micros>,
     /// Jain's fairness index of the shares that the forwarders delivered of their messages: 1 if all shares are equal.
     pub fairness: f64,
-    /// The mean over destinations with a limit and over seconds: calls that reached the destination, over its limit.
+    /// The calls in a second as a multiple of the limit, averaged over all seconds of all destinations with a limit.
     pub mean_offered_load: f64,
     /// The share of these seconds in which the calls exceeded the limit.
     pub overload_share: f64,
@@ -196,6 +196,7 @@
     penalties: crate::scenario::Penalties,
 ) -> FleetRunResult {
     let messages = environment.requests.len().max(1) as f64;
+    // Outcome 2 is `Outcome::Rejected`; see `outcome_index`.
     let (delivered_share, rejected) = (figures.value().share(), figures.outcomes[2] as f64);
     let connections_per_message = figures.connections as f64 / messages;
     let shares = figures.by_forwarder.iter().filter(|v| v.offered > 0.0).map(|v| v.share());
@@ -253,7 +254,8 @@
     None
 }
 
-/// A figure of a run: its name in the table, its title in the page, and its value.
+/// A figure of a run: its name in the table, its title in the page, and its value. In the titles, "worth" is the value of
+/// messages, "prices" are the penalties, "a return" is the end of an outage, and "over" a limit means divided by it.
 type Column = (&'static str, &'static str, fn(&FleetRunResult) -> f64);
 
 const COLUMNS: [Column; 10] = [
@@ -284,7 +286,8 @@
     }
 }
 
-/// The table of the figures, and the first rule violations of each fleet.
+/// The table of the figures, and the first rule violations of each fleet. In it, "days" are runs, and "broken" counts rule
+/// violations.
 pub fn table(scenario: &Scenario, rows: &[Row]) -> String {
     let runs = rows.first().map_or(0, |r| r.runs.len());
     let mut out =
@@ -327,7 +330,8 @@
     json!({"title": scenario.title, "fleets": rows.iter().map(row).collect::<Vec<_>>()})
 }
 
-/// Descriptions of the scenario's expectations that the fleets did not meet.
+/// Descriptions of the scenario's expectations that the fleets with [`TurnOrder::Indexed`] did not meet. Other fleets are
+/// not checked.
 pub fn unmet_expectations(scenario: &Scenario, rows: &[Row]) -> Vec<String> {
     let mut all = Vec::new();
     for row in rows.iter().filter(|r| r.turn_order == TurnOrder::Indexed) {
--- a/crates/rehearsal/src/live/mod.rs
+++ b/crates/rehearsal/src/live/mod.rs
@@ -87,7 +87,7 @@
     #[error("{0}: {1}")]
     System(String, std::io::Error),
     /// The run was interrupted by a signal or by the user.
-    #[error("interrupted")]
+    #[error("the run was interrupted by a signal or by the user")]
     Interrupted,
     /// A task of the run panicked.
     #[error("a task of the run panicked; all started processes were ended")]
@@ -107,7 +107,7 @@
 /// The progress of a live run.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// The time since the start of the run and the length of the run, in microseconds.
+    /// Two durations in microseconds: the time since the start of the run, and the length of the run.
     pub at: (Micros, Micros),
     /// The numbers of requests that were sent and that are planned.
     pub sent: (usize, usize),
@@ -239,13 +239,13 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Records the end of a message, as its client got it or as a notice reports it.
-    fn message_ended(&self, message: usize, end: MessageEnd, by_notice: bool) {
+    /// Records the end of a message, as its client got it or as a delivery report states it.
+    fn message_ended(&self, message: usize, end: MessageEnd, by_delivery_report: bool) {
         let request = self.sent_messages.borrow()[message].request;
         let (now, timing) = (self.now(), self.timing(request));
         let mut audit = self.audit.borrow_mut();
         let was_open = audit.is_open(message);
-        if by_notice {
+        if by_delivery_report {
             audit.delivery_report_received(now, message, &timing, end);
         } else {
             audit.message_ended(now, message, &timing, end);
@@ -333,7 +333,10 @@
     let until_over = async {
         let timed_out = async {
             Timer::after(time_limit).await;
-            run.report_incident(format!("not over after {} s: broken off", time_limit.as_secs()));
+            run.report_incident(format!(
+                "the run did not end within {} s and was aborted",
+                time_limit.as_secs()
+            ));
             Ok(())
         };
         let panicked = async {
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -173,13 +173,16 @@
         match self.resolve_time(time) {
             None => {
                 let location = time.phase.as_ref().or(time.burst.as_ref()).unwrap_or(owner);
-                let reason = format!("there is no phase or clump `{}`", location.value);
+                let reason = format!(
+                    "there is no phase or clump `{}`, or it is a clump whose own phase does not exist",
+                    location.value
+                );
                 errors.push(ScenarioError::at(location.referenced, reason));
             }
             Some(at) if at + duration > self.length() => {
                 let seconds = |t: Micros| t as f64 / 1e6;
                 let reason = format!(
-                    "it lasts from {} s to {} s, and the run ends at {} s",
+                    "what is defined here lasts from {} s to {} s, but the run ends at {} s",
                     seconds(at),
                     seconds(at + duration),
                     seconds(self.length())
@@ -286,7 +289,7 @@
             if self.stops[..index].iter().any(overlaps) {
                 errors.push(ScenarioError::at(
                     position,
-                    "this forwarder is not back yet from its previous stop",
+                    "this forwarder is not back yet from another of its stops",
                 ));
             }
         }
--- a/crates/rehearsal/src/simulation/calls.rs
+++ b/crates/rehearsal/src/simulation/calls.rs
@@ -19,7 +19,7 @@
     /// The attempt's number for this message, from 0.
     pub(super) attempt: u32,
     pub(super) timeout_at: Micros,
-    /// Whether its timeout is also the end of the message, which is not sent again.
+    /// Whether the message ends with this attempt's timeout and is not sent again.
     pub(super) final_attempt: bool,
     /// Whether the attempt has no outcome yet.
     pub(super) pending: bool,
@@ -47,7 +47,7 @@
     pub(super) in_flight: u32,
     /// The largest number of calls that were in flight at once.
     pub(super) peak: u32,
-    /// Connections that are dead at the endpoint while the forwarder takes them for open.
+    /// The number of further calls that find a half-open connection: dead at the endpoint, open to the forwarder.
     pub(super) half_open: u32,
     /// The time since which each idle connection is idle, oldest first.
     pub(super) idle: VecDeque<Micros>,
@@ -194,7 +194,8 @@
         report: Option<LoadReport>,
         unconnected: bool,
     ) {
-        // As on sockets: the timeout of a final attempt ends that attempt alone, any other timeout ends the whole call.
+        // As on sockets: an attempt that times out at the end of its message leaves the call running for the other attempts.
+        // Any other timeout ends the whole call.
         let call = &mut self.calls[number];
         call.version = call.version.wrapping_add(1);
         let version = call.version;
@@ -315,7 +316,8 @@
         }
     }
 
-    /// Makes the forwarders' open connections to a destination half-open: calls on them get no answer.
+    /// For each forwarder and endpoint of a destination, makes as many connections half-open as calls were ever in flight at
+    /// once: calls on them get no answer.
     pub(super) fn mark_half_open(&mut self, destination: usize) {
         let endpoint_count = self.environment.endpoints.len();
         for (n, link) in self.links.iter_mut().enumerate() {
--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -1,5 +1,29 @@
 //! Checks the invariants against what clients, endpoints and the platform's agents observed, independently of the
 //! forwarders' own records.
+//!
+//! The rules that a violation names:
+//! - `strays`: something was received that no client submitted, or that was addressed to another destination.
+//! - `attempts`: a message had more than `MAX_ATTEMPTS` attempts.
+//! - `after-end`: a message was attempted after its report.
+//! - `repeats`: a message was retried, or returned to its client, though its class forbids it.
+//! - `one-out`: a message had two attempts in flight at once.
+//! - `drains`: a draining endpoint got an attempt later than `DRAIN_GRACE` after the forwarder was notified.
+//! - `retry-after`: a destination got an attempt before the end of a `retry_after`.
+//! - `slow-start`: a destination got too many calls after an outage.
+//! - `one-end`: a message was reported with two different ends.
+//! - `unanswered`: a message was sent to an endpoint, but its client got no response.
+//! - `lost`: an accepted message was neither delivered nor reported.
+//! - `in-time`: a message was delivered or reported too late.
+//!
+//! Other modules record violations of further rules:
+//! - `crash`: a process exited when it must not, or with an error status.
+//! - `leaves`: a process still ran 3.7 s after it had to exit.
+//! - `ready`: a process was not ready within 10 s, or did not answer at the end of the run.
+//! - `run-time`: the forwarder's own invariant counters are not empty.
+//! - `limits`: a process uses too much memory or too many descriptors.
+//! - `answers`: a client got a response with an unexpected status.
+//! - `bad-clients`: a malformed request got neither an error response nor a close of its connection in time.
+//! - `reports`: the platform's agent got a malformed delivery report.
 
 use crate::deployment::{DRAIN_GRACE, MAX_ATTEMPTS};
 use crate::observation::{AttemptOutcome, Idempotency, Report, Violation};
@@ -7,15 +31,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// Slack on every time limit for delays of sockets and scheduling.
+/// Slack for delays of sockets and scheduling. It is added to the time limits, except to that after a report and to the
+/// end of a `retry_after`.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 /// A message's delivery or report may come this long after its deadline.
 const END_SLACK: Duration = Duration::from_millis(300);
-/// Calls that arrive within this time after a `retry_after` or a report were already in flight.
+/// Calls that arrive within this time after a `retry_after` or a report are taken as already in flight and are no
+/// violations.
 const IN_FLIGHT_SLACK: Duration = Duration::from_millis(100);
 /// A forwarder need not meet deadlines until this long after it is available again.
 const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// The longest allowed delay between a process's reading of the clock and its write, which deduplication windows allow for.
+/// The longest allowed delay between a process's reading of the clock and its write. An attempt may come this much after the
+/// end of a deduplication window.
 const WRITE_DELAY: Duration = Duration::from_millis(150);
 
 /// An attempt as its endpoint observed it.
@@ -57,11 +84,11 @@
     until: Instant,
 }
 
-/// A time in which a forwarder is down, stalled or recovering from that.
+/// A time in which a forwarder is down, stalled, shutting down or recovering.
 #[derive(Clone)]
 struct UnavailablePeriod {
     since: Instant,
-    /// The end of the forwarder's recovery time; `None` while it is down or stalled.
+    /// The end of the forwarder's recovery time; `None` until the forwarder is ready again.
     until: Option<Instant>,
 }
 
@@ -224,6 +251,7 @@
                 ));
             }
         }
+        // Counts attempts: a call with three messages adds three.
         self.count("calls");
         violations.into_iter().for_each(|(rule, description)| self.record_violation(rule, description));
         Some(number)
@@ -285,7 +313,7 @@
     }
 
     /// The observations of the message that a violation names first, and of its forwarder meanwhile, one a line in the
-    /// order of time. `None` if the violation names no message.
+    /// order of time. `None` unless the violation's description begins with the id of a message and a colon.
     pub fn history(&self, violation: &Violation) -> Option<String> {
         let id = violation.description.split(':').next()?;
         let message = self.messages.get(id)?;
@@ -335,7 +363,7 @@
         self.slow_start_monitors[destination].begin_outage();
     }
 
-    /// All endpoints of a destination are up again, and its slow start begins.
+    /// All endpoints of a destination are up again after an outage, and its slow start begins.
     pub fn record_outage_end(&mut self, destination: usize) {
         self.count("returns after an outage");
         self.slow_start_monitors[destination].begin_slow_start(Instant::now());
@@ -373,7 +401,7 @@
     fn end_due_at(&self, message: &Message) -> Instant {
         let due = message.deadline + END_SLACK + SOCKET_SLACK;
         let periods = self.unavailable_periods[message.forwarder].iter();
-        // A time of unavailability that reaches beyond the deadline extends it.
+        // A period of unavailability that ends after the deadline extends it; one that has not ended does not.
         let delaying_periods = periods
             .filter(|period| period.since <= due && period.until.is_none_or(|end| end > message.deadline));
         delaying_periods
@@ -429,6 +457,7 @@
         self.counts.insert("delivered", delivered);
         let peak =
             self.slow_start_monitors.iter().map(SlowStartMonitor::peak_percent).max().unwrap_or_default();
+        // The peak over all destinations, in percent of the calls that a slow start allows.
         self.counts.insert("percent of a slow start's calls", peak);
         violations.sort();
         violations.into_iter().for_each(|(rule, description)| self.record_violation(rule, description));
--- a/crates/soak-test/src/faults.rs
+++ b/crates/soak-test/src/faults.rs
@@ -1,4 +1,5 @@
-//! Injects faults, drawn by the seed, so that two or three of them overlap at any time.
+//! Injects faults, drawn by the seed. Several tasks inject one fault after another, so that faults of each group of
+//! forwarders, of endpoints, of discovery and of clients overlap.
 
 use crate::endpoint;
 use crate::environment::{sleep, Behaviour, DiscoveryState, Endpoint, Environment};
@@ -9,8 +10,8 @@
 
 /// Number of forwarders in a group, which share their faults.
 const GROUP_SIZE: usize = 5;
-/// Number of faults at a time in a group of forwarders. Faults of endpoints, discovery and idle clients come in addition,
-/// one fewer at a time for the whole run.
+/// Number of tasks that each inject faults into one group of forwarders, one fault at a time. For the whole run, one task
+/// fewer injects faults of endpoints, discovery and idle clients in the same way.
 const CONCURRENT_FAULTS_PER_GROUP: usize = 3;
 /// Number of idle clients that connect to one forwarder, which has room for 128 connections.
 const IDLE_CLIENTS_PER_FORWARDER: usize = 160;
@@ -90,7 +91,8 @@
     }
 }
 
-/// Applies an operation to at most `max_count` random forwarders at once, except those with another operation in progress.
+/// Applies an operation to at most `max_count` random forwarders, one after the other, except those with another operation
+/// in progress. All of them are reserved from the start, so that no other operation begins on them meanwhile.
 async fn apply_to_some<F: std::future::Future<Output = ()>>(
     environment: &Rc<Environment>,
     forwarders: &[Rc<Forwarder>],
@@ -104,9 +106,9 @@
         if forwarder.operation_in_progress.replace(true) {
             continue;
         }
-        let operation_done = operation(forwarder.clone());
+        let pending_operation = operation(forwarder.clone());
         operations.push(Box::pin(async move {
-            operation_done.await;
+            pending_operation.await;
             forwarder.operation_in_progress.set(false);
         }));
     }
@@ -120,7 +122,7 @@
     environment.log(if graceful { "SIGTERM" } else { "SIGKILL" });
     apply_to_some(environment, forwarders, 2, |forwarder| async move {
         let downtime = environment.random_duration(0, 600);
-        // The wall clock may also be set while the process is down.
+        // The wall clock may also be set while the process is down. The rule stays for the rest of the run.
         if environment.random_bool(0.3) {
             let offset = if environment.random_bool(0.5) { HOUR_MICROS } else { -HOUR_MICROS };
             forwarder.add_fault_rules(&format!("wall {offset}"));
--- a/crates/soak-test/src/forwarder.rs
+++ b/crates/soak-test/src/forwarder.rs
@@ -59,7 +59,8 @@
     pub operation_in_progress: Cell<bool>,
     /// Whether fault rules that stall writes are in force.
     write_stalls_enabled: Cell<bool>,
-    /// Fault rules in force, each set with the id that removes it.
+    /// The added sets of fault rules, each with the id by which it is removed. Those that stall writes are in force only if
+    /// `write_stalls_enabled`.
     fault_rules: RefCell<Vec<(u64, String)>>,
     last_rules_id: Cell<u64>,
 }
@@ -261,7 +262,7 @@
         while let Ok(None) = predecessor.try_wait() {
             if waiting_since.elapsed() > EXIT_TIMEOUT {
                 let description = self.describe(
-                    "the predecessor still ran 3.7 s after it got SIGTERM or its successor was killed",
+                    "the predecessor still ran 3.7 s after SIGTERM, or after its successor was killed",
                 );
                 environment.checker.borrow_mut().record_violation("leaves", description);
                 // An error means that it has just exited.
@@ -353,7 +354,7 @@
     }
 
     /// Stops the process for a while with SIGSTOP, but not during an injected write stall: together they would exceed the
-    /// delay between a process's reading of the clock and its write that the platform's terms allow.
+    /// 150 ms that the platform's terms allow between a process's reading of the clock and its write.
     pub async fn pause(&self, environment: &Environment, duration: Duration) {
         self.write_stalls_enabled.set(false);
         self.write_fault_plan();
@@ -399,7 +400,7 @@
         self.write_fault_plan();
     }
 
-    /// Replaces the plan of the fault library by the rules in force.
+    /// Writes the rules in force to the plan of the fault library.
     fn write_fault_plan(&self) {
         let fault_rules = self.fault_rules.borrow();
         let is_enabled = |rules: &&(u64, String)| {
@@ -415,7 +416,7 @@
     }
 
     /// Checks at the end of the run that the process runs, that its own invariant counters are empty, and that its resident
-    /// memory and open descriptors are within the limits.
+    /// memory and open descriptors are within the limits. A figure that cannot be read passes.
     pub async fn check_at_end(&self, environment: &Environment) {
         if let Some(status) = self.exit_status() {
             return environment.checker.borrow_mut().record_violation(
@@ -444,7 +445,10 @@
         let open_descriptors = fs::read_dir(format!("/proc/{process_id}/fd")).map_or(0, Iterator::count);
         let mut checker = environment.checker.borrow_mut();
         if resident_kb.is_some_and(|kb: u64| kb > MAX_MEMORY_KB) || open_descriptors > MAX_OPEN_DESCRIPTORS {
-            let description = format!("{resident_kb:?} kB resident and {open_descriptors} open descriptors");
+            let description = format!(
+                "{resident_kb:?} kB resident ({MAX_MEMORY_KB} allowed) and {open_descriptors} open descriptors \
+                 ({MAX_OPEN_DESCRIPTORS} allowed)"
+            );
             checker.record_violation("limits", self.describe(description));
         }
     }
