--- a/crates/rehearsal/src/live/agent.rs
+++ b/crates/rehearsal/src/live/agent.rs
@@ -1,4 +1,4 @@
-//! The platform's agent on each forwarder's machine: it pushes the endpoint list and receives notices.
+//! The platform's agent on each forwarder's machine: it pushes the endpoint list and receives delivery reports.
 
 use super::{clients, LiveError, LiveRun};
 use crate::audit::MessageEnd;
@@ -14,8 +14,8 @@
 
 /// The time between two empty lines on a watch without changes.
 const WATCH_HEARTBEAT: Duration = Duration::from_secs(2);
-/// The largest body of notices, in bytes.
-const MAX_NOTICE_BODY: usize = 4 << 20;
+/// The largest body of a request with delivery reports, in bytes.
+const MAX_REPORTS_BODY: usize = 4 << 20;
 
 /// Starts the agent of a forwarder and returns the address that the forwarder uses.
 ///
@@ -52,10 +52,10 @@
 /// Answers the requests on a forwarder's connection to its agent.
 async fn serve(run: Rc<LiveRun>, forwarder: usize, mut connection: HttpConnection) {
     while let Ok(head) = connection.read_request().await {
-        let Ok(body) = connection.request_body(&head, MAX_NOTICE_BODY).await else { return };
+        let Ok(body) = connection.request_body(&head, MAX_REPORTS_BODY).await else { return };
         let answered = match (head.method.as_str(), head.target.split('?').next().unwrap_or_default()) {
             ("POST", "/reports") => {
-                let status = if receive_notices(&run, forwarder, &body) {
+                let status = if receive_delivery_reports(&run, forwarder, &body) {
                     "204 No Content"
                 } else {
                     "400 Bad Request"
@@ -140,11 +140,11 @@
     }
 }
 
-/// Reads the notices in a body, one a line. Returns false, and reads none, if a line is malformed.
-fn receive_notices(run: &Rc<LiveRun>, forwarder: usize, body: &[u8]) -> bool {
+/// Reads the delivery reports in a body, one a line. Returns false, and reads none, if a line is malformed.
+fn receive_delivery_reports(run: &Rc<LiveRun>, forwarder: usize, body: &[u8]) -> bool {
     let text = String::from_utf8_lossy(body);
     let lines: Option<Vec<(String, MessageEnd, Option<Micros>)>> =
-        text.lines().filter(|l| !l.trim().is_empty()).map(parse_notice).collect();
+        text.lines().filter(|l| !l.trim().is_empty()).map(parse_delivery_report).collect();
     let Some(lines) = lines else { return false };
     for (id, end, retry_after) in lines {
         let message = run.message_ids.borrow().get(&id).copied();
@@ -166,13 +166,13 @@
     true
 }
 
-/// A notice's message id, end and `retry_after`; `None` if the line is malformed.
-fn parse_notice(line: &str) -> Option<(String, MessageEnd, Option<Micros>)> {
-    let notice: Value = serde_json::from_str(line).ok()?;
-    let end = match notice["state"].as_str()? {
+/// A delivery report's message id, end and `retry_after`; `None` if the line is malformed.
+fn parse_delivery_report(line: &str) -> Option<(String, MessageEnd, Option<Micros>)> {
+    let report: Value = serde_json::from_str(line).ok()?;
+    let end = match report["state"].as_str()? {
         "failed" => MessageEnd::Failed,
         "returned" => MessageEnd::Rejected,
         _ => return None,
     };
-    Some((notice["id"].as_str()?.to_owned(), end, notice["after_ms"].as_f64().map(|ms| (ms * 1e3) as Micros)))
+    Some((report["id"].as_str()?.to_owned(), end, report["after_ms"].as_f64().map(|ms| (ms * 1e3) as Micros)))
 }
--- a/crates/rehearsal/src/live/forwarder_process.rs
+++ b/crates/rehearsal/src/live/forwarder_process.rs
@@ -254,7 +254,7 @@
             }
             Some(_) => return,
             None if Instant::now() > until => {
-                run.report_incident(format!("forwarder {} was there 3.7 s after SIGTERM", forwarder + 1));
+                run.report_incident(format!("forwarder {} still ran 3.7 s after SIGTERM", forwarder + 1));
                 signal_to(run, forwarder, role, Signal::KILL);
                 while run.forwarders.borrow_mut()[forwarder].exit_status(role).is_none() {
                     Timer::after(POLL_INTERVAL).await;
--- a/crates/rehearsal/src/live/proxy.rs
+++ b/crates/rehearsal/src/live/proxy.rs
@@ -1,5 +1,5 @@
 //! Proxies between a forwarder and its peers that violate the delivery rules on purpose, to test that the audit detects
-//! each violation. A proxy repeats calls, sends them within a `retry_after`, or drops notices, for example.
+//! each violation. A proxy repeats calls, sends them within a `retry_after`, or drops delivery reports, for example.
 
 use super::{LiveError, LiveRun};
 use async_io::{Async, Timer};
@@ -228,15 +228,19 @@
         while let Ok((stream, _)) = listener.accept().await {
             run.spawn(async move {
                 // The end of a connection is not an error of the proxy.
-                let _ = relay_notices(stream, upstream, fault).await;
+                let _ = relay_delivery_reports(stream, upstream, fault).await;
             });
         }
     });
     Ok(address)
 }
 
-/// Relays the requests on a forwarder's connection to its agent, and adds the fault to notices.
-async fn relay_notices(stream: Async<TcpStream>, upstream: SocketAddr, fault: ProxyFault) -> Option<()> {
+/// Relays the requests on a forwarder's connection to its agent, and adds the fault to delivery reports.
+async fn relay_delivery_reports(
+    stream: Async<TcpStream>,
+    upstream: SocketAddr,
+    fault: ProxyFault,
+) -> Option<()> {
     let mut client = HttpConnection::new(stream);
     loop {
         let head = client.read_request().await.ok()?;
--- a/crates/soak-test/src/endpoint.rs
+++ b/crates/soak-test/src/endpoint.rs
@@ -11,8 +11,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The shortest and the longest time that an endpoint takes for a call, in milliseconds.
+/// The shortest time that an endpoint takes for a call, in milliseconds.
 const MIN_WORK_MS: u64 = 2;
+/// The longest time that an endpoint takes for a call, in milliseconds.
 const MAX_WORK_MS: u64 = 60;
 /// Length of the queue of connections to be accepted. When it is full, the kernel drops connection attempts, and the
 /// caller's kernel repeats them a second later.
--- a/crates/soak-test/src/main.rs
+++ b/crates/soak-test/src/main.rs
@@ -1,5 +1,5 @@
-//! The soak test runs a few dozen real forwarders on loopback, injects two or three faults at a time and checks invariants
-//! from outside. This program provides everything around the forwarders: clients, endpoints and the platform's agents. See
+//! The soak test runs a few dozen real forwarders on loopback, injects faults that overlap and checks invariants from
+//! outside. This program provides everything around the forwarders: clients, endpoints and the platform's agents. See
 //! `docs/soak.md`.
 
 mod checker;
--- a/crates/soak-test/src/slow_start.rs
+++ b/crates/soak-test/src/slow_start.rs
@@ -10,7 +10,8 @@
 /// A window with too many calls violates the rule only if more than this share of them came from forwarders that had
 /// observed the outage.
 const MAX_OBSERVER_SHARE: f64 = 2.0 / 3.0;
-/// Below this many allowed calls, the margin for random variation is wider: 3 standard deviations instead of 2.
+/// Below this many allowed calls, the margin for random variation is wider: 3 standard deviations and 3 calls, instead of 2
+/// of each.
 const SMALL_SAMPLE_CALLS: f64 = 30.0;
 
 /// One call to a destination.
@@ -111,8 +112,8 @@
     }
 }
 
-/// The most calls in a window for a mean of `allowed` calls: the mean, plus 2 or 3 standard deviations of a Poisson count,
-/// plus as many calls.
+/// The most calls in a window for a mean of `allowed` calls: the mean, plus 2 standard deviations of a Poisson count and 2
+/// calls. For less than [`SMALL_SAMPLE_CALLS`] allowed calls, it is 3 of each.
 fn max_calls_with_margin(allowed: f64) -> f64 {
     let margin = if allowed < SMALL_SAMPLE_CALLS { 3.0 } else { 2.0 };
     allowed + margin * allowed.sqrt() + margin
