--- a/crates/registry-standin/src/show/load.rs
+++ b/crates/registry-standin/src/show/load.rs
@@ -7,6 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// The number of threads that send messages.
 const THREADS: u64 = 8;
 
 /// The numbers of messages by the forwarder's response.
@@ -47,7 +48,7 @@
     }
 }
 
-/// Sends every eighth message from the first one on, until `stop` is set.
+/// Sends one in [`THREADS`] messages, from the number `first` on, until `stop` is set.
 fn send_messages(
     forwarder: SocketAddr,
     first: u64,
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -224,7 +224,7 @@
     ///
     /// # Errors
     /// The site file cannot be read, or has errors.
-    pub fn plan(
+    pub fn load_routes(
         &self,
         variant: &Variant,
         folder: &Path,
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -218,7 +218,7 @@
     FleetRunResult {
         delivered_share,
         penalized_share: delivered_share
-            - penalties.rejected_calls * rejected / messages
+            - penalties.rejected_attempts * rejected / messages
             - penalties.connections * connections_per_message,
         rejected_share: rejected / (figures.attempts as f64).max(1.0),
         connections_per_message,
--- a/crates/rehearsal/src/fleet_command.rs
+++ b/crates/rehearsal/src/fleet_command.rs
@@ -63,7 +63,7 @@
         let seeds = scenario.seed..scenario.seed + runs;
         let run = |seed| -> Result<_, InputError> {
             let route_table =
-                loaded.plan(&fleet::build_fleet_environment(scenario, count, turn_order, seed))?;
+                loaded.load_routes(&fleet::build_fleet_environment(scenario, count, turn_order, seed))?;
             Ok(fleet::simulate_fleet_run(scenario, route_table, count, turn_order, seed))
         };
         rows.push(Row { count, turn_order, runs: seeds.map(run).collect::<Result<_, _>>()? });
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -175,7 +175,7 @@
         change(&mut experiment);
         let folder = path.parent().unwrap_or(Path::new("."));
         let platform = platform_defaults();
-        let route_tables = experiment.variants.iter().map(|v| experiment.plan(v, folder, &platform));
+        let route_tables = experiment.variants.iter().map(|v| experiment.load_routes(v, folder, &platform));
         let route_tables = route_tables.collect::<Result<Vec<_>, _>>()?;
         Ok(LoadedExperiment { experiment, route_tables })
     }
--- a/crates/rehearsal/src/scenario/check.rs
+++ b/crates/rehearsal/src/scenario/check.rs
@@ -213,7 +213,7 @@
             ),
             (fleet.clock_skew.0 <= MAX_CLOCK_SKEW, "`clocks` must differ by an hour at most"),
             (
-                is_penalty(fleet.penalties.rejected_calls) && is_penalty(fleet.penalties.connections),
+                is_penalty(fleet.penalties.rejected_attempts) && is_penalty(fleet.penalties.connections),
                 "`prices` must be from 0 to 10",
             ),
         ];
--- a/crates/rehearsal/src/scenario/forwarders.rs
+++ b/crates/rehearsal/src/scenario/forwarders.rs
@@ -107,7 +107,7 @@
     /// Changes of the fleet's size during the run, in the order of time.
     #[serde(default, rename = "sizes")]
     pub resizes: Vec<FleetResize>,
-    /// Penalties that are subtracted from the served share.
+    /// Penalties that are subtracted from the delivered share.
     #[serde(default, rename = "prices")]
     pub penalties: Penalties,
 }
@@ -138,13 +138,13 @@
     pub propagation_time: ConfigDuration,
 }
 
-/// Penalties, in points of the served share.
+/// Penalties, as amounts that are subtracted from the delivered share.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Penalties {
-    /// The penalty if as many calls are rejected as there are messages; it is proportional to the rejected calls.
+    /// The penalty if as many attempts are rejected as there are messages; it is proportional to the rejected attempts.
     #[serde(rename = "refused")]
-    pub rejected_calls: f64,
+    pub rejected_attempts: f64,
     /// The penalty if as many connections are made to endpoints as there are messages; it is proportional, too.
     pub connections: f64,
 }
--- a/crates/rehearsal/src/scenario_commands.rs
+++ b/crates/rehearsal/src/scenario_commands.rs
@@ -62,7 +62,7 @@
         })?;
         let folder = path.parent().unwrap_or(Path::new(".")).to_owned();
         let loaded = LoadedScenario { scenario, folder };
-        loaded.plan(&build_environment(&loaded.scenario, 1, Some(&CapturedTraffic::default())))?;
+        loaded.load_routes(&build_environment(&loaded.scenario, 1, Some(&CapturedTraffic::default())))?;
         Ok(loaded)
     }
 
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// The site file cannot be read, or has errors.
-    pub fn plan(&self, environment: &Environment) -> Result<Option<Arc<RouteTable>>, InputError> {
+    pub fn load_routes(&self, environment: &Environment) -> Result<Option<Arc<RouteTable>>, InputError> {
         let Some(site) = self.site() else { return Ok(None) };
         let text = std::fs::read_to_string(&site).map_err(|e| InputError::Unreadable(site.clone(), e))?;
         let site_file =
@@ -129,7 +129,7 @@
         };
         let seed = options.seed.unwrap_or(self.scenario.seed);
         let environment = build_environment(&self.scenario, seed, captured.as_ref());
-        let route_table = self.plan(&environment)?;
+        let route_table = self.load_routes(&environment)?;
         Ok(PreparedRun { environment, seed, route_table })
     }
 }
--- a/crates/rehearsal/src/verdict/mod.rs
+++ b/crates/rehearsal/src/verdict/mod.rs
@@ -29,12 +29,12 @@
 
 /// A request that is sent more than this time after its planned time is late.
 pub const LATE_SEND: Micros = 50_000;
-/// A run gets no verdict if its event loop was later than this at the 99th percentile, ...
+/// A run gets no verdict if its event loop was later than this at the 99th percentile.
 const MAX_LOOP_LATENESS: Micros = 40_000;
-/// ... if more than this share of its requests was sent late, ...
+/// A run gets no verdict if more than this share of its requests was sent late.
 const MAX_LATE_SEND_SHARE: f64 = 0.02;
 
-/// ... or if its forwarders took longer than this to answer `/_counters` at the 90th percentile.
+/// A run gets no verdict if its forwarders took longer than this to answer `/_counters` at the 90th percentile.
 const MAX_COUNTERS_TIME: Micros = 60_000;
 
 /// How a run was made.
--- a/crates/rehearsal/tests/experiments.rs
+++ b/crates/rehearsal/tests/experiments.rs
@@ -14,7 +14,7 @@
     let load = experiment.loads[0];
     let environment = Environment::generate(experiment, load, 5);
     let rows = experiment.variants.iter().map(|v| {
-        let route_table = experiment.plan(v, &folder(), &platform_defaults()).expect("accepted");
+        let route_table = experiment.load_routes(v, &folder(), &platform_defaults()).expect("accepted");
         let (figures, violations) = simulate(&environment, route_table, 5);
         Row {
             load,
--- a/crates/soak-test/src/checker.rs
+++ b/crates/soak-test/src/checker.rs
@@ -11,18 +11,18 @@
 //! - `retry-after`: a destination got an attempt before the end of a `retry_after`.
 //! - `slow-start`: a destination got too many calls after an outage.
 //! - `one-end`: a message was reported with two different ends.
-//! - `unanswered`: a message was sent to an endpoint, but its client got no response.
+//! - `unanswered`: a client got no response to a message that it sent on a new connection, or that an endpoint received.
 //! - `lost`: an accepted message was neither delivered nor reported.
 //! - `in-time`: a message was delivered or reported too late.
 //!
 //! Other modules record violations of further rules:
 //! - `crash`: a process exited when it must not, or with an error status.
 //! - `leaves`: a process still ran 3.7 s after it had to exit.
-//! - `ready`: a process was not ready within 10 s, or did not answer at the end of the run.
+//! - `ready`: a process was not ready within 10 s, or returned no counters at the end of the run.
 //! - `run-time`: the forwarder's own invariant counters are not empty.
 //! - `limits`: a process uses too much memory or too many descriptors.
 //! - `answers`: a client got a response with an unexpected status.
-//! - `bad-clients`: a malformed request got neither an error response nor a close of its connection in time.
+//! - `bad-clients`: a misbehaving client got neither a response nor a close of its connection in time.
 //! - `reports`: the platform's agent got a malformed delivery report.
 
 use crate::deployment::{DRAIN_GRACE, MAX_ATTEMPTS};
--- a/crates/soak-test/src/faults.rs
+++ b/crates/soak-test/src/faults.rs
@@ -184,7 +184,7 @@
     .await;
 }
 
-/// Sets the wall clock of a forwarder by up to an hour for a while.
+/// Sets the wall clock of a forwarder ahead or back by up to an hour for a while.
 async fn step_wall_clock(environment: &Rc<Environment>, forwarders: &[Rc<Forwarder>]) {
     environment.log("the wall clock is set");
     let forwarder = &forwarders[environment.random_below(forwarders.len())];
