--- a/crates/rehearsal/src/figures.rs
+++ b/crates/rehearsal/src/figures.rs
@@ -302,8 +302,8 @@
         self.delivered += 1;
     }
 
-    /// Records that a message was rejected, or else failed.
-    pub fn message_given_up(&mut self, rejected: bool) {
+    /// Records that a message ended without a delivery: `rejected` if its client may retry, or else failed.
+    pub fn message_undelivered(&mut self, rejected: bool) {
         if rejected {
             self.rejected += 1;
         } else {
