--- a/src/net/platform/endpoint_list/watches.rs
+++ b/src/net/platform/endpoint_list/watches.rs
@@ -269,8 +269,8 @@
     /// Reads a replaced watch for a short time, then closes it. After a stall of this process, lines may be unread on it
     /// that the current watch has not received; without this time they would be lost.
     fn keep_replaced(&mut self, watch: Watch) {
-        info!(self.context.log, "watch replaced by another, closing it soon";
-            "side" => "endpoint-list", "reason" => "moved");
+        // Logged when the watch is replaced; it is closed after `REPLACED_WATCH_READ_TIME`.
+        info!(self.context.log, "connection ended"; "side" => "endpoint-list", "reason" => "moved");
         let (own_mailbox, number) = (self.own_mailbox.clone(), watch.number);
         self.watches.replaced = Some(watch);
         let expiry = async move {
